--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -4,10 +4,10 @@
 //! controller's loops carry messages and transactions for them (`willowshore::standby`).
 //!
 //! - [`detector`]: suspects the leader by the distribution of its heartbeats.
-//! - [`succession`]: ranks the controllers that may replace it.
-//! - [`takeover`]: the way from following to leading, with a quorum of controllers that do not hear the leader.
+//! - [`failover_order`]: ranks the controllers that may replace it.
+//! - [`failover`]: the way from following to leading, with a quorum of controllers that do not hear the leader.
 //! - [`decisions`]: the leader's decisions as typed records, and the state that they add up to.
-//! - [`log`]: the leader's numbered log of them, bounded, with compressed snapshots.
+//! - [`decision_log`]: the leader's numbered log of them, bounded, with compressed snapshots.
 //! - [`mirror`]: the standby's copy, checked against the leader's digests.
 //! - [`settings`]: the file that enables all of it.
 //! - [`status`]: what operators are shown.
@@ -15,11 +15,11 @@
 //! Nothing here proves anything: a standby leads by the same guarded transaction as any other controller, and what it
 //! mirrored is a hint. The argument is in `docs/safety.md`.
 
+pub mod decision_log;
 pub mod decisions;
 pub mod detector;
-pub mod log;
+pub mod failover;
+pub mod failover_order;
 pub mod mirror;
 pub mod settings;
 pub mod status;
-pub mod succession;
-pub mod takeover;
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -7,8 +7,8 @@
 use thiserror::Error;
 use willowshore_model::{Term, Wall};
 
+use crate::decision_log::{Batch, BatchKind, FollowRequest, LogPosition, unpack};
 use crate::decisions::{Decision, DecisionState};
-use crate::log::{Batch, BatchKind, FollowRequest, LogPosition, unpack};
 
 /// Most differences that are told of one divergence.
 const MOST_TOLD: usize = 8;
--- a/crates/standby/src/mirror/tests.rs
+++ b/crates/standby/src/mirror/tests.rs
@@ -1,8 +1,8 @@
 //! A copy is right, or known not to be.
 
 use super::*;
+use crate::decision_log::DecisionLog;
 use crate::decisions::{DecisionTarget, JobNumber, tests::target};
-use crate::log::DecisionLog;
 use crate::settings::StandbySettings;
 
 fn pair() -> (DecisionLog, Mirror) {
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::takeover::{Cause, Takeover};
+use crate::failover::{Cause, Takeover};
 
 /// Longest duration that is told apart, in milliseconds.
 const LONGEST_MS: u64 = 600_000;
--- a/crates/standby/src/status/tests.rs
+++ b/crates/standby/src/status/tests.rs
@@ -3,7 +3,7 @@
 use willowshore_model::{Steady, Term};
 
 use super::*;
-use crate::takeover::Moments;
+use crate::failover::Moments;
 
 #[test]
 fn a_takeover_is_shown_by_its_phases() {
--- a/src/api.rs
+++ b/src/api.rs
@@ -10,7 +10,7 @@
 use crate::http::{Request, Response};
 use crate::model::{JobId, NodeId};
 use crate::peer::{Ask, Tell};
-use crate::place;
+use crate::placement;
 use crate::service::{Accepting, Service};
 use crate::wire::{self, JobAnswer, JobSpec, JobStage, Shape};
 
@@ -213,17 +213,17 @@
         if core.flavors.is_empty() {
             return Fitness::NotKnown;
         }
-        if !place::can_ever_run(spec, &core.flavors) {
+        if !placement::can_ever_run(spec, &core.flavors) {
             return Fitness::Never("a task fits no allowed machine type");
         }
-        if !place::zones_allow_all(spec, &core.flavors) {
+        if !placement::zones_allow_all(spec, &core.flavors) {
             return Fitness::Never("its tasks can't all run at once in the zones it may use");
         }
         let tasks = match spec.shape {
             Shape::Sweep => 1,
             Shape::Service | Shape::Gang => u64::from(spec.pieces),
         };
-        let need = place::Need::of(spec);
+        let need = placement::Need::of(spec);
         let over = |limit: Option<crate::model::Cores>, each: u64| {
             limit.is_some_and(|l| each.saturating_mul(tasks) > l.0)
         };
@@ -255,10 +255,10 @@
         // Jobs that ended long ago are no longer in memory, and one that came just now may be missing:
         // an accepted job stays known whatever went wrong.
         let mut known = false;
-        for key in [crate::ledger::progress_key(id), crate::ledger::job_key(id)] {
+        for key in [crate::replica::progress_key(id), crate::replica::job_key(id)] {
             if let Some(item) = self.store.get(&key).await.ok()? {
                 known = true;
-                let mut brought = crate::ledger::Brought::default();
+                let mut brought = crate::replica::Brought::default();
                 self.core.borrow_mut().ledger.load(&item, &mut brought);
                 if let Some(answer) = self.final_answer(id) {
                     return Some(answer);
--- a/src/capacity.rs
+++ b/src/autoscaler.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Cores, MachineId, Steady};
-use crate::place::{Flavors, Need, allowed, slots};
+use crate::placement::{Flavors, Need, allowed, slots};
 use crate::wire::{JobSpec, Shape, Urgency};
 
 /// A kind of machine that can be rented.
--- a/src/capacity/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,7 +1,7 @@
 //! Tables of cases for `capacity`.
 
 use super::*;
-use crate::place::tests::flavor;
+use crate::placement::tests::flavor;
 use crate::wire::tests::spec;
 
 fn flavors() -> Flavors {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -9,7 +9,7 @@
 
 use crate::http::{Answer, CallError, Client};
 use crate::model::MachineId;
-use crate::state::Bucket;
+use crate::store_client::Bucket;
 use crate::wire::{self, Flavors, HostList, Hosts, Rental};
 
 /// Why the cloud gave no answer that can be used.
--- a/src/context.rs
+++ b/src/cluster_view.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::config::{NodeInfo, Settings, StateLimits};
-use crate::ledger::Ledger;
 use crate::model::{JobId, Steady, Wall};
-use crate::part::Finished;
-use crate::place::Flavors;
+use crate::placement::Flavors;
+use crate::replica::Ledger;
+use crate::shard::Finished;
 
 /// What the leader needs to see besides its own state.
 pub struct Context<'a> {
--- a/src/core.rs
+++ b/src/controller.rs
@@ -5,22 +5,22 @@
 
 use tracing::info;
 
+use crate::cluster_view::Context;
 use crate::config::{NodeInfo, Settings, StateLimits};
-use crate::context::Context;
-use crate::lead::{Epoch, Lead};
-use crate::ledger::{self, Brought, LeadRecord, Ledger, MemberRecord, TermRecord};
+use crate::leader::{Epoch, Lead};
+use crate::lease::Rights;
 use crate::model::{
     Incarnation, JobId, Moment, NodeId, Revision, Steady, StoreLease, TaskId, Term, Wall,
 };
-use crate::part::{Announcement, Part, ReportAnswer, Surroundings};
 use crate::peer::{Plan, Summary, Tell, Waits};
-use crate::place::Flavors;
+use crate::placement::Flavors;
+use crate::replica::{self, Brought, LeadRecord, Ledger, MemberRecord, TermRecord};
+use crate::shard::{Announcement, Part, ReportAnswer, Surroundings};
 use crate::standby::Standby;
-use crate::state::leaders_writes_per_s;
-use crate::term::Rights;
+use crate::store_client::leaders_writes_per_s;
 use crate::wire::{self, Change, Changes, Guard, Item, Report, Txn};
 
-mod succession;
+mod failover;
 
 /// Least and longest time over which the completions of a job that goes on are gathered. Until they
 /// are on record their workers keep them, so nothing is lost by waiting.
@@ -270,10 +270,10 @@
         let term = self.ledger.term;
         let lead = self.ledger.lead.as_ref().map(|(record, _)| record);
         let lead = lead.filter(|record| record.term == term);
-        let leader = lead.map_or("unknown", |record| self.name_of(record.node));
+        let leader_name = lead.map_or("unknown", |record| self.name_of(record.node));
         let learned = if lead.is_some_and(|r| self.is_me(r)) { "own election" } else { "watch" };
         let (proof_ms, revision) = (self.rights.sync_age(now), self.ledger.revision.0);
-        info!(%term, leader, learned, proof_ms, revision, "a term begins");
+        info!(%term, leader = leader_name, learned, proof_ms, revision, "a term begins");
     }
 
     /// The name of a controller.
@@ -302,8 +302,8 @@
         if !self.loaded || lead.term <= self.part.term() || lead.node == self.me {
             return;
         }
-        let (term, leader) = (lead.term, self.name_of(lead.node));
-        info!(%term, leader, learned = "peer", "a term begins");
+        let (term, leader_name) = (lead.term, self.name_of(lead.node));
+        info!(%term, leader = leader_name, learned = "peer", "a term begins");
         self.part.begin_term(term);
         self.heard_lead = Some(lead);
         self.lead = None;
@@ -317,12 +317,12 @@
 
     /// The transaction that makes this process known; it replaces its predecessor at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
-        let path = ledger::member_key(self.me);
+        let path = replica::member_key(self.me);
         let stamp = self.ledger.members.get(&self.me).map_or(Revision(0), |m| m.1);
         let value = wire::to_value(&MemberRecord {
             life: self.life,
             version: env!("CARGO_PKG_VERSION").into(),
-            speaks: ledger::SPEAKS,
+            speaks: replica::SPEAKS,
         });
         Txn {
             guards: vec![Guard { path: path.clone(), stamp }],
@@ -354,12 +354,12 @@
         let set = |path: &str, value, lease| Change::Set { path: path.into(), value, lease };
         Some(Txn {
             guards: vec![
-                guard(ledger::LEAD_KEY, stamp),
-                guard(ledger::TERM_KEY, self.ledger.term_stamp),
+                guard(replica::LEAD_KEY, stamp),
+                guard(replica::TERM_KEY, self.ledger.term_stamp),
             ],
             apply: vec![
-                set(ledger::LEAD_KEY, wire::to_value(&lead), Some(lease)),
-                set(ledger::TERM_KEY, wire::to_value(&TermRecord { term }), None),
+                set(replica::LEAD_KEY, wire::to_value(&lead), Some(lease)),
+                set(replica::TERM_KEY, wire::to_value(&TermRecord { term }), None),
             ],
         })
     }
@@ -413,12 +413,13 @@
     pub fn hear_ended(
         &mut self,
         job: JobId,
-        progress: &ledger::Progress,
+        progress: &replica::Progress,
         stamp: Revision,
     ) -> Brought {
         let mut brought = Brought::default();
         if self.loaded && progress.end.is_some() {
-            let item = Item { path: ledger::progress_key(job), v: wire::to_value(progress), stamp };
+            let item =
+                Item { path: replica::progress_key(job), v: wire::to_value(progress), stamp };
             self.ledger.load(&item, &mut brought);
         }
         brought
@@ -503,7 +504,7 @@
             };
             f.since = now;
             let Some(progress) = Ledger::with_done(job, f.tasks.iter(), bytes) else { continue };
-            let path = ledger::progress_key(id);
+            let path = replica::progress_key(id);
             txn.guards.push(Guard { path: path.clone(), stamp: job.progress_stamp });
             txn.apply.push(Change::Set { path, value: wire::to_value(&progress), lease: None });
         }
@@ -568,14 +569,14 @@
     }
 
     /// The transaction that cancels a job, if it has not ended, and the progress record it writes.
-    pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, ledger::Progress)> {
+    pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, replica::Progress)> {
         let job = self.ledger.jobs.get(&id)?;
-        let progress = ledger::Progress {
+        let progress = replica::Progress {
             end: Some(wire::JobStage::Withdrawn),
             done: job.progress.done.fitting(self.limits.value_bytes()),
             gang: None,
         };
-        let path = ledger::progress_key(id);
+        let path = replica::progress_key(id);
         let txn = Txn {
             guards: vec![Guard { path: path.clone(), stamp: job.progress_stamp }],
             apply: vec![Change::Set { path, value: wire::to_value(&progress), lease: None }],
@@ -609,12 +610,12 @@
 ) -> Txn {
     let mut txn = Txn::default();
     for spec in specs {
-        let path = ledger::job_key(spec.r#ref);
+        let path = replica::job_key(spec.r#ref);
         if txn.guards.iter().any(|g| g.path == path) {
             continue;
         }
         txn.guards.push(Guard { path: path.clone(), stamp: Revision(0) });
-        let accepted = ledger::Accepted { spec: ledger::kept_spec(spec, flavors, bytes), at };
+        let accepted = replica::Accepted { spec: replica::kept_spec(spec, flavors, bytes), at };
         txn.apply.push(Change::Set { path, value: wire::to_value(&accepted), lease: None });
     }
     txn
--- a/src/core/succession.rs
+++ b/src/controller/failover.rs
@@ -1,18 +1,18 @@
 //! How a controller follows the leader and replaces it, with the warm standby enabled.
 
-use willowshore_standby::settings::StandbySettings;
-use willowshore_standby::status::{Status, VerificationCounts};
-use willowshore_standby::succession::{Candidate, rank_of};
-use willowshore_standby::takeover::{
+use willowshore_standby::failover::{
     Cause, Command, Event, FenceOutcome, PeerAnswer, ProbeOutcome,
 };
+use willowshore_standby::failover_order::{Candidate, rank_of};
+use willowshore_standby::settings::StandbySettings;
+use willowshore_standby::status::{Status, VerificationCounts};
 
 use super::Core;
-use crate::ledger::LeadRecord;
 use crate::model::{Moment, NodeId, Steady, Term};
 use crate::peer::Tell;
+use crate::replica::LeadRecord;
 use crate::standby::{Followed, Standby};
-use crate::state::Committed;
+use crate::store_client::Committed;
 use crate::wire::Txn;
 
 /// How fresh the replica has to be for this controller to suspect the leader: one that does not know of a newer term
@@ -152,7 +152,7 @@
             let counts = self.with_lead(now, |lead, ctx| lead.take_hints(ctx, state));
             counts.unwrap_or_default()
         });
-        standby.lead(now.steady, term, counts);
+        standby.begin_leading(now.steady, term, counts);
         if standby.took_over_by(Cause::Suspicion, term)
             && let (Some(followed), Some(lead)) = (followed, &mut self.lead)
         {
--- a/src/core/tests.rs
+++ b/src/controller/tests.rs
@@ -23,8 +23,8 @@
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let items = |node, term| {
         [
-            item(ledger::LEAD_KEY, wire::to_value(&record(node, term))),
-            item(ledger::TERM_KEY, wire::to_value(&TermRecord { term: Term(term) })),
+            item(replica::LEAD_KEY, wire::to_value(&record(node, term))),
+            item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(term) })),
         ]
     };
     let now = Moment { steady: Steady(0), wall: Wall(0) };
@@ -55,16 +55,16 @@
     let record = LeadRecord { node: NodeId(0), life: Incarnation(5), term: Term(5) };
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let mut items = vec![
-        item(ledger::LEAD_KEY, wire::to_value(&record)),
-        item(ledger::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
+        item(replica::LEAD_KEY, wire::to_value(&record)),
+        item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
     ];
     for id in 1..=JOBS {
-        let accepted = ledger::Accepted { spec: spec(id, 1_000), at: Wall(1) };
-        items.push(item(&ledger::job_key(JobId(id)), wire::to_value(&accepted)));
+        let accepted = replica::Accepted { spec: spec(id, 1_000), at: Wall(1) };
+        items.push(item(&replica::job_key(JobId(id)), wire::to_value(&accepted)));
     }
     let last = JobId(JOBS + 1);
-    let accepted = ledger::Accepted { spec: spec(last.0, 1), at: Wall(1) };
-    items.push(item(&ledger::job_key(last), wire::to_value(&accepted)));
+    let accepted = replica::Accepted { spec: spec(last.0, 1), at: Wall(1) };
+    items.push(item(&replica::job_key(last), wire::to_value(&accepted)));
     let settings = Rc::new(Settings::parse(EXAMPLE).unwrap());
     let mut core = Core::new(settings, Incarnation(5));
     core.load(&items, Revision(9));
@@ -93,7 +93,7 @@
     let allowed = leaders_writes_per_s(&core.limits) * PROGRESS_PART * SECONDS as f64;
     assert!((changes as f64) < allowed * 1.2, "{changes} changes, {allowed:.0} allowed");
     assert!(most <= core.limits.txn_ops);
-    assert!(written.contains(&ledger::progress_key(last)), "the job that ends is written at once");
+    assert!(written.contains(&replica::progress_key(last)), "the job that ends is written at once");
     assert_eq!(written.len() as u64, JOBS + 1, "every job's progress is on record in the end");
 }
 
@@ -106,15 +106,15 @@
         let mut core = Core::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
         let record = LeadRecord { node: NodeId(1), life: Incarnation(9), term: Term(5) };
         let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
-        let accepted = ledger::Accepted { spec: spec(1, 20), at: Wall(1) };
+        let accepted = replica::Accepted { spec: spec(1, 20), at: Wall(1) };
         let done = Ranges::span(0, recorded);
-        let progress = ledger::Progress { end: None, done, gang: None };
+        let progress = replica::Progress { end: None, done, gang: None };
         core.load(
             &[
-                item(&ledger::job_key(JobId(1)), wire::to_value(&accepted)),
-                item(&ledger::progress_key(JobId(1)), wire::to_value(&progress)),
-                item(ledger::LEAD_KEY, wire::to_value(&record)),
-                item(ledger::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
+                item(&replica::job_key(JobId(1)), wire::to_value(&accepted)),
+                item(&replica::progress_key(JobId(1)), wire::to_value(&progress)),
+                item(replica::LEAD_KEY, wire::to_value(&record)),
+                item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
             ],
             Revision(9),
         );
--- a/src/features.rs
+++ b/src/feature_flags.rs
@@ -6,7 +6,7 @@
 use willowshore_standby::settings::{Site, StandbySettings};
 
 use crate::config::{ConfigError, Settings};
-use crate::term::LEASE_MS;
+use crate::lease::LEASE_MS;
 
 /// Longest usual time between two summaries, which are the heartbeats that the standby watches: their period, their
 /// least distance, and a slow answer.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -6,17 +6,17 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::capacity::Offer;
+use crate::autoscaler::Offer;
+use crate::cluster_view::Context;
 use crate::config::Pace;
-use crate::context::Context;
 use crate::model::{Incarnation, MachineId, NodeId, PlanSeq, Session, Steady, TaskId};
 use crate::peer::{MachineView, Summary};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::wire::{self, HostList, PieceStage};
 
+mod lease_expiry;
 mod ownership;
-mod proof;
-mod silence;
+mod reconciliation;
 
 /// A controller that has not been heard for that long is taken as lost.
 pub const NODE_LOST_MS: u64 = 3_000;
--- a/src/fleet/silence.rs
+++ b/src/fleet/lease_expiry.rs
@@ -3,9 +3,9 @@
 use std::collections::{HashMap, HashSet};
 
 use super::{Fleet, FleetMachine, HEARS_MS, Known, MANY_LEAST, NodeState};
-use crate::context::Context;
+use crate::cluster_view::Context;
+use crate::lease::{last_right, plus_drift};
 use crate::model::{MachineId, NodeId, Session, Steady};
-use crate::term::{last_right, plus_drift};
 
 /// Part of the machines that are cut off rather than dead when they are silent together; how long they
 /// are waited for then.
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use super::{Fleet, GONE_TOLD, NODE_LOST_MS, Reassigned, UNSERVED_MS};
-use crate::capacity::Offer;
+use crate::autoscaler::Offer;
+use crate::cluster_view::Context;
 use crate::config::Pace;
-use crate::context::Context;
 use crate::model::{MachineId, NodeId, PlanSeq, Steady};
 use crate::peer::OwnerNews;
 
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,6 +1,6 @@
 //! Tables of cases for `fleet`.
 
-use super::silence::are_few;
+use super::lease_expiry::are_few;
 
 #[test]
 fn only_a_large_fleet_does_without_machines_that_merely_do_not_answer() {
--- a/src/lead.rs
+++ b/src/leader.rs
@@ -11,16 +11,16 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::admit::{self, Bounds, Demand};
-use crate::capacity::{self, Market};
-use crate::context::Context;
+use crate::admission::{self, Bounds, Demand};
+use crate::autoscaler::{self, Market};
+use crate::cluster_view::Context;
 use crate::fleet::{Fleet, OnMachines, Taken};
+use crate::lease::Attempts;
 use crate::model::{
     Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
     Term,
 };
 use crate::peer::{PlanBody, Summary, Tell, Waits};
-use crate::term::Attempts;
 use crate::wire::{Shape, Txn};
 
 /// Least time between two new terms that only balance the parts.
@@ -28,24 +28,24 @@
 /// Part of its limit from which on a team counts as being at it.
 const AT_LIMIT: f64 = 0.5;
 
-mod decisions;
+mod allocation;
 mod describe;
-mod filling;
-mod gang;
-mod granted;
+mod epoch_transaction;
+mod expected_releases;
+mod gang_scheduling;
+mod grant_records;
 mod importance;
-mod limits;
+mod machine_speed;
 mod plans;
-mod record;
-mod renting;
-mod speed;
-mod turnover;
-mod waiting;
+mod quotas;
+mod scaling;
+mod standby_decisions;
+mod starvation;
 
-use filling::Filling;
-use renting::CAPACITY_MS;
-use speed::Speed;
-use waiting::STARVED_WEIGHT;
+use allocation::Filling;
+use machine_speed::Speed;
+use scaling::CAPACITY_MS;
+use starvation::STARVED_WEIGHT;
 
 #[derive(Clone)]
 struct Granted {
@@ -110,15 +110,15 @@
     /// Seconds that a job's tasks ran in all, and their number.
     job_runs: FxHashMap<JobId, (f64, u32)>,
     speeds: FxHashMap<MachineId, Speed>,
-    decision: capacity::Decision,
+    decision: autoscaler::Decision,
     decided: Option<Steady>,
     machines_written: Steady,
     load_written: Steady,
     /// Since when open jobs have had no task on a machine or on its way there.
     idle: FxHashMap<JobId, Steady>,
     /// Gangs granted in this term, and those that are being stopped.
-    gangs: FxHashMap<JobId, gang::Gang>,
-    halts: BTreeMap<JobId, gang::Halt>,
+    gangs: FxHashMap<JobId, gang_scheduling::Gang>,
+    halts: BTreeMap<JobId, gang_scheduling::Halt>,
     /// Machines that are kept for gangs.
     kept: Vec<MachineId>,
     /// Images of gangs, and when one that needs it was last open.
@@ -170,7 +170,7 @@
             seen_running: FxHashMap::default(),
             job_runs: FxHashMap::default(),
             speeds: FxHashMap::default(),
-            decision: capacity::Decision::default(),
+            decision: autoscaler::Decision::default(),
             decided: None,
             machines_written: Steady(0),
             load_written: ctx.now,
@@ -420,7 +420,7 @@
             }),
             teams: ctx.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
         };
-        let admission = admit::admit(&demands, &bounds);
+        let admission = admission::admit(&demands, &bounds);
         self.waits.clear();
         for job in &admission.waiting {
             self.waits.insert(*job, Waits::BelowWaterline);
--- a/src/lead/filling.rs
+++ b/src/leader/allocation.rs
@@ -6,15 +6,15 @@
 
 use rustc_hash::FxHashMap;
 
-use super::speed::Speed;
-use super::turnover::{Turnover, take_places};
+use super::expected_releases::{Turnover, take_places};
+use super::machine_speed::Speed;
 use super::{Context, Granted, Lead};
 use crate::fleet::{Fleet, OnMachines};
-use crate::ledger::Job;
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
 use crate::peer::Waits;
-use crate::place::{Need, Room};
-use crate::{place, wire};
+use crate::placement::{Need, Room};
+use crate::replica::Job;
+use crate::{placement, wire};
 
 /// What an epoch fills: teams' use of cores and accelerators, room on machines, and grants.
 #[derive(Clone)]
@@ -44,7 +44,7 @@
         let need = Need::of(&job.spec);
         let mut places = Vec::new();
         if !zones.binds() {
-            for i in place::spread(&job.spec, &need, &mut self.rooms, None, count) {
+            for i in placement::spread(&job.spec, &need, &mut self.rooms, None, count) {
                 places.extend(self.place_on(fleet, i, false));
             }
             let left = if ahead { count - places.len() } else { 0 };
@@ -56,10 +56,9 @@
         }
         while places.len() < count {
             let open = zones.open(&ctx.settings.params.zones);
-            let Some(i) = open
-                .iter()
-                .find_map(|zone| place::choose(&job.spec, &need, &self.rooms, Some(zone.as_str())))
-            else {
+            let Some(i) = open.iter().find_map(|zone| {
+                placement::choose(&job.spec, &need, &self.rooms, Some(zone.as_str()))
+            }) else {
                 break;
             };
             self.rooms[i].add(&job.spec, &need);
@@ -180,9 +179,9 @@
             let part = part.unwrap_or_default();
             let need = Need::of(&job.spec);
             if attempt.is_some() {
-                place::pack_in(&job.spec, &need, part, zone, count);
+                placement::pack_in(&job.spec, &need, part, zone, count);
             } else {
-                place::spread(&job.spec, &need, part, zone, count);
+                placement::spread(&job.spec, &need, part, zone, count);
             }
         }
     }
--- a/src/lead/describe.rs
+++ b/src/leader/describe.rs
@@ -1,14 +1,14 @@
 //! The line in the log that tells operators what is held, granted and open.
 
 use super::{Context, Lead};
-use crate::ledger;
 use crate::model::Cores;
-use crate::place::Need;
+use crate::placement::Need;
+use crate::replica;
 use crate::wire::PieceStage;
 
 /// The versions of the controllers that are up, in their order.
 fn versions(ctx: &Context<'_>) -> String {
-    let of = |m: &ledger::MemberRecord| match m.version.as_str() {
+    let of = |m: &replica::MemberRecord| match m.version.as_str() {
         "" => "before 0.2".to_string(),
         version => version.to_string(),
     };
--- a/src/lead/record.rs
+++ b/src/leader/epoch_transaction.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Context, Epoch, Lead};
-use crate::ledger::{self, MachineGroup, MachineRecord};
 use crate::model::MachineId;
+use crate::replica::{self, MachineGroup, MachineRecord};
 use crate::wire::{self, Change, Guard, Txn};
 
 /// Most keys of machines that an epoch writes.
@@ -18,7 +18,7 @@
 const LOAD_MS: u64 = 8_000;
 /// Bytes of a group of machines besides those.
 const GROUP_BYTES: usize = 32;
-/// What tells a further key of machines from a group's own, see [`ledger::machine_group`].
+/// What tells a further key of machines from a group's own, see [`replica::machine_group`].
 const FURTHER_GROUPS: u32 = 100_000;
 
 impl Lead {
@@ -38,7 +38,7 @@
         if ctx.now.since(self.load_written) >= LOAD_MS && apply.len() < ops {
             self.load_written = ctx.now;
             apply.push(Change::Set {
-                path: ledger::LOAD_KEY.into(),
+                path: replica::LOAD_KEY.into(),
                 value: wire::to_value(&self.market.load),
                 lease: None,
             });
@@ -67,7 +67,7 @@
         let mut groups: BTreeSet<u32> = BTreeSet::new();
         for (id, _) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
             let homes = ledger.homes(id);
-            groups.extend(homes.first().copied().or_else(|| Some(ledger::machine_group(id))));
+            groups.extend(homes.first().copied().or_else(|| Some(replica::machine_group(id))));
         }
         for (id, _) in known.iter().filter(|(id, m)| died(id, m) || over(m)) {
             groups.extend(ledger.homes(id));
@@ -91,7 +91,7 @@
             }
             for (id, m) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
                 let home = ledger.homes(id).first().copied();
-                if home.unwrap_or_else(|| ledger::machine_group(id)) == group {
+                if home.unwrap_or_else(|| replica::machine_group(id)) == group {
                     machines.insert(id.clone(), record_of(m));
                 }
             }
@@ -149,7 +149,7 @@
 
 fn group_change(group: u32, machines: Vec<(MachineId, MachineRecord)>) -> Change {
     let value = wire::to_value(&MachineGroup { machines });
-    Change::Set { path: ledger::machine_key(group), value, lease: None }
+    Change::Set { path: replica::machine_key(group), value, lease: None }
 }
 
 /// Bytes that a group takes as a value.
--- a/src/lead/turnover.rs
+++ b/src/leader/expected_releases.rs
@@ -15,7 +15,7 @@
 use super::{Context, Lead};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Cores, MachineId, NodeId};
-use crate::place::{self, Need, Room};
+use crate::placement::{self, Need, Room};
 use crate::wire::{JobSpec, PieceStage, Shape, Urgency};
 
 /// Seconds of expected completions that are granted ahead: some epochs, so that there is always
@@ -45,7 +45,7 @@
     pub(super) fn takes(&self, spec: &JobSpec, need: &Need) -> bool {
         need.fits(&self.each)
             && need.fits(&self.free[spec.urgency as usize])
-            && place::allowed(spec, &self.hull, &self.zone, self.spot)
+            && placement::allowed(spec, &self.hull, &self.zone, self.spot)
     }
 
     /// Cores that are not granted yet to any work.
@@ -119,7 +119,7 @@
         for ((owner, hull, zone, spot, _), e) in ending {
             let most_urgent = *first
                 .entry((hull, zone, spot))
-                .or_insert_with(|| place::most_urgent(specs(), hull, zone, spot));
+                .or_insert_with(|| placement::most_urgent(specs(), hull, zone, spot));
             let mut free = [Need::default(); URGENCIES];
             let until = most_urgent.map_or(URGENCIES, |u| u as usize + 1);
             free[..until].fill(e.free());
--- a/src/lead/gang.rs
+++ b/src/leader/gang_scheduling.rs
@@ -9,13 +9,13 @@
 
 use rustc_hash::FxHashSet;
 
-use super::filling::{Filling, ZoneRule};
+use super::allocation::{Filling, ZoneRule};
 use super::{Context, Granted, Lead, Revoked};
 use crate::fleet::{Fleet, OnMachines};
-use crate::ledger::Job;
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId};
 use crate::peer::{Stop, Waits};
-use crate::place::{self, Need, Room};
+use crate::placement::{self, Need, Room};
+use crate::replica::Job;
 use crate::wire::{PieceStage, Shape};
 
 /// Part of the time that a gang's tasks wait for each other in which it has to be whole.
@@ -394,12 +394,13 @@
 ) -> Option<Vec<usize>> {
     let names = &ctx.settings.params.zones;
     if !zones.binds() {
-        return place::pack(&job.spec, need, rooms, may, None, count).map(|(_, chosen)| chosen);
+        return placement::pack(&job.spec, need, rooms, may, None, count).map(|(_, chosen)| chosen);
     }
     if zones.one {
         let open = zones.open(names);
-        let found =
-            open.iter().filter_map(|z| place::pack(&job.spec, need, rooms, may, Some(z), count));
+        let found = open
+            .iter()
+            .filter_map(|z| placement::pack(&job.spec, need, rooms, may, Some(z), count));
         return found.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, chosen)| chosen);
     }
     // Spread: as many in one zone as the rule allows, the rest in another.
@@ -414,7 +415,7 @@
         }
         let in_zone = |z: &str, n| match n {
             0 => Some((0.0, Vec::new())),
-            _ => place::pack(&job.spec, need, rooms, may, Some(z), n),
+            _ => placement::pack(&job.spec, need, rooms, may, Some(z), n),
         };
         let (Some(a), Some(b)) = (in_zone(first, here), in_zone(second, rest)) else { continue };
         let when = a.0.max(b.0);
--- a/src/lead/granted.rs
+++ b/src/leader/grant_records.rs
@@ -10,8 +10,8 @@
 use rustc_hash::FxHashSet;
 
 use super::{Context, Epoch, Lead};
-use crate::ledger::{self, EpochRecord};
 use crate::model::{JobId, Ranges, TaskId};
+use crate::replica::{self, EpochRecord};
 use crate::wire::{self, Change};
 
 /// Tasks of a job that are put on record before they are granted, so that
@@ -112,7 +112,7 @@
             let granted = self.contents.remove(&key).unwrap_or_default().into_iter().collect();
             let record = EpochRecord { term, granted };
             Change::Set {
-                path: ledger::epoch_key(key),
+                path: replica::epoch_key(key),
                 value: wire::to_value(&record),
                 lease: None,
             }
--- a/src/lead/importance.rs
+++ b/src/leader/importance.rs
@@ -4,15 +4,15 @@
 
 use rustc_hash::FxHashMap;
 
-use super::waiting::{STARVED_RANK, STARVED_WEIGHT};
+use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
 use super::{Context, Lead};
-use crate::admit::{Curve, Demand};
+use crate::admission::{Curve, Demand};
 use crate::config::Settings;
-use crate::ledger::Job;
 use crate::model::{Cores, JobId};
-use crate::place::Need;
+use crate::placement::Need;
+use crate::replica::Job;
 use crate::wire::{Shape, Urgency};
-use crate::{admit, wire};
+use crate::{admission, wire};
 
 /// Part of its time that a job may have left beyond what it needs before it counts for less, and what it
 /// loses when all of its time is left.
@@ -131,7 +131,7 @@
         let required = within_guarantees(ctx);
         let ranks: HashMap<JobId, u32> =
             ctx.ledger.jobs.iter().map(|(id, j)| (*id, rank(j.spec.urgency))).collect();
-        let ranks = admit::revised_ranks(&ranks, &[]);
+        let ranks = admission::revised_ranks(&ranks, &[]);
         let teams = ctx.settings.params.teams.iter().enumerate();
         let teams: FxHashMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
         let mut demands = Vec::with_capacity(ctx.ledger.jobs.len());
--- a/src/lead/speed.rs
+++ b/src/leader/machine_speed.rs
@@ -4,7 +4,7 @@
 
 use super::{Context, Lead};
 use crate::fleet::OnMachines;
-use crate::ledger::Job;
+use crate::replica::Job;
 use crate::wire::PieceStage;
 
 /// Tasks of a job that must have completed before others are compared with them.
--- a/src/lead/limits.rs
+++ b/src/leader/quotas.rs
@@ -7,7 +7,7 @@
 use super::{Context, Filling, Lead};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Cores, JobId, MachineId};
-use crate::place::Need;
+use crate::placement::Need;
 
 impl Lead {
     /// Cores that each team may be using.
--- a/src/lead/renting.rs
+++ b/src/leader/scaling.rs
@@ -4,14 +4,14 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::waiting::waited_ms;
+use super::starvation::waited_ms;
 use super::{Context, Epoch, Lead};
-use crate::capacity;
-use crate::capacity::{Held, Offer, Want};
+use crate::autoscaler;
+use crate::autoscaler::{Held, Offer, Want};
 use crate::fleet::{Fleet, OnMachines};
-use crate::ledger::Job;
 use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
-use crate::place::{Need, Room};
+use crate::placement::{Need, Room};
+use crate::replica::Job;
 use crate::wire::{Shape, Urgency};
 
 /// Time between two decisions on what to rent and return.
@@ -53,7 +53,7 @@
                 *r = r.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let brief = capacity::is_brief(ctx.flavors, &job.spec, run_s);
+            let brief = autoscaler::is_brief(ctx.flavors, &job.spec, run_s);
             let age_ms = waited_ms(ctx, job) as f64;
             let gang = job.spec.shape == Shape::Gang;
             if gang {
@@ -105,7 +105,7 @@
                 }
             })
             .collect();
-        self.decision = capacity::decide(now, ctx.flavors, &machines, &wants, &self.market);
+        self.decision = autoscaler::decide(now, ctx.flavors, &machines, &wants, &self.market);
         self.market.note_spare(now, self.decision.spare);
     }
 
--- a/src/lead/decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -8,9 +8,9 @@
 };
 use willowshore_standby::status::VerificationCounts;
 
-use super::speed::Speed;
+use super::machine_speed::Speed;
 use super::{Context, Lead};
-use crate::capacity::Offer;
+use crate::autoscaler::Offer;
 use crate::model::{JobId, MachineId, TaskId, Wall};
 
 /// A time of day is computed anew from the steady clock each time and then differs by a little. One that moved by
--- a/src/lead/waiting.rs
+++ b/src/leader/starvation.rs
@@ -3,13 +3,13 @@
 
 use rustc_hash::FxHashMap;
 
-use super::filling::Filling;
+use super::allocation::Filling;
 use super::{Context, Lead};
-use crate::admit::Demand;
-use crate::ledger::Job;
+use crate::admission::Demand;
 use crate::model::JobId;
-use crate::place;
-use crate::place::{Need, Room};
+use crate::placement;
+use crate::placement::{Need, Room};
+use crate::replica::Job;
 use crate::wire::Shape;
 
 /// How long a job waits at most before its first tasks go before others.
@@ -47,13 +47,13 @@
         true => ctx.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
         false => vec![None],
     };
-    if zones.iter().any(|z| place::pack(&job.spec, need, rooms, &all, *z, count).is_some()) {
+    if zones.iter().any(|z| placement::pack(&job.spec, need, rooms, &all, *z, count).is_some()) {
         return;
     }
     let slots = |r: &Room| {
         let offered = ctx.flavors.get(&*r.hull).map(Need::offered).unwrap_or_default();
-        let may = r.open && place::allowed(&job.spec, &r.hull, &r.zone, r.spot);
-        if may { place::slots(need, &offered) as usize } else { 0 }
+        let may = r.open && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot);
+        if may { placement::slots(need, &offered) as usize } else { 0 }
     };
     // The zone that lacks least now, of those that could hold it at all.
     let mut best: Option<(usize, Vec<usize>)> = None;
@@ -68,7 +68,7 @@
                 break;
             }
             could += slots(&rooms[i]);
-            can += place::slots(need, &rooms[i].free) as usize;
+            can += placement::slots(need, &rooms[i].free) as usize;
             chosen.push(i);
         }
         if could >= count && best.as_ref().is_none_or(|b| can > b.0) {
@@ -140,7 +140,7 @@
                 let offered = ctx.flavors.get(&*r.hull).map(Need::offered);
                 r.open
                     && offered.is_some_and(|o| need.fits(&o))
-                    && place::allowed(&job.spec, &r.hull, &r.zone, r.spot)
+                    && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot)
             };
             let best = (0..filling.rooms.len())
                 .filter(|&i| could(&filling.rooms[i]))
--- a/src/lead/tests.rs
+++ b/src/leader/tests.rs
@@ -2,15 +2,15 @@
 
 use super::importance::weight;
 use super::*;
-use crate::capacity::Offer;
+use crate::autoscaler::Offer;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
-use crate::core::Core;
-use crate::ledger::tests::group;
-use crate::ledger::{self, Accepted, Brought, EpochRecord, LeadRecord, TermRecord};
+use crate::controller::Core;
 use crate::model::{Incarnation, Moment, Revision, Session, StoreLease, Wall};
 use crate::peer::{MachineView, TaskView};
-use crate::place::tests::flavor;
+use crate::placement::tests::flavor;
+use crate::replica::tests::group;
+use crate::replica::{self, Accepted, Brought, EpochRecord, LeadRecord, TermRecord};
 use crate::wire::tests::spec;
 use crate::wire::{self, Change, Item, PieceStage, Urgency};
 
@@ -34,11 +34,11 @@
     let accepted = Accepted { spec: spec(1, 1), at: Wall(1) };
     core.load(
         &[
-            item(&ledger::job_key(job), wire::to_value(&accepted)),
-            item(&ledger::epoch_key(0), wire::to_value(&record)),
-            item(ledger::LEAD_KEY, wire::to_value(&lead)),
-            item(ledger::TERM_KEY, wire::to_value(&TermRecord { term: Term(3) })),
-            item(&ledger::machine_key(0), wire::to_value(&group)),
+            item(&replica::job_key(job), wire::to_value(&accepted)),
+            item(&replica::epoch_key(0), wire::to_value(&record)),
+            item(replica::LEAD_KEY, wire::to_value(&lead)),
+            item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(3) })),
+            item(&replica::machine_key(0), wire::to_value(&group)),
         ],
         Revision(9),
     );
@@ -382,7 +382,7 @@
     let accepted = Accepted { spec: spec(2, 20), at: Wall(1) };
     let item = |path: String, v| Item { path, v, stamp: Revision(10) };
     let mut brought = Brought::default();
-    let job = item(ledger::job_key(JobId(2)), wire::to_value(&accepted));
+    let job = item(replica::job_key(JobId(2)), wire::to_value(&accepted));
     core.ledger.load(&job, &mut brought);
     let idle = || vec![view("n-1", true, &[0]), view("n-2", true, &[])];
     tell(&mut core, 1_100, 0, vec![]);
@@ -395,12 +395,12 @@
     // The record as the store has it, and the next term of the same leader.
     let record = EpochRecord { term: Term(3), granted: vec![(JobId(2), recorded.clone())] };
     let items = [
-        item(ledger::epoch_key(2), wire::to_value(&record)),
+        item(replica::epoch_key(2), wire::to_value(&record)),
         item(
-            ledger::LEAD_KEY.into(),
+            replica::LEAD_KEY.into(),
             wire::to_value(&LeadRecord { node: NodeId(0), life: LIFE, term: Term(4) }),
         ),
-        item(ledger::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
+        item(replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
     ];
     items.iter().for_each(|i| core.ledger.load(i, &mut brought));
     let all = core.ledger.granted_before();
@@ -495,20 +495,20 @@
     core.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
     let lead = LeadRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let mut items: Vec<(String, wire::Value)> = vec![
-        (ledger::LEAD_KEY.into(), wire::to_value(&lead)),
-        (ledger::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(3) })),
+        (replica::LEAD_KEY.into(), wire::to_value(&lead)),
+        (replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(3) })),
         (
-            ledger::member_key(NodeId(0)),
-            wire::to_value(&ledger::MemberRecord {
+            replica::member_key(NodeId(0)),
+            wire::to_value(&replica::MemberRecord {
                 life: LIFE,
                 version: String::new(),
-                speaks: ledger::SPEAKS,
+                speaks: replica::SPEAKS,
             }),
         ),
     ];
     for id in 1..=600 {
         let accepted = Accepted { spec: spec(id, 3), at: Wall(1) };
-        items.push((ledger::job_key(JobId(id)), wire::to_value(&accepted)));
+        items.push((replica::job_key(JobId(id)), wire::to_value(&accepted)));
     }
     for key in 0..16u64 {
         // Tasks of earlier jobs that may still run, more than fit into 2 KiB.
@@ -516,7 +516,7 @@
         let apart: Ranges = [0, 2].into_iter().collect();
         let granted = jobs.map(|j| (JobId(j), apart.clone())).collect();
         let record = EpochRecord { term: Term(2), granted };
-        items.push((ledger::epoch_key(key as u32), wire::to_value(&record)));
+        items.push((replica::epoch_key(key as u32), wire::to_value(&record)));
     }
     let names: Vec<MachineId> = (24..48).map(|n| MachineId::new(&format!("n-{n:06}"))).collect();
     let ids: Vec<&str> = names.iter().map(|id| &*id.0).collect();
@@ -524,7 +524,7 @@
     for (_, m) in &mut machines.machines {
         m.endpoint = "10.255.255.255:65535".into();
     }
-    items.push((ledger::machine_key(1), wire::to_value(&machines)));
+    items.push((replica::machine_key(1), wire::to_value(&machines)));
     let items: BTreeMap<String, Item> = items
         .into_iter()
         .map(|(path, v)| (path.clone(), Item { path, v, stamp: Revision(9) }))
@@ -588,7 +588,7 @@
                 revision += 1;
                 let guards: BTreeMap<&str, Revision> =
                     txn.guards.iter().map(|g| (g.path.as_str(), g.stamp)).collect();
-                assert!(guards.contains_key(ledger::LEAD_KEY));
+                assert!(guards.contains_key(replica::LEAD_KEY));
                 for change in &txn.apply {
                     let wire::Change::Set { path, value, .. } = change else { continue };
                     // Carried out late, or once more, it puts nothing older back: without this, a
@@ -672,11 +672,11 @@
     let mut gang = wire::JobSpec { shape: Shape::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
     let item = |path: String, v| Item { path, v, stamp: Revision(10) };
-    let member = ledger::MemberRecord { life: LIFE, version: String::new(), speaks };
+    let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
     let mut brought = Brought::default();
     let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
-    core.ledger.load(&item(ledger::job_key(JobId(7)), wire::to_value(&accepted)), &mut brought);
-    core.ledger.load(&item(ledger::member_key(NodeId(0)), wire::to_value(&member)), &mut brought);
+    core.ledger.load(&item(replica::job_key(JobId(7)), wire::to_value(&accepted)), &mut brought);
+    core.ledger.load(&item(replica::member_key(NodeId(0)), wire::to_value(&member)), &mut brought);
     core
 }
 
@@ -822,10 +822,11 @@
         let item = |path: String, v| Item { path, v, stamp: Revision(11) };
         let mut brought = Brought::default();
         let array = Accepted { spec: spec(8, 1), at: Wall(1_001_000 - age_s * 1_000) };
-        core.ledger.load(&item(ledger::job_key(JobId(8)), wire::to_value(&array)), &mut brought);
+        core.ledger.load(&item(replica::job_key(JobId(8)), wire::to_value(&array)), &mut brought);
         let names: Vec<String> = (1..=machines).map(|n| format!("n-{n}")).collect();
         let ids: Vec<&str> = names.iter().map(String::as_str).collect();
-        core.ledger.load(&item(ledger::machine_key(0), wire::to_value(&group(&ids))), &mut brought);
+        core.ledger
+            .load(&item(replica::machine_key(0), wire::to_value(&group(&ids))), &mut brought);
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         tell(&mut core, 1_100, 0, vec![]);
         core.with_lead(at(1_150), |l, _| {
@@ -848,16 +849,16 @@
     type Edit = fn(&mut wire::JobSpec);
     // (what, the urgent job, what the controller understands, tasks granted ahead)
     let cases: [(&str, Option<Edit>, u32, usize); 5] = [
-        ("three of four tasks of 2 s end within 1.5 s", None, ledger::SPEAKS_AHEAD, 3),
-        ("urgent work may go there", Some(|_| {}), ledger::SPEAKS_AHEAD, 0),
+        ("three of four tasks of 2 s end within 1.5 s", None, replica::SPEAKS_AHEAD, 3),
+        ("urgent work may go there", Some(|_| {}), replica::SPEAKS_AHEAD, 0),
         (
             "urgent work may not",
             Some(|s| s.hulls = Some(vec!["large".into()])),
-            ledger::SPEAKS_AHEAD,
+            replica::SPEAKS_AHEAD,
             3,
         ),
-        ("as urgent", Some(|s| s.urgency = Urgency::Normal), ledger::SPEAKS_AHEAD, 3),
-        ("the controller does not read such grants", None, ledger::SPEAKS_ENDED, 0),
+        ("as urgent", Some(|s| s.urgency = Urgency::Normal), replica::SPEAKS_AHEAD, 3),
+        ("the controller does not read such grants", None, replica::SPEAKS_ENDED, 0),
     ];
     let running = |id: &str, tasks: [u32; 2]| {
         let tasks = tasks.map(|index| TaskView {
@@ -871,15 +872,15 @@
         let mut put = |path: String, v| {
             core.ledger.load(&Item { path, v, stamp: Revision(10) }, &mut Brought::default());
         };
-        let member = ledger::MemberRecord { life: LIFE, version: String::new(), speaks };
-        put(ledger::member_key(NodeId(0)), wire::to_value(&member));
+        let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
+        put(replica::member_key(NodeId(0)), wire::to_value(&member));
         let brief = wire::JobSpec { guess_s: 2.0, ..spec(8, 20) };
-        put(ledger::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
+        put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
         if let Some(edit) = urgent {
             let mut other =
                 wire::JobSpec { urgency: Urgency::High, owner: "blue".into(), ..spec(9, 1) };
             edit(&mut other);
-            put(ledger::job_key(JobId(9)), wire::to_value(&Accepted { spec: other, at: Wall(1) }));
+            put(replica::job_key(JobId(9)), wire::to_value(&Accepted { spec: other, at: Wall(1) }));
         }
         tell(&mut core, 1_100, 0, vec![]);
         for step in 0..4 {
@@ -921,7 +922,7 @@
         let spec = wire::JobSpec { due_s: Some(due_s), guess_s: run_s, ..spec(8, tasks) };
         let accepted = Accepted { spec, at: accepted };
         let item = Item {
-            path: ledger::job_key(JobId(8)),
+            path: replica::job_key(JobId(8)),
             v: wire::to_value(&accepted),
             stamp: Revision(10),
         };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,27 +4,27 @@
 //! their core shares to maximize summed importance; controllers place tasks within those
 //! shares on their hashed parts of the machines. See `docs/design.md` and `docs/safety.md`.
 
-pub mod admit;
+pub mod admission;
 pub mod api;
-pub mod capacity;
+pub mod autoscaler;
 pub mod cloud;
+pub mod cluster_view;
 pub mod config;
-pub mod context;
-pub mod core;
-pub mod features;
+pub mod controller;
+pub mod feature_flags;
 pub mod fleet;
 pub mod http;
-pub mod lead;
-pub mod ledger;
-pub mod meter;
-pub mod part;
+pub mod leader;
+pub mod lease;
+pub mod message_chunks;
+pub mod metrics;
 pub mod peer;
-pub mod place;
-pub mod relay;
+pub mod placement;
+pub mod replica;
 pub mod service;
+pub mod shard;
 pub mod standby;
-pub mod state;
-pub mod term;
+pub mod store_client;
 pub mod wire;
 
 pub use willowshore_model as model;
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,10 +6,10 @@
 
 use clap::{Parser, Subcommand};
 use willowshore::config::{ConfigError, Settings};
-use willowshore::features::Features;
+use willowshore::feature_flags::Features;
 use willowshore::service::Service;
 
-mod job;
+mod job_command;
 mod standby_command;
 
 /// A cluster scheduler: rank-legal admission, importance-maximizing shares, hashed parts.
@@ -34,7 +34,7 @@
         file: PathBuf,
     },
     /// Submit, show or abort jobs.
-    Job(job::Arguments),
+    Job(job_command::Arguments),
     /// Look at the warm standby.
     Standby(standby_command::Arguments),
 }
@@ -44,7 +44,7 @@
     match (arguments.command, arguments.config) {
         (Some(Command::Check { file }), _) => check(&file, &arguments.enable),
         (Some(Command::Standby(arguments)), _) => standby_command::run(arguments),
-        (Some(Command::Job(arguments)), _) => job::run(arguments),
+        (Some(Command::Job(arguments)), _) => job_command::run(arguments),
         (None, Some(file)) => serve(&file, &arguments.enable),
         (None, None) => {
             eprintln!("willowshore: --config FILE or a command is needed, see --help");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -13,13 +13,13 @@
 use serde::ser::{SerializeTuple, Serializer};
 
 use serde::{Deserialize, Serialize};
-use willowshore_standby::log::{Batch, FollowRequest};
+use willowshore_standby::decision_log::{Batch, FollowRequest};
 
-use crate::ledger::{LeadRecord, Progress};
 use crate::model::{
     Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Session, TaskId,
     Term,
 };
+use crate::replica::{LeadRecord, Progress};
 use crate::wire::{JobSpec, PieceStage};
 
 /// A task as its machine's owner knows it.
--- a/src/place.rs
+++ b/src/placement.rs
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::Ledger;
 use crate::model::{Cores, MachineId, TaskId};
+use crate::replica::Ledger;
 use crate::wire::{Flavor, JobSpec, PieceStage, Shape, Urgency};
 
 /// Machine types by name, with what their machines offer.
--- a/src/ledger.rs
+++ b/src/replica.rs
@@ -12,9 +12,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::capacity::Load;
+use crate::autoscaler::Load;
 use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, Wall};
-use crate::place::{Flavors, Need};
+use crate::placement::{Flavors, Need};
 use crate::wire::{self, Changes, Guard, Item, JobSpec, JobStage, Value};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
--- a/src/service.rs
+++ b/src/service.rs
@@ -14,25 +14,25 @@
 
 use crate::cloud::CloudClient;
 use crate::config::{Settings, StateLimits};
-use crate::core::Core;
-use crate::features::Features;
+use crate::controller::Core;
+use crate::feature_flags::Features;
 use crate::http::{self, Client, Kind, ServerLimits};
-use crate::meter::Meter;
+use crate::metrics::Meter;
 use crate::model::{Incarnation, Moment, NodeId, Steady, Wall};
 use crate::peer::Tell;
-use crate::state::StateClient;
+use crate::store_client::StateClient;
 use crate::wire::JobSpec;
 
 pub use reporting::STATUS_PATH;
 
 mod epochs;
-mod leadership;
-mod renting;
-mod replica;
+mod failover;
+mod job_writes;
+mod leader_election;
 mod reporting;
+mod scaling;
 mod store_messages;
-mod succession;
-mod writes;
+mod store_watch;
 
 /// Time between two messages through the store.
 const RELAY: Duration = Duration::from_millis(350);
@@ -201,7 +201,7 @@
         spawn_local(self.clone().keep_lease());
         spawn_local(self.clone().elect());
         spawn_local(self.clone().report_part());
-        spawn_local(self.clone().lead());
+        spawn_local(self.clone().run_epochs());
         spawn_local(self.clone().rent_and_return());
         spawn_local(self.clone().write_finished());
         spawn_local(self.clone().write_accepted());
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -7,9 +7,9 @@
 use tracing::{debug, info};
 
 use super::{RELAY, Service};
-use crate::meter::Work;
+use crate::metrics::Work;
 use crate::model::Revision;
-use crate::state::{Committed, StateError};
+use crate::store_client::{Committed, StateError};
 use crate::wire::Txn;
 
 /// Longest wait between two epochs; arrivals and reports bring them sooner.
@@ -20,7 +20,7 @@
 const EPOCH_REST: Duration = Duration::from_millis(250);
 
 impl Service {
-    pub(super) async fn lead(self: Rc<Self>) {
+    pub(super) async fn run_epochs(self: Rc<Self>) {
         let mut relayed = self.now();
         loop {
             let _ = timeout(EPOCH, self.wake_lead.notified()).await;
--- a/src/service/succession.rs
+++ b/src/service/failover.rs
@@ -6,13 +6,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 use tracing::{debug, warn};
-use willowshore_standby::takeover::{Command, PeerAnswer, ProbeOutcome};
+use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
 
 use super::Service;
 use crate::http::{CallError, Response};
 use crate::model::{NodeId, Term};
 use crate::peer::{self, Ask, Tell};
-use crate::state::Committed;
+use crate::store_client::Committed;
 
 /// Time between two looks at the leader.
 const WATCH: Duration = Duration::from_millis(100);
--- a/src/service/writes.rs
+++ b/src/service/job_writes.rs
@@ -9,11 +9,11 @@
 use tracing::debug;
 
 use super::{Accepting, Service, Submission};
-use crate::core::accept_txn;
-use crate::ledger;
+use crate::controller::accept_txn;
 use crate::model::{JobId, Revision};
 use crate::peer::Ask;
-use crate::state::{Committed, StateError};
+use crate::replica;
+use crate::store_client::{Committed, StateError};
 use crate::wire::JobSpec;
 
 /// Least time between two writes of completions.
@@ -102,7 +102,7 @@
                 Ok(Committed::No(failed)) => {
                     let (known, rest) = batch
                         .into_iter()
-                        .partition(|(spec, _)| failed.contains(&ledger::job_key(spec.r#ref)));
+                        .partition(|(spec, _)| failed.contains(&replica::job_key(spec.r#ref)));
                     batch = rest;
                     let known: Vec<Submission> = known;
                     for (_, tx) in known {
@@ -139,7 +139,7 @@
 
     /// Tells the other controllers of a cancellation, as the store may refuse one of them alone: it
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
-    fn tell_ended(self: &Rc<Self>, id: JobId, progress: ledger::Progress, stamp: Revision) {
+    fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, stamp: Revision) {
         let ask = Rc::new(Ask::Ended(id, progress, stamp));
         for node in self.others().filter(|n| self.core.borrow().ledger.hears_ends(*n)) {
             let (s, ask) = (self.clone(), ask.clone());
--- a/src/service/leadership.rs
+++ b/src/service/leader_election.rs
@@ -8,10 +8,10 @@
 use tracing::{debug, warn};
 
 use super::Service;
-use super::succession::FENCE_AGAIN;
+use super::failover::FENCE_AGAIN;
+use crate::lease::LEASE_MS;
 use crate::peer::{Ask, Tell};
-use crate::state::{Committed, StateError};
-use crate::term::LEASE_MS;
+use crate::store_client::{Committed, StateError};
 
 impl Service {
     pub(super) async fn keep_lease(self: Rc<Self>) {
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -10,11 +10,11 @@
 
 use super::{DIRECT_BYTES, RELAY, RELAY_SUMMARY_TXNS, Service, announcements, relay_value};
 use crate::http::{Client, Response};
-use crate::meter::Work;
+use crate::message_chunks;
+use crate::metrics::Work;
 use crate::model::{NodeId, Steady};
-use crate::part::{Announcement, ReportAnswer};
 use crate::peer::{self, Ask, Summary, Tell};
-use crate::relay;
+use crate::shard::{Announcement, ReportAnswer};
 use crate::wire::{self, Direct};
 
 /// Longest wait between two summaries of a part; news bring them sooner.
@@ -62,8 +62,10 @@
                 if now.since(relayed) >= RELAY.as_millis() as u64 {
                     relayed = now;
                     let limits = &self.settings.params.state;
-                    let room =
-                        relay::capacity(relay_value(limits), limits.txn_ops * RELAY_SUMMARY_TXNS);
+                    let room = message_chunks::capacity(
+                        relay_value(limits),
+                        limits.txn_ops * RELAY_SUMMARY_TXNS,
+                    );
                     let summary = self.summary(room);
                     self.relay_summary(leader, &summary).await;
                 }
--- a/src/service/renting.rs
+++ b/src/service/scaling.rs
@@ -8,11 +8,11 @@
 use tracing::{debug, error, info, warn};
 
 use super::Service;
-use crate::capacity::Offer;
+use crate::autoscaler::Offer;
 use crate::cloud::CloudError;
-use crate::lead::Lead;
-use crate::ledger;
+use crate::leader::Lead;
 use crate::model::{Steady, Term};
+use crate::replica;
 use crate::wire::{Rental, Txn};
 
 /// Most machines in one rental, as the cloud has it.
@@ -87,9 +87,9 @@
             core.ledger.lead_guard().filter(|_| leading && core.ledger.flavors.is_none())
         };
         if let Some(guard) = guard {
-            let unchanged = self.core.borrow().ledger.unchanged(ledger::FLAVORS_KEY);
+            let unchanged = self.core.borrow().ledger.unchanged(replica::FLAVORS_KEY);
             let limits = &self.settings.params.state;
-            let mut pieces = ledger::flavor_pieces(&got, limits.value_bytes());
+            let mut pieces = replica::flavor_pieces(&got, limits.value_bytes());
             if pieces.len() > limits.txn_ops {
                 warn!(pieces = pieces.len(), "not all machine types fit into a transaction");
                 pieces.truncate(limits.txn_ops);
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -3,11 +3,11 @@
 use tracing::{debug, warn};
 
 use super::{RELAY_TXNS, Service, relay_value};
-use crate::ledger;
+use crate::message_chunks;
 use crate::model::NodeId;
 use crate::peer::{self, Relayed, Summary, Tell};
-use crate::relay;
-use crate::state::Committed;
+use crate::replica;
+use crate::store_client::Committed;
 use crate::wire::{self, Change, Guard, Txn};
 
 impl Service {
@@ -17,7 +17,7 @@
             core.ledger
                 .members
                 .get(&self.me)
-                .map(|m| Guard { path: ledger::member_key(self.me), stamp: m.1 })
+                .map(|m| Guard { path: replica::member_key(self.me), stamp: m.1 })
         };
         let Some(guard) = guard else { return };
         self.relay(leader, guard, &peer::encode(&Relayed::Summary(Box::new(summary.clone()))))
@@ -26,13 +26,13 @@
 
     async fn relay(&self, to: NodeId, guard: Guard, message: &[u8]) {
         let limits = &self.settings.params.state;
-        let parts = relay::split(message, relay_value(limits));
+        let parts = message_chunks::split(message, relay_value(limits));
         if parts.len() > RELAY_TXNS * limits.txn_ops {
             warn!(parts = parts.len(), "message too large for the store");
             return;
         }
         let mut changes = parts.into_iter().enumerate().map(|(i, text)| Change::Set {
-            path: ledger::relay_key(to, self.me, i as u32),
+            path: replica::relay_key(to, self.me, i as u32),
             value: wire::Value::Text(text),
             lease: None,
         });
@@ -64,7 +64,7 @@
             let message = {
                 let core = self.core.borrow();
                 let parts = core.ledger.relay.range((from, 0)..=(from, u32::MAX));
-                relay::join(parts.map(|(_, (text, _))| text.as_str()))
+                message_chunks::join(parts.map(|(_, (text, _))| text.as_str()))
             };
             let Some(message) = message else { continue };
             match peer::decode::<Relayed>(&message) {
--- a/src/service/replica.rs
+++ b/src/service/store_watch.rs
@@ -8,10 +8,10 @@
 use tracing::{debug, info};
 
 use super::Service;
-use crate::ledger::{self, Brought, Ledger};
-use crate::meter::Work;
+use crate::metrics::Work;
 use crate::model::Revision;
-use crate::state::{PageSize, StateError};
+use crate::replica::{self, Brought, Ledger};
+use crate::store_client::{PageSize, StateError};
 
 impl Service {
     /// Keeps the replica current.
@@ -49,7 +49,7 @@
         // Pages as they were read take many times what the replica keeps of them, so each is taken at once.
         let mut replica = Ledger::new(self.me);
         let mut items = 0;
-        for prefix in ledger::KEY_PREFIXES {
+        for prefix in replica::KEY_PREFIXES {
             let mut after: Option<String> = None;
             let mut size = PageSize::default();
             loop {
--- a/src/part.rs
+++ b/src/shard.rs
@@ -8,24 +8,24 @@
 use std::rc::Rc;
 
 use crate::config::{NodeInfo, Pace};
-use crate::ledger::Ledger;
 use crate::model::{
     Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Session, Steady, TaskId, Term,
 };
 use crate::peer::{OwnerNews, Plan, Standing};
-use crate::place::Flavors;
+use crate::placement::Flavors;
+use crate::replica::Ledger;
 use crate::wire::{Cause, JobStage, Order, Piece, PieceStage, Report, ReportReply, Shape};
 
-mod announce;
-mod followed;
+mod direct_commands;
 mod machine;
 mod redirect;
-mod start;
 mod summary;
+mod task_start;
+mod term_state;
 
-use followed::{FollowedPlan, FollowedTerm};
 use machine::Machine;
 use redirect::Route;
+use term_state::{FollowedPlan, FollowedTerm};
 
 /// Most machines of which the newest report is remembered.
 const LATEST_KEPT: usize = 8_192;
--- a/src/part/announce.rs
+++ b/src/shard/direct_commands.rs
@@ -1,10 +1,10 @@
 //! What machines are told or asked straight away, besides the answers to their reports.
 
-use super::followed::Announced;
 use super::machine::{Held, Machine};
+use super::term_state::Announced;
 use super::{Announcement, LATEST_KEPT, Part, Surroundings, is_withdrawn};
-use crate::ledger::Ledger;
 use crate::model::{JobId, Session, Steady, TaskId};
+use crate::replica::Ledger;
 use crate::wire::{Order, Report};
 
 /// How often a machine is told of a term straight away, and the time before the second try, which
--- a/src/part/machine.rs
+++ b/src/shard/machine.rs
@@ -6,7 +6,7 @@
 use super::Surroundings;
 use crate::config::Pace;
 use crate::model::{Attempt, MachineId, Session, Steady, TaskId, Term};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::wire::{JobSpec, PieceStage, Report};
 
 /// A task on a machine or on its way there.
--- a/src/part/start.rs
+++ b/src/shard/task_start.rs
@@ -5,14 +5,14 @@
 
 use rustc_hash::FxHashSet;
 
-use super::followed::{FollowedPlan, GrantKind};
 use super::machine::{Held, Machine};
+use super::term_state::{FollowedPlan, GrantKind};
 use super::{Part, Surroundings};
-use crate::ledger::Ledger;
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId, Term};
 use crate::peer::Grant;
-use crate::place;
-use crate::place::{Need, Room};
+use crate::placement;
+use crate::placement::{Need, Room};
+use crate::replica::Ledger;
 use crate::wire::{JobSpec, Order, PieceStage, Urgency};
 
 /// Longest time between two looks at where granted tasks are to start.
@@ -61,7 +61,7 @@
     for r in rooms {
         kinds
             .entry((r.hull.clone(), r.zone.clone(), r.spot))
-            .or_insert_with(|| place::most_urgent(specs(), &r.hull, &r.zone, r.spot));
+            .or_insert_with(|| placement::most_urgent(specs(), &r.hull, &r.zone, r.spot));
     }
     kinds
 }
@@ -225,8 +225,8 @@
             let need = Need::of(&job.spec);
             let zone = grant.zone.as_deref();
             let chosen = match grant.attempt {
-                Some(_) => place::pack_in(&job.spec, &need, &mut rooms, zone, tasks.len()),
-                None => place::spread(&job.spec, &need, &mut rooms, zone, tasks.len()),
+                Some(_) => placement::pack_in(&job.spec, &need, &mut rooms, zone, tasks.len()),
+                None => placement::spread(&job.spec, &need, &mut rooms, zone, tasks.len()),
             };
             unplaced |= chosen.len() < tasks.len();
             for (task, room) in tasks.into_iter().zip(chosen) {
@@ -244,7 +244,7 @@
             let need = Need::of(&job.spec);
             let mut first: Vec<Room> =
                 rooms.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
-            let chosen = place::spread(&job.spec, &need, &mut first, None, tasks.len());
+            let chosen = placement::spread(&job.spec, &need, &mut first, None, tasks.len());
             let mut starts = tasks.iter().map(|task| GrantedStart::of(plan, *task, None, true));
             for (room, start) in chosen.into_iter().zip(starts.by_ref()) {
                 queues.entry(first[room].id.clone()).or_default().push(start);
--- a/src/part/followed.rs
+++ b/src/shard/term_state.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use super::redirect::{Redirected, StrayRecord, Unacknowledged};
-use super::start::{GrantedStart, MachineKind};
+use super::task_start::{GrantedStart, MachineKind};
+use crate::lease::Attempts;
 use crate::model::{Attempt, MachineId, NodeId, PlanSeq, Steady, TaskId, Term};
 use crate::peer::{Grant, PlanBody, Stop};
-use crate::term::Attempts;
 use crate::wire::Urgency;
 
 /// How a grant came about.
--- a/src/part/tests.rs
+++ b/src/shard/tests.rs
@@ -1,17 +1,17 @@
 //! Tables of cases for what a part answers and tells.
 
-use super::followed::{Announced, GrantKind};
 use super::redirect::{Redirected, StrayRecord, Unacknowledged};
-use super::start::GrantedStart;
+use super::task_start::GrantedStart;
+use super::term_state::{Announced, GrantKind};
 use super::*;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
-use crate::core::Core;
-use crate::ledger::tests::group;
-use crate::ledger::{self, Accepted, Brought, LeadRecord};
+use crate::controller::Core;
 use crate::model::{Moment, Revision, StoreLease, Wall};
 use crate::peer::{Grant, OwnerNews, PlanBody, Stop, Waits};
-use crate::place::tests::flavor;
+use crate::placement::tests::flavor;
+use crate::replica::tests::group;
+use crate::replica::{self, Accepted, Brought, LeadRecord};
 use crate::wire::tests::spec;
 use crate::wire::{self, Item, Urgency};
 
@@ -29,10 +29,10 @@
     let accepted = Accepted { spec: spec(1, 2), at: Wall(1) };
     core.load(
         &[
-            item(&ledger::job_key(JobId(1)), wire::to_value(&accepted)),
-            item(ledger::LEAD_KEY, wire::to_value(&lead)),
-            item(ledger::TERM_KEY, wire::to_value(&ledger::TermRecord { term: TERM })),
-            item(&ledger::machine_key(0), wire::to_value(&group)),
+            item(&replica::job_key(JobId(1)), wire::to_value(&accepted)),
+            item(replica::LEAD_KEY, wire::to_value(&lead)),
+            item(replica::TERM_KEY, wire::to_value(&replica::TermRecord { term: TERM })),
+            item(&replica::machine_key(0), wire::to_value(&group)),
         ],
         Revision(9),
     );
@@ -336,7 +336,7 @@
 
 /// Makes job 1 cancelled, as a peer tells or the store.
 fn cancel(core: &mut Core, ms: u64) {
-    let gone = ledger::Progress { end: Some(JobStage::Withdrawn), ..Default::default() };
+    let gone = replica::Progress { end: Some(JobStage::Withdrawn), ..Default::default() };
     let brought = core.hear_ended(JobId(1), &gone, Revision(12));
     core.follow(Moment { steady: Steady(ms), wall: Wall(ms) }, &brought);
 }
@@ -417,7 +417,7 @@
     for (what, urgent, image, starts) in cases {
         let mut core = node(0);
         let mut put = |spec: wire::JobSpec| {
-            let path = ledger::job_key(spec.r#ref);
+            let path = replica::job_key(spec.r#ref);
             let v = wire::to_value(&Accepted { spec, at: Wall(1) });
             core.ledger.load(&Item { path, v, stamp: Revision(10) }, &mut Brought::default());
         };
@@ -483,8 +483,8 @@
     };
     let mut brought = Brought::default();
     let records = [
-        (ledger::LEAD_KEY, wire::to_value(&lead)),
-        (ledger::TERM_KEY, wire::to_value(&ledger::TermRecord { term: NEXT_TERM })),
+        (replica::LEAD_KEY, wire::to_value(&lead)),
+        (replica::TERM_KEY, wire::to_value(&replica::TermRecord { term: NEXT_TERM })),
     ];
     for (path, v) in records {
         let item = Item { path: path.into(), v, stamp: Revision(20) };
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -2,13 +2,13 @@
 //! events reach them. The rules that it keeps are in `docs/safety.md`.
 
 use tracing::{info, warn};
+use willowshore_standby::decision_log::{Batch, DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
 use willowshore_standby::detector::HeartbeatDetector;
-use willowshore_standby::log::{Batch, DecisionLog, FollowRequest};
+use willowshore_standby::failover::{Cause, Command, Event, FenceOutcome, Phase, TakeoverMachine};
 use willowshore_standby::mirror::{Mirror, Rejected};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::{Role, Status, TakeoverStatus, VerificationCounts};
-use willowshore_standby::takeover::{Cause, Command, Event, FenceOutcome, Phase, TakeoverMachine};
 
 use crate::model::{Moment, NodeId, Steady, Term, Wall};
 
@@ -158,7 +158,12 @@
     }
 
     /// This process leads that term from now on. The old leader's decisions are compared before that.
-    pub fn lead(&mut self, now: Steady, term: Term, verification: Option<VerificationCounts>) {
+    pub fn begin_leading(
+        &mut self,
+        now: Steady,
+        term: Term,
+        verification: Option<VerificationCounts>,
+    ) {
         self.log = Some(DecisionLog::new(term, &self.settings));
         self.recorded = None;
         self.followed = None;
--- a/tests/loopback/store_server.rs
+++ b/tests/loopback/store_server.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 use willowshore::http::{self, Request, Response, ServerLimits};
 use willowshore::model::{Revision, StoreLease};
-use willowshore::state::Committed;
+use willowshore::store_client::Committed;
 use willowshore::wire::{self, Items, LeaseName, LeaseTime, Txn, TxnAnswer, Value};
 
 use crate::store::Store;
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -2,18 +2,18 @@
 //! workers, in simulated time with seeded randomness. The rules are checked at every step.
 
 mod check;
+mod failover;
 mod reach;
 mod site;
 mod standby;
 mod stopped;
 mod store;
-mod takeover;
 mod worker;
 mod world;
 
 use check::{Checker, Event, Told};
+use failover::PHASES;
 use site::{BRISK, Rhythm, SLOW};
-use takeover::PHASES;
 use world::{Fault, World};
 
 use Fault::{
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -5,18 +5,18 @@
 #![allow(dead_code, missing_docs)]
 
 mod check;
+mod failover;
 mod site;
 mod store;
-mod takeover;
 mod worker;
 mod world;
 
 use std::fmt::Write as _;
 use std::time::Instant;
 
+use failover::PHASES;
 use plotters::prelude::*;
 use site::{BRISK, Rhythm, SLOW};
-use takeover::PHASES;
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::Durations;
 use world::{Fault, World};
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -3,8 +3,8 @@
 
 use willowshore_standby::settings::StandbySettings;
 
+use crate::failover::PHASES;
 use crate::site::{BRISK, Rhythm, SLOW};
-use crate::takeover::PHASES;
 use crate::world::{self, Fault, World};
 
 use Fault::{
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use willowshore::ledger::TermRecord;
 use willowshore::model::{Revision, StoreLease};
-use willowshore::state::Committed;
+use willowshore::replica::TermRecord;
+use willowshore::store_client::Committed;
 use willowshore::wire::{Change, Changes, Item, News, Txn, Value};
 
 #[derive(Default)]
@@ -138,7 +138,7 @@
 
     /// The term on record.
     pub fn term(&self) -> u64 {
-        let value = self.items.get(willowshore::ledger::TERM_KEY).map(|item| &item.0);
+        let value = self.items.get(willowshore::replica::TERM_KEY).map(|item| &item.0);
         let record: Option<TermRecord> = value.and_then(willowshore::wire::from_value);
         record.map_or(0, |r| r.term.0)
     }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -6,23 +6,23 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use willowshore::capacity::Offer;
+use willowshore::autoscaler::Offer;
 use willowshore::config::Settings;
-use willowshore::core::Core;
+use willowshore::controller::Core;
+use willowshore::lease::LEASE_MS;
 use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
-use willowshore::part::{Announcement, ReportAnswer};
 use willowshore::peer::{self, Ask, Summary, Tell};
-use willowshore::state::Committed;
-use willowshore::term::LEASE_MS;
+use willowshore::shard::{Announcement, ReportAnswer};
+use willowshore::store_client::Committed;
 use willowshore::wire::{JobSpec, PieceStage, Report, Shape, Txn, Urgency};
+use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::VerificationCounts;
-use willowshore_standby::takeover::{Command, PeerAnswer, ProbeOutcome};
 
 use crate::check::{Checker, Event};
+use crate::failover::{Observed, TakeoverTrace};
 use crate::site::{BRISK, Rhythm, SLOW, ZONES, flavors, spec};
 use crate::store::Store;
-use crate::takeover::{Observed, TakeoverTrace};
 use crate::worker::{Answer, Change, Worker};
 
 mod controllers;
@@ -510,7 +510,7 @@
         let there = self.workers.iter().filter(|w| !w.gone).map(Worker::held).sum::<usize>() as u64;
         let could = room && there * 4 + 4 <= self.team_limit;
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
-            let accepted = self.store.has(&willowshore::ledger::job_key(JobId(id)));
+            let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
             let open = !self.told.contains(&id) && !self.wanted_cancels.contains(&id);
             let job = &self.jobs[&id];
             let free = (0..job.pieces).any(|index| {
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -7,7 +7,7 @@
 /// What a process does first when it goes on after it was stopped.
 enum Resumed {
     ReturnMachines,
-    Lead,
+    Epoch,
     Summarize,
     Watch,
     /// What reached it meanwhile, in its order.
@@ -65,7 +65,7 @@
         }
         self.summarize(n);
         self.watch_leader(n);
-        self.lead(n);
+        self.run_epoch(n);
         self.announce(n);
     }
 
@@ -84,7 +84,7 @@
         let held = std::mem::take(&mut node.held);
         let mut activities = [
             Resumed::ReturnMachines,
-            Resumed::Lead,
+            Resumed::Epoch,
             Resumed::Messages(held),
             Resumed::Watch,
             Resumed::Summarize,
@@ -95,7 +95,7 @@
         for activity in activities {
             match activity {
                 Resumed::ReturnMachines => self.return_machines(n),
-                Resumed::Lead => self.lead(n),
+                Resumed::Epoch => self.run_epoch(n),
                 Resumed::Summarize => self.summarize(n),
                 Resumed::Watch => self.sync(n),
                 Resumed::Messages(held) => held.into_iter().for_each(|m| self.deliver(m)),
@@ -204,7 +204,7 @@
         if !core.loaded {
             let (items, revision) = self.store.all();
             core.load(&items, revision);
-            let all = willowshore::ledger::Brought { lead: true, ..Default::default() };
+            let all = willowshore::replica::Brought { lead: true, ..Default::default() };
             core.follow(moment, &all);
         }
         let changes = self.store.changes(core.ledger.revision);
@@ -288,7 +288,7 @@
         self.messages.insert((now + 600, self.sent), Message::Tell(n, tell, None));
     }
 
-    pub(super) fn lead(&mut self, n: usize) {
+    pub(super) fn run_epoch(&mut self, n: usize) {
         if !self.due(n, 3, 200) {
             return;
         }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -3,11 +3,11 @@
 //! question, else it hands the request over, else it refuses.
 
 use rand::Rng;
-use willowshore::core::accept_txn;
-use willowshore::ledger;
+use willowshore::controller::accept_txn;
 use willowshore::model::{JobId, TaskId, Wall};
 use willowshore::peer::Ask;
-use willowshore::state::Committed;
+use willowshore::replica;
+use willowshore::store_client::Committed;
 use willowshore::wire::{JobStage, Shape};
 
 use super::{Message, World};
@@ -32,7 +32,7 @@
             return;
         }
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
-            if self.store.has(&willowshore::ledger::job_key(JobId(id))) {
+            if self.store.has(&willowshore::replica::job_key(JobId(id))) {
                 self.checker.see(now, Event::Accepted { job: id });
             }
             let cancelled = self.cancel_every > 0 && id.is_multiple_of(self.cancel_every);
@@ -56,7 +56,7 @@
     /// A user asks a node about an accepted job, as the service answers: from what can no
     /// longer change, else only when the store confirms it.
     pub(super) fn poll(&mut self, n: usize, id: u64) {
-        let accepted = self.store.has(&willowshore::ledger::job_key(JobId(id)));
+        let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
         if !accepted || self.wanted_cancels.contains(&id) {
             return;
         }
@@ -140,7 +140,7 @@
         let answer = core.final_answer(job).or_else(|| core.open_answer(job));
         match answer {
             Some(answer) => Some(told(answer.stage)),
-            None if self.store.has(&ledger::job_key(job)) => None,
+            None if self.store.has(&replica::job_key(job)) => None,
             None => Some(Told::Unknown),
         }
     }
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -5,11 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use willowshore::capacity::Load;
-use willowshore::ledger::{
-    Accepted, Brought, EpochRecord, LeadRecord, Ledger, MachineGroup, MachineRecord, MemberRecord,
-    Progress, SPEAKS, TermRecord,
-};
+use willowshore::autoscaler::Load;
 use willowshore::model::{
     Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Session, TaskId,
     Term, Wall,
@@ -18,9 +14,13 @@
     self, Ask, Grant, MachineView, OwnerNews, Plan, PlanBody, Relayed, Standing, Stop, Stray,
     Summary, TaskView, Tell, Waits,
 };
+use willowshore::replica::{
+    Accepted, Brought, EpochRecord, LeadRecord, Ledger, MachineGroup, MachineRecord, MemberRecord,
+    Progress, SPEAKS, TermRecord,
+};
 use willowshore::wire::{self, Item, JobSpec, JobStage, PieceStage, Shape, Urgency};
+use willowshore_standby::decision_log::{DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
-use willowshore_standby::log::{DecisionLog, FollowRequest};
 use willowshore_standby::settings::StandbySettings;
 
 /// What version 0.1 wrote, by name.
