--- a/src/api.rs
+++ b/src/api.rs
@@ -90,9 +90,9 @@
     /// store, being unready would help nobody: requests are answered with 503 at once.
     async fn ready(&self) -> Response {
         let (loaded, stale) = {
-            let core = self.core.borrow();
-            let age = core.rights.sync_age(self.now());
-            (core.loaded, age.is_none_or(|a| a > 3_000))
+            let controller = self.controller.borrow();
+            let age = controller.rights.sync_age(self.now());
+            (controller.loaded, age.is_none_or(|a| a > 3_000))
         };
         if !loaded || (stale && self.reaching_peer().await.is_some()) {
             return Response::later(1);
@@ -132,8 +132,8 @@
     }
 
     fn store_ok(&self) -> bool {
-        let core = self.core.borrow();
-        core.loaded && core.store_ok
+        let controller = self.controller.borrow();
+        controller.loaded && controller.store_ok
     }
 
     async fn on_submit(&self, body: &[u8]) -> Response {
@@ -159,7 +159,7 @@
         if !self.store_ok() {
             return self.or_hand_over(may_hand_over, Ask::Submit(spec)).await;
         }
-        let known = self.core.borrow().ledger.jobs.contains_key(&id);
+        let known = self.controller.borrow().replica.jobs.contains_key(&id);
         if !known {
             match self.fitness(&spec) {
                 Fitness::NotKnown => return Response::later(1),
@@ -209,14 +209,14 @@
         let Some(team) = self.settings.team(&spec.owner) else {
             return Fitness::Never("unknown team");
         };
-        let core = self.core.borrow();
-        if core.flavors.is_empty() {
+        let controller = self.controller.borrow();
+        if controller.flavors.is_empty() {
             return Fitness::NotKnown;
         }
-        if !placement::can_ever_run(spec, &core.flavors) {
+        if !placement::can_ever_run(spec, &controller.flavors) {
             return Fitness::Never("a task fits no allowed machine type");
         }
-        if !placement::zones_allow_all(spec, &core.flavors) {
+        if !placement::zones_allow_all(spec, &controller.flavors) {
             return Fitness::Never("its tasks can't all run at once in the zones it may use");
         }
         let tasks = match spec.shape {
@@ -237,7 +237,7 @@
 
     /// The answer for a job that has ended, which nothing can change any more.
     fn final_answer(&self, id: JobId) -> Option<Response> {
-        let answer = self.core.borrow().final_answer(id)?;
+        let answer = self.controller.borrow().final_answer(id)?;
         Some(Response::new(200, wire::encode(&answer)))
     }
 
@@ -258,8 +258,8 @@
         for key in [crate::replica::progress_key(id), crate::replica::job_key(id)] {
             if let Some(item) = self.store.get(&key).await.ok()? {
                 known = true;
-                let mut brought = crate::replica::Brought::default();
-                self.core.borrow_mut().ledger.load(&item, &mut brought);
+                let mut replica_changes = crate::replica::ReplicaChanges::default();
+                self.controller.borrow_mut().replica.load(&item, &mut replica_changes);
                 if let Some(answer) = self.final_answer(id) {
                     return Some(answer);
                 }
@@ -269,7 +269,7 @@
     }
 
     fn open_answer(&self, id: JobId) -> Option<Response> {
-        let answer = self.core.borrow().open_answer(id)?;
+        let answer = self.controller.borrow().open_answer(id)?;
         Some(Response::new(200, wire::encode(&answer)))
     }
 
@@ -295,7 +295,7 @@
             if !self.store_ok() {
                 break;
             }
-            let known = self.core.borrow().ledger.jobs.contains_key(&id);
+            let known = self.controller.borrow().replica.jobs.contains_key(&id);
             if !known {
                 match self.lookup(id).await {
                     Some(answer) if answer.status == 404 => return answer,
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -5,17 +5,17 @@
 use crate::config::{NodeInfo, Settings, StateLimits};
 use crate::model::{JobId, Steady, Wall};
 use crate::placement::Flavors;
-use crate::replica::Ledger;
+use crate::replica::Replica;
 use crate::shard::Finished;
 
 /// What the leader needs to see besides its own state.
-pub struct Context<'a> {
+pub struct ClusterView<'a> {
     /// Now.
     pub now: Steady,
     /// Time of day.
     pub wall: Wall,
     /// The replica.
-    pub ledger: &'a Ledger,
+    pub replica: &'a Replica,
     /// When the replica was last known to be current.
     pub synced: Steady,
     /// Milliseconds for which the store has served this node without a break.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -5,17 +5,17 @@
 
 use tracing::info;
 
-use crate::cluster_view::Context;
+use crate::cluster_view::ClusterView;
 use crate::config::{NodeInfo, Settings, StateLimits};
-use crate::leader::{Epoch, Lead};
+use crate::leader::{Epoch, Leader};
 use crate::lease::Rights;
 use crate::model::{
     Incarnation, JobId, Moment, NodeId, Revision, Steady, StoreLease, TaskId, Term, Wall,
 };
 use crate::peer::{Plan, Summary, Tell, Waits};
 use crate::placement::Flavors;
-use crate::replica::{self, Brought, LeadRecord, Ledger, MemberRecord, TermRecord};
-use crate::shard::{Announcement, Part, ReportAnswer, Surroundings};
+use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
+use crate::shard::{Announcement, ReportAnswer, Shard, Surroundings};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
 use crate::wire::{self, Change, Changes, Guard, Item, Report, Txn};
@@ -42,7 +42,7 @@
 const FRESH_MS: u64 = 2_500;
 
 /// A controller's state.
-pub struct Core {
+pub struct Controller {
     /// Settings.
     pub settings: Rc<Settings>,
     /// All controllers.
@@ -52,13 +52,13 @@
     /// This process's life.
     pub life: Incarnation,
     /// The replica of the store.
-    pub ledger: Ledger,
+    pub replica: Replica,
     /// What this node may do.
     pub rights: Rights,
     /// Its part.
-    pub part: Part,
+    pub shard: Shard,
     /// Its leadership.
-    pub lead: Option<Lead>,
+    pub leader: Option<Leader>,
     /// Machine types.
     pub flavors: Flavors,
     /// Whether the replica has been read once.
@@ -70,25 +70,25 @@
     /// Limits of the state service that writes keep to.
     pub limits: StateLimits,
     /// A leader of a later term than the replica knows, as a peer told.
-    heard_lead: Option<LeadRecord>,
+    leader_from_peer: Option<LeaderRecord>,
     /// The warm standby, if it is enabled.
     pub standby: Option<Standby>,
 }
 
-impl Core {
+impl Controller {
     /// A controller that knows nothing yet.
     pub fn new(settings: Rc<Settings>, life: Incarnation) -> Self {
         let (nodes, me) = settings.all_nodes();
-        Core {
-            ledger: Ledger::new(me),
+        Controller {
+            replica: Replica::new(me),
             rights: Rights::new(settings.keep_alive_ms()),
-            part: Part::new(me, life),
-            lead: None,
+            shard: Shard::new(me, life),
+            leader: None,
             flavors: Flavors::new(),
             loaded: false,
             store_ok: false,
             peer_heard: Steady(0),
-            heard_lead: None,
+            leader_from_peer: None,
             standby: None,
             limits: settings.params.state.clone(),
             settings,
@@ -113,47 +113,49 @@
     }
 
     /// Does something with the leadership and what it needs to see.
-    fn with_ctx<T>(
+    fn with_cluster_view<T>(
         &mut self,
         now: Moment,
-        act: impl FnOnce(&mut Option<Lead>, &Context<'_>) -> T,
+        act: impl FnOnce(&mut Option<Leader>, &ClusterView<'_>) -> T,
     ) -> T {
-        let ctx = Context {
+        let cluster = ClusterView {
             now: now.steady,
             wall: now.wall,
-            ledger: &self.ledger,
+            replica: &self.replica,
             synced: self.rights.synced_at().unwrap_or_default(),
             served_for: self.rights.served_for(now.steady),
             flavors: &self.flavors,
-            finished: &self.part.finished,
+            finished: &self.shard.finished,
             settings: &self.settings,
             limits: &self.limits,
             nodes: &self.nodes,
         };
-        act(&mut self.lead, &ctx)
+        act(&mut self.leader, &cluster)
     }
 
     /// Does something with the leadership, if there is one, and what it needs to see.
-    pub fn with_lead<T>(
+    pub fn with_leader<T>(
         &mut self,
         now: Moment,
-        act: impl FnOnce(&mut Lead, &Context<'_>) -> T,
+        act: impl FnOnce(&mut Leader, &ClusterView<'_>) -> T,
     ) -> Option<T> {
-        self.with_ctx(now, |lead, ctx| lead.as_mut().map(|lead| act(lead, ctx)))
+        self.with_cluster_view(now, |leader, cluster| {
+            leader.as_mut().map(|leader| act(leader, cluster))
+        })
     }
 
     /// Takes the whole store as it was read, `revision` being that of the first page: pages
     /// read later may hold newer items, and versions tell which changes are old.
     pub fn load(&mut self, items: &[Item], revision: Revision) {
-        let mut replica = Ledger::new(self.me);
-        items.iter().for_each(|item| replica.load(item, &mut Brought::default()));
+        let mut replica = Replica::new(self.me);
+        items.iter().for_each(|item| replica.load(item, &mut ReplicaChanges::default()));
         self.take_replica(replica, revision);
     }
 
     /// The same for a replica into which it was read.
-    pub fn take_replica(&mut self, replica: Ledger, revision: Revision) {
-        self.ledger.replace(replica);
-        self.ledger.revision = revision;
+    pub fn take_replica(&mut self, replica: Replica, revision: Revision) {
+        self.replica.replace(replica);
+        self.replica.revision = revision;
         self.loaded = true;
         self.store_ok = true;
     }
@@ -161,47 +163,47 @@
     /// The revision after which the replica needs the changes; `None` before the store has been read. Asked
     /// for changes since the beginning, it sends all that it keeps, without a bound on their size.
     pub fn changes_from(&self) -> Option<Revision> {
-        self.loaded.then_some(self.ledger.revision)
+        self.loaded.then_some(self.replica.revision)
     }
 
     /// Takes a watch's answer to a request sent at `sent`; `None` if the replica has to be
     /// read anew.
-    pub fn apply(&mut self, changes: &Changes, sent: Steady) -> Option<Brought> {
+    pub fn apply(&mut self, changes: &Changes, sent: Steady) -> Option<ReplicaChanges> {
         if !self.loaded {
             return None;
         }
         self.rights.confirm_sync(sent);
-        Some(self.ledger.apply(changes))
+        Some(self.replica.apply(changes))
     }
 
     /// Takes over what a transaction of this node made durable at that revision.
-    pub fn apply_own(&mut self, txn: &Txn, stamp: Revision) -> Brought {
-        let mut brought = Brought::default();
+    pub fn apply_own(&mut self, txn: &Txn, stamp: Revision) -> ReplicaChanges {
+        let mut replica_changes = ReplicaChanges::default();
         for change in &txn.apply {
             if let Change::Set { path, value, .. } = change {
                 let item = Item { path: path.clone(), v: value.clone(), stamp };
-                self.ledger.load(&item, &mut brought);
+                self.replica.load(&item, &mut replica_changes);
             }
         }
-        brought
+        replica_changes
     }
 
     /// Follows what changes brought.
-    pub fn follow(&mut self, now: Moment, brought: &Brought) {
-        if brought.lead {
-            self.follow_lead(now);
+    pub fn follow(&mut self, now: Moment, replica_changes: &ReplicaChanges) {
+        if replica_changes.leader {
+            self.follow_leader_key(now);
         }
-        if brought.progress {
-            self.part.tidy(&self.ledger);
+        if replica_changes.progress {
+            self.shard.tidy(&self.replica);
         }
-        if !brought.withdrawn.is_empty() {
-            self.part.end_withdrawn(&brought.withdrawn);
+        if !replica_changes.withdrawn.is_empty() {
+            self.shard.end_withdrawn(&replica_changes.withdrawn);
         }
-        if brought.progress || brought.jobs {
+        if replica_changes.progress || replica_changes.jobs {
             self.complete_gangs(now.steady);
         }
         if self.flavors.is_empty()
-            && let Some(flavors) = self.ledger.all_flavors()
+            && let Some(flavors) = self.replica.all_flavors()
         {
             self.set_flavors(&flavors);
         }
@@ -211,14 +213,14 @@
     /// of them on record alone.
     fn complete_gangs(&mut self, now: Steady) {
         let partly: Vec<JobId> = self
-            .ledger
+            .replica
             .jobs
             .iter()
             .filter(|(_, j)| j.spec.shape == wire::Shape::Gang && !j.progress.done.is_empty())
             .map(|(id, _)| *id)
             .collect();
         for job in partly {
-            self.part.note_done(now, &self.ledger, TaskId { job, index: 0 });
+            self.shard.note_done(now, &self.replica, TaskId { job, index: 0 });
         }
     }
 
@@ -230,35 +232,33 @@
     /// Follows changes of term and leader. A leadership begins only here, when the replica
     /// holds the leader's key: by then it also holds everything that earlier leaders wrote,
     /// as their later writes fail.
-    fn follow_lead(&mut self, now: Moment) {
-        let known = self.ledger.term;
-        if self.part.begin_term(known) {
+    fn follow_leader_key(&mut self, now: Moment) {
+        let known = self.replica.term;
+        if self.shard.begin_term(known) {
             self.log_term(now.steady);
         }
-        self.heard_lead = self.heard_lead.take().filter(|r| r.term > known);
-        if self.heard_lead.is_some() {
+        self.leader_from_peer = self.leader_from_peer.take().filter(|r| r.term > known);
+        if self.leader_from_peer.is_some() {
             return; // What the replica tells is of an earlier term.
         }
-        let mine = self
-            .ledger
-            .lead
-            .as_ref()
-            .map(|(r, _)| r)
-            .filter(|r| r.node == self.me && r.life == self.life && r.term == self.ledger.term);
-        match (mine, &self.lead) {
-            (Some(r), Some(lead)) if lead.term == r.term => {}
+        let mine =
+            self.replica.leader.as_ref().map(|(r, _)| r).filter(|r| {
+                r.node == self.me && r.life == self.life && r.term == self.replica.term
+            });
+        match (mine, &self.leader) {
+            (Some(r), Some(leader)) if leader.term == r.term => {}
             (Some(r), _) => {
                 let term = r.term;
                 info!(%term, "leading");
-                self.with_ctx(now, |lead, ctx| {
-                    let before = lead.take();
-                    *lead = Some(Lead::begin(ctx, term, before));
+                self.with_cluster_view(now, |leader, cluster| {
+                    let before = leader.take();
+                    *leader = Some(Leader::begin(cluster, term, before));
                 });
                 self.take_over(now, term);
             }
-            (None, Some(lead)) => {
-                info!(term = %lead.term, "no longer leading");
-                self.lead = None;
+            (None, Some(leader)) => {
+                info!(term = %leader.term, "no longer leading");
+                self.leader = None;
             }
             (None, None) => {}
         }
@@ -267,12 +267,12 @@
 
     /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
     fn log_term(&self, now: Steady) {
-        let term = self.ledger.term;
-        let lead = self.ledger.lead.as_ref().map(|(record, _)| record);
-        let lead = lead.filter(|record| record.term == term);
-        let leader_name = lead.map_or("unknown", |record| self.name_of(record.node));
-        let learned = if lead.is_some_and(|r| self.is_me(r)) { "own election" } else { "watch" };
-        let (proof_ms, revision) = (self.rights.sync_age(now), self.ledger.revision.0);
+        let term = self.replica.term;
+        let leader = self.replica.leader.as_ref().map(|(record, _)| record);
+        let leader = leader.filter(|record| record.term == term);
+        let leader_name = leader.map_or("unknown", |record| self.name_of(record.node));
+        let learned = if leader.is_some_and(|r| self.is_me(r)) { "own election" } else { "watch" };
+        let (proof_ms, revision) = (self.rights.sync_age(now), self.replica.revision.0);
         info!(%term, leader = leader_name, learned, proof_ms, revision, "a term begins");
     }
 
@@ -284,41 +284,41 @@
     /// What this node tells the leader, in about `room` bytes.
     pub fn summary(&mut self, now: Steady, room: usize) -> Summary {
         let (served_ms, pace) = (self.rights.served_age(now), self.settings.pace());
-        let follows = self.lead.is_none();
+        let follows = self.leader.is_none();
         let follow = self.standby.as_ref().filter(|_| follows).map(Standby::request);
-        Summary { served_ms, follow, ..self.part.summary(now, &pace, room) }
+        Summary { served_ms, follow, ..self.shard.summary(now, &pace, room) }
     }
 
     /// Who leads, as the store told just now; what peers are told that it does not serve.
-    pub fn lead_for_peer(&self, now: Steady) -> Option<LeadRecord> {
+    pub fn leader_for_peer(&self, now: Steady) -> Option<LeaderRecord> {
         let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_MS);
-        let lead = self.ledger.lead.as_ref().map(|(r, _)| r);
-        lead.filter(|r| self.loaded && fresh && r.term == self.ledger.term).cloned()
+        let leader = self.replica.leader.as_ref().map(|(r, _)| r);
+        leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
     }
 
     /// Takes a peer's word for who leads. A node that the store refuses would else keep its
     /// workers under an old token until its right ends, and nothing could start on them.
-    pub fn hear_lead(&mut self, lead: LeadRecord) {
-        if !self.loaded || lead.term <= self.part.term() || lead.node == self.me {
+    pub fn learn_leader_from_peer(&mut self, leader: LeaderRecord) {
+        if !self.loaded || leader.term <= self.shard.term() || leader.node == self.me {
             return;
         }
-        let (term, leader_name) = (lead.term, self.name_of(lead.node));
+        let (term, leader_name) = (leader.term, self.name_of(leader.node));
         info!(%term, leader = leader_name, learned = "peer", "a term begins");
-        self.part.begin_term(term);
-        self.heard_lead = Some(lead);
-        self.lead = None;
+        self.shard.begin_term(term);
+        self.leader_from_peer = Some(leader);
+        self.leader = None;
     }
 
     /// The leader that this node's part reports to.
     pub fn leader(&self) -> Option<NodeId> {
-        let known = self.ledger.lead.as_ref().map(|(r, _)| r);
-        self.heard_lead.as_ref().or(known).filter(|_| self.loaded).map(|r| r.node)
+        let known = self.replica.leader.as_ref().map(|(r, _)| r);
+        self.leader_from_peer.as_ref().or(known).filter(|_| self.loaded).map(|r| r.node)
     }
 
     /// The transaction that makes this process known; it replaces its predecessor at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
         let path = replica::member_key(self.me);
-        let stamp = self.ledger.members.get(&self.me).map_or(Revision(0), |m| m.1);
+        let stamp = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
         let value = wire::to_value(&MemberRecord {
             life: self.life,
             version: env!("CARGO_PKG_VERSION").into(),
@@ -332,11 +332,11 @@
 
     /// Whether this node may stand for leader: nobody leads, or (`Some(true)`) its own
     /// predecessor, which is certainly dead.
-    pub fn may_stand(&self, now: Steady) -> Option<bool> {
+    pub fn may_run_for_leader(&self, now: Steady) -> Option<bool> {
         if !self.loaded || !self.rights.may_lead(now) {
             return None;
         }
-        match &self.ledger.lead {
+        match &self.replica.leader {
             None => Some(false),
             Some((r, _)) if r.node == self.me && r.life != self.life => Some(true),
             Some(_) => None,
@@ -345,20 +345,20 @@
 
     /// The transaction that takes the next term, replacing the leader's key as it is known
     /// here; `None` without a lease for it to hang on.
-    pub fn lead_txn(&self) -> Option<Txn> {
+    pub fn election_txn(&self) -> Option<Txn> {
         let lease = self.rights.lease?;
-        let term = Term(self.ledger.term.0 + 1);
-        let lead = LeadRecord { node: self.me, life: self.life, term };
-        let stamp = self.ledger.lead.as_ref().map_or(Revision(0), |l| l.1);
+        let term = Term(self.replica.term.0 + 1);
+        let leader = LeaderRecord { node: self.me, life: self.life, term };
+        let stamp = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
         let guard = |path: &str, stamp| Guard { path: path.into(), stamp };
         let set = |path: &str, value, lease| Change::Set { path: path.into(), value, lease };
         Some(Txn {
             guards: vec![
-                guard(replica::LEAD_KEY, stamp),
-                guard(replica::TERM_KEY, self.ledger.term_stamp),
+                guard(replica::LEADER_KEY, stamp),
+                guard(replica::TERM_KEY, self.replica.term_stamp),
             ],
             apply: vec![
-                set(replica::LEAD_KEY, wire::to_value(&lead), Some(lease)),
+                set(replica::LEADER_KEY, wire::to_value(&leader), Some(lease)),
                 set(replica::TERM_KEY, wire::to_value(&TermRecord { term }), None),
             ],
         })
@@ -373,29 +373,29 @@
     }
 
     /// Does something with the part and what it needs to see.
-    fn with_part<T>(
+    fn with_shard<T>(
         &mut self,
         now: Steady,
-        act: impl FnOnce(&mut Part, &Surroundings<'_>) -> T,
+        act: impl FnOnce(&mut Shard, &Surroundings<'_>) -> T,
     ) -> T {
         let env = Surroundings {
             now,
             may_answer: self.loaded && self.rights.may_answer(now),
             may_start: self.loaded && self.rights.may_start(now),
             proof_ms: self.rights.sync_age(now),
-            ledger: &self.ledger,
+            replica: &self.replica,
             flavors: &self.flavors,
             nodes: &self.nodes,
             alone: self.alone(now),
             lease_ms: self.settings.worker_lease_ms(),
             pace: self.settings.pace(),
         };
-        act(&mut self.part, &env)
+        act(&mut self.shard, &env)
     }
 
     /// Answers a worker's report.
     pub fn on_report(&mut self, now: Steady, report: &Report) -> ReportAnswer {
-        self.with_part(now, |part, env| part.on_report(env, report))
+        self.with_shard(now, |shard, env| shard.on_report(env, report))
     }
 
     /// Machines that are to be told something straight away, up to `most`. Only a node that may
@@ -405,7 +405,7 @@
             return Vec::new();
         }
         let may_answer = self.rights.may_answer(now);
-        self.part.to_announce(now, &self.ledger, may_answer, most)
+        self.shard.to_announce(now, &self.replica, may_answer, most)
     }
 
     /// Takes a peer's word for a cancellation that is on record. The store may not tell this node, and
@@ -415,33 +415,33 @@
         job: JobId,
         progress: &replica::Progress,
         stamp: Revision,
-    ) -> Brought {
-        let mut brought = Brought::default();
+    ) -> ReplicaChanges {
+        let mut replica_changes = ReplicaChanges::default();
         if self.loaded && progress.end.is_some() {
             let item =
                 Item { path: replica::progress_key(job), v: wire::to_value(progress), stamp };
-            self.ledger.load(&item, &mut brought);
+            self.replica.load(&item, &mut replica_changes);
         }
-        brought
+        replica_changes
     }
 
     /// Takes a machine's answer to an announcement.
     pub fn on_announced(&mut self, now: Steady, asked: &Announcement, report: &Report) {
-        self.with_part(now, |part, env| part.on_announced(env, asked, report));
+        self.with_shard(now, |shard, env| shard.on_announced(env, asked, report));
     }
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
     /// should look at it soon.
     pub fn take_summary(&mut self, now: Steady, summary: Summary) -> (Tell, bool) {
-        let term = self.ledger.term;
-        let Some(lead) = &mut self.lead else {
+        let term = self.replica.term;
+        let Some(leader) = &mut self.leader else {
             return (Tell::NotLeading(term), false);
         };
         if summary.node != self.me {
-            self.part.take_finished(now, &self.ledger, &summary.finished);
+            self.shard.take_finished(now, &self.replica, &summary.finished);
         }
-        let (follow, term) = (summary.follow, lead.term);
-        let (mut tell, changed) = lead.on_summary(now, summary);
+        let (follow, term) = (summary.follow, leader.term);
+        let (mut tell, changed) = leader.on_summary(now, summary);
         if let (Tell::Plan(plan), Some(request), Some(standby)) =
             (&mut tell, &follow, &mut self.standby)
         {
@@ -453,9 +453,9 @@
     /// Follows the leader's answer to a summary; says whether it brought a new plan.
     pub fn take_answer(&mut self, tell: Tell) -> bool {
         match tell {
-            Tell::Plan(plan) => self.part.follow(*plan),
+            Tell::Plan(plan) => self.shard.follow(*plan),
             Tell::SendWhole => {
-                self.part.send_whole();
+                self.shard.send_whole();
                 false
             }
             _ => false,
@@ -467,14 +467,14 @@
         if !self.rights.may_lead(now.steady) {
             return None;
         }
-        self.with_lead(now, |lead, ctx| (lead.epoch(ctx), lead.term))
+        self.with_leader(now, |leader, cluster| (leader.epoch(cluster), leader.term))
     }
 
     /// Makes an epoch hold that is durable by now, unless the term has passed meanwhile.
     pub fn publish(&mut self, now: Moment, epoch: Epoch, term: Term) {
-        self.with_lead(now, |lead, ctx| {
-            if lead.term == term {
-                lead.publish(ctx, epoch);
+        self.with_leader(now, |leader, cluster| {
+            if leader.term == term {
+                leader.publish(cluster, epoch);
             }
         });
         self.record_decisions(now);
@@ -482,8 +482,8 @@
 
     /// A node's plan, for messages through the store, with the condition that it still leads.
     pub fn plan_for(&self, node: NodeId, now: Steady) -> Option<(Plan, Guard)> {
-        let plan = self.lead.as_ref()?.plan_for(node, now)?;
-        Some((plan, self.ledger.lead_guard()?))
+        let plan = self.leader.as_ref()?.plan_for(node, now)?;
+        Some((plan, self.replica.leader_condition()?))
     }
 
     /// The transaction that makes finished tasks durable, if there are any to be written now.
@@ -494,16 +494,17 @@
         if !self.loaded {
             return None;
         }
-        self.part.tidy(&self.ledger);
+        self.shard.tidy(&self.replica);
         let mut txn = Txn::default();
         let bytes = self.limits.value_bytes();
         for id in self.completions_due(now) {
-            let (Some(job), Some(f)) = (self.ledger.jobs.get(&id), self.part.finished.get_mut(&id))
+            let (Some(job), Some(f)) =
+                (self.replica.jobs.get(&id), self.shard.finished.get_mut(&id))
             else {
                 continue;
             };
             f.since = now;
-            let Some(progress) = Ledger::with_done(job, f.tasks.iter(), bytes) else { continue };
+            let Some(progress) = Replica::with_done(job, f.tasks.iter(), bytes) else { continue };
             let path = replica::progress_key(id);
             txn.guards.push(Guard { path: path.clone(), stamp: job.progress_stamp });
             txn.apply.push(Change::Set { path, value: wire::to_value(&progress), lease: None });
@@ -514,11 +515,11 @@
     /// Jobs whose completions are to be written now: all that end, and some of those that go on,
     /// the oldest first.
     fn completions_due(&self, now: Steady) -> Vec<JobId> {
-        let leads = self.lead.is_some();
+        let leads = self.leader.is_some();
         let gather_ms = self.gather_ms();
         let (mut ending, mut going_on) = (Vec::new(), Vec::new());
-        for (id, f) in &self.part.finished {
-            let Some(job) = self.ledger.jobs.get(id) else { continue };
+        for (id, f) in &self.shard.finished {
+            let Some(job) = self.replica.jobs.get(id) else { continue };
             let ends = job.remaining() <= f.tasks.len();
             let gathers = if ends { 0 } else { gather_ms };
             let wait = gathers + if leads { 0 } else { LEFT_TO_LEADER_MS };
@@ -538,14 +539,14 @@
     /// Time over which the completions of jobs that go on are gathered: the more such jobs there are, the
     /// longer, so that they take their part of the store's budget and no more.
     fn gather_ms(&self) -> u64 {
-        let jobs = self.part.finished.len() as f64;
+        let jobs = self.shard.finished.len() as f64;
         let per_s = leaders_writes_per_s(&self.limits) * PROGRESS_PART;
         ((jobs / per_s * 1_000.0) as u64).clamp(GATHER_MS, LONGEST_GATHER_MS)
     }
 
     /// What a user is told of a job that has ended, which nothing can change any more.
     pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
-        let (stage, done) = self.ledger.ended.get(&id).copied()?;
+        let (stage, done) = self.replica.ended.get(&id).copied()?;
         let reason = match stage {
             wire::JobStage::Withdrawn => Some("cancelled by its user".to_string()),
             _ => None,
@@ -555,10 +556,10 @@
 
     /// What a user is told of a job that has not ended, as the replica has it.
     pub fn open_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
-        let job = self.ledger.jobs.get(&id)?;
-        let standing = self.part.standing(id);
+        let job = self.replica.jobs.get(&id)?;
+        let standing = self.shard.standing(id);
         // A job is done when the store says so; the count may be ahead of what is on record.
-        let done = job.progress.done.len().max(self.part.completed(id)).min(job.spec.pieces);
+        let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.pieces);
         let running = standing.map_or(0, |s| s.running).min(job.spec.pieces - done);
         let stage = match running {
             0 => wire::JobStage::Pending,
@@ -570,7 +571,7 @@
 
     /// The transaction that cancels a job, if it has not ended, and the progress record it writes.
     pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, replica::Progress)> {
-        let job = self.ledger.jobs.get(&id)?;
+        let job = self.replica.jobs.get(&id)?;
         let progress = replica::Progress {
             end: Some(wire::JobStage::Withdrawn),
             done: job.progress.done.fitting(self.limits.value_bytes()),
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -7,10 +7,10 @@
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::{Status, VerificationCounts};
 
-use super::Core;
+use super::Controller;
 use crate::model::{Moment, NodeId, Steady, Term};
 use crate::peer::Tell;
-use crate::replica::LeadRecord;
+use crate::replica::LeaderRecord;
 use crate::standby::{Followed, Standby};
 use crate::store_client::Committed;
 use crate::wire::Txn;
@@ -19,14 +19,14 @@
 /// would ask about the wrong one, and one that the store refuses could not replace anybody.
 const FRESH_REPLICA_MS: u64 = 2_500;
 
-impl Core {
+impl Controller {
     /// Enables the warm standby.
     pub fn enable_standby(&mut self, settings: StandbySettings) {
         self.standby = Some(Standby::new(settings, self.nodes.len()));
     }
 
     /// Whether the process of that record is this one.
-    pub(super) fn is_me(&self, record: &LeadRecord) -> bool {
+    pub(super) fn is_me(&self, record: &LeaderRecord) -> bool {
         record.node == self.me && record.life == self.life
     }
 
@@ -40,7 +40,7 @@
                 standby.heard_leader(sent, *term);
             }
             Tell::SendWhole => {
-                standby.heard_leader(sent, self.ledger.term);
+                standby.heard_leader(sent, self.replica.term);
             }
             _ => {}
         }
@@ -59,14 +59,14 @@
         if !self.loaded || !fresh || !self.rights.may_lead(now) {
             return None;
         }
-        let (leader, _) = self.ledger.lead.as_ref()?;
-        if self.is_me(leader) || leader.term != self.ledger.term {
+        let (leader, _) = self.replica.leader.as_ref()?;
+        if self.is_me(leader) || leader.term != self.replica.term {
             return None;
         }
         let candidate = |n: usize| {
             let node = NodeId(n as u8);
             let info = &self.nodes[n];
-            let member = self.ledger.members.contains_key(&node);
+            let member = self.replica.members.contains_key(&node);
             Candidate {
                 node,
                 zone: info.zone.clone(),
@@ -79,7 +79,7 @@
 
     /// What another controller is told that asks when the leader of a term was heard.
     pub fn leader_silence_ms(&self, now: Steady, term: Term) -> Option<u64> {
-        if self.lead.as_ref().is_some_and(|lead| lead.term == term) {
+        if self.leader.as_ref().is_some_and(|leader| leader.term == term) {
             return Some(0);
         }
         self.standby.as_ref()?.leader_silence_ms(now, term)
@@ -125,15 +125,15 @@
     /// The transaction without changes that tells whether this process still leads; `None` if it does not, as far as
     /// it knows.
     pub fn leadership_check(&self) -> Option<Txn> {
-        self.lead.as_ref()?;
-        let guard = self.ledger.lead_guard()?;
+        self.leader.as_ref()?;
+        let guard = self.replica.leader_condition()?;
         Some(Txn { guards: vec![guard], apply: Vec::new() })
     }
 
     /// The replica shows that another process leads.
     pub(super) fn follow_other_leader(&mut self, now: Steady) {
-        let known = self.ledger.lead.as_ref().map(|(record, _)| record);
-        let leader = known.filter(|r| r.term == self.ledger.term && !self.is_me(r));
+        let known = self.replica.leader.as_ref().map(|(record, _)| record);
+        let leader = known.filter(|r| r.term == self.replica.term && !self.is_me(r));
         let leader = leader.map(|r| Followed { node: r.node, term: r.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
             standby.follow(now, leader);
@@ -149,14 +149,14 @@
         let verifies = standby.step(now.steady, shown) == Some(Command::Verify(term));
         let counts = verifies.then(|| {
             let state = standby.mirror().state();
-            let counts = self.with_lead(now, |lead, ctx| lead.take_hints(ctx, state));
+            let counts = self.with_leader(now, |leader, cluster| leader.take_hints(cluster, state));
             counts.unwrap_or_default()
         });
         standby.begin_leading(now.steady, term, counts);
         if standby.took_over_by(Cause::Suspicion, term)
-            && let (Some(followed), Some(lead)) = (followed, &mut self.lead)
+            && let (Some(followed), Some(leader)) = (followed, &mut self.leader)
         {
-            lead.fleet.replaced = Some(followed.node);
+            leader.fleet.replaced = Some(followed.node);
         }
         self.standby = Some(standby);
     }
@@ -166,7 +166,8 @@
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
             let known = standby.log().map(|log| log.state().clone()).unwrap_or_default();
-            let target = self.with_lead(now, |lead, ctx| lead.decision_target(ctx, &known));
+            let target =
+                self.with_leader(now, |leader, cluster| leader.decision_target(cluster, &known));
             if let Some(target) = target {
                 standby.record(now, &target);
             }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for `core`.
+//! Tables of cases for `controller`.
 
 use super::*;
 use crate::config::tests::EXAMPLE;
@@ -19,31 +19,32 @@
         (2, 8, 8, 2),
     ];
     let record =
-        |node, term| LeadRecord { node: NodeId(node), life: Incarnation(5), term: Term(term) };
+        |node, term| LeaderRecord { node: NodeId(node), life: Incarnation(5), term: Term(term) };
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let items = |node, term| {
         [
-            item(replica::LEAD_KEY, wire::to_value(&record(node, term))),
+            item(replica::LEADER_KEY, wire::to_value(&record(node, term))),
             item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(term) })),
         ]
     };
     let now = Moment { steady: Steady(0), wall: Wall(0) };
-    let lead = Brought { lead: true, ..Brought::default() };
-    let mut core = Core::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
-    core.load(&items(0, 5), Revision(9));
-    core.follow(now, &lead);
-    assert!(core.lead.is_some());
+    let leader = ReplicaChanges { leader: true, ..ReplicaChanges::default() };
+    let mut controller =
+        Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
+    controller.load(&items(0, 5), Revision(9));
+    controller.follow(now, &leader);
+    assert!(controller.leader.is_some());
     for (node, term, then, leader) in cases {
-        core.hear_lead(record(node, term));
-        assert_eq!(core.part.term(), Term(then), "{node} {term}");
-        assert_eq!(core.leader(), Some(NodeId(leader)), "{node} {term}");
-        assert_eq!(core.lead.is_some(), leader == 0, "{node} {term}");
+        controller.learn_leader_from_peer(record(node, term));
+        assert_eq!(controller.shard.term(), Term(then), "{node} {term}");
+        assert_eq!(controller.leader(), Some(NodeId(leader)), "{node} {term}");
+        assert_eq!(controller.leader.is_some(), leader == 0, "{node} {term}");
     }
-    core.follow(now, &lead);
-    assert!(core.lead.is_none(), "what the replica tells is of an earlier term");
-    core.load(&items(1, 9), Revision(12));
-    core.follow(now, &lead);
-    assert_eq!((core.part.term(), core.leader()), (Term(9), Some(NodeId(1))));
+    controller.follow(now, &leader);
+    assert!(controller.leader.is_none(), "what the replica tells is of an earlier term");
+    controller.load(&items(1, 9), Revision(12));
+    controller.follow(now, &leader);
+    assert_eq!((controller.shard.term(), controller.leader()), (Term(9), Some(NodeId(1))));
 }
 
 #[test]
@@ -52,10 +53,10 @@
     // so that epochs and the ends of jobs waited for a second and more.
     const JOBS: u64 = 80;
     const SECONDS: u64 = 30;
-    let record = LeadRecord { node: NodeId(0), life: Incarnation(5), term: Term(5) };
+    let record = LeaderRecord { node: NodeId(0), life: Incarnation(5), term: Term(5) };
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let mut items = vec![
-        item(replica::LEAD_KEY, wire::to_value(&record)),
+        item(replica::LEADER_KEY, wire::to_value(&record)),
         item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
     ];
     for id in 1..=JOBS {
@@ -66,11 +67,11 @@
     let accepted = replica::Accepted { spec: spec(last.0, 1), at: Wall(1) };
     items.push(item(&replica::job_key(last), wire::to_value(&accepted)));
     let settings = Rc::new(Settings::parse(EXAMPLE).unwrap());
-    let mut core = Core::new(settings, Incarnation(5));
-    core.load(&items, Revision(9));
-    core.follow(
+    let mut controller = Controller::new(settings, Incarnation(5));
+    controller.load(&items, Revision(9));
+    controller.follow(
         Moment { steady: Steady(0), wall: Wall(0) },
-        &Brought { lead: true, ..Brought::default() },
+        &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
     );
     let (mut changes, mut written) = (0, std::collections::BTreeSet::new());
     let (mut revision, mut most) = (9, 0);
@@ -82,17 +83,17 @@
         if step == SECONDS * 5 - 1 {
             finished.push((last.0, Ranges::span(0, 1)));
         }
-        core.part.take_finished(now, &core.ledger, &finished);
-        let Some(txn) = core.finished_txn(now) else { continue };
+        controller.shard.take_finished(now, &controller.replica, &finished);
+        let Some(txn) = controller.finished_txn(now) else { continue };
         changes += txn.apply.len();
         most = most.max(txn.apply.len());
         written.extend(txn.apply.iter().map(|c| c.path().to_string()));
         revision += 1;
-        core.apply_own(&txn, Revision(revision));
+        controller.apply_own(&txn, Revision(revision));
     }
-    let allowed = leaders_writes_per_s(&core.limits) * PROGRESS_PART * SECONDS as f64;
+    let allowed = leaders_writes_per_s(&controller.limits) * PROGRESS_PART * SECONDS as f64;
     assert!((changes as f64) < allowed * 1.2, "{changes} changes, {allowed:.0} allowed");
-    assert!(most <= core.limits.txn_ops);
+    assert!(most <= controller.limits.txn_ops);
     assert!(written.contains(&replica::progress_key(last)), "the job that ends is written at once");
     assert_eq!(written.len() as u64, JOBS + 1, "every job's progress is on record in the end");
 }
@@ -103,27 +104,28 @@
     // (told by the leader, on record, shown)
     let cases = [(None, 0, 0), (Some(7), 2, 7), (Some(7), 9, 9), (Some(40), 9, 20)];
     for (told, recorded, shown) in cases {
-        let mut core = Core::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
-        let record = LeadRecord { node: NodeId(1), life: Incarnation(9), term: Term(5) };
+        let mut controller =
+            Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
+        let record = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: Term(5) };
         let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
         let accepted = replica::Accepted { spec: spec(1, 20), at: Wall(1) };
         let done = Ranges::span(0, recorded);
         let progress = replica::Progress { end: None, done, gang: None };
-        core.load(
+        controller.load(
             &[
                 item(&replica::job_key(JobId(1)), wire::to_value(&accepted)),
                 item(&replica::progress_key(JobId(1)), wire::to_value(&progress)),
-                item(replica::LEAD_KEY, wire::to_value(&record)),
+                item(replica::LEADER_KEY, wire::to_value(&record)),
                 item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
             ],
             Revision(9),
         );
-        core.follow(
+        controller.follow(
             Moment { steady: Steady(0), wall: Wall(0) },
-            &Brought { lead: true, ..Brought::default() },
+            &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
         );
         let completed = told.map(|count| (1, count)).into_iter().collect();
-        assert!(core.part.follow(Plan {
+        assert!(controller.shard.follow(Plan {
             term: Term(5),
             life: Incarnation(5),
             seq: crate::model::PlanSeq(1),
@@ -133,7 +135,7 @@
             body: Some(crate::peer::PlanBody { completed, ..Default::default() }),
             decisions: None,
         }));
-        let answer = core.open_answer(JobId(1)).unwrap();
+        let answer = controller.open_answer(JobId(1)).unwrap();
         assert_eq!(answer.done, shown, "{told:?} {recorded}");
         assert_eq!(answer.stage, wire::JobStage::Pending, "{told:?} {recorded}");
     }
@@ -143,10 +145,11 @@
 fn changes_are_asked_for_once_the_store_has_been_read() {
     // Seen on a bench day: a worker's report with a later term reached a controller that had just started, which asked
     // for all changes since the beginning, 10,000 of them, and ended for memory.
-    let mut core = Core::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
-    assert_eq!(core.changes_from(), None);
-    core.load(&[], Revision(9));
-    assert_eq!(core.changes_from(), Some(Revision(9)));
-    core.loaded = false; // What the store told was too old to go on from.
-    assert_eq!(core.changes_from(), None);
+    let mut controller =
+        Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
+    assert_eq!(controller.changes_from(), None);
+    controller.load(&[], Revision(9));
+    assert_eq!(controller.changes_from(), Some(Revision(9)));
+    controller.loaded = false; // What the store told was too old to go on from.
+    assert_eq!(controller.changes_from(), None);
 }
--- a/src/feature_flags.rs
+++ b/src/feature_flags.rs
@@ -15,19 +15,19 @@
 /// What is enabled.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Features {
+pub struct FeatureFlags {
     /// The warm standby.
     pub standby: Option<StandbySettings>,
 }
 
-impl Features {
+impl FeatureFlags {
     /// Reads the files that enable something; each part may be enabled once.
     pub fn load<'a>(paths: impl IntoIterator<Item = &'a Path>) -> Result<Self, ConfigError> {
-        let mut all = Features::default();
+        let mut all = FeatureFlags::default();
         for path in paths {
             let text = std::fs::read_to_string(path)
                 .map_err(|source| ConfigError::Read { path: path.display().to_string(), source })?;
-            all.add(Features::parse(&text).map_err(|e| in_file(path, e))?)
+            all.add(FeatureFlags::parse(&text).map_err(|e| in_file(path, e))?)
                 .map_err(|e| in_file(path, e))?;
         }
         Ok(all)
@@ -39,7 +39,7 @@
             .map_err(|e| ConfigError::Parse(e.to_string().trim().replace('\n', " ")))
     }
 
-    fn add(&mut self, other: Features) -> Result<(), ConfigError> {
+    fn add(&mut self, other: FeatureFlags) -> Result<(), ConfigError> {
         let Some(standby) = other.standby else {
             return Err(ConfigError::Parse("enables nothing".into()));
         };
--- a/src/feature_flags/tests.rs
+++ b/src/feature_flags/tests.rs
@@ -20,7 +20,7 @@
         ("[standby\n", "TOML parse error"),
     ];
     for (text, why) in cases {
-        let found = Features::parse(text).and_then(|f| f.check(&settings));
+        let found = FeatureFlags::parse(text).and_then(|f| f.check(&settings));
         match found {
             Ok(()) => assert_eq!(why, "", "{text}"),
             Err(e) => {
@@ -36,9 +36,9 @@
 
 #[test]
 fn nothing_is_enabled_twice_or_by_an_empty_file() {
-    let mut all = Features::default();
-    assert!(all.add(Features::default()).is_err());
-    let standby = || Features { standby: Some(StandbySettings::default()) };
+    let mut all = FeatureFlags::default();
+    assert!(all.add(FeatureFlags::default()).is_err());
+    let standby = || FeatureFlags { standby: Some(StandbySettings::default()) };
     assert!(all.add(standby()).is_ok());
     assert!(all.add(standby()).is_err());
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::autoscaler::Offer;
-use crate::cluster_view::Context;
+use crate::cluster_view::ClusterView;
 use crate::config::Pace;
 use crate::model::{Incarnation, MachineId, NodeId, PlanSeq, Session, Steady, TaskId};
 use crate::peer::{MachineView, Summary};
@@ -175,9 +175,9 @@
 
 impl Fleet {
     /// Begins a term. What was known of machines stays; what was told of tasks does not.
-    pub fn begin(ctx: &Context<'_>, before: Option<Fleet>) -> Self {
+    pub fn begin(cluster: &ClusterView<'_>, before: Option<Fleet>) -> Self {
         let mut fleet = Fleet {
-            began: ctx.now,
+            began: cluster.now,
             nodes: BTreeMap::new(),
             owners: BTreeMap::new(),
             removed: Vec::new(),
@@ -198,14 +198,14 @@
             fleet.absent = old.absent;
             fleet.unheard = old.unheard;
             fleet.reassigned = old.reassigned;
-            fleet.reassigned.retain(|_, r| r.until > ctx.now);
+            fleet.reassigned.retain(|_, r| r.until > cluster.now);
             fleet.machines = old.machines;
             for m in fleet.machines.values_mut() {
                 m.draining = m.draining.map(|_| PlanSeq(1));
             }
         }
-        let may_hold = ctx
-            .ledger
+        let may_hold = cluster
+            .replica
             .machines
             .iter()
             .filter(|(id, m)| m.up && m.gone.is_none() && !fleet.gone.contains(*id));
@@ -392,45 +392,45 @@
     }
 
     /// Machines as placement sees them.
-    pub fn rooms(&self, ctx: &Context<'_>) -> Vec<Room> {
-        let pace = ctx.settings.pace();
+    pub fn rooms(&self, cluster: &ClusterView<'_>) -> Vec<Room> {
+        let pace = cluster.settings.pace();
         self.known()
             .filter_map(|(k, _, n)| {
                 let m = self.machines.get(&k.view.id)?;
                 let v = &k.view;
-                let open = ctx.now.since(n.at) < NODE_LOST_MS
+                let open = cluster.now.since(n.at) < NODE_LOST_MS
                     && n.served_ms < UNSERVED_MS / 2
-                    && ctx.now.since(k.heard) < pace.silent_ms
+                    && cluster.now.since(k.heard) < pace.silent_ms
                     && m.draining.is_none()
                     && v.settled
                     && !v.leaving
-                    && k.shun_until <= ctx.now;
+                    && k.shun_until <= cluster.now;
                 let tasks = v.tasks.iter().map(|t| (t.task, t.stage));
                 let what = (&v.id, &v.hull, &v.zone, v.spot);
-                Room::of(what, tasks, &v.images, ctx.flavors, ctx.ledger, open)
+                Room::of(what, tasks, &v.images, cluster.flavors, cluster.replica, open)
             })
             .collect()
     }
 
     /// Follows which controllers are members.
-    pub fn follow_members(&mut self, ctx: &Context<'_>) {
-        for n in 0..ctx.nodes.len() {
+    pub fn follow_members(&mut self, cluster: &ClusterView<'_>) {
+        for n in 0..cluster.nodes.len() {
             let id = NodeId(n as u8);
-            if ctx.ledger.members.contains_key(&id) {
+            if cluster.replica.members.contains_key(&id) {
                 self.absent.remove(&id);
             } else {
-                let moves = ctx.ledger.member_moves.get(&id).copied().unwrap_or(0);
-                let absent = self.absent.entry(id).or_insert((moves, ctx.now));
+                let moves = cluster.replica.member_moves.get(&id).copied().unwrap_or(0);
+                let absent = self.absent.entry(id).or_insert((moves, cluster.now));
                 // It came and went unseen: its last renewal may be that much younger.
                 if absent.0 != moves {
-                    *absent = (moves, ctx.now);
+                    *absent = (moves, cluster.now);
                 }
             }
         }
     }
 
-    fn is_gone(&self, ctx: &Context<'_>, id: &MachineId) -> bool {
-        self.gone.contains(id) || ctx.ledger.machine_gone(id)
+    fn is_gone(&self, cluster: &ClusterView<'_>, id: &MachineId) -> bool {
+        self.gone.contains(id) || cluster.replica.machine_gone(id)
     }
 
     fn note_machine(&mut self, now: Steady, id: &MachineId, offer: Offer) {
@@ -465,16 +465,16 @@
 
     /// Takes what the cloud's list says of a machine. The list is old: it only adds machines
     /// and tells of failed ones.
-    fn listed(&mut self, ctx: &Context<'_>, host: &wire::ListedHost) {
-        if self.is_gone(ctx, &host.r#ref) {
+    fn listed(&mut self, cluster: &ClusterView<'_>, host: &wire::ListedHost) {
+        if self.is_gone(cluster, &host.r#ref) {
             return;
         }
         let offer = Offer { hull: host.hull.clone(), zone: host.yard.clone(), spot: host.loaners };
         let age = (host.held_s.max(0.0) * 1000.0) as u64;
-        self.note_machine(ctx.now, &host.r#ref, offer);
+        self.note_machine(cluster.now, &host.r#ref, offer);
         if let Some(m) = self.machines.get_mut(&host.r#ref) {
-            m.since = m.since.min(ctx.now.less(age));
-            m.listed.get_or_insert(ctx.now);
+            m.since = m.since.min(cluster.now.less(age));
+            m.listed.get_or_insert(cluster.now);
             m.missing = false;
             m.failed |= host.stage == wire::HostStage::Failed;
         }
@@ -484,14 +484,19 @@
     /// unless it is the last page. A machine that was listed once stays listed until it is gone, but
     /// a list may be older than the one before, by twice the lag at most. That is no
     /// proof, only a reason to return it.
-    pub fn listed_page(&mut self, ctx: &Context<'_>, after: Option<&MachineId>, page: &HostList) {
-        page.hosts.iter().for_each(|host| self.listed(ctx, host));
+    pub fn listed_page(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        after: Option<&MachineId>,
+        page: &HostList,
+    ) {
+        page.hosts.iter().for_each(|host| self.listed(cluster, host));
         let names: HashSet<&MachineId> = page.hosts.iter().map(|h| &h.r#ref).collect();
         let last = page.hosts.last().map(|h| &h.r#ref).filter(|_| page.truncated);
-        let sure_ms = (ctx.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_MARGIN_MS;
+        let sure_ms = (cluster.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_MARGIN_MS;
         for (id, m) in &mut self.machines {
             let covered = after.is_none_or(|a| id > a) && last.is_none_or(|l| id <= l);
-            let known = m.listed.is_some_and(|at| ctx.now.since(at) > sure_ms);
+            let known = m.listed.is_some_and(|at| cluster.now.since(at) > sure_ms);
             m.missing |= covered && known && !names.contains(id);
         }
     }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use super::{Fleet, FleetMachine, HEARS_MS, Known, MANY_LEAST, NodeState};
-use crate::cluster_view::Context;
+use crate::cluster_view::ClusterView;
 use crate::lease::{last_right, plus_drift};
 use crate::model::{MachineId, NodeId, Session, Steady};
 
@@ -21,13 +21,13 @@
 impl Fleet {
     /// Declares machines empty whose lease has certainly run out: every controller says, as of
     /// a moment a whole lease after the last answer anyone gave, that it gave no later one.
-    pub fn silent_verdicts(&mut self, ctx: &Context<'_>) {
-        let lease = plus_drift(ctx.settings.worker_lease_ms()) + 500;
+    pub fn silent_verdicts(&mut self, cluster: &ClusterView<'_>) {
+        let lease = plus_drift(cluster.settings.worker_lease_ms()) + 500;
         let mut told_until = Steady(u64::MAX);
         // Nobody tells of answers before that moment; each could be one to any machine.
         let mut last_other = Steady(0);
-        let kept = ctx.settings.pace().answers_ms;
-        for n in 0..ctx.nodes.len() {
+        let kept = cluster.settings.pace().answers_ms;
+        for n in 0..cluster.nodes.len() {
             let id = NodeId(n as u8);
             match self.nodes.get(&id) {
                 Some(n) if n.echo_ms > 0 => {
@@ -37,8 +37,8 @@
                 }
                 _ => match self.absent.get(&id) {
                     Some((_, since)) => {
-                        told_until = told_until.min(ctx.synced);
-                        let bound = last_right(*since, ctx.settings.keep_alive_ms());
+                        told_until = told_until.min(cluster.synced);
+                        let bound = last_right(*since, cluster.settings.keep_alive_ms());
                         last_other = last_other.max(bound);
                     }
                     None => return,
@@ -69,16 +69,16 @@
 
     /// Machines that may be returned now: drained and empty, failed, silent beyond any lease,
     /// deaf, or never come up. What is on them dies with them, and the cloud's answer proves it.
-    pub fn to_return(&self, ctx: &Context<'_>) -> Vec<MachineId> {
-        let now = ctx.now;
+    pub fn to_return(&self, cluster: &ClusterView<'_>) -> Vec<MachineId> {
+        let now = cluster.now;
         let views: HashMap<&MachineId, (&Known, NodeId, &NodeState)> =
             self.known().map(|(k, id, n)| (&k.view.id, (k, id, n))).collect();
-        let lease = plus_drift(ctx.settings.worker_lease_ms()) + 1_000;
+        let lease = plus_drift(cluster.settings.worker_lease_ms()) + 1_000;
         // Whoever is up has had a whole lease to report to this term's controllers.
         let calm = now.since(self.began) > lease;
         // Whatever an older controller kept alive has had time to come over.
-        let deaf = now.since(self.began) > lease + plus_drift(ctx.settings.keep_alive_ms());
-        let pace = ctx.settings.pace();
+        let deaf = now.since(self.began) > lease + plus_drift(cluster.settings.keep_alive_ms());
+        let pace = cluster.settings.pace();
         let quick = pace.quick_ms;
         // The last few that do not show the token have mostly stopped, and what they may still run
         // keeps tasks of many jobs waiting for a whole lease.
@@ -92,7 +92,7 @@
         let strays: HashSet<&MachineId> =
             all_strays.filter(|s| s.silent_ms < pace.stray_ms).map(|s| &s.id).collect();
         let well: Vec<NodeId> =
-            self.nodes.keys().copied().filter(|node| self.hears_well(ctx, *node)).collect();
+            self.nodes.keys().copied().filter(|node| self.hears_well(cluster, *node)).collect();
         let silent_ms =
             |id: &MachineId| now.since(self.heard.get(id).copied().unwrap_or(self.began));
         // Many that fall silent at once are cut off: what they ran is proven over by their
@@ -100,7 +100,7 @@
         let mute = self.machines.iter().filter(|(id, m)| m.up && silent_ms(id) > quick).count();
         let cut_off = mute > (up / MANY_PART).max(MANY_LEAST);
         let over = |id: &MachineId, m: &FleetMachine| {
-            let startup = ctx.flavors.get(&m.offer.hull).map_or(60.0, |f| f.startup_s);
+            let startup = cluster.flavors.get(&m.offer.hull).map_or(60.0, |f| f.startup_s);
             let silent = silent_ms(id);
             // What ran before it was restarted is over, but nobody can tell its reports from
             // late copies of earlier ones.
@@ -145,11 +145,11 @@
     /// Whether silence of a machine can only be its own: all controllers are heard, none of
     /// them restarted lately, and its owner hears others. A machine that is merely cut off
     /// for longer would lose its tasks with its lease anyway.
-    fn hears_well(&self, ctx: &Context<'_>, owner: NodeId) -> bool {
-        let settled_ms = plus_drift(ctx.settings.worker_lease_ms()) + 5_000;
-        self.nodes.len() == ctx.nodes.len()
-            && self.nodes.values().all(|n| ctx.now.since(n.at) < 1_000 && n.up_ms > settled_ms)
-            && self.known().any(|(k, node, _)| node == owner && ctx.now.since(k.heard) < 2_000)
+    fn hears_well(&self, cluster: &ClusterView<'_>, owner: NodeId) -> bool {
+        let settled_ms = plus_drift(cluster.settings.worker_lease_ms()) + 5_000;
+        self.nodes.len() == cluster.nodes.len()
+            && self.nodes.values().all(|n| cluster.now.since(n.at) < 1_000 && n.up_ms > settled_ms)
+            && self.known().any(|(k, node, _)| node == owner && cluster.now.since(k.heard) < 2_000)
     }
 }
 
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -4,7 +4,7 @@
 
 use super::{Fleet, GONE_TOLD, NODE_LOST_MS, Reassigned, UNSERVED_MS};
 use crate::autoscaler::Offer;
-use crate::cluster_view::Context;
+use crate::cluster_view::ClusterView;
 use crate::config::Pace;
 use crate::model::{MachineId, NodeId, PlanSeq, Steady};
 use crate::peer::OwnerNews;
@@ -84,39 +84,44 @@
         known.is_some_and(|k| now.since(k.heard) < silent_ms.max(STRAY_MS))
     }
 
-    fn zone_of<'a>(&'a self, ctx: &'a Context<'_>, id: &MachineId) -> Option<&'a str> {
+    fn zone_of<'a>(&'a self, cluster: &'a ClusterView<'_>, id: &MachineId) -> Option<&'a str> {
         let held = self.machines.get(id).map(|m| m.offer.zone.as_str());
-        held.or_else(|| ctx.ledger.machines.get(id).map(|m| m.zone.as_str()))
+        held.or_else(|| cluster.replica.machines.get(id).map(|m| m.zone.as_str()))
     }
 
     /// The owner of a machine among live controllers: the one that hears it if it could not reach its owner lately,
     /// else those of its zone if one is up, else all; the highest hash wins.
-    pub fn owner_for(&self, ctx: &Context<'_>, id: &MachineId, live: &[NodeId]) -> Option<NodeId> {
-        if let Some(node) = self.reassigned_to(ctx.now, id, live) {
+    pub fn owner_for(
+        &self,
+        cluster: &ClusterView<'_>,
+        id: &MachineId,
+        live: &[NodeId],
+    ) -> Option<NodeId> {
+        if let Some(node) = self.reassigned_to(cluster.now, id, live) {
             return Some(node);
         }
-        let zone = self.zone_of(ctx, id);
+        let zone = self.zone_of(cluster, id);
         let near: Vec<NodeId> = live
             .iter()
             .copied()
-            .filter(|n| zone == ctx.nodes.get(usize::from(n.0)).map(|n| n.zone.as_str()))
+            .filter(|n| zone == cluster.nodes.get(usize::from(n.0)).map(|n| n.zone.as_str()))
             .collect();
         let pool = if near.is_empty() { live } else { &near };
         pool.iter().copied().max_by_key(|n| rendezvous(id, *n))
     }
 
     /// Gives every machine without an owner one; `next` is the plan that will say so.
-    pub fn assign(&mut self, ctx: &Context<'_>, next: PlanSeq) {
-        let now = ctx.now;
+    pub fn assign(&mut self, cluster: &ClusterView<'_>, next: PlanSeq) {
+        let now = cluster.now;
         let mut live = self.able(now);
         live.retain(|id| self.nodes[id].served_ms < UNSERVED_MS * 2 / 5);
         let replaced = self.replaced.filter(|id| !live.contains(id));
-        let awaited = ctx.ledger.members.keys().filter(|id| Some(**id) != replaced);
-        let expected = awaited.count().min(ctx.nodes.len());
+        let awaited = cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
+        let expected = awaited.count().min(cluster.nodes.len());
         if live.is_empty() || (live.len() < expected && now.since(self.began) < 1_000) {
             return;
         }
-        let heard_ms = ctx.settings.pace().stray_ms + 2_000;
+        let heard_ms = cluster.settings.pace().stray_ms + 2_000;
         let mut strays: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, Offer)> = Vec::new();
         for (node, n) in self.nodes.iter().filter(|(id, _)| live.contains(id)) {
@@ -129,11 +134,11 @@
             }
         }
         for (id, offer) in found {
-            if !self.is_gone(ctx, &id) {
+            if !self.is_gone(cluster, &id) {
                 self.note_machine(now, &id, offer);
             }
         }
-        for (id, m) in &ctx.ledger.machines {
+        for (id, m) in &cluster.replica.machines {
             if m.gone.is_none() && !self.machines.contains_key(id) && !self.gone.contains(id) {
                 let offer = Offer { hull: m.hull.clone(), zone: m.zone.clone(), spot: m.spot };
                 self.note_machine(now, id, offer);
@@ -151,7 +156,7 @@
             .cloned()
             .collect();
         for id in open {
-            let owner = strays.get(&id).copied().or_else(|| self.owner_for(ctx, &id, &live));
+            let owner = strays.get(&id).copied().or_else(|| self.owner_for(cluster, &id, &live));
             if let Some(owner) = owner {
                 self.owners.insert(id, (owner, next));
             }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -13,7 +13,7 @@
 
 use crate::admission::{self, Bounds, Demand};
 use crate::autoscaler::{self, Market};
-use crate::cluster_view::Context;
+use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, OnMachines, Taken};
 use crate::lease::Attempts;
 use crate::model::{
@@ -78,7 +78,7 @@
 }
 
 /// The leader's state in one term.
-pub struct Lead {
+pub struct Leader {
     /// Its term.
     pub term: Term,
     began: Steady,
@@ -134,28 +134,28 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Begins a term. `before` is the same leader's state in its last term, if it led: what it
     /// knows of machines and the market stays, what it knows of tasks does not.
-    pub fn begin(ctx: &Context<'_>, term: Term, mut before: Option<Lead>) -> Self {
-        let ledger = ctx.ledger;
+    pub fn begin(cluster: &ClusterView<'_>, term: Term, mut before: Option<Leader>) -> Self {
+        let replica = cluster.replica;
         let old_fleet = before.as_mut().map(|l| {
             // Whoever led meanwhile may have returned machines and rented others.
-            std::mem::replace(&mut l.fleet, Fleet::begin(ctx, None))
+            std::mem::replace(&mut l.fleet, Fleet::begin(cluster, None))
         });
         let mut recorded: FxHashMap<JobId, Ranges> = FxHashMap::default();
-        for (job, ranges) in ledger.epochs.values().flat_map(|(r, _)| &r.granted) {
+        for (job, ranges) in replica.epochs.values().flat_map(|(r, _)| &r.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
         }
-        let mut lead = Lead {
+        let mut leader = Leader {
             term,
-            began: ctx.now,
+            began: cluster.now,
             seq: PlanSeq(0),
-            fleet: Fleet::begin(ctx, old_fleet),
+            fleet: Fleet::begin(cluster, old_fleet),
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
             attempts: Attempts::new(term, LEADERS_ATTEMPTS),
-            unresolved: ledger.granted_before(),
+            unresolved: replica.granted_before(),
             recorded,
             doubled: FxHashSet::default(),
             ahead: FxHashSet::default(),
@@ -173,7 +173,7 @@
             decision: autoscaler::Decision::default(),
             decided: None,
             machines_written: Steady(0),
-            load_written: ctx.now,
+            load_written: cluster.now,
             idle: FxHashMap::default(),
             gangs: FxHashMap::default(),
             halts: BTreeMap::new(),
@@ -181,27 +181,27 @@
             gang_images: FxHashMap::default(),
             spread_gangs: None,
         };
-        if let Some((load, _)) = &ledger.load {
-            lead.market.load = load.clone();
+        if let Some((load, _)) = &replica.load {
+            leader.market.load = load.clone();
         }
         if let Some(old) = before {
             if old.term.0 + 1 == term.0 {
                 // Nobody led in between, so what this leader never granted is nowhere.
-                lead.unresolved.retain(|t| !old.ahead.contains(t));
-                lead.ahead = old.ahead;
+                leader.unresolved.retain(|t| !old.ahead.contains(t));
+                leader.ahead = old.ahead;
             }
             // The record in the store may lag behind what this very leader granted.
-            let may_run = |t: &TaskId| ledger.may_run(*t);
-            lead.unresolved.extend(old.granted.keys().copied().filter(may_run));
-            lead.unresolved.extend(old.revoked.keys().copied().filter(may_run));
-            lead.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
-            lead.rebalanced = old.rebalanced;
-            lead.market = old.market;
-            lead.runs = old.runs;
-            lead.speeds = old.speeds;
-            lead.gang_images = old.gang_images;
+            let may_run = |t: &TaskId| replica.may_run(*t);
+            leader.unresolved.extend(old.granted.keys().copied().filter(may_run));
+            leader.unresolved.extend(old.revoked.keys().copied().filter(may_run));
+            leader.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
+            leader.rebalanced = old.rebalanced;
+            leader.market = old.market;
+            leader.runs = old.runs;
+            leader.speeds = old.speeds;
+            leader.gang_images = old.gang_images;
         }
-        lead
+        leader
     }
 
     /// Takes a summary and returns the answer, and whether the summary tells anything that an
@@ -242,39 +242,39 @@
     }
 
     /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
-    pub fn epoch(&mut self, ctx: &Context<'_>) -> Epoch {
-        self.fleet.follow_members(ctx);
-        self.fleet.note_unheard(ctx.now, &ctx.settings.pace());
-        self.check_nodes(ctx);
-        self.fleet.assign(ctx, PlanSeq(self.seq.0 + 1));
-        self.fleet.learn(ctx.now);
-        self.fleet.silent_verdicts(ctx);
+    pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
+        self.fleet.follow_members(cluster);
+        self.fleet.note_unheard(cluster.now, &cluster.settings.pace());
+        self.check_nodes(cluster);
+        self.fleet.assign(cluster, PlanSeq(self.seq.0 + 1));
+        self.fleet.learn(cluster.now);
+        self.fleet.silent_verdicts(cluster);
         // What is on machines borrows the fleet, which nothing below changes.
-        let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(ctx, None));
+        let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
         let on = fleet.on_machines();
-        self.learn(ctx, &on);
+        self.learn(cluster, &on);
         self.note_doubled(&fleet, &on);
-        self.settle(ctx, &fleet, &on);
-        self.supervise_gangs(ctx, &fleet, &on);
-        let mut rooms = self.rooms(ctx, &fleet);
-        let mut turnover = self.turnover(ctx, &fleet, &on, &rooms);
+        self.settle(cluster, &fleet, &on);
+        self.supervise_gangs(cluster, &fleet, &on);
+        let mut rooms = self.rooms(cluster, &fleet);
+        let mut turnover = self.turnover(cluster, &fleet, &on, &rooms);
         let extra = turnover.iter().fold(Cores(0), |sum, t| Cores(sum.0 + t.free_cores().0));
-        self.place_under_way(ctx, &fleet, &on, &mut rooms, &mut turnover);
-        self.keep_for_gangs(ctx, &fleet, &on, &mut rooms);
+        self.place_under_way(cluster, &fleet, &on, &mut rooms, &mut turnover);
+        self.keep_for_gangs(cluster, &fleet, &on, &mut rooms);
         let filling = Filling {
-            used: self.team_use(ctx, &fleet, &on),
+            used: self.team_use(cluster, &fleet, &on),
             rooms,
             turnover,
             extra,
             grants: Vec::new(),
             counts: self.counts(&on),
         };
-        let filling = self.grant(ctx, &fleet, &on, filling);
+        let filling = self.grant(cluster, &fleet, &on, filling);
         let mut epoch = Epoch { grants: filling.grants, ..Epoch::default() };
-        let due = self.decided.is_none_or(|at| ctx.now.since(at) >= CAPACITY_MS);
+        let due = self.decided.is_none_or(|at| cluster.now.since(at) >= CAPACITY_MS);
         if due {
-            self.decided = Some(ctx.now);
-            self.decide_capacity(ctx, &fleet, &on, &filling.rooms, &epoch);
+            self.decided = Some(cluster.now);
+            self.decide_capacity(cluster, &fleet, &on, &filling.rooms, &epoch);
         }
         drop(on);
         self.fleet = fleet;
@@ -282,18 +282,19 @@
         if due {
             self.drain_retired();
         }
-        self.compose(ctx, &mut epoch);
+        self.compose(cluster, &mut epoch);
         epoch
     }
 
     /// Asks for a new term when an owner is lost, machines cannot reach their owner, or the
     /// parts are out of balance.
-    fn check_nodes(&mut self, ctx: &Context<'_>) {
-        let now = ctx.now;
+    fn check_nodes(&mut self, cluster: &ClusterView<'_>) {
+        let now = cluster.now;
         if self.renew_term.is_some() {
             return;
         }
-        self.renew_term = self.fleet.wants_new_term(now, ctx.served_for, &ctx.settings.pace());
+        self.renew_term =
+            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.pace());
         let calm = now.since(self.rebalanced.max(self.began)) > REBALANCE_MS;
         if self.renew_term.is_none() && calm && self.fleet.unsettled.is_empty() {
             let live = self.fleet.able(now);
@@ -301,7 +302,7 @@
             let idle = live.iter().any(|id| {
                 owners.len() >= 2 * live.len()
                     && !owners.values().any(|(o, _)| o == id)
-                    && owners.keys().any(|m| self.fleet.owner_for(ctx, m, &live) == Some(*id))
+                    && owners.keys().any(|m| self.fleet.owner_for(cluster, m, &live) == Some(*id))
             });
             if idle {
                 self.rebalanced = now;
@@ -322,10 +323,10 @@
     }
 
     /// Frees what is proven not to run, and takes back grants that were not used.
-    fn settle(&mut self, ctx: &Context<'_>, fleet: &Fleet, on: &OnMachines<'_>) {
-        let now = ctx.now;
-        let ledger = ctx.ledger;
-        self.unresolved.retain(|t| ledger.may_run(*t) && !on.contains_key(t));
+    fn settle(&mut self, cluster: &ClusterView<'_>, fleet: &Fleet, on: &OnMachines<'_>) {
+        let now = cluster.now;
+        let replica = cluster.replica;
+        self.unresolved.retain(|t| replica.may_run(*t) && !on.contains_key(t));
         if fleet.unsettled.is_empty() && !self.unresolved.is_empty() {
             let (term, tasks, proof) = (self.term, self.unresolved.len(), fleet.proof());
             tracing::info!(%term, tasks, %proof, "proven not to run");
@@ -333,13 +334,13 @@
                 tracing::debug!(%task, %term, "proven not to run");
             }
         }
-        self.granted.retain(|t, _| ledger.may_run(*t));
-        self.revoked.retain(|t, _| ledger.may_run(*t));
-        self.recorded.retain(|job, _| ledger.jobs.contains_key(job));
-        self.job_runs.retain(|job, _| ledger.jobs.contains_key(job));
-        self.ahead.retain(|t| ledger.may_run(*t));
+        self.granted.retain(|t, _| replica.may_run(*t));
+        self.revoked.retain(|t, _| replica.may_run(*t));
+        self.recorded.retain(|job, _| replica.jobs.contains_key(job));
+        self.job_runs.retain(|job, _| replica.jobs.contains_key(job));
+        self.ahead.retain(|t| replica.may_run(*t));
         let next = PlanSeq(self.seq.0 + 1);
-        let unused_ms = ctx.settings.pace().unused_ms;
+        let unused_ms = cluster.settings.pace().unused_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (t, g) in &mut self.granted {
             if on.contains_key(t) {
@@ -369,9 +370,9 @@
     }
 
     /// Whether a task may be granted: it is proven to be nowhere.
-    fn is_free(&self, ctx: &Context<'_>, on: &OnMachines<'_>, t: TaskId) -> bool {
-        ctx.ledger.may_run(t)
-            && !ctx.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index))
+    fn is_free(&self, cluster: &ClusterView<'_>, on: &OnMachines<'_>, t: TaskId) -> bool {
+        cluster.replica.may_run(t)
+            && !cluster.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index))
             && !on.contains_key(&t)
             && !self.granted.contains_key(&t)
             && !self.revoked.contains_key(&t)
@@ -396,7 +397,7 @@
 
     fn grant(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         mut filling: Filling,
@@ -404,21 +405,22 @@
         let counts = std::mem::take(&mut filling.counts);
         let failing: HashSet<JobId> =
             fleet.nodes.values().flat_map(|n| n.failing.iter().map(|j| JobId(*j))).collect();
-        self.note_idle(ctx, &counts);
-        let teams = ctx.settings.params.teams.iter().zip(&filling.used);
+        self.note_idle(cluster, &counts);
+        let teams = cluster.settings.params.teams.iter().zip(&filling.used);
         let at_limit: Vec<bool> = teams
             .map(|(t, used)| {
                 t.core_limit().is_some_and(|l| used.0.amount() >= l.amount() * AT_LIMIT)
             })
             .collect();
-        let demands = self.demands(ctx, &counts, &failing, &at_limit);
+        let demands = self.demands(cluster, &counts, &failing, &at_limit);
         // What waits for a place counts as held, so urgent work finds as much again beside it.
         let bounds = Bounds {
             held: filling.rooms.iter().fold(Cores(filling.extra.0 * 2), |sum, r| {
-                let total = ctx.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
+                let total =
+                    cluster.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
                 Cores(sum.0 + if r.open { total.0 } else { 0 })
             }),
-            teams: ctx.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
+            teams: cluster.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
         };
         let admission = admission::admit(&demands, &bounds);
         self.waits.clear();
@@ -433,11 +435,11 @@
                 .then(b.weight.total_cmp(&a.weight))
                 .then(a.job.cmp(&b.job))
         });
-        self.hold_back(ctx, &demands, &counts, &mut filling);
+        self.hold_back(cluster, &demands, &counts, &mut filling);
         for d in order {
             let share = admission.shares.get(&d.job).copied().unwrap_or(0);
             let (held, unresolved) = counts.get(&d.job).copied().unwrap_or_default();
-            let Some(job) = ctx.ledger.jobs.get(&d.job) else {
+            let Some(job) = cluster.replica.jobs.get(&d.job) else {
                 continue;
             };
             if unresolved > 0 {
@@ -451,11 +453,11 @@
                 self.waits.entry(d.job).or_insert(Waits::ForMachines);
             }
             if job.spec.shape == Shape::Gang {
-                self.grant_gang(ctx, fleet, on, job, d.team, more, held, &mut filling);
+                self.grant_gang(cluster, fleet, on, job, d.team, more, held, &mut filling);
             } else {
                 // What has waited long needs a machine, as small places may never hold it.
                 let ahead = d.weight < STARVED_WEIGHT;
-                self.grant_job(ctx, fleet, on, job, d.team, more, ahead, &mut filling);
+                self.grant_job(cluster, fleet, on, job, d.team, more, ahead, &mut filling);
             }
         }
         self.shares = admission.shares;
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -8,7 +8,7 @@
 
 use super::expected_releases::{Turnover, take_places};
 use super::machine_speed::Speed;
-use super::{Context, Granted, Lead};
+use super::{ClusterView, Granted, Leader};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
 use crate::peer::Waits;
@@ -34,7 +34,7 @@
     /// where others are about to end.
     fn choose_places(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         job: &Job,
         mut zones: ZoneRule,
@@ -55,7 +55,7 @@
             return places;
         }
         while places.len() < count {
-            let open = zones.open(&ctx.settings.params.zones);
+            let open = zones.open(&cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
                 placement::choose(&job.spec, &need, &self.rooms, Some(zone.as_str()))
             }) else {
@@ -129,23 +129,23 @@
 
 /// Where the rooms of each controller's part are. They come part by part. Looked up for each job anew, the owners of
 /// all rooms took most of an epoch at 4,000 machines.
-fn parts_of(fleet: &Fleet, rooms: &[Room]) -> BTreeMap<NodeId, Range<usize>> {
-    let mut parts: BTreeMap<NodeId, Range<usize>> = BTreeMap::new();
+fn shard_ranges(fleet: &Fleet, rooms: &[Room]) -> BTreeMap<NodeId, Range<usize>> {
+    let mut shards: BTreeMap<NodeId, Range<usize>> = BTreeMap::new();
     for (at, room) in rooms.iter().enumerate() {
         let Some((owner, _)) = fleet.owners.get(&room.id) else { continue };
-        let part = parts.entry(*owner).or_insert(at..at);
+        let shard = shards.entry(*owner).or_insert(at..at);
         // What is behind a gap is not taken for this part's.
-        if part.end == at {
-            part.end = at + 1;
+        if shard.end == at {
+            shard.end = at + 1;
         }
     }
-    parts
+    shards
 }
 
-impl Lead {
+impl Leader {
     /// Machines as placement sees them.
-    pub(super) fn rooms(&self, ctx: &Context<'_>, fleet: &Fleet) -> Vec<Room> {
-        let mut rooms = fleet.rooms(ctx);
+    pub(super) fn rooms(&self, cluster: &ClusterView<'_>, fleet: &Fleet) -> Vec<Room> {
+        let mut rooms = fleet.rooms(cluster);
         for room in &mut rooms {
             room.slow = self.speeds.get(&room.id).is_some_and(Speed::is_slow);
         }
@@ -155,7 +155,7 @@
     /// Counts grants under way in where their parts would place them, first on machines with room.
     pub(super) fn place_under_way(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         rooms: &mut [Room],
@@ -167,21 +167,21 @@
             let alike = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
             *under_way.entry(alike).or_default() += 1;
         }
-        let parts = parts_of(fleet, rooms);
+        let shards = shard_ranges(fleet, rooms);
         for ((node, job, zone, attempt, ahead), count) in under_way {
-            let Some(job) = ctx.ledger.jobs.get(&job) else { continue };
+            let Some(job) = cluster.replica.jobs.get(&job) else { continue };
             if ahead {
                 let need = Need::of(&job.spec);
                 take_places(turnover, &job.spec, &need, Some(node), count);
                 continue;
             }
-            let part = parts.get(&node).and_then(|part| rooms.get_mut(part.clone()));
-            let part = part.unwrap_or_default();
+            let shard = shards.get(&node).and_then(|shard| rooms.get_mut(shard.clone()));
+            let shard = shard.unwrap_or_default();
             let need = Need::of(&job.spec);
             if attempt.is_some() {
-                placement::pack_in(&job.spec, &need, part, zone, count);
+                placement::pack_in(&job.spec, &need, shard, zone, count);
             } else {
-                placement::spread(&job.spec, &need, part, zone, count);
+                placement::spread(&job.spec, &need, shard, zone, count);
             }
         }
     }
@@ -191,7 +191,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn grant_job(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         job: &Job,
@@ -205,7 +205,7 @@
         if more == 0 || !filling.may_hold(&job.spec, &need, ahead) {
             return;
         }
-        let fits = self.within_limit(ctx, team, &need, filling);
+        let fits = self.within_limit(cluster, team, &need, filling);
         if fits < more {
             self.waits.insert(id, Waits::TeamLimit);
         }
@@ -218,10 +218,10 @@
         }
         let free: Vec<TaskId> = (0..job.spec.pieces)
             .map(|index| TaskId { job: id, index })
-            .filter(|t| self.is_free(ctx, on, *t))
+            .filter(|t| self.is_free(cluster, on, *t))
             .take(more.min(fits))
             .collect();
-        let chosen = filling.choose_places(ctx, fleet, job, zones, free.len(), ahead);
+        let chosen = filling.choose_places(cluster, fleet, job, zones, free.len(), ahead);
         for (task, place) in free.into_iter().zip(chosen) {
             if let Some(u) = filling.used.get_mut(team) {
                 u.0.0 += need.cores.0;
@@ -230,7 +230,7 @@
             let Place { node, zone, ahead } = place;
             filling.grants.push((
                 task,
-                Granted { node, attempt: None, at: ctx.now, zone, seen: false, ahead },
+                Granted { node, attempt: None, at: cluster.now, zone, seen: false, ahead },
             ));
         }
     }
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -1,29 +1,30 @@
 //! The line in the log that tells operators what is held, granted and open.
 
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::model::Cores;
 use crate::placement::Need;
 use crate::replica;
 use crate::wire::PieceStage;
 
 /// The versions of the controllers that are up, in their order.
-fn versions(ctx: &Context<'_>) -> String {
+fn versions(cluster: &ClusterView<'_>) -> String {
     let of = |m: &replica::MemberRecord| match m.version.as_str() {
         "" => "before 0.2".to_string(),
         version => version.to_string(),
     };
-    let all: Vec<String> = ctx.ledger.members.values().map(|(m, _)| of(m)).collect();
+    let all: Vec<String> = cluster.replica.members.values().map(|(m, _)| of(m)).collect();
     all.join(",")
 }
 
-impl Lead {
+impl Leader {
     /// A line for operators: what is held, granted and open, and what cores do.
-    pub fn describe(&self, ctx: &Context<'_>) -> String {
+    pub fn describe(&self, cluster: &ClusterView<'_>) -> String {
         let on = self.fleet.on_machines();
         let (mut runs, mut fetches, mut free) = (Cores(0), Cores(0), Cores(0));
         let mut waits = Cores(0);
         for (t, s) in &on {
-            let cores = ctx.ledger.jobs.get(&t.job).map_or(Cores(0), |j| Need::of(&j.spec).cores);
+            let cores =
+                cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Need::of(&j.spec).cores);
             let sum = match s.stage {
                 PieceStage::Fetching => &mut fetches,
                 PieceStage::Waiting => &mut waits,
@@ -31,7 +32,7 @@
             };
             sum.0 += cores.0;
         }
-        let rooms = self.fleet.rooms(ctx);
+        let rooms = self.fleet.rooms(cluster);
         rooms.iter().for_each(|r| free.0 += r.free.cores.0);
         format!(
             "machines={} up={} spot={} owners={} tasks={} granted={} unresolved={} unsettled={} jobs={} \
@@ -44,7 +45,7 @@
             self.granted.keys().filter(|t| !on.contains_key(t)).count(),
             self.unresolved.len(),
             self.fleet.unsettled.len(),
-            ctx.ledger.jobs.len(),
+            cluster.replica.jobs.len(),
             runs.amount(),
             fetches.amount(),
             waits.amount(),
@@ -52,7 +53,7 @@
             self.market.ready(false),
             self.market.ready(true),
             self.kept.len(),
-            versions(ctx),
+            versions(cluster),
         )
     }
 }
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Context, Epoch, Lead};
+use super::{ClusterView, Epoch, Leader};
 use crate::model::MachineId;
 use crate::replica::{self, MachineGroup, MachineRecord};
 use crate::wire::{self, Change, Guard, Txn};
@@ -21,22 +21,23 @@
 /// What tells a further key of machines from a group's own, see [`replica::machine_group`].
 const FURTHER_GROUPS: u32 = 100_000;
 
-impl Lead {
+impl Leader {
     /// Writes the transaction that has to be carried out before the epoch holds.
-    pub(super) fn compose(&mut self, ctx: &Context<'_>, epoch: &mut Epoch) {
-        let ops = ctx.limits.txn_ops;
+    pub(super) fn compose(&mut self, cluster: &ClusterView<'_>, epoch: &mut Epoch) {
+        let ops = cluster.limits.txn_ops;
         let mut apply = Vec::new();
-        let due = ctx.now.since(self.machines_written) >= MACHINES_MS || !epoch.grants.is_empty();
+        let due =
+            cluster.now.since(self.machines_written) >= MACHINES_MS || !epoch.grants.is_empty();
         if due {
             // Nothing starts on a machine that is not on record, so grants leave room for some.
-            self.machine_changes(ctx, MACHINE_KEYS.min(ops / 2).max(1), &mut apply);
+            self.machine_changes(cluster, MACHINE_KEYS.min(ops / 2).max(1), &mut apply);
             if !apply.is_empty() {
-                self.machines_written = ctx.now;
+                self.machines_written = cluster.now;
             }
         }
-        self.record_grants(ctx, epoch, ops - apply.len(), &mut apply);
-        if ctx.now.since(self.load_written) >= LOAD_MS && apply.len() < ops {
-            self.load_written = ctx.now;
+        self.record_grants(cluster, epoch, ops - apply.len(), &mut apply);
+        if cluster.now.since(self.load_written) >= LOAD_MS && apply.len() < ops {
+            self.load_written = cluster.now;
             apply.push(Change::Set {
                 path: replica::LOAD_KEY.into(),
                 value: wire::to_value(&self.market.load),
@@ -44,33 +45,33 @@
             });
         }
         if !apply.is_empty() {
-            let mut guards: Vec<Guard> = ctx.ledger.lead_guard().into_iter().collect();
-            guards.extend(apply.iter().map(|c| ctx.ledger.unchanged(c.path())));
+            let mut guards: Vec<Guard> = cluster.replica.leader_condition().into_iter().collect();
+            guards.extend(apply.iter().map(|c| cluster.replica.unchanged(c.path())));
             epoch.txn = Some(Txn { guards, apply });
         }
     }
 
     /// Machines become durable before anything can start on them, and stay as tombstones for
     /// a while once they are gone. They are written in groups.
-    fn machine_changes(&self, ctx: &Context<'_>, most: usize, apply: &mut Vec<Change>) {
-        let ledger = ctx.ledger;
-        let known = &ledger.machines;
-        let limit = ctx.limits.value_bytes();
+    fn machine_changes(&self, cluster: &ClusterView<'_>, most: usize, apply: &mut Vec<Change>) {
+        let replica = cluster.replica;
+        let known = &replica.machines;
+        let limit = cluster.limits.value_bytes();
         let fleet = &self.fleet;
         let new = |id: &MachineId, m: &crate::fleet::FleetMachine| {
             m.up && known.get(id).is_none_or(|k| !k.up && k.gone.is_none())
         };
         let died = |id: &MachineId, m: &MachineRecord| m.gone.is_none() && fleet.gone.contains(id);
         let over = |m: &MachineRecord| {
-            m.gone.is_some_and(|at| ctx.wall.0.saturating_sub(at.0) > TOMBSTONE_MS)
+            m.gone.is_some_and(|at| cluster.wall.0.saturating_sub(at.0) > TOMBSTONE_MS)
         };
         let mut groups: BTreeSet<u32> = BTreeSet::new();
         for (id, _) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-            let homes = ledger.homes(id);
+            let homes = replica.homes(id);
             groups.extend(homes.first().copied().or_else(|| Some(replica::machine_group(id))));
         }
         for (id, _) in known.iter().filter(|(id, m)| died(id, m) || over(m)) {
-            groups.extend(ledger.homes(id));
+            groups.extend(replica.homes(id));
         }
         let mut further: BTreeMap<u32, Vec<(MachineId, MachineRecord)>> = BTreeMap::new();
         let mut written = 0;
@@ -79,18 +80,18 @@
                 break;
             }
             let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
-            for (id, m) in ledger.group(group) {
+            for (id, m) in replica.group(group) {
                 let m = known.get(id).unwrap_or(m);
                 if m.gone.is_some() || died(id, m) {
                     if !over(m) {
-                        machines.insert(id.clone(), m.tombstone(ctx.wall));
+                        machines.insert(id.clone(), m.tombstone(cluster.wall));
                     }
                 } else {
                     machines.insert(id.clone(), m.clone());
                 }
             }
             for (id, m) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-                let home = ledger.homes(id).first().copied();
+                let home = replica.homes(id).first().copied();
                 if home.unwrap_or_else(|| replica::machine_group(id)) == group {
                     machines.insert(id.clone(), record_of(m));
                 }
@@ -110,7 +111,7 @@
             let mut room_for_all = true;
             for entry in moved {
                 let full = |key: u32| {
-                    let stored = further.get(&key).map_or(ledger.group(key), Vec::as_slice);
+                    let stored = further.get(&key).map_or(replica.group(key), Vec::as_slice);
                     group_bytes(stored) + group_bytes(std::slice::from_ref(&entry)) > limit
                 };
                 let key = (1..)
@@ -121,7 +122,7 @@
                     room_for_all = false;
                     break;
                 }
-                let content = further.entry(key).or_insert_with(|| ledger.group(key).to_vec());
+                let content = further.entry(key).or_insert_with(|| replica.group(key).to_vec());
                 content.retain(|(id, _)| *id != entry.0);
                 content.push(entry);
             }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -12,7 +12,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Cores, MachineId, NodeId};
 use crate::placement::{self, Need, Room};
@@ -89,11 +89,11 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// The places that tasks are expected to leave soon, on machines that take new ones.
     pub(super) fn turnover(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         rooms: &[Room],
@@ -105,15 +105,15 @@
         for (task, seen) in on.iter().filter(|(_, s)| s.stage == PieceStage::Running) {
             let Some(room) = open.get(&seen.machine.id) else { continue };
             let owner = fleet.owners.get(&room.id).map(|(owner, _)| *owner);
-            let Some(owner) = owner.filter(|o| ctx.ledger.starts_ahead(*o)) else { continue };
-            let job = ctx.ledger.jobs.get(&task.job);
+            let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
+            let job = cluster.replica.jobs.get(&task.job);
             let Some(job) = job.filter(|j| j.spec.shape == Shape::Sweep) else { continue };
             let need = Need::of(&job.spec);
             let size = need.cores.0.checked_ilog2().unwrap_or(0);
             let alike = (owner, &*room.hull, &*room.zone, room.spot, size);
             ending.entry(alike).or_default().add(&need, AHEAD_S / self.run_s(job));
         }
-        let specs = || ctx.ledger.jobs.values().map(|j| &j.spec);
+        let specs = || cluster.replica.jobs.values().map(|j| &j.spec);
         let mut first: BTreeMap<(&str, &str, bool), Option<Urgency>> = BTreeMap::new();
         let mut places = Vec::with_capacity(ending.len());
         for ((owner, hull, zone, spot, _), e) in ending {
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashSet;
 
 use super::allocation::{Filling, ZoneRule};
-use super::{Context, Granted, Lead, Revoked};
+use super::{ClusterView, Granted, Leader, Revoked};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId};
 use crate::peer::{Stop, Waits};
@@ -74,17 +74,17 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Looks after gangs that are under way: what is no longer whole is stopped.
     pub(super) fn supervise_gangs(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
     ) {
         let is_gang = |j: &Job| j.spec.shape == Shape::Gang;
-        let mut gangs: BTreeMap<JobId, Presence> = ctx
-            .ledger
+        let mut gangs: BTreeMap<JobId, Presence> = cluster
+            .replica
             .jobs
             .iter()
             .filter(|(_, j)| is_gang(j))
@@ -95,7 +95,7 @@
         if gangs.is_empty() {
             return;
         }
-        let silent_ms = ctx.settings.pace().silent_ms;
+        let silent_ms = cluster.settings.pace().silent_ms;
         for (t, seen) in on {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
             p.on += 1;
@@ -105,7 +105,7 @@
                 (Some(a), Some(b)) => Some(a.min(b)),
                 (a, b) => a.or(b),
             };
-            p.heard &= fleet.heard_within(ctx.now, &seen.machine.id, silent_ms);
+            p.heard &= fleet.heard_within(cluster.now, &seen.machine.id, silent_ms);
         }
         for (t, g) in &mut self.granted {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
@@ -128,34 +128,34 @@
             }
         }
         for (id, p) in gangs {
-            self.supervise(ctx, id, &p);
+            self.supervise(cluster, id, &p);
         }
     }
 
-    fn supervise(&mut self, ctx: &Context<'_>, id: JobId, p: &Presence) {
-        let now = ctx.now;
+    fn supervise(&mut self, cluster: &ClusterView<'_>, id: JobId, p: &Presence) {
+        let now = cluster.now;
         if p.is_empty() {
             self.gangs.remove(&id);
             self.halts.remove(&id);
             return;
         }
         // If one task is done all are, and what is left of them goes when that is on record.
-        let Some(job) = ctx.ledger.jobs.get(&id) else { return };
-        if ctx.finished.contains_key(&id) || p.unresolved > 0 || !job.progress.done.is_empty() {
+        let Some(job) = cluster.replica.jobs.get(&id) else { return };
+        if cluster.finished.contains_key(&id) || p.unresolved > 0 || !job.progress.done.is_empty() {
             return;
         }
         if let Some(halt) = self.halts.get(&id) {
             if halt.stop.leeway_ms > 0 && now >= halt.until {
-                self.halt(ctx, id, 0, "it does not end");
+                self.halt(cluster, id, 0, "it does not end");
             }
             return;
         }
         let whole = p.on + p.under_way == job.spec.pieces && p.revoked == 0 && !p.lost;
         if whole {
-            self.stop_in_order(ctx, job, p);
+            self.stop_in_order(cluster, job, p);
             return;
         }
-        let workers = &ctx.settings.params.workers;
+        let workers = &cluster.settings.params.workers;
         let limit = (workers.gang_wait_s * GATHER_PART * 1000.0) as u64;
         let gathers = self.gangs.get(&id).is_some_and(|g| now.since(g.since) < limit);
         if gathers && p.running == 0 && !p.lost {
@@ -166,29 +166,29 @@
             (false, true) => "it is not whole",
             (false, false) => "it did not come together in time",
         };
-        self.halt(ctx, id, 0, why);
+        self.halt(cluster, id, 0, why);
     }
 
     /// Stops a running gang whose machine is about to be taken, if all its machines can be told in
     /// time and saving is worth anything: as late as that allows.
-    fn stop_in_order(&mut self, ctx: &Context<'_>, job: &Job, p: &Presence) {
+    fn stop_in_order(&mut self, cluster: &ClusterView<'_>, job: &Job, p: &Presence) {
         let Some(leaves) = p.leaves.filter(|_| p.running == job.spec.pieces) else { return };
         if job.spec.bookmark_s <= 0.0 || !p.heard {
             return;
         }
-        let pace = ctx.settings.pace();
-        let peer_ms = (ctx.settings.params.workers.gang_peer_s * 1000.0) as u64;
+        let pace = cluster.settings.pace();
+        let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
         let save_ms = (job.spec.stash_s * 1000.0) as u64;
         let way_ms = (pace.gap_ms + STOP_WAY_MS).min(peer_ms);
-        let left = leaves.since(ctx.now);
+        let left = leaves.since(cluster.now);
         if left < save_ms + way_ms / 2 || left > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
         }
-        self.halt(ctx, job.spec.r#ref, save_ms + peer_ms, "its machine is about to be taken");
+        self.halt(cluster, job.spec.r#ref, save_ms + peer_ms, "its machine is about to be taken");
     }
 
     /// Stops a gang wherever its tasks are and takes back what is granted of it.
-    fn halt(&mut self, ctx: &Context<'_>, id: JobId, leeway_ms: u64, why: &str) {
+    fn halt(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, why: &str) {
         tracing::info!(job = %id, why, leeway_ms, "stopping a gang");
         let next = PlanSeq(self.seq.0 + 1);
         let taken: Vec<TaskId> = self.granted.keys().filter(|t| t.job == id).copied().collect();
@@ -199,7 +199,7 @@
         }
         let before = self.attempts.give();
         let stop = Stop { job: id.0, before, leeway_ms };
-        let until = ctx.now.plus(leeway_ms + STOP_AGAIN_MS);
+        let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
         self.halts.insert(id, Halt { stop, until });
         self.gangs.remove(&id);
     }
@@ -216,7 +216,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn grant_gang(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         job: &Job,
@@ -230,13 +230,13 @@
             return;
         }
         let need = Need::of(&job.spec);
-        if self.within_limit(ctx, team, &need, filling) < more {
+        if self.within_limit(cluster, team, &need, filling) < more {
             self.waits.insert(id, Waits::TeamLimit);
             return;
         }
         let free: Vec<TaskId> = (0..job.spec.pieces)
             .map(|index| TaskId { job: id, index })
-            .filter(|t| self.is_free(ctx, on, *t))
+            .filter(|t| self.is_free(cluster, on, *t))
             .collect();
         if free.len() != more {
             return;
@@ -247,9 +247,9 @@
         let speaks: Vec<bool> = filling
             .rooms
             .iter()
-            .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| ctx.ledger.knows_gangs(*n)))
+            .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n)))
             .collect();
-        let Some(chosen) = choose(ctx, job, &need, &filling.rooms, &speaks, zones, more) else {
+        let Some(chosen) = choose(cluster, job, &need, &filling.rooms, &speaks, zones, more) else {
             self.waits.entry(id).or_insert(Waits::ForMachines);
             return;
         };
@@ -270,7 +270,7 @@
             let attempt = Some(attempt);
             filling.grants.push((
                 task,
-                Granted { node, attempt, at: ctx.now, zone, seen: false, ahead: false },
+                Granted { node, attempt, at: cluster.now, zone, seen: false, ahead: false },
             ));
         }
     }
@@ -292,37 +292,38 @@
     /// hold it, in one zone as far as that goes. Work that may go elsewhere takes nothing there.
     pub(super) fn keep_for_gangs(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         rooms: &mut [Room],
     ) {
         self.kept.clear();
-        for job in ctx.ledger.jobs.values().filter(|j| j.spec.shape == Shape::Gang) {
-            self.gang_images.insert(job.spec.bundle.clone(), ctx.now);
+        for job in cluster.replica.jobs.values().filter(|j| j.spec.shape == Shape::Gang) {
+            self.gang_images.insert(job.spec.bundle.clone(), cluster.now);
             if job.spec.scatter {
-                self.spread_gangs = Some(ctx.now);
+                self.spread_gangs = Some(cluster.now);
             }
         }
-        self.gang_images.retain(|_, at| ctx.now.since(*at) < IMAGES_KEPT_MS);
-        self.spread_gangs.take_if(|at| ctx.now.since(*at) >= IMAGES_KEPT_MS);
+        self.gang_images.retain(|_, at| cluster.now.since(*at) < IMAGES_KEPT_MS);
+        self.spread_gangs.take_if(|at| cluster.now.since(*at) >= IMAGES_KEPT_MS);
         if self.gang_images.is_empty() {
             return;
         }
         let mut used = [0u64; 2];
         let mut hosts: FxHashSet<&MachineId> = FxHashSet::default();
         for (t, seen) in on {
-            let Some(job) = ctx.ledger.jobs.get(&t.job) else { continue };
+            let Some(job) = cluster.replica.jobs.get(&t.job) else { continue };
             if job.spec.shape == Shape::Gang {
                 used[usize::from(job.spec.loaners)] += Need::of(&job.spec).cores.0;
                 hosts.insert(&seen.machine.id);
             }
         }
         let offered =
-            |r: &Room| ctx.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
+            |r: &Room| cluster.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
         let open = rooms.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
-        let speaks =
-            |r: &Room| fleet.owners.get(&r.id).is_some_and(|(n, _)| ctx.ledger.knows_gangs(*n));
+        let speaks = |r: &Room| {
+            fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n))
+        };
         for loose in [false, true] {
             let may = |r: &Room| r.open && !r.kept && (loose || !r.spot) && speaks(r);
             let wanted = self.market.headroom(loose, Cores(used[usize::from(loose)]).amount());
@@ -384,7 +385,7 @@
 
 /// Machines for a gang's tasks: in one zone if the job wants that, where all can begin first.
 fn choose(
-    ctx: &Context<'_>,
+    cluster: &ClusterView<'_>,
     job: &Job,
     need: &Need,
     rooms: &[Room],
@@ -392,7 +393,7 @@
     zones: ZoneRule,
     count: usize,
 ) -> Option<Vec<usize>> {
-    let names = &ctx.settings.params.zones;
+    let names = &cluster.settings.params.zones;
     if !zones.binds() {
         return placement::pack(&job.spec, need, rooms, may, None, count).map(|(_, chosen)| chosen);
     }
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -9,7 +9,7 @@
 
 use rustc_hash::FxHashSet;
 
-use super::{Context, Epoch, Lead};
+use super::{ClusterView, Epoch, Leader};
 use crate::model::{JobId, Ranges, TaskId};
 use crate::replica::{self, EpochRecord};
 use crate::wire::{self, Change};
@@ -33,7 +33,7 @@
 
 /// The keys that an epoch may write.
 struct GrantKeys<'a> {
-    ctx: &'a Context<'a>,
+    cluster: &'a ClusterView<'a>,
     /// Bytes up to which a key is filled.
     fill: usize,
     /// Most keys that the transaction has room for.
@@ -47,12 +47,12 @@
 }
 
 impl<'a> GrantKeys<'a> {
-    fn new(ctx: &'a Context<'a>, most: usize) -> Self {
-        let stored = ctx.ledger.epochs.iter();
+    fn new(cluster: &'a ClusterView<'a>, most: usize) -> Self {
+        let stored = cluster.replica.epochs.iter();
         let homes = stored.flat_map(|(key, (r, _))| r.granted.iter().map(|(job, _)| (*job, *key)));
         GrantKeys {
-            ctx,
-            fill: ctx.limits.value_bytes() * 4 / 5,
+            cluster,
+            fill: cluster.limits.value_bytes() * 4 / 5,
             most,
             contents: BTreeMap::new(),
             written: BTreeSet::new(),
@@ -61,11 +61,11 @@
     }
 
     fn content(&mut self, key: u32) -> &mut BTreeMap<JobId, Ranges> {
-        let ledger = self.ctx.ledger;
+        let replica = self.cluster.replica;
         self.contents.entry(key).or_insert_with(|| {
-            let stored = ledger.epochs.get(&key).map(|(record, _)| &record.granted);
+            let stored = replica.epochs.get(&key).map(|(record, _)| &record.granted);
             let open =
-                stored.into_iter().flatten().filter(|(job, _)| ledger.jobs.contains_key(job));
+                stored.into_iter().flatten().filter(|(job, _)| replica.jobs.contains_key(job));
             open.cloned().collect()
         })
     }
@@ -121,21 +121,21 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Puts granted tasks on record that are not there yet, some of each job ahead of time, with
     /// `most` changes. What does not fit into the transaction is granted later.
     pub(super) fn record_grants(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         epoch: &mut Epoch,
         most: usize,
         apply: &mut Vec<Change>,
     ) {
-        let wider = self.wider_ranges(ctx, epoch);
+        let wider = self.wider_ranges(cluster, epoch);
         if wider.is_empty() {
             return;
         }
-        let mut keys = GrantKeys::new(ctx, most);
+        let mut keys = GrantKeys::new(cluster, most);
         let mut refused: FxHashSet<JobId> = FxHashSet::default();
         // Jobs in keys that hold them come first: others may then stand beside them.
         let (held, new): (Vec<_>, Vec<_>) =
@@ -161,7 +161,7 @@
     }
 
     /// What is to be on record of the jobs of which the epoch grants something that is not.
-    fn wider_ranges(&self, ctx: &Context<'_>, epoch: &Epoch) -> BTreeMap<JobId, Ranges> {
+    fn wider_ranges(&self, cluster: &ClusterView<'_>, epoch: &Epoch) -> BTreeMap<JobId, Ranges> {
         let mut wider: BTreeMap<JobId, Ranges> = BTreeMap::new();
         for (t, _) in &epoch.grants {
             let known = self.recorded.get(&t.job);
@@ -169,7 +169,7 @@
             if wide {
                 continue;
             }
-            let pieces = ctx.ledger.jobs.get(&t.job).map_or(t.index + 1, |j| j.spec.pieces);
+            let pieces = cluster.replica.jobs.get(&t.job).map_or(t.index + 1, |j| j.spec.pieces);
             let ranges = wider.entry(t.job).or_insert_with(|| known.cloned().unwrap_or_default());
             // Tasks are granted from the first on, so what comes next is known.
             let until = (t.index + 1 + RECORD_AHEAD).min(pieces);
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::admission::{Curve, Demand};
 use crate::config::Settings;
 use crate::model::{Cores, JobId};
@@ -50,15 +50,15 @@
 
 /// Importance of a job's first task per core. Urgency counts most; within an urgency, work
 /// that is close to its deadline and can still make it, and work within a guarantee.
-pub(super) fn weight(ctx: &Context<'_>, job: &Job, run_s: f64, required: bool) -> f64 {
+pub(super) fn weight(cluster: &ClusterView<'_>, job: &Job, run_s: f64, required: bool) -> f64 {
     let base = match job.spec.urgency {
         Urgency::Critical => 64.0,
         Urgency::High => 16.0,
         Urgency::Normal => 4.0,
         Urgency::BestEffort => 1.0,
     };
-    let age = ctx.wall.0.saturating_sub(job.at.0) as f64 / 1000.0;
-    let pressing = match due_s(ctx.settings, &job.spec) {
+    let age = cluster.wall.0.saturating_sub(job.at.0) as f64 / 1000.0;
+    let pressing = match due_s(cluster.settings, &job.spec) {
         Some(due) => {
             let due = due.max(1.0);
             let work = f64::from(job.remaining()) * run_s / due;
@@ -84,8 +84,8 @@
 }
 
 /// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
-fn within_guarantees(ctx: &Context<'_>) -> HashSet<JobId> {
-    let mut room: HashMap<&str, Cores> = ctx
+fn within_guarantees(cluster: &ClusterView<'_>) -> HashSet<JobId> {
+    let mut room: HashMap<&str, Cores> = cluster
         .settings
         .params
         .teams
@@ -93,7 +93,7 @@
         .filter(|t| t.cpus > 0.0)
         .map(|t| (t.name.as_str(), Cores::offer(t.cpus)))
         .collect();
-    let mut jobs: Vec<&Job> = ctx.ledger.jobs.values().collect();
+    let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
     jobs.sort_by_key(|j| (j.at, j.spec.r#ref));
     let mut inside = HashSet::new();
     for job in jobs {
@@ -112,7 +112,7 @@
     inside
 }
 
-impl Lead {
+impl Leader {
     /// A task's expected run time: the owner's estimate, corrected by how its class's
     /// estimates turned out so far.
     pub(super) fn run_s(&self, job: &Job) -> f64 {
@@ -123,19 +123,19 @@
     /// What every unfinished job asks of admission.
     pub(super) fn demands(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         counts: &FxHashMap<JobId, (u32, u32)>,
         failing: &HashSet<JobId>,
         at_limit: &[bool],
     ) -> Vec<Demand> {
-        let required = within_guarantees(ctx);
+        let required = within_guarantees(cluster);
         let ranks: HashMap<JobId, u32> =
-            ctx.ledger.jobs.iter().map(|(id, j)| (*id, rank(j.spec.urgency))).collect();
+            cluster.replica.jobs.iter().map(|(id, j)| (*id, rank(j.spec.urgency))).collect();
         let ranks = admission::revised_ranks(&ranks, &[]);
-        let teams = ctx.settings.params.teams.iter().enumerate();
+        let teams = cluster.settings.params.teams.iter().enumerate();
         let teams: FxHashMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
-        let mut demands = Vec::with_capacity(ctx.ledger.jobs.len());
-        for (id, job) in &ctx.ledger.jobs {
+        let mut demands = Vec::with_capacity(cluster.replica.jobs.len());
+        for (id, job) in &cluster.replica.jobs {
             let (held, unresolved) = counts.get(id).copied().unwrap_or_default();
             let runnable = job.remaining().saturating_sub(held + unresolved);
             let Some(team) = teams.get(job.spec.owner.as_str()).copied() else {
@@ -145,13 +145,13 @@
             // tries.
             let tries = if failing.contains(id) { runnable.min(1) } else { runnable };
             let mut rank = ranks.get(id).copied().unwrap_or(u32::MAX);
-            let mut weight = weight(ctx, job, self.run_s(job), required.contains(id));
+            let mut weight = weight(cluster, job, self.run_s(job), required.contains(id));
             let mut tries = match job.spec.shape {
                 Shape::Gang => self.gang_tries(job, held, unresolved),
                 Shape::Sweep | Shape::Service => tries,
             };
             let at_limit = at_limit.get(team).copied().unwrap_or(false);
-            let starved = self.starved(ctx, job, held, at_limit);
+            let starved = self.starved(cluster, job, held, at_limit);
             let gang = job.spec.shape == Shape::Gang;
             if starved {
                 // Nobody waits without bound: it begins with a few tasks before others go on, or
--- a/src/leader/machine_speed.rs
+++ b/src/leader/machine_speed.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::fleet::OnMachines;
 use crate::replica::Job;
 use crate::wire::PieceStage;
@@ -39,18 +39,18 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Learns how long tasks run compared with their owners' estimates.
-    pub(super) fn learn(&mut self, ctx: &Context<'_>, on: &OnMachines<'_>) {
-        let now = ctx.now;
+    pub(super) fn learn(&mut self, cluster: &ClusterView<'_>, on: &OnMachines<'_>) {
+        let now = cluster.now;
         for (t, (began, machine)) in &self.seen_running {
             if on.get(t).is_some_and(|s| s.stage == PieceStage::Running) {
                 continue;
             }
             // It may have completed without being on record yet.
-            let heard = ctx.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index));
+            let heard = cluster.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index));
             let done = |j: &&Job| heard || j.is_done(t.index);
-            let Some(job) = ctx.ledger.jobs.get(&t.job).filter(done) else {
+            let Some(job) = cluster.replica.jobs.get(&t.job).filter(done) else {
                 continue;
             };
             let took = now.since(*began) as f64 / 1000.0;
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Context, Epoch, Granted, Lead};
+use super::{ClusterView, Epoch, Granted, Leader};
 use crate::model::{Attempt, JobId, NodeId, PlanSeq, Ranges, Steady};
 use crate::peer::{Grant, Plan, PlanBody, Standing, Waits};
 use crate::wire::PieceStage;
@@ -19,24 +19,24 @@
     ahead: Vec<Grant>,
 }
 
-impl Lead {
+impl Leader {
     /// Makes an epoch hold, once its transaction is known to be carried out.
-    pub fn publish(&mut self, ctx: &Context<'_>, epoch: Epoch) {
+    pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
         self.recorded.extend(epoch.recorded);
         self.ahead.extend(epoch.ahead);
         for (task, g) in epoch.grants {
             self.ahead.remove(&task);
             if let Some(attempt) = g.attempt {
-                self.note_gang(ctx.now, task.job, attempt);
+                self.note_gang(cluster.now, task.job, attempt);
             }
-            self.granted.insert(task, Granted { at: ctx.now, ..g });
+            self.granted.insert(task, Granted { at: cluster.now, ..g });
         }
         let mut bodies = self.bodies_without_standings();
         let same = |id: &NodeId, body: &PlanBody| {
             self.bodies.get(id).is_some_and(|known| known.orders_as(body))
         };
         // A plan that tells nothing new would only be sent around.
-        let due = ctx.now.since(self.told_standings) >= STANDINGS_MS;
+        let due = cluster.now.since(self.told_standings) >= STANDINGS_MS;
         let news = self.seq == PlanSeq(0)
             || self.fleet.newest() > self.seq
             || self.revoked.values().any(|r| r.seq > self.seq)
@@ -44,12 +44,12 @@
         if !news && !due {
             return;
         }
-        let (standings, completed) = (self.standings(ctx), completed(ctx));
+        let (standings, completed) = (self.standings(cluster), completed(cluster));
         let told = |b: &PlanBody| b.standings == standings && b.completed == completed;
         if !news && self.bodies.values().all(told) {
             return;
         }
-        self.told_standings = ctx.now;
+        self.told_standings = cluster.now;
         for body in bodies.values_mut() {
             body.standings = standings.clone();
             body.completed = completed.clone();
@@ -108,7 +108,7 @@
         by_node
     }
 
-    fn standings(&self, ctx: &Context<'_>) -> Vec<Standing> {
+    fn standings(&self, cluster: &ClusterView<'_>) -> Vec<Standing> {
         let on = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         // What still fetches its image or waits for its gang does not run.
@@ -116,7 +116,8 @@
         for (t, _) in on.iter().filter(|(_, s)| runs(s.stage)) {
             *running.entry(t.job).or_default() += 1;
         }
-        ctx.ledger
+        cluster
+            .replica
             .jobs
             .keys()
             .map(|job| Standing {
@@ -145,10 +146,10 @@
 }
 
 /// Completed tasks of the jobs of which some are not on record yet.
-fn completed(ctx: &Context<'_>) -> Vec<(u64, u32)> {
-    let finished = ctx.finished.iter();
+fn completed(cluster: &ClusterView<'_>) -> Vec<(u64, u32)> {
+    let finished = cluster.finished.iter();
     let counts = finished.filter_map(|(id, finished)| {
-        let job = ctx.ledger.jobs.get(id)?;
+        let job = cluster.replica.jobs.get(id)?;
         let new = finished.tasks.iter().filter(|index| !job.is_done(*index)).count();
         Some((id.0, job.progress.done.len() + new as u32))
     });
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -4,20 +4,20 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Context, Filling, Lead};
+use super::{ClusterView, Filling, Leader};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Cores, JobId, MachineId};
 use crate::placement::Need;
 
-impl Lead {
+impl Leader {
     /// Cores that each team may be using.
     pub(super) fn team_use(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
     ) -> Vec<(Cores, Cores)> {
-        let teams = &ctx.settings.params.teams;
+        let teams = &cluster.settings.params.teams;
         let mut used = vec![(Cores(0), Cores(0)); teams.len()];
         let index: FxHashMap<&str, usize> =
             teams.iter().enumerate().map(|(i, t)| (t.name.as_str(), i)).collect();
@@ -31,7 +31,9 @@
         let mut by_job: FxHashMap<JobId, u64> = FxHashMap::default();
         for (t, seen) in on {
             // Tasks of jobs that have ended still use cores until they are gone.
-            if !ctx.ledger.jobs.contains_key(&t.job) && !ctx.ledger.withdrawn.contains_key(&t.job) {
+            if !cluster.replica.jobs.contains_key(&t.job)
+                && !cluster.replica.withdrawn.contains_key(&t.job)
+            {
                 strange.insert(&seen.machine.id);
             }
             *by_job.entry(t.job).or_default() += 1;
@@ -41,16 +43,16 @@
             *by_job.entry(t.job).or_default() += 1;
         }
         for (job, tasks) in by_job {
-            if let Some(j) = ctx.ledger.jobs.get(&job) {
+            if let Some(j) = cluster.replica.jobs.get(&job) {
                 add(&mut used, &j.spec.owner, &Need::of(&j.spec), tasks);
-            } else if let Some(w) = ctx.ledger.withdrawn.get(&job) {
+            } else if let Some(w) = cluster.replica.withdrawn.get(&job) {
                 add(&mut used, &w.owner, &w.need, tasks);
             }
         }
         // Machines whose tasks belong to nobody known count in full for every team.
         let offered = |id: &MachineId| {
             let hull = &fleet.machines.get(id)?.offer.hull;
-            ctx.flavors.get(hull).map(Need::offered)
+            cluster.flavors.get(hull).map(Need::offered)
         };
         for need in strange.into_iter().filter_map(offered) {
             for u in &mut used {
@@ -58,7 +60,7 @@
                 u.1.0 += need.accelerators.0;
             }
         }
-        self.add_unsettled(ctx, fleet, &index, &mut used);
+        self.add_unsettled(cluster, fleet, &index, &mut used);
         used
     }
 
@@ -67,7 +69,7 @@
     /// and those of its cancelled jobs.
     fn add_unsettled(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         index: &FxHashMap<&str, usize>,
         used: &mut [(Cores, Cores)],
@@ -75,7 +77,7 @@
         let mut held = Need::default();
         for id in &fleet.unsettled {
             let hull = fleet.machines.get(id).map(|m| &m.offer.hull);
-            if let Some(f) = hull.and_then(|h| ctx.flavors.get(h)) {
+            if let Some(f) = hull.and_then(|h| cluster.flavors.get(h)) {
                 let offered = Need::offered(f);
                 held.cores.0 += offered.cores.0;
                 held.accelerators.0 += offered.accelerators.0;
@@ -96,14 +98,14 @@
             *by_job.entry(t.job).or_default() += 1;
         }
         for (job, tasks) in by_job {
-            if let Some(j) = ctx.ledger.jobs.get(&job) {
+            if let Some(j) = cluster.replica.jobs.get(&job) {
                 add(&j.spec.owner, &Need::of(&j.spec), tasks);
             }
         }
-        for w in ctx.ledger.withdrawn.values() {
+        for w in cluster.replica.withdrawn.values() {
             add(&w.owner, &w.need, u64::from(w.left));
         }
-        let all = ctx.ledger.withdrawn_forgotten;
+        let all = cluster.replica.withdrawn_forgotten;
         for (u, m) in used.iter_mut().zip(may) {
             u.0.0 += if all { held.cores.0 } else { held.cores.0.min(m.cores.0) };
             u.1.0 +=
@@ -114,12 +116,12 @@
     /// How many more such tasks a team's limit allows.
     pub(super) fn within_limit(
         &self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         team: usize,
         need: &Need,
         f: &Filling,
     ) -> usize {
-        let Some(limits) = ctx.settings.params.teams.get(team) else { return usize::MAX };
+        let Some(limits) = cluster.settings.params.teams.get(team) else { return usize::MAX };
         let used = f.used.get(team).copied().unwrap_or_default();
         let left = |limit: Option<Cores>, used: Cores, each: Cores| {
             let most = limit.map(|l| l.less(used).0.checked_div(each.0).unwrap_or(u64::MAX));
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -5,7 +5,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::starvation::waited_ms;
-use super::{Context, Epoch, Lead};
+use super::{ClusterView, Epoch, Leader};
 use crate::autoscaler;
 use crate::autoscaler::{Held, Offer, Want};
 use crate::fleet::{Fleet, OnMachines};
@@ -17,23 +17,23 @@
 /// Time between two decisions on what to rent and return.
 pub(super) const CAPACITY_MS: u64 = 1_000;
 
-impl Lead {
+impl Leader {
     pub(super) fn decide_capacity(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on: &OnMachines<'_>,
         rooms: &[Room],
         epoch: &Epoch,
     ) {
-        let now = ctx.now;
+        let now = cluster.now;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|g| g.0).collect();
         let mut wants: Vec<Want<'_>> = Vec::new();
         let (mut brief_cores, mut urgent, mut long) = (Cores(0), Cores(0), Cores(0));
         // Gangs that may not use spot machines, and those that may: all, and the largest.
         let mut gangs = [(Cores(0), Cores(0)); 2];
         let mut team_room: HashMap<&str, u64> = HashMap::new();
-        for t in &ctx.settings.params.teams {
+        for t in &cluster.settings.params.teams {
             let limit = t.core_limit().map_or(u64::MAX, |c| c.0);
             team_room.insert(&t.name, limit);
         }
@@ -42,7 +42,7 @@
         for t in on.keys().chain(others.filter(|t| !on.contains_key(t))) {
             *held.entry(t.job).or_default() += 1;
         }
-        let mut jobs: Vec<&Job> = ctx.ledger.jobs.values().collect();
+        let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
         jobs.sort_by_key(|j| (j.spec.urgency, j.at, j.spec.r#ref));
         for job in jobs {
             let need = Need::of(&job.spec);
@@ -53,8 +53,8 @@
                 *r = r.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let brief = autoscaler::is_brief(ctx.flavors, &job.spec, run_s);
-            let age_ms = waited_ms(ctx, job) as f64;
+            let brief = autoscaler::is_brief(cluster.flavors, &job.spec, run_s);
+            let age_ms = waited_ms(cluster, job) as f64;
             let gang = job.spec.shape == Shape::Gang;
             if gang {
                 let cores = Cores(need.cores.0 * u64::from(job.spec.pieces));
@@ -89,7 +89,8 @@
             .machines
             .iter()
             .map(|(id, m)| {
-                let offered = ctx.flavors.get(&m.offer.hull).map(Need::offered).unwrap_or_default();
+                let offered =
+                    cluster.flavors.get(&m.offer.hull).map(Need::offered).unwrap_or_default();
                 let room = free.get(id);
                 Held {
                     id: id.clone(),
@@ -105,7 +106,7 @@
                 }
             })
             .collect();
-        self.decision = autoscaler::decide(now, ctx.flavors, &machines, &wants, &self.market);
+        self.decision = autoscaler::decide(now, cluster.flavors, &machines, &wants, &self.market);
         self.market.note_spare(now, self.decision.spare);
     }
 
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -9,7 +9,7 @@
 use willowshore_standby::status::VerificationCounts;
 
 use super::machine_speed::Speed;
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::autoscaler::Offer;
 use crate::model::{JobId, MachineId, TaskId, Wall};
 
@@ -37,9 +37,13 @@
     known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(Wall(computed))
 }
 
-impl Lead {
+impl Leader {
     /// What the decisions of this leader add up to. `known` is what was recorded before.
-    pub fn decision_target(&self, ctx: &Context<'_>, known: &DecisionState) -> DecisionTarget {
+    pub fn decision_target(
+        &self,
+        cluster: &ClusterView<'_>,
+        known: &DecisionState,
+    ) -> DecisionTarget {
         let machines = &self.fleet.machines;
         let speed = |s: &Speed| MachineSpeed { ratio: s.ratio, tasks: s.tasks };
         DecisionTarget {
@@ -70,10 +74,10 @@
             speeds: self.speeds.iter().map(|(id, s)| (id.clone(), speed(s))).collect(),
             refusals: self
                 .market
-                .refusals(ctx.now)
+                .refusals(cluster.now)
                 .map(|(offer, until)| {
                     let offer = RentalOffer::from(offer);
-                    let computed = ctx.wall.0 + until.since(ctx.now);
+                    let computed = cluster.wall.0 + until.since(cluster.now);
                     let until = settled(known.refusals.entries().get(&offer).copied(), computed);
                     (offer, until)
                 })
@@ -82,7 +86,7 @@
                 .idle
                 .iter()
                 .map(|(job, since)| {
-                    let computed = ctx.wall.0.saturating_sub(ctx.now.since(*since));
+                    let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
                     let known = known.waiting.entries().get(&(*job).into()).copied();
                     ((*job).into(), settled(known, computed))
                 })
@@ -93,14 +97,18 @@
 
     /// Takes what another leader's decisions are good for once the replica has been asked about them. None of it is
     /// needed, and nothing of it says where a task is.
-    pub fn take_hints(&mut self, ctx: &Context<'_>, state: &DecisionState) -> VerificationCounts {
+    pub fn take_hints(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        state: &DecisionState,
+    ) -> VerificationCounts {
         let mut counts = VerificationCounts::default();
         let mut note = |confirmed: bool| {
             let count = if confirmed { &mut counts.confirmed } else { &mut counts.dropped };
             *count += 1;
             confirmed
         };
-        let open = |job: JobId| ctx.ledger.jobs.contains_key(&job);
+        let open = |job: JobId| cluster.replica.jobs.contains_key(&job);
         let recorded = &self.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
             note(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
@@ -114,23 +122,24 @@
         for (job, since) in state.waiting.entries() {
             let job = JobId::from(*job);
             if note(open(job)) {
-                self.idle.insert(job, ctx.now.less(ctx.wall.0.saturating_sub(since.0)));
+                self.idle.insert(job, cluster.now.less(cluster.wall.0.saturating_sub(since.0)));
             }
         }
         for (id, speed) in state.speeds.entries() {
-            if note(ctx.ledger.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio)) {
+            if note(cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio))
+            {
                 self.speeds.insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
             }
         }
         for id in state.returning.entries().keys().chain(state.kept.entries().keys()) {
-            note(ctx.ledger.machine_known(id));
+            note(cluster.replica.machine_known(id));
         }
-        counts.hints += self.take_unrecorded(ctx, state);
+        counts.hints += self.take_unrecorded(cluster, state);
         counts
     }
 
     /// Takes hints about what the store has no record of, and says how many.
-    fn take_unrecorded(&mut self, ctx: &Context<'_>, state: &DecisionState) -> u64 {
+    fn take_unrecorded(&mut self, cluster: &ClusterView<'_>, state: &DecisionState) -> u64 {
         let mut hints = 0;
         for (class, ratio) in state.run_times.entries() {
             let sound = (0.0..=MOST_WEIGHT).contains(&ratio.weight)
@@ -141,16 +150,16 @@
             }
         }
         for (offer, until) in state.refusals.entries() {
-            let left = until.0.saturating_sub(ctx.wall.0);
+            let left = until.0.saturating_sub(cluster.wall.0);
             if left > 0 {
-                self.market.refused_for(&Offer::from(offer), ctx.now, left);
+                self.market.refused_for(&Offer::from(offer), cluster.now, left);
                 hints += 1;
             }
         }
         for (id, offer) in state.rentals.entries() {
-            let known = ctx.ledger.machines.contains_key(id);
-            if !known && ctx.flavors.contains_key(&offer.machine_type) {
-                self.fleet.rented(ctx.now, std::slice::from_ref(id), &Offer::from(offer));
+            let known = cluster.replica.machines.contains_key(id);
+            if !known && cluster.flavors.contains_key(&offer.machine_type) {
+                self.fleet.rented(cluster.now, std::slice::from_ref(id), &Offer::from(offer));
                 hints += 1;
             }
         }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use super::allocation::Filling;
-use super::{Context, Lead};
+use super::{ClusterView, Leader};
 use crate::admission::Demand;
 use crate::model::JobId;
 use crate::placement;
@@ -34,24 +34,24 @@
 const CLEARED_MS: u64 = 33_000;
 
 /// Milliseconds since a job was accepted.
-pub(super) fn waited_ms(ctx: &Context<'_>, job: &Job) -> u64 {
-    ctx.wall.0.saturating_sub(job.at.0)
+pub(super) fn waited_ms(cluster: &ClusterView<'_>, job: &Job) -> u64 {
+    cluster.wall.0.saturating_sub(job.at.0)
 }
 
 /// Keeps machines from others in the zone where a gang that fits nowhere can begin first: those
 /// that would hold it once they are empty.
-fn hold_back_for_gang(ctx: &Context<'_>, job: &Job, need: &Need, rooms: &mut [Room]) {
+fn hold_back_for_gang(cluster: &ClusterView<'_>, job: &Job, need: &Need, rooms: &mut [Room]) {
     let count = job.spec.pieces as usize;
     let all = vec![true; rooms.len()];
     let zones: Vec<Option<&str>> = match job.spec.one_zone {
-        true => ctx.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
+        true => cluster.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
         false => vec![None],
     };
     if zones.iter().any(|z| placement::pack(&job.spec, need, rooms, &all, *z, count).is_some()) {
         return;
     }
     let slots = |r: &Room| {
-        let offered = ctx.flavors.get(&*r.hull).map(Need::offered).unwrap_or_default();
+        let offered = cluster.flavors.get(&*r.hull).map(Need::offered).unwrap_or_default();
         let may = r.open && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot);
         if may { placement::slots(need, &offered) as usize } else { 0 }
     };
@@ -80,25 +80,35 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Notes which jobs have nothing on machines or on its way there, and since when.
-    pub(super) fn note_idle(&mut self, ctx: &Context<'_>, counts: &FxHashMap<JobId, (u32, u32)>) {
+    pub(super) fn note_idle(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        counts: &FxHashMap<JobId, (u32, u32)>,
+    ) {
         let held = |id: &JobId| counts.get(id).is_some_and(|c| c.0 > 0);
-        self.idle.retain(|id, _| ctx.ledger.jobs.contains_key(id) && !held(id));
-        for id in ctx.ledger.jobs.keys().filter(|id| !held(id)) {
-            self.idle.entry(*id).or_insert(ctx.now);
+        self.idle.retain(|id, _| cluster.replica.jobs.contains_key(id) && !held(id));
+        for id in cluster.replica.jobs.keys().filter(|id| !held(id)) {
+            self.idle.entry(*id).or_insert(cluster.now);
         }
     }
 
     /// Whether a job has waited long without a task of it being anywhere: since it was accepted, or, in
     /// a team at its limit, since the last one ended.
-    pub(super) fn starved(&self, ctx: &Context<'_>, job: &Job, held: u32, at_limit: bool) -> bool {
+    pub(super) fn starved(
+        &self,
+        cluster: &ClusterView<'_>,
+        job: &Job,
+        held: u32,
+        at_limit: bool,
+    ) -> bool {
         let begun = !job.progress.done.is_empty();
-        let waits = if begun { 0 } else { waited_ms(ctx, job) };
+        let waits = if begun { 0 } else { waited_ms(cluster, job) };
         if held > 0 || !at_limit {
             return held == 0 && waits > STARVED_MS;
         }
-        let idle = self.idle.get(&job.spec.r#ref).map_or(0, |at| ctx.now.since(*at));
+        let idle = self.idle.get(&job.spec.r#ref).map_or(0, |at| cluster.now.since(*at));
         idle.max(waits) > STARVED_AT_LIMIT_MS
     }
 
@@ -106,24 +116,24 @@
     /// small tasks would take every core that a large one waits for.
     pub(super) fn hold_back(
         &mut self,
-        ctx: &Context<'_>,
+        cluster: &ClusterView<'_>,
         demands: &[Demand],
         counts: &FxHashMap<JobId, (u32, u32)>,
         filling: &mut Filling,
     ) {
         let mut held = 0;
         for d in demands {
-            let Some(job) = ctx.ledger.jobs.get(&d.job) else { continue };
+            let Some(job) = cluster.replica.jobs.get(&d.job) else { continue };
             let need = Need::of(&job.spec);
             let running = counts.get(&d.job).map_or(0, |c| c.0);
             if job.spec.shape == Shape::Gang {
-                if running == 0 && waited_ms(ctx, job) > CLEARED_MS {
-                    hold_back_for_gang(ctx, job, &need, &mut filling.rooms);
+                if running == 0 && waited_ms(cluster, job) > CLEARED_MS {
+                    hold_back_for_gang(cluster, job, &need, &mut filling.rooms);
                 }
                 continue;
             }
             let fits = |r: &Room| r.takes(&job.spec, &need, None);
-            if !self.starved(ctx, job, running, false) || filling.rooms.iter().any(fits) {
+            if !self.starved(cluster, job, running, false) || filling.rooms.iter().any(fits) {
                 continue;
             }
             // What is kept for gangs is not kept from work that has waited long.
@@ -137,7 +147,7 @@
                 continue;
             }
             let could = |r: &Room| {
-                let offered = ctx.flavors.get(&*r.hull).map(Need::offered);
+                let offered = cluster.flavors.get(&*r.hull).map(Need::offered);
                 r.open
                     && offered.is_some_and(|o| need.fits(&o))
                     && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot)
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -5,12 +5,12 @@
 use crate::autoscaler::Offer;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::model::{Incarnation, Moment, Revision, Session, StoreLease, Wall};
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::flavor;
 use crate::replica::tests::group;
-use crate::replica::{self, Accepted, Brought, EpochRecord, LeadRecord, TermRecord};
+use crate::replica::{self, Accepted, EpochRecord, LeaderRecord, ReplicaChanges, TermRecord};
 use crate::wire::tests::spec;
 use crate::wire::{self, Change, Item, PieceStage, Urgency};
 
@@ -21,32 +21,32 @@
 }
 
 /// A leader of term 3 with a job of one task that term 2 granted, and two machines.
-fn leader() -> Core {
+fn leader() -> Controller {
     let settings = Settings::parse(EXAMPLE).unwrap();
-    let mut core = Core::new(Rc::new(settings), LIFE);
+    let mut controller = Controller::new(Rc::new(settings), LIFE);
     let small = flavor("small", 8.0, 64.0);
-    core.set_flavors(&wire::Flavors { hulls: vec![small] });
+    controller.set_flavors(&wire::Flavors { hulls: vec![small] });
     let job = JobId(1);
     let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
-    let lead = LeadRecord { node: NodeId(0), life: LIFE, term: Term(3) };
+    let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let accepted = Accepted { spec: spec(1, 1), at: Wall(1) };
-    core.load(
+    controller.load(
         &[
             item(&replica::job_key(job), wire::to_value(&accepted)),
             item(&replica::epoch_key(0), wire::to_value(&record)),
-            item(replica::LEAD_KEY, wire::to_value(&lead)),
+            item(replica::LEADER_KEY, wire::to_value(&leader)),
             item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(3) })),
             item(&replica::machine_key(0), wire::to_value(&group)),
         ],
         Revision(9),
     );
-    core.rights.lease = Some(StoreLease(1));
-    core.rights.confirm_renewal(Steady(0));
-    core.rights.confirm_sync(Steady(0));
-    core.follow(at(0), &Brought { lead: true, ..Brought::default() });
-    core
+    controller.rights.lease = Some(StoreLease(1));
+    controller.rights.confirm_renewal(Steady(0));
+    controller.rights.confirm_sync(Steady(0));
+    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller
 }
 
 fn view(id: &str, settled: bool, tasks: &[u32]) -> MachineView {
@@ -73,7 +73,7 @@
 
 /// Tells the leader what the only controller knows and plays an epoch; says whether it
 /// grants anything.
-fn tell(core: &mut Core, ms: u64, followed: u64, machines: Vec<MachineView>) -> bool {
+fn tell(controller: &mut Controller, ms: u64, followed: u64, machines: Vec<MachineView>) -> bool {
     let summary = Summary {
         node: NodeId(0),
         life: LIFE,
@@ -95,10 +95,10 @@
         notices: vec![],
         follow: None,
     };
-    core.take_summary(Steady(ms), summary);
-    let (epoch, term) = core.epoch(at(ms)).unwrap();
+    controller.take_summary(Steady(ms), summary);
+    let (epoch, term) = controller.epoch(at(ms)).unwrap();
     let grants = !epoch.is_empty();
-    core.publish(at(ms), epoch, term);
+    controller.publish(at(ms), epoch, term);
     grants
 }
 
@@ -107,13 +107,13 @@
     // Seen on a bench day: a takeover, a summary from before the first plan with the task
     // on n-1, then one in which the owner had forgotten that machine. The task was
     // started on n-2 while it ran on n-1.
-    let mut core = leader();
+    let mut controller = leader();
     let both = |tasks| vec![view("n-1", true, tasks), view("n-2", true, &[])];
-    assert!(!tell(&mut core, 1_100, 0, vec![]), "owners are assigned");
-    assert!(!tell(&mut core, 1_300, 0, both(&[0])), "remembered from before");
-    assert!(!tell(&mut core, 1_500, 1, vec![view("n-2", true, &[])]), "n-1 is not told of");
-    assert!(!tell(&mut core, 1_700, 1, both(&[0])), "it runs");
-    assert!(tell(&mut core, 1_900, 1, both(&[])), "n-1 says itself that it is not there");
+    assert!(!tell(&mut controller, 1_100, 0, vec![]), "owners are assigned");
+    assert!(!tell(&mut controller, 1_300, 0, both(&[0])), "remembered from before");
+    assert!(!tell(&mut controller, 1_500, 1, vec![view("n-2", true, &[])]), "n-1 is not told of");
+    assert!(!tell(&mut controller, 1_700, 1, both(&[0])), "it runs");
+    assert!(tell(&mut controller, 1_900, 1, both(&[])), "n-1 says itself that it is not there");
 }
 
 #[test]
@@ -128,10 +128,15 @@
         (&[0], &[0], false, &[]), // what it seems to hold proves nothing
     ];
     for (first, second, settled, both) in cases {
-        let mut core = leader();
-        tell(&mut core, 1_100, 0, vec![]);
-        tell(&mut core, 1_300, 1, vec![view("n-1", true, first), view("n-2", settled, second)]);
-        let fleet = &core.lead.as_ref().unwrap().fleet;
+        let mut controller = leader();
+        tell(&mut controller, 1_100, 0, vec![]);
+        tell(
+            &mut controller,
+            1_300,
+            1,
+            vec![view("n-1", true, first), view("n-2", settled, second)],
+        );
+        let fleet = &controller.leader.as_ref().unwrap().fleet;
         let found = fleet.doubled(&fleet.on_machines());
         let found: Vec<u32> = found.iter().map(|d| d.task.index).collect();
         assert_eq!(found, both, "{first:?} {second:?} {settled}");
@@ -140,10 +145,10 @@
 
 #[test]
 fn a_proof_names_controllers_plans_and_machines() {
-    let mut core = leader();
-    tell(&mut core, 1_100, 0, vec![]);
-    tell(&mut core, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
-    let proof = core.lead.as_ref().unwrap().fleet.proof().to_string();
+    let mut controller = leader();
+    tell(&mut controller, 1_100, 0, vec![]);
+    tell(&mut controller, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
+    let proof = controller.leader.as_ref().unwrap().fleet.proof().to_string();
     assert_eq!(proof, "node 0: 2 by plan 1; leases ended: 0; gone: 0");
 }
 
@@ -191,10 +196,10 @@
 fn a_silent_machines_tasks_are_over_with_its_lease_and_not_before() {
     // Whole zones were returned a moment before their cut ended, though the run-out of
     // their leases had proven all that was needed.
-    let mut core = leader();
-    let tells = |core: &mut Core, ms: u64, alive: bool, session: u64| {
-        core.rights.confirm_renewal(Steady(ms));
-        core.rights.confirm_sync(Steady(ms));
+    let mut controller = leader();
+    let tells = |controller: &mut Controller, ms: u64, alive: bool, session: u64| {
+        controller.rights.confirm_renewal(Steady(ms));
+        controller.rights.confirm_sync(Steady(ms));
         let mut n1 = view("n-1", true, if session == 1 { &[0] } else { &[] });
         n1.session = Session(session);
         let mut s = Summary {
@@ -210,49 +215,49 @@
         if alive {
             s.answered.push((MachineId::new("n-1"), 0));
         }
-        core.take_summary(Steady(ms), s);
-        let (epoch, term) = core.epoch(at(ms)).unwrap();
-        core.publish(at(ms), epoch, term);
-        let lead = core.lead.as_ref().unwrap();
+        controller.take_summary(Steady(ms), s);
+        let (epoch, term) = controller.epoch(at(ms)).unwrap();
+        controller.publish(at(ms), epoch, term);
+        let leader = controller.leader.as_ref().unwrap();
         let task = TaskId { job: JobId(1), index: 0 };
-        (lead.fleet.on_machines().contains_key(&task), lead.fleet.lapsed.len())
+        (leader.fleet.on_machines().contains_key(&task), leader.fleet.lapsed.len())
     };
-    tells(&mut core, 1_100, true, 1);
-    assert_eq!(tells(&mut core, 30_000, true, 1), (true, 0));
-    assert_eq!(tells(&mut core, 38_000, false, 1), (true, 0), "its lease may still run");
-    assert_eq!(tells(&mut core, 42_000, false, 1), (false, 1));
-    let plan = core.plan_for(NodeId(0), Steady(42_000)).unwrap().0;
+    tells(&mut controller, 1_100, true, 1);
+    assert_eq!(tells(&mut controller, 30_000, true, 1), (true, 0));
+    assert_eq!(tells(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
+    assert_eq!(tells(&mut controller, 42_000, false, 1), (false, 1));
+    let plan = controller.plan_for(NodeId(0), Steady(42_000)).unwrap().0;
     let told = plan.body.map(|b| b.lapsed);
     assert_eq!(told, Some(vec![(MachineId::new("n-1"), Session(1))]), "its part is told");
-    assert_eq!(tells(&mut core, 43_000, false, 1), (false, 1), "remembered from before");
-    tells(&mut core, 44_000, true, 2);
-    assert!(core.lead.as_ref().unwrap().fleet.views().any(|m| &*m.id.0 == "n-1"), "back");
+    assert_eq!(tells(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
+    tells(&mut controller, 44_000, true, 2);
+    assert!(controller.leader.as_ref().unwrap().fleet.views().any(|m| &*m.id.0 == "n-1"), "back");
 }
 
 #[test]
 fn a_machine_on_record_that_never_reports_is_returned() {
     // Seen on a bench day: the last leader returned machines and could not record it any
     // more; the next one took them for booting, and counted on them for minutes.
-    let mut core = leader();
+    let mut controller = leader();
     let alive = || vec![view("n-2", true, &[])];
-    let returned = |core: &mut Core, ms| {
-        core.rights.confirm_renewal(Steady(ms));
-        tell(core, ms, 1, alive());
-        core.with_lead(at(ms), |lead, ctx| lead.fleet.to_return(ctx)).unwrap()
+    let returned = |controller: &mut Controller, ms| {
+        controller.rights.confirm_renewal(Steady(ms));
+        tell(controller, ms, 1, alive());
+        controller.with_leader(at(ms), |leader, cluster| leader.fleet.to_return(cluster)).unwrap()
     };
-    assert!(returned(&mut core, 1_100).is_empty());
-    assert!(returned(&mut core, 9_000).is_empty(), "its lease may still run");
-    assert_eq!(returned(&mut core, 12_500), [MachineId::new("n-1")]);
+    assert!(returned(&mut controller, 1_100).is_empty());
+    assert!(returned(&mut controller, 9_000).is_empty(), "its lease may still run");
+    assert_eq!(returned(&mut controller, 12_500), [MachineId::new("n-1")]);
 }
 
 #[test]
 fn what_is_known_stays_until_all_pieces_of_a_summary_are_there() {
     // Seen on a simulated day with 1,800 machines: the first piece replaced what was known, a task
     // that an earlier term had started was on no machine for a moment, and started again.
-    let mut core = leader();
+    let mut controller = leader();
     let all = |tasks| vec![view("n-1", true, tasks), view("n-2", true, &[])];
-    tell(&mut core, 1_100, 0, all(&[]));
-    assert!(!tell(&mut core, 1_200, 1, all(&[0])), "it runs on n-1");
+    tell(&mut controller, 1_100, 0, all(&[]));
+    assert!(!tell(&mut controller, 1_200, 1, all(&[0])), "it runs on n-1");
     // (number, base, whether more comes, machines)
     let pieces = [
         (1_300, 0, true, vec![view("n-2", true, &[])]),
@@ -270,11 +275,11 @@
             followed: PlanSeq(1),
             ..summary(1, 0, LIFE)
         };
-        core.take_summary(Steady(number), piece);
-        let (epoch, _) = core.epoch(at(number)).unwrap();
+        controller.take_summary(Steady(number), piece);
+        let (epoch, _) = controller.epoch(at(number)).unwrap();
         assert!(epoch.is_empty(), "{number}");
-        let lead = core.lead.as_ref().unwrap();
-        assert_eq!(lead.fleet.on_machines().len(), 1, "{number}");
+        let leader = controller.leader.as_ref().unwrap();
+        assert_eq!(leader.fleet.on_machines().len(), 1, "{number}");
     }
 }
 
@@ -291,10 +296,10 @@
         ("no predecessor's answer is that young", 12_000, None, true),
     ];
     for (what, up_ms, answered, over) in cases {
-        let mut core = leader();
+        let mut controller = leader();
         let now = Steady(300_000);
-        core.rights.confirm_renewal(now);
-        core.rights.confirm_sync(now);
+        controller.rights.confirm_renewal(now);
+        controller.rights.confirm_sync(now);
         for node in 0..3 {
             let age = answered.filter(|_| node == 1).map(|ms| (MachineId::new("n-1"), ms));
             let told = Summary {
@@ -305,12 +310,12 @@
                 machines: vec![],
                 ..summary(1, 0, LIFE)
             };
-            core.take_summary(now, told);
-            let lead = core.lead.as_ref().unwrap();
-            assert_eq!(lead.fleet.unsettled.len(), 2, "{what}: not before all have told");
+            controller.take_summary(now, told);
+            let leader = controller.leader.as_ref().unwrap();
+            assert_eq!(leader.fleet.unsettled.len(), 2, "{what}: not before all have told");
         }
-        core.epoch(at(now.0)).unwrap();
-        let left = &core.lead.as_ref().unwrap().fleet.unsettled;
+        controller.epoch(at(now.0)).unwrap();
+        let left = &controller.leader.as_ref().unwrap().fleet.unsettled;
         assert_eq!(left.contains(&MachineId::new("n-1")), !over, "{what}");
     }
 }
@@ -335,22 +340,26 @@
         (15_000, Some("n-2"), false, 15_100, false),
     ];
     for (second, after, truncated, when, returned) in cases {
-        let mut core = leader();
-        let list = |core: &mut Core, ms, names: &[&str], after: Option<&str>, truncated| {
-            let page = wire::HostList { hosts: names.iter().map(|n| host(n)).collect(), truncated };
-            let after = after.map(MachineId::new);
-            core.with_lead(at(ms), |l, ctx| l.fleet.listed_page(ctx, after.as_ref(), &page));
-        };
-        core.rights.confirm_renewal(Steady(1_000));
-        tell(&mut core, 1_000, 0, vec![view("n-1", true, &[])]);
-        list(&mut core, 500, &["n-1", "n-2"], None, false);
-        list(&mut core, second, &["n-1"], after, truncated);
-        core.rights.confirm_renewal(Steady(when));
-        core.lead.as_mut().unwrap().unresolved.clear();
-        tell(&mut core, when, 0, vec![view("n-1", true, &[])]);
-        let gone = core.with_lead(at(when), |l, ctx| {
+        let mut controller = leader();
+        let list =
+            |controller: &mut Controller, ms, names: &[&str], after: Option<&str>, truncated| {
+                let page =
+                    wire::HostList { hosts: names.iter().map(|n| host(n)).collect(), truncated };
+                let after = after.map(MachineId::new);
+                controller.with_leader(at(ms), |l, cluster| {
+                    l.fleet.listed_page(cluster, after.as_ref(), &page)
+                });
+            };
+        controller.rights.confirm_renewal(Steady(1_000));
+        tell(&mut controller, 1_000, 0, vec![view("n-1", true, &[])]);
+        list(&mut controller, 500, &["n-1", "n-2"], None, false);
+        list(&mut controller, second, &["n-1"], after, truncated);
+        controller.rights.confirm_renewal(Steady(when));
+        controller.leader.as_mut().unwrap().unresolved.clear();
+        tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
+        let gone = controller.with_leader(at(when), |l, cluster| {
             let n2 = MachineId::new("n-2");
-            l.fleet.machines[&n2].missing && l.fleet.to_return(ctx).contains(&n2)
+            l.fleet.machines[&n2].missing && l.fleet.to_return(cluster).contains(&n2)
         });
         assert_eq!(gone, Some(returned), "{second} {after:?} {truncated}");
     }
@@ -360,34 +369,36 @@
 fn summaries_add_to_one_that_was_taken_or_are_asked_for_whole() {
     // What a missed summary told could be a task on a machine, or an answer to a worker.
     let other = Incarnation(8);
-    let mut core = leader();
-    let mut take = |s| core.take_summary(Steady(1_000), s).0;
+    let mut controller = leader();
+    let mut take = |s| controller.take_summary(Steady(1_000), s).0;
     assert!(matches!(take(summary(4, 3, LIFE)), Tell::SendWhole), "nothing is known yet");
     assert!(!matches!(take(summary(5, 0, LIFE)), Tell::SendWhole));
     assert!(!matches!(take(summary(6, 5, LIFE)), Tell::SendWhole));
     assert!(matches!(take(summary(9, 8, LIFE)), Tell::SendWhole), "7 and 8 are missing");
     let late = Summary { machines: vec![], ..summary(5, 0, LIFE) };
     take(late);
-    let told = |core: &Core| core.lead.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number);
-    assert_eq!(told(&core), Some(6), "a late one changes nothing");
-    core.take_summary(Steady(1_100), summary(1, 0, other));
-    let lead = core.lead.as_ref().unwrap();
-    assert!(lead.renew_term.is_some(), "a new life needs a new term");
-    assert_eq!(told(&core), Some(6));
+    let told = |controller: &Controller| {
+        controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
+    };
+    assert_eq!(told(&controller), Some(6), "a late one changes nothing");
+    controller.take_summary(Steady(1_100), summary(1, 0, other));
+    let leader = controller.leader.as_ref().unwrap();
+    assert!(leader.renew_term.is_some(), "a new life needs a new term");
+    assert_eq!(told(&controller), Some(6));
 }
 
 #[test]
 fn what_is_on_record_ahead_is_unresolved_for_others_only() {
-    let mut core = leader();
+    let mut controller = leader();
     let accepted = Accepted { spec: spec(2, 20), at: Wall(1) };
     let item = |path: String, v| Item { path, v, stamp: Revision(10) };
-    let mut brought = Brought::default();
+    let mut replica_changes = ReplicaChanges::default();
     let job = item(replica::job_key(JobId(2)), wire::to_value(&accepted));
-    core.ledger.load(&job, &mut brought);
+    controller.replica.load(&job, &mut replica_changes);
     let idle = || vec![view("n-1", true, &[0]), view("n-2", true, &[])];
-    tell(&mut core, 1_100, 0, vec![]);
-    tell(&mut core, 1_300, 1, idle());
-    let summary = core.lead.as_ref().unwrap();
+    tell(&mut controller, 1_100, 0, vec![]);
+    tell(&mut controller, 1_300, 1, idle());
+    let summary = controller.leader.as_ref().unwrap();
     let granted: Vec<TaskId> = summary.granted.keys().copied().collect();
     assert!(!granted.is_empty() && granted.len() < 4, "{granted:?}");
     let recorded = summary.recorded[&JobId(2)].clone();
@@ -397,15 +408,15 @@
     let items = [
         item(replica::epoch_key(2), wire::to_value(&record)),
         item(
-            replica::LEAD_KEY.into(),
-            wire::to_value(&LeadRecord { node: NodeId(0), life: LIFE, term: Term(4) }),
+            replica::LEADER_KEY.into(),
+            wire::to_value(&LeaderRecord { node: NodeId(0), life: LIFE, term: Term(4) }),
         ),
         item(replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
     ];
-    items.iter().for_each(|i| core.ledger.load(i, &mut brought));
-    let all = core.ledger.granted_before();
-    core.follow(at(2_000), &Brought { lead: true, ..Brought::default() });
-    let unresolved = &core.lead.as_ref().unwrap().unresolved;
+    items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
+    let all = controller.replica.granted_before();
+    controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    let unresolved = &controller.leader.as_ref().unwrap().unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
     assert_eq!(unresolved.iter().filter(of_two).count(), granted.len());
     assert!(granted.iter().all(|t| unresolved.contains(t)));
@@ -432,58 +443,61 @@
         (300, 61, 1, 0, true, true),
         (300, 61, 0, 1, true, false),
     ];
-    let mut core = leader();
+    let mut controller = leader();
     for (age_s, idle_s, done, held, at_limit, want) in cases {
         let moment = Moment { steady: Steady(400_000), wall: Wall(1 + age_s * 1_000) };
-        if let Some(lead) = &mut core.lead {
-            lead.idle.insert(JobId(1), Steady(400_000 - idle_s * 1_000));
+        if let Some(leader) = &mut controller.leader {
+            leader.idle.insert(JobId(1), Steady(400_000 - idle_s * 1_000));
         }
-        if let Some(job) = core.ledger.jobs.get_mut(&JobId(1)) {
+        if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
             job.progress.done = Ranges::span(0, done);
         }
-        let starved = |l: &mut Lead, ctx: &Context<'_>| {
-            l.starved(ctx, &ctx.ledger.jobs[&JobId(1)], held, at_limit)
+        let starved = |l: &mut Leader, cluster: &ClusterView<'_>| {
+            l.starved(cluster, &cluster.replica.jobs[&JobId(1)], held, at_limit)
         };
-        let got = core.with_lead(moment, starved);
+        let got = controller.with_leader(moment, starved);
         assert_eq!(got, Some(want), "{age_s} {idle_s} {done} {held} {at_limit}");
     }
     // Within a rank, age wins in the end over work that is still in time.
-    let weigh = |core: &mut Core, age_s: u64| {
+    let weigh = |controller: &mut Controller, age_s: u64| {
         let moment = Moment { steady: Steady(1), wall: Wall(1 + age_s * 1_000) };
-        let due = |ctx: &Context<'_>| {
-            let mut job = ctx.ledger.jobs[&JobId(1)].clone();
+        let due = |cluster: &ClusterView<'_>| {
+            let mut job = cluster.replica.jobs[&JobId(1)].clone();
             job.spec.due_s = Some(100.0);
-            weight(ctx, &job, 10.0, false)
+            weight(cluster, &job, 10.0, false)
         };
-        core.with_lead(moment, |_, ctx| due(ctx)).unwrap()
+        controller.with_leader(moment, |_, cluster| due(cluster)).unwrap()
     };
-    let fresh = weigh(&mut core, 1);
-    assert!(weigh(&mut core, 120) < fresh, "what is late waits for what is not");
-    assert!(weigh(&mut core, 600) > fresh, "but not for ever");
+    let fresh = weigh(&mut controller, 1);
+    assert!(weigh(&mut controller, 120) < fresh, "what is late waits for what is not");
+    assert!(weigh(&mut controller, 600) > fresh, "but not for ever");
 }
 
 #[test]
 fn an_unsettled_machine_proves_nothing_about_its_tasks() {
     // A late copy may show a task where it is no longer, and another one not show it.
-    let mut core = leader();
+    let mut controller = leader();
     let seen = |tasks| vec![view("n-1", false, tasks), view("n-2", true, &[])];
-    assert!(!tell(&mut core, 1_100, 0, vec![]));
-    assert!(!tell(&mut core, 1_300, 1, seen(&[0])));
-    assert!(!tell(&mut core, 1_500, 1, seen(&[])));
+    assert!(!tell(&mut controller, 1_100, 0, vec![]));
+    assert!(!tell(&mut controller, 1_300, 1, seen(&[0])));
+    assert!(!tell(&mut controller, 1_500, 1, seen(&[])));
 }
 
 #[test]
 fn an_unresolved_task_waits_for_every_machine_that_may_have_it() {
-    let mut core = leader();
+    let mut controller = leader();
     let seen = |settled| vec![view("n-1", settled, &[]), view("n-2", true, &[])];
-    assert!(!tell(&mut core, 1_100, 0, vec![]));
-    assert!(!tell(&mut core, 1_300, 1, seen(false)), "n-1 may still take older orders");
-    assert!(tell(&mut core, 1_500, 1, seen(true)));
+    assert!(!tell(&mut controller, 1_100, 0, vec![]));
+    assert!(!tell(&mut controller, 1_300, 1, seen(false)), "n-1 may still take older orders");
+    assert!(tell(&mut controller, 1_500, 1, seen(true)));
 }
 
 /// A leader of term 3 with those limits of the store, now and to come, and what an earlier
 /// version left there: full groups of machines and granted ranges as large as it might write.
-fn leader_under(now: (f64, usize), next: Option<(f64, usize)>) -> (Core, BTreeMap<String, Item>) {
+fn leader_under(
+    now: (f64, usize),
+    next: Option<(f64, usize)>,
+) -> (Controller, BTreeMap<String, Item>) {
     let mut text = EXAMPLE
         .replacen("value_kb = 8.0", &format!("value_kb = {:.1}", now.0), 1)
         .replacen("txn_ops = 12", &format!("txn_ops = {}", now.1), 1)
@@ -491,11 +505,11 @@
     if let Some((kb, ops)) = next {
         text += &format!("\n[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
     }
-    let mut core = Core::new(Rc::new(Settings::parse(&text).unwrap()), LIFE);
-    core.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
-    let lead = LeadRecord { node: NodeId(0), life: LIFE, term: Term(3) };
+    let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), LIFE);
+    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let mut items: Vec<(String, wire::Value)> = vec![
-        (replica::LEAD_KEY.into(), wire::to_value(&lead)),
+        (replica::LEADER_KEY.into(), wire::to_value(&leader)),
         (replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(3) })),
         (
             replica::member_key(NodeId(0)),
@@ -530,10 +544,10 @@
         .map(|(path, v)| (path.clone(), Item { path, v, stamp: Revision(9) }))
         .collect();
     let all: Vec<Item> = items.values().cloned().collect();
-    core.load(&all, Revision(9));
-    core.rights.lease = Some(StoreLease(1));
-    core.follow(at(0), &Brought { lead: true, ..Brought::default() });
-    (core, items)
+    controller.load(&all, Revision(9));
+    controller.rights.lease = Some(StoreLease(1));
+    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    (controller, items)
 }
 
 /// Machines free for everything, by number.
@@ -558,37 +572,38 @@
         ((1.0, 2), None),
     ];
     for (now, next) in cases {
-        let (mut core, mut store) = leader_under(now, next);
+        let (mut controller, mut store) = leader_under(now, next);
         let kb = next.map_or(now.0, |n| n.0.min(now.0));
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
-        let before = core.ledger.granted_before();
+        let before = controller.replica.granted_before();
         let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
         let offer = Offer { hull: "small".into(), zone: "a".into(), spot: false };
-        core.with_lead(at(1_000), |l, ctx| l.fleet.rented(ctx.now, &rented, &offer));
+        controller
+            .with_leader(at(1_000), |l, cluster| l.fleet.rented(cluster.now, &rented, &offer));
         let mut revision = 9;
         let mut granted: FxHashSet<TaskId> = FxHashSet::default();
         for step in 0..400u64 {
             let ms = 1_200 + step * 450;
-            core.rights.confirm_renewal(Steady(ms));
-            core.rights.confirm_sync(Steady(ms));
+            controller.rights.confirm_renewal(Steady(ms));
+            controller.rights.confirm_sync(Steady(ms));
             let told = Summary {
                 node: NodeId(0),
                 number: step + 1,
                 echo_ms: ms,
-                followed: core.lead.as_ref().map_or(PlanSeq(0), |l| l.seq),
+                followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
                 machines: free(24..72),
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, LIFE)
             };
-            core.take_summary(Steady(ms), told);
-            let (epoch, term) = core.epoch(at(ms)).unwrap();
+            controller.take_summary(Steady(ms), told);
+            let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
                 assert!(txn.apply.len() <= ops, "{now:?} {next:?}: {} changes", txn.apply.len());
                 assert!(txn.guards.len() <= 4 * ops);
                 revision += 1;
                 let guards: BTreeMap<&str, Revision> =
                     txn.guards.iter().map(|g| (g.path.as_str(), g.stamp)).collect();
-                assert!(guards.contains_key(replica::LEAD_KEY));
+                assert!(guards.contains_key(replica::LEADER_KEY));
                 for change in &txn.apply {
                     let wire::Change::Set { path, value, .. } = change else { continue };
                     // Carried out late, or once more, it puts nothing older back: without this, a
@@ -602,24 +617,28 @@
                     let item = Item { path: path.clone(), v: value.clone(), stamp };
                     store.insert(path.clone(), item);
                 }
-                core.apply_own(&txn, Revision(revision));
+                controller.apply_own(&txn, Revision(revision));
             }
             granted.extend(epoch.grants.iter().map(|g| g.0));
-            core.publish(at(ms), epoch, term);
+            controller.publish(at(ms), epoch, term);
             // Whoever leads next knows every machine and every task that may run.
             if step % 40 == 39 {
-                let mut other = Core::new(core.settings.clone(), Incarnation(6));
+                let mut other = Controller::new(controller.settings.clone(), Incarnation(6));
                 let all: Vec<Item> = store.values().cloned().collect();
                 other.load(&all, Revision(revision));
-                let known = other.ledger.granted_before();
+                let known = other.replica.granted_before();
                 assert!(
                     before.iter().chain(&granted).all(|t| known.contains(t)),
                     "{now:?} {next:?}"
                 );
-                assert_eq!(other.ledger.machines, core.ledger.machines, "{now:?} {next:?}");
+                assert_eq!(other.replica.machines, controller.replica.machines, "{now:?} {next:?}");
             }
         }
-        assert_eq!(core.ledger.machines.len(), 48, "{now:?} {next:?}: all machines are on record");
+        assert_eq!(
+            controller.replica.machines.len(),
+            48,
+            "{now:?} {next:?}: all machines are on record"
+        );
         assert!(granted.len() > 90, "{now:?} {next:?}: {} grants", granted.len());
     }
 }
@@ -632,52 +651,56 @@
     let (earlier, items) = leader_under((8.0, 24), None);
     let recorded = |path: &str| path.starts_with("e/");
     let fresh: Vec<Item> = items.into_values().filter(|i| !recorded(&i.path)).collect();
-    let mut core = Core::new(earlier.settings.clone(), LIFE);
-    core.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
-    core.load(&fresh, Revision(9));
-    core.rights.lease = Some(StoreLease(1));
-    core.follow(at(0), &Brought { lead: true, ..Brought::default() });
+    let mut controller = Controller::new(earlier.settings.clone(), LIFE);
+    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    controller.load(&fresh, Revision(9));
+    controller.rights.lease = Some(StoreLease(1));
+    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let mut granted = 0;
     for step in 0..6u64 {
         let ms = 1_200 + step * 450;
-        core.rights.confirm_renewal(Steady(ms));
-        core.rights.confirm_sync(Steady(ms));
+        controller.rights.confirm_renewal(Steady(ms));
+        controller.rights.confirm_sync(Steady(ms));
         let told = Summary {
             node: NodeId(0),
             number: step + 1,
             echo_ms: ms,
-            followed: core.lead.as_ref().map_or(PlanSeq(0), |l| l.seq),
+            followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
             machines: free(24..48),
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, LIFE)
         };
-        core.take_summary(Steady(ms), told);
-        let (epoch, term) = core.epoch(at(ms)).unwrap();
+        controller.take_summary(Steady(ms), told);
+        let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.apply);
         let paths: Vec<&str> = changes.map(Change::path).filter(|p| recorded(p)).collect();
         assert!(paths.len() <= CHANGES, "{} jobs in {paths:?}", jobs.len());
         granted += jobs.len();
         if let Some(txn) = epoch.txn.clone() {
-            core.apply_own(&txn, Revision(10 + step));
+            controller.apply_own(&txn, Revision(10 + step));
         }
-        core.publish(at(ms), epoch, term);
+        controller.publish(at(ms), epoch, term);
     }
     assert!(granted > 20, "{granted} jobs");
 }
 
 /// A leader that knows two machines of two places each, and a gang besides the job of the others.
-fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), speaks: u32) -> Core {
-    let mut core = leader();
+fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), speaks: u32) -> Controller {
+    let mut controller = leader();
     let mut gang = wire::JobSpec { shape: Shape::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
     let item = |path: String, v| Item { path, v, stamp: Revision(10) };
     let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
-    let mut brought = Brought::default();
+    let mut replica_changes = ReplicaChanges::default();
     let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
-    core.ledger.load(&item(replica::job_key(JobId(7)), wire::to_value(&accepted)), &mut brought);
-    core.ledger.load(&item(replica::member_key(NodeId(0)), wire::to_value(&member)), &mut brought);
-    core
+    controller
+        .replica
+        .load(&item(replica::job_key(JobId(7)), wire::to_value(&accepted)), &mut replica_changes);
+    controller
+        .replica
+        .load(&item(replica::member_key(NodeId(0)), wire::to_value(&member)), &mut replica_changes);
+    controller
 }
 
 /// What a machine shows of the gang.
@@ -688,10 +711,10 @@
 }
 
 /// Tasks of the gang that are granted now, and their attempt.
-fn granted_of(core: &Core) -> (usize, Option<Attempt>) {
-    let lead = core.lead.as_ref().unwrap();
+fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
+    let leader = controller.leader.as_ref().unwrap();
     let of: Vec<&Granted> =
-        lead.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
+        leader.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
     assert!(of.iter().all(|g| g.attempt == of[0].attempt), "one attempt for all");
     (of.len(), of.first().and_then(|g| g.attempt))
 }
@@ -716,13 +739,13 @@
         ("the controller does not know gangs", 3, |_| {}, 0, 0),
     ];
     for (what, tasks, edit, speaks, want) in cases {
-        let mut core = leader_with_gang(tasks, edit, speaks);
+        let mut controller = leader_with_gang(tasks, edit, speaks);
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
-        tell(&mut core, 1_100, 0, vec![]);
-        core.ledger.jobs.remove(&JobId(1));
-        tell(&mut core, 1_300, 1, idle());
-        tell(&mut core, 1_500, 1, idle());
-        assert_eq!(granted_of(&core).0, want, "{what}");
+        tell(&mut controller, 1_100, 0, vec![]);
+        controller.replica.jobs.remove(&JobId(1));
+        tell(&mut controller, 1_300, 1, idle());
+        tell(&mut controller, 1_500, 1, idle());
+        assert_eq!(granted_of(&controller).0, want, "{what}");
     }
 }
 
@@ -739,41 +762,41 @@
         ("one is gone while others run", &[(0, Running), (1, Running)], &[], true),
     ];
     for (what, first, second, stopped) in cases {
-        let mut core = leader_with_gang(3, |_| {}, 1);
-        tell(&mut core, 1_100, 0, vec![]);
-        core.ledger.jobs.remove(&JobId(1));
+        let mut controller = leader_with_gang(3, |_| {}, 1);
+        tell(&mut controller, 1_100, 0, vec![]);
+        controller.replica.jobs.remove(&JobId(1));
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
-        tell(&mut core, 1_300, 1, idle());
-        tell(&mut core, 1_500, 1, idle());
-        let attempt = granted_of(&core).1.unwrap();
+        tell(&mut controller, 1_300, 1, idle());
+        tell(&mut controller, 1_500, 1, idle());
+        let attempt = granted_of(&controller).1.unwrap();
         let now = || vec![shows("n-1", first), shows("n-2", second)];
-        core.rights.confirm_renewal(Steady(1_700));
+        controller.rights.confirm_renewal(Steady(1_700));
         if stopped {
             let all = [shows("n-1", &[(0, Running), (1, Running)]), shows("n-2", &[(2, Running)])];
-            tell(&mut core, 1_800, 2, all.to_vec());
+            tell(&mut controller, 1_800, 2, all.to_vec());
         }
-        tell(&mut core, 2_000, 2, now());
-        let stops = core.lead.as_ref().unwrap().stops();
+        tell(&mut controller, 2_000, 2, now());
+        let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(!stops.is_empty(), stopped, "{what}");
         if !stopped {
             continue;
         }
         assert!(stops[0].before > attempt && stops[0].leeway_ms == 0);
-        let plan = core.plan_for(NodeId(0), Steady(2_000)).unwrap().0;
+        let plan = controller.plan_for(NodeId(0), Steady(2_000)).unwrap().0;
         assert_eq!(plan.body.unwrap().stops, stops, "parts are told");
         // While any is left, whatever else is free, none starts: it would be beside the old ones.
         for ms in [2_300, 2_600] {
             assert!(!tell(
-                &mut core,
+                &mut controller,
                 ms,
                 9,
                 vec![shows("n-1", &[(0, Running)]), shows("n-2", &[])]
             ));
-            assert_eq!(granted_of(&core).0, 0, "{what}");
+            assert_eq!(granted_of(&controller).0, 0, "{what}");
         }
-        tell(&mut core, 3_000, 9, idle());
-        tell(&mut core, 3_200, 9, idle());
-        let (count, again) = granted_of(&core);
+        tell(&mut controller, 3_000, 9, idle());
+        tell(&mut controller, 3_200, 9, idle());
+        let (count, again) = granted_of(&controller);
         assert!(count == 3 && again.unwrap() >= stops[0].before, "a new attempt for all");
     }
 }
@@ -788,12 +811,12 @@
         (6_500, 3.0, 0.0, None),
     ];
     for (ms, stash_s, bookmark_s, want) in cases {
-        let mut core = leader_with_gang(3, |_| {}, 1);
-        if let Some(job) = core.ledger.jobs.get_mut(&JobId(7)) {
+        let mut controller = leader_with_gang(3, |_| {}, 1);
+        if let Some(job) = controller.replica.jobs.get_mut(&JobId(7)) {
             (job.spec.stash_s, job.spec.bookmark_s) = (stash_s, bookmark_s);
         }
-        core.ledger.jobs.remove(&JobId(1));
-        tell(&mut core, 1_100, 0, vec![]);
+        controller.replica.jobs.remove(&JobId(1));
+        tell(&mut controller, 1_100, 0, vec![]);
         let runs = PieceStage::Running;
         let told = Summary {
             node: NodeId(0),
@@ -804,9 +827,9 @@
             notices: vec![(MachineId::new("n-2"), ms)],
             ..summary(1, 0, LIFE)
         };
-        core.take_summary(Steady(1_300), told);
-        core.epoch(at(1_300)).unwrap();
-        let stops = core.lead.as_ref().unwrap().stops();
+        controller.take_summary(Steady(1_300), told);
+        controller.epoch(at(1_300)).unwrap();
+        let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(stops.first().map(|s| s.leeway_ms), want, "{ms} {stash_s} {bookmark_s}");
     }
 }
@@ -817,26 +840,31 @@
     // began. (machines, age of the array in s, machines kept, whether the array begins)
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
     for (machines, age_s, kept, begins) in cases {
-        let mut core = leader_with_gang(64, |s| (s.loaners, s.bundle) = (false, "gang".into()), 1);
-        core.ledger.jobs.remove(&JobId(1));
+        let mut controller =
+            leader_with_gang(64, |s| (s.loaners, s.bundle) = (false, "gang".into()), 1);
+        controller.replica.jobs.remove(&JobId(1));
         let item = |path: String, v| Item { path, v, stamp: Revision(11) };
-        let mut brought = Brought::default();
+        let mut replica_changes = ReplicaChanges::default();
         let array = Accepted { spec: spec(8, 1), at: Wall(1_001_000 - age_s * 1_000) };
-        core.ledger.load(&item(replica::job_key(JobId(8)), wire::to_value(&array)), &mut brought);
+        controller
+            .replica
+            .load(&item(replica::job_key(JobId(8)), wire::to_value(&array)), &mut replica_changes);
         let names: Vec<String> = (1..=machines).map(|n| format!("n-{n}")).collect();
         let ids: Vec<&str> = names.iter().map(String::as_str).collect();
-        core.ledger
-            .load(&item(replica::machine_key(0), wire::to_value(&group(&ids))), &mut brought);
+        controller.replica.load(
+            &item(replica::machine_key(0), wire::to_value(&group(&ids))),
+            &mut replica_changes,
+        );
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
-        tell(&mut core, 1_100, 0, vec![]);
-        core.with_lead(at(1_150), |l, _| {
+        tell(&mut controller, 1_100, 0, vec![]);
+        controller.with_leader(at(1_150), |l, _| {
             l.market.note_gangs(Steady(1_150), (Cores(64_000), Cores(64_000)), Default::default());
         });
-        tell(&mut core, 1_200, 1, idle());
-        tell(&mut core, 1_400, 1, idle());
-        let lead = core.lead.as_ref().unwrap();
-        assert_eq!(lead.kept.len(), kept, "{machines} {age_s}");
-        let began = lead.granted.keys().any(|t| t.job == JobId(8));
+        tell(&mut controller, 1_200, 1, idle());
+        tell(&mut controller, 1_400, 1, idle());
+        let leader = controller.leader.as_ref().unwrap();
+        assert_eq!(leader.kept.len(), kept, "{machines} {age_s}");
+        let began = leader.granted.keys().any(|t| t.job == JobId(8));
         assert_eq!(began, begins, "{machines} {age_s}");
     }
 }
@@ -868,9 +896,11 @@
         MachineView { tasks: tasks.to_vec(), ..view(id, true, &[]) }
     };
     for (what, urgent, speaks, expected) in cases {
-        let mut core = leader();
+        let mut controller = leader();
         let mut put = |path: String, v| {
-            core.ledger.load(&Item { path, v, stamp: Revision(10) }, &mut Brought::default());
+            controller
+                .replica
+                .load(&Item { path, v, stamp: Revision(10) }, &mut ReplicaChanges::default());
         };
         let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
@@ -882,19 +912,19 @@
             edit(&mut other);
             put(replica::job_key(JobId(9)), wire::to_value(&Accepted { spec: other, at: Wall(1) }));
         }
-        tell(&mut core, 1_100, 0, vec![]);
+        tell(&mut controller, 1_100, 0, vec![]);
         for step in 0..4 {
-            let followed = core.lead.as_ref().unwrap().seq.0;
+            let followed = controller.leader.as_ref().unwrap().seq.0;
             let full = vec![running("n-1", [0, 1]), running("n-2", [2, 3])];
-            tell(&mut core, 1_300 + step * 100, followed, full);
+            tell(&mut controller, 1_300 + step * 100, followed, full);
         }
-        let lead = core.lead.as_ref().unwrap();
+        let leader = controller.leader.as_ref().unwrap();
         let normal = |t: &TaskId| t.job != JobId(9) || urgent.is_none();
-        let ahead = lead.granted.iter().filter(|(t, g)| g.ahead && normal(t)).count();
-        let as_urgent = lead.granted.iter().filter(|(t, g)| g.ahead && !normal(t)).count();
+        let ahead = leader.granted.iter().filter(|(t, g)| g.ahead && normal(t)).count();
+        let as_urgent = leader.granted.iter().filter(|(t, g)| g.ahead && !normal(t)).count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
-        let told: u32 = lead.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
+        let told: u32 = leader.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
         assert_eq!(told as usize, ahead + as_urgent, "{what}");
     }
 }
@@ -915,7 +945,7 @@
         (large(70.0), small(100.0)),
         (small(190.0), large(40.0)),
     ];
-    let mut core = leader();
+    let mut controller = leader();
     let mut weigh = |(age, due_s, run_s, tasks): (f64, f64, f64, u32)| {
         let now = at(1_000_000);
         let accepted = Wall(now.wall.0 - (age * 1_000.0) as u64);
@@ -926,9 +956,12 @@
             v: wire::to_value(&accepted),
             stamp: Revision(10),
         };
-        core.ledger.jobs.remove(&JobId(8));
-        core.ledger.load(&item, &mut Brought::default());
-        core.with_lead(now, |_, ctx| weight(ctx, &ctx.ledger.jobs[&JobId(8)], run_s, false))
+        controller.replica.jobs.remove(&JobId(8));
+        controller.replica.load(&item, &mut ReplicaChanges::default());
+        controller
+            .with_leader(now, |_, cluster| {
+                weight(cluster, &cluster.replica.jobs[&JobId(8)], run_s, false)
+            })
             .unwrap()
     };
     for (behind, first) in cases {
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -15,7 +15,7 @@
         (Some(1_000), Some(9_000), 18_990, false, false),
         (Some(9_000), Some(1_000), 18_990, false, false),
     ];
-    for (renewed, synced, now, answer, lead) in cases {
+    for (renewed, synced, now, answer, leader) in cases {
         let mut r = Rights::new(18_000);
         r.lease = Some(StoreLease(1));
         if let Some(t) = renewed {
@@ -26,7 +26,7 @@
             r.confirm_sync(Steady(t));
         }
         let got = (r.may_answer(Steady(now)), r.may_lead(Steady(now)));
-        assert_eq!(got, (answer, lead), "{renewed:?} {synced:?} {now}");
+        assert_eq!(got, (answer, leader), "{renewed:?} {synced:?} {now}");
         r.lose_lease();
         assert!(!r.may_lead(Steady(now)));
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use willowshore::config::{ConfigError, Settings};
-use willowshore::feature_flags::Features;
+use willowshore::feature_flags::FeatureFlags;
 use willowshore::service::Service;
 
 mod job_command;
@@ -54,11 +54,11 @@
 }
 
 /// Reads the settings and what is enabled, and checks them.
-fn load(file: &Path, enable: &[PathBuf]) -> Result<(Settings, Features), ConfigError> {
+fn load(file: &Path, enable: &[PathBuf]) -> Result<(Settings, FeatureFlags), ConfigError> {
     let settings = Settings::load(file)?;
-    let features = Features::load(enable.iter().map(PathBuf::as_path))?;
-    features.check(&settings)?;
-    Ok((settings, features))
+    let feature_flags = FeatureFlags::load(enable.iter().map(PathBuf::as_path))?;
+    feature_flags.check(&settings)?;
+    Ok((settings, feature_flags))
 }
 
 fn check(file: &Path, enable: &[PathBuf]) -> ExitCode {
@@ -91,7 +91,7 @@
         Ok(level) => level,
         Err(line) => return fail(&line),
     };
-    let (settings, features) = match load(file, enable) {
+    let (settings, feature_flags) = match load(file, enable) {
         Ok(loaded) => loaded,
         Err(e) => return fail(&e.to_string()),
     };
@@ -106,7 +106,7 @@
         Err(e) => return fail(&format!("cannot start: {e}")),
     };
     let tasks = tokio::task::LocalSet::new();
-    match tasks.block_on(&runtime, Rc::new(Service::new(settings, features)).run()) {
+    match tasks.block_on(&runtime, Rc::new(Service::new(settings, feature_flags)).run()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(&format!("cannot serve: {e}")),
     }
--- a/src/message_chunks.rs
+++ b/src/message_chunks.rs
@@ -31,15 +31,15 @@
 }
 
 /// Puts a message together from its parts in order; `None` while some belong to another one.
-pub fn join<'a>(parts: impl Iterator<Item = &'a str>) -> Option<Vec<u8>> {
+pub fn join<'a>(chunks: impl Iterator<Item = &'a str>) -> Option<Vec<u8>> {
     let mut id: Option<&str> = None;
     let mut text = String::new();
     let mut expected = 1;
-    for (n, part) in parts.enumerate() {
+    for (n, chunk) in chunks.enumerate() {
         if n >= expected {
             break; // Left over from a longer message.
         }
-        let mut fields = part.splitn(4, ':');
+        let mut fields = chunk.splitn(4, ':');
         let (this, i, count, body) =
             (fields.next()?, fields.next()?, fields.next()?, fields.next()?);
         if i.parse::<usize>().ok()? != n || id.is_some_and(|id| id != this) {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -8,7 +8,7 @@
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum Operation {
     /// A worker's report.
     Report,
     /// An epoch, as far as it is worked out.
@@ -29,13 +29,13 @@
 
 /// Times since the last line in the log, in microseconds.
 #[derive(Debug, Default)]
-pub struct Meter {
+pub struct LatencyMetrics {
     kinds: RefCell<Vec<Option<Histogram<u64>>>>,
 }
 
-impl Meter {
+impl LatencyMetrics {
     /// Does something and notes how long it took; says that too, in microseconds.
-    pub fn timed<T>(&self, work: Work, act: impl FnOnce() -> T) -> (T, u64) {
+    pub fn timed<T>(&self, work: Operation, act: impl FnOnce() -> T) -> (T, u64) {
         let began = Instant::now();
         let done = act();
         let took = began.elapsed().as_micros() as u64;
@@ -44,11 +44,11 @@
     }
 
     /// Does something and notes how long it took.
-    pub fn time<T>(&self, work: Work, act: impl FnOnce() -> T) -> T {
+    pub fn time<T>(&self, work: Operation, act: impl FnOnce() -> T) -> T {
         self.timed(work, act).0
     }
 
-    fn note(&self, work: Work, took: u64) {
+    fn note(&self, work: Operation, took: u64) {
         let mut kinds = self.kinds.borrow_mut();
         kinds.resize_with(NAMES.len(), || None);
         let slot = &mut kinds[work as usize];
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,16 +1,16 @@
-//! Tables of cases for `meter`.
+//! Tables of cases for `metrics`.
 
 use super::*;
 
 #[test]
 fn a_line_tells_what_came_since_the_last() {
-    let meter = Meter::default();
-    assert_eq!(meter.line(), "");
-    meter.note(Work::Epoch, 100);
-    meter.note(Work::Epoch, 300);
-    meter.note(Work::Watch, u64::MAX);
-    let line = meter.line();
+    let metrics = LatencyMetrics::default();
+    assert_eq!(metrics.line(), "");
+    metrics.note(Operation::Epoch, 100);
+    metrics.note(Operation::Epoch, 300);
+    metrics.note(Operation::Watch, u64::MAX);
+    let line = metrics.line();
     assert!(line.starts_with("epoch 2 x 200 us (p99 30"), "{line}");
     assert!(line.contains("watch 1 x"), "{line}");
-    assert_eq!(meter.line(), "");
+    assert_eq!(metrics.line(), "");
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -19,7 +19,7 @@
     Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Session, TaskId,
     Term,
 };
-use crate::replica::{LeadRecord, Progress};
+use crate::replica::{LeaderRecord, Progress};
 use crate::wire::{JobSpec, PieceStage};
 
 /// A task as its machine's owner knows it.
@@ -310,7 +310,8 @@
     /// Whether the asked node reaches the store.
     Reach,
     /// Who leads, asked by a node that the store does not tell.
-    Lead,
+    #[serde(rename = "Lead")]
+    Leader,
     /// A submission handed over.
     Submit(JobSpec),
     /// A query handed over.
@@ -336,7 +337,8 @@
     /// Whether the asked node reaches the store.
     Reach(bool),
     /// Who leads, if the store told it just now.
-    Lead(Option<LeadRecord>),
+    #[serde(rename = "Lead")]
+    Leader(Option<LeaderRecord>),
     /// The answer to a handed-over request: status and CBOR body.
     Answer(u16, Vec<u8>),
     /// Milliseconds since the leader that was asked about was heard; `None` if the asked node does not follow it.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Cores, MachineId, TaskId};
-use crate::replica::Ledger;
+use crate::replica::Replica;
 use crate::wire::{Flavor, JobSpec, PieceStage, Shape, Urgency};
 
 /// Machine types by name, with what their machines offer.
@@ -160,7 +160,7 @@
         tasks: impl Iterator<Item = (TaskId, PieceStage)>,
         images: &[(Rc<str>, f64)],
         flavors: &Flavors,
-        ledger: &Ledger,
+        replica: &Replica,
         open: bool,
     ) -> Option<Self> {
         let flavor = flavors.get(&**hull)?;
@@ -169,7 +169,7 @@
         let mut fetching: Vec<Rc<str>> = Vec::new();
         for (task, stage) in tasks {
             // A task of a job that has ended still takes room until it is gone.
-            let Some(job) = ledger.jobs.get(&task.job) else {
+            let Some(job) = replica.jobs.get(&task.job) else {
                 known = false;
                 continue;
             };
@@ -188,7 +188,7 @@
             fetching,
             delay_s: 0.0,
             fetch_rate: flavor.fetch_gb_per_s,
-            open: open && known && ledger.machine_known(id),
+            open: open && known && replica.machine_known(id),
             slow: false,
             kept: false,
         })
