--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,7 +1,7 @@
 //! The durable facts as this controller knows them: a replica of the state service.
 //!
 //! Keys: `j/<job>` the job as accepted (never changed), `d/<job>` its finished ranges and its
-//! end (cancelled or done), `lead` and `n/<node>` (on leases), `term`, `m/<group>` every
+//! end (cancelled or done), `leader` and `n/<node>` (on leases), `term`, `m/<group>` every
 //! machine that may be given tasks, `e/<n>` the task ranges that the last epochs granted,
 //! `flavors` the machine types, `load` what brief work would use,
 //! `x/<to>/<from>/<n>` messages between controllers that cannot reach each other.
@@ -50,7 +50,7 @@
 
 /// Who leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeadRecord {
+pub struct LeaderRecord {
     /// The leader.
     pub node: NodeId,
     /// The life of its process.
@@ -186,7 +186,7 @@
 
 /// What a batch of changes brought, for those who wait for it.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Brought {
+pub struct ReplicaChanges {
     /// New jobs came.
     pub jobs: bool,
     /// Jobs ended or made progress.
@@ -194,14 +194,14 @@
     /// Jobs that are known to be cancelled from now on.
     pub withdrawn: Vec<JobId>,
     /// The leader changed.
-    pub lead: bool,
+    pub leader: bool,
     /// A message for this node came.
     pub relay: bool,
 }
 
 /// The replica.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Replica {
     me: String,
     /// Everything up to this revision is in here.
     pub revision: Revision,
@@ -220,7 +220,7 @@
     /// longer one than it was.
     pub member_moves: BTreeMap<NodeId, u64>,
     /// The leader.
-    pub lead: Option<(LeadRecord, Revision)>,
+    pub leader: Option<(LeaderRecord, Revision)>,
     /// The highest term, and the version of its key.
     pub term: Term,
     /// Version of the term's key.
@@ -276,11 +276,11 @@
     format!("e/{n:04}")
 }
 /// The key of a part of a relayed message.
-pub fn relay_key(to: NodeId, from: NodeId, part: u32) -> String {
-    format!("x/{}/{}/{part}", to.0, from.0)
+pub fn relay_key(to: NodeId, from: NodeId, chunk: u32) -> String {
+    format!("x/{}/{}/{chunk}", to.0, from.0)
 }
 /// The leader's key.
-pub const LEAD_KEY: &str = "lead";
+pub const LEADER_KEY: &str = "lead";
 /// The key of the machine types.
 pub const FLAVORS_KEY: &str = "flavors";
 /// The key of what the load was.
@@ -328,14 +328,14 @@
     kept
 }
 
-impl Ledger {
+impl Replica {
     /// An empty replica for that node.
     pub fn new(me: NodeId) -> Self {
-        Ledger { me: format!("{}/", me.0), ..Ledger::default() }
+        Replica { me: format!("{}/", me.0), ..Replica::default() }
     }
 
     /// Takes a replica that was read anew, keeping what can never change.
-    pub fn replace(&mut self, read: Ledger) {
+    pub fn replace(&mut self, read: Replica) {
         let before = std::mem::replace(self, read);
         for id in before.ended_order {
             if let Some(end) = before.ended.get(&id) {
@@ -367,33 +367,41 @@
     }
 
     /// Takes an item that was read.
-    pub fn load(&mut self, item: &Item, brought: &mut Brought) {
-        self.put(&item.path, &item.v, item.stamp, brought);
+    pub fn load(&mut self, item: &Item, replica_changes: &mut ReplicaChanges) {
+        self.put(&item.path, &item.v, item.stamp, replica_changes);
     }
 
     /// Takes a watch's answer. Answers that cover nothing new are ignored, so the order in
     /// which overlapping watches come back does not matter.
-    pub fn apply(&mut self, changes: &Changes) -> Brought {
-        let mut brought = Brought::default();
+    pub fn apply(&mut self, changes: &Changes) -> ReplicaChanges {
+        let mut replica_changes = ReplicaChanges::default();
         for news in &changes.news {
             if news.stamp <= self.revision {
                 continue;
             }
             match (&news.set, &news.drop, &news.v) {
-                (Some(key), _, Some(value)) => self.put(key, value, news.stamp, &mut brought),
-                (_, Some(key), _) => self.delete(key, news.stamp, &mut brought),
+                (Some(key), _, Some(value)) => {
+                    self.put(key, value, news.stamp, &mut replica_changes)
+                }
+                (_, Some(key), _) => self.delete(key, news.stamp, &mut replica_changes),
                 _ => {}
             }
         }
         self.revision = self.revision.max(changes.epoch);
-        brought
-    }
-
-    fn put(&mut self, key: &str, value: &Value, stamp: Revision, brought: &mut Brought) {
-        if key == LEAD_KEY {
-            if self.lead.as_ref().is_none_or(|l| l.1 < stamp) {
-                self.lead = wire::from_value(value).map(|r| (r, stamp));
-                brought.lead = true;
+        replica_changes
+    }
+
+    fn put(
+        &mut self,
+        key: &str,
+        value: &Value,
+        stamp: Revision,
+        replica_changes: &mut ReplicaChanges,
+    ) {
+        if key == LEADER_KEY {
+            if self.leader.as_ref().is_none_or(|l| l.1 < stamp) {
+                self.leader = wire::from_value(value).map(|r| (r, stamp));
+                replica_changes.leader = true;
             }
             return;
         }
@@ -403,7 +411,7 @@
             {
                 self.term = r.term;
                 self.term_stamp = stamp;
-                brought.lead = true;
+                replica_changes.leader = true;
             }
             return;
         }
@@ -423,8 +431,8 @@
             return;
         };
         match kind {
-            "j" => self.put_job(rest, value, brought),
-            "d" => self.put_progress(rest, value, stamp, brought),
+            "j" => self.put_job(rest, value, replica_changes),
+            "d" => self.put_progress(rest, value, stamp, replica_changes),
             "m" => {
                 if let (Ok(group), Some(r)) = (rest.parse(), wire::from_value(value)) {
                     self.put_group(group, r, stamp);
@@ -452,11 +460,11 @@
                 }
             }
             "x" => {
-                if let Some((from, part)) = self.relay_part(rest)
+                if let Some((from, chunk)) = self.parse_chunk_key(rest)
                     && let Some(text) = value.as_text()
                 {
-                    self.relay.insert((from, part), (text.to_string(), stamp));
-                    brought.relay = true;
+                    self.relay.insert((from, chunk), (text.to_string(), stamp));
+                    replica_changes.relay = true;
                 }
             }
             _ => {}
@@ -530,12 +538,12 @@
         }
     }
 
-    fn relay_part(&self, rest: &str) -> Option<(u8, u32)> {
-        let (from, part) = rest.strip_prefix(&self.me)?.split_once('/')?;
-        Some((from.parse().ok()?, part.parse().ok()?))
+    fn parse_chunk_key(&self, rest: &str) -> Option<(u8, u32)> {
+        let (from, chunk) = rest.strip_prefix(&self.me)?.split_once('/')?;
+        Some((from.parse().ok()?, chunk.parse().ok()?))
     }
 
-    fn put_job(&mut self, rest: &str, value: &Value, brought: &mut Brought) {
+    fn put_job(&mut self, rest: &str, value: &Value, replica_changes: &mut ReplicaChanges) {
         let Some(id) = JobId::parse(rest) else { return };
         let end = self.ended.get(&id).copied();
         let over = matches!(end, Some((JobStage::Done, _))) || self.withdrawn.contains_key(&id);
@@ -553,10 +561,10 @@
         let (progress, progress_stamp) = self.orphaned.remove(&id).unwrap_or_default();
         self.jobs
             .insert(id, Job { spec: accepted.spec, at: accepted.at, progress, progress_stamp });
-        brought.jobs = true;
+        replica_changes.jobs = true;
     }
 
-    fn put_progress(&mut self, rest: &str, value: &Value, stamp: Revision, b: &mut Brought) {
+    fn put_progress(&mut self, rest: &str, value: &Value, stamp: Revision, b: &mut ReplicaChanges) {
         let Some(id) = JobId::parse(rest) else { return };
         let Some(progress) = wire::from_value::<Progress>(value) else {
             return;
@@ -589,11 +597,11 @@
         }
     }
 
-    fn delete(&mut self, key: &str, stamp: Revision, brought: &mut Brought) {
-        if key == LEAD_KEY {
-            if self.lead.as_ref().is_some_and(|l| l.1 < stamp) {
-                self.lead = None;
-                brought.lead = true;
+    fn delete(&mut self, key: &str, stamp: Revision, replica_changes: &mut ReplicaChanges) {
+        if key == LEADER_KEY {
+            if self.leader.as_ref().is_some_and(|l| l.1 < stamp) {
+                self.leader = None;
+                replica_changes.leader = true;
             }
             return;
         }
@@ -622,7 +630,7 @@
                 }
             }
             "x" => {
-                if let Some(at) = self.relay_part(rest) {
+                if let Some(at) = self.parse_chunk_key(rest) {
                     self.relay.remove(&at);
                 }
             }
@@ -682,9 +690,9 @@
     }
 
     /// The condition that a node still leads as it did.
-    pub fn lead_guard(&self) -> Option<Guard> {
-        let (_, stamp) = self.lead.as_ref()?;
-        Some(Guard { path: LEAD_KEY.into(), stamp: *stamp })
+    pub fn leader_condition(&self) -> Option<Guard> {
+        let (_, stamp) = self.leader.as_ref()?;
+        Some(Guard { path: LEADER_KEY.into(), stamp: *stamp })
     }
 
     /// The condition that a key which the leader writes is as it is known here: so a transaction
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for `ledger`.
+//! Tables of cases for `replica`.
 
 use super::*;
 use crate::wire::News;
@@ -32,23 +32,23 @@
 fn overlapping_and_late_watches_change_nothing() {
     let id = JobId(7);
     let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: Wall(1) }, 3);
-    let lead = |term| LeadRecord { node: NodeId(1), life: Incarnation(9), term: Term(term) };
-    let mut l = Ledger::new(NodeId(0));
+    let leader = |term| LeaderRecord { node: NodeId(1), life: Incarnation(9), term: Term(term) };
+    let mut l = Replica::new(NodeId(0));
     assert!(l.apply(&changes(4, vec![job.clone()])).jobs);
-    l.apply(&changes(9, vec![set(LEAD_KEY.into(), &lead(2), 8)]));
+    l.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
     // A slower watch that covers only older changes comes back afterwards.
-    let late = vec![job, set(LEAD_KEY.into(), &lead(1), 5), dropped(LEAD_KEY.into(), 6)];
-    assert_eq!(l.apply(&changes(7, late)), Brought::default());
-    assert_eq!(l.lead.as_ref().unwrap().0.term, Term(2));
+    let late = vec![job, set(LEADER_KEY.into(), &leader(1), 5), dropped(LEADER_KEY.into(), 6)];
+    assert_eq!(l.apply(&changes(7, late)), ReplicaChanges::default());
+    assert_eq!(l.leader.as_ref().unwrap().0.term, Term(2));
     assert_eq!(l.revision, Revision(9));
-    l.apply(&changes(10, vec![dropped(LEAD_KEY.into(), 10)]));
-    assert!(l.lead.is_none());
+    l.apply(&changes(10, vec![dropped(LEADER_KEY.into(), 10)]));
+    assert!(l.leader.is_none());
 }
 
 #[test]
 fn progress_may_be_read_before_its_job() {
-    let mut l = Ledger::new(NodeId(0));
-    let mut b = Brought::default();
+    let mut l = Replica::new(NodeId(0));
+    let mut b = ReplicaChanges::default();
     let done = Progress { done: Ranges::span(0, 1), ..Progress::default() };
     let item = |path: String, v, stamp| Item { path, v, stamp: Revision(stamp) };
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
@@ -57,9 +57,9 @@
     let job = &l.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
     assert_eq!(job.progress_stamp, Revision(5));
-    let end = Ledger::with_done(job, [1, 1, 99], 2_048).unwrap();
+    let end = Replica::with_done(job, [1, 1, 99], 2_048).unwrap();
     assert_eq!(end.end, Some(JobStage::Done));
-    assert!(Ledger::with_done(job, [0], 2_048).is_none());
+    assert!(Replica::with_done(job, [0], 2_048).is_none());
     l.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut b);
     assert_eq!(l.ended[&JobId(7)], (JobStage::Done, 2));
     // An ended job stays ended whatever is read later.
@@ -75,7 +75,7 @@
     let kept = WITHDRAWN_KEPT as u64;
     for (cancelled, left, forgotten) in [(3, 3, false), (kept, kept, false), (kept + 1, kept, true)]
     {
-        let mut l = Ledger::new(NodeId(0));
+        let mut l = Replica::new(NodeId(0));
         let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
         for n in 1..=cancelled {
             let accepted = Accepted { spec: spec(n, 2), at: Wall(1) };
@@ -100,11 +100,11 @@
             progress: Progress::default(),
             progress_stamp: Revision(0),
         };
-        let end = Ledger::with_done(&job, 0..3, 2_048).unwrap();
-        let mut brought = Brought::default();
+        let end = Replica::with_done(&job, 0..3, 2_048).unwrap();
+        let mut replica_changes = ReplicaChanges::default();
         // A controller that has never seen the job read its end alone.
-        let mut l = Ledger::new(NodeId(0));
-        l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut brought);
+        let mut l = Replica::new(NodeId(0));
+        l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut replica_changes);
         assert_eq!(l.withdrawn.get(&JobId(7)).map(|w| w.left), left, "{shape:?}");
     }
 }
@@ -118,14 +118,14 @@
         progress_stamp: Revision(0),
     };
     let apart = (0..4_000).filter(|i| i % 2 == 0);
-    let some = Ledger::with_done(&job, apart.clone(), 2_048).unwrap();
+    let some = Replica::with_done(&job, apart.clone(), 2_048).unwrap();
     assert!(wire::stored_bytes(&some) <= 2_048 && some.done.len() > 100);
     // What a version with larger values wrote is read, and shrinks when it is written again.
     job.progress.done = apart.clone().collect();
-    let more = Ledger::with_done(&job, [1], 2_048).unwrap();
+    let more = Replica::with_done(&job, [1], 2_048).unwrap();
     assert!(wire::stored_bytes(&more) <= 2_048 && more.done.contains(1));
     job.progress = some;
-    let all = Ledger::with_done(&job, 0..4_000, 2_048).unwrap();
+    let all = Replica::with_done(&job, 0..4_000, 2_048).unwrap();
     assert_eq!((all.end, all.done.len()), (Some(JobStage::Done), 4_000));
 }
 
@@ -133,17 +133,17 @@
 fn what_ended_lately_is_known_even_among_many_ends() {
     // All ends were forgotten at once when there were too many: tasks of a job that had been cancelled
     // just before got no kill any more, and ran on.
-    let mut l = Ledger::new(NodeId(0));
+    let mut l = Replica::new(NodeId(0));
     let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
     let gone = wire::to_value(&gone);
-    let mut brought = Brought::default();
+    let mut replica_changes = ReplicaChanges::default();
     let ends = ENDED_KEPT as u64 + 3;
     for n in 1..=ends {
-        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut brought);
+        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
         // What is told once more counts once.
-        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut brought);
+        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
     }
-    assert_eq!((l.ended.len(), brought.withdrawn.len() as u64), (ENDED_KEPT, ends));
+    assert_eq!((l.ended.len(), replica_changes.withdrawn.len() as u64), (ENDED_KEPT, ends));
     for (id, known) in [(1, false), (3, false), (4, true), (ends - 1, true), (ends, true)] {
         assert_eq!(l.ended.contains_key(&JobId(id)), known, "{id}");
     }
@@ -153,13 +153,13 @@
 fn a_replica_that_is_read_anew_keeps_what_cannot_change() {
     let member = |speaks| MemberRecord { life: Incarnation(9), version: String::new(), speaks };
     let done = Progress { end: Some(JobStage::Done), ..Progress::default() };
-    let mut l = Ledger::new(NodeId(0));
+    let mut l = Replica::new(NodeId(0));
     l.apply(&changes(4, vec![set(member_key(NodeId(1)), &member(SPEAKS_ENDED), 3)]));
     l.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
     l.apply(&changes(8, vec![set(progress_key(JobId(7)), &done, 7)]));
     let moves = l.member_moves[&NodeId(1)];
-    let mut read = Ledger::new(NodeId(0));
-    let mut b = Brought::default();
+    let mut read = Replica::new(NodeId(0));
+    let mut b = ReplicaChanges::default();
     let other = Item { path: progress_key(JobId(8)), v: wire::to_value(&done), stamp: Revision(9) };
     read.load(&other, &mut b);
     l.replace(read);
@@ -178,7 +178,7 @@
         member_key(NodeId(1)),
         epoch_key(16),
         relay_key(NodeId(0), NodeId(1), 2),
-        LEAD_KEY.into(),
+        LEADER_KEY.into(),
         FLAVORS_KEY.into(),
         format!("{FLAVORS_KEY}/0001"),
         LOAD_KEY.into(),
--- a/src/service.rs
+++ b/src/service.rs
@@ -14,10 +14,10 @@
 
 use crate::cloud::CloudClient;
 use crate::config::{Settings, StateLimits};
-use crate::controller::Core;
-use crate::feature_flags::Features;
+use crate::controller::Controller;
+use crate::feature_flags::FeatureFlags;
 use crate::http::{self, Client, Kind, ServerLimits};
-use crate::metrics::Meter;
+use crate::metrics::LatencyMetrics;
 use crate::model::{Incarnation, Moment, NodeId, Steady, Wall};
 use crate::peer::Tell;
 use crate::store_client::StateClient;
@@ -92,13 +92,13 @@
     nodes: usize,
     started: Instant,
     /// State.
-    pub core: RefCell<Core>,
+    pub controller: RefCell<Controller>,
     /// The state service.
     pub store: StateClient,
     cloud: CloudClient,
     peers: Vec<Rc<Client>>,
-    wake_lead: Notify,
-    wake_part: Notify,
+    wake_epoch: Notify,
+    wake_shard_report: Notify,
     wake_election: Notify,
     wake_finish: Notify,
     wake_accept: Notify,
@@ -113,37 +113,37 @@
     names: Vec<String>,
     /// When operators were last told of a message that was not understood.
     told_unread: Cell<Option<Steady>>,
-    meter: Meter,
+    metrics: LatencyMetrics,
     /// Microseconds that the last epoch took.
     epoch_us: Cell<u64>,
 }
 
 impl Service {
     /// A controller with these settings and what is enabled besides.
-    pub fn new(settings: Settings, features: Features) -> Self {
+    pub fn new(settings: Settings, feature_flags: FeatureFlags) -> Self {
         // Kept below 2^53 so that every reader of numbers takes it.
         let life = Incarnation(rand::rng().random_range(1..(1 << 53)));
         let settings = Rc::new(settings);
-        let mut core = Core::new(settings.clone(), life);
-        if let Some(standby) = features.standby {
-            core.enable_standby(standby);
+        let mut controller = Controller::new(settings.clone(), life);
+        if let Some(standby) = feature_flags.standby {
+            controller.enable_standby(standby);
         }
         Service {
-            names: core.nodes.iter().map(|n| n.name.clone()).collect(),
-            me: core.me,
-            nodes: core.nodes.len(),
-            peers: core.nodes.iter().map(|n| Rc::new(Client::new(n.back, 4 << 20))).collect(),
+            names: controller.nodes.iter().map(|n| n.name.clone()).collect(),
+            me: controller.me,
+            nodes: controller.nodes.len(),
+            peers: controller.nodes.iter().map(|n| Rc::new(Client::new(n.back, 4 << 20))).collect(),
             store: StateClient::new(
                 settings.outside.state,
                 &settings.params.state,
                 settings.params.nodes,
             ),
             cloud: CloudClient::new(settings.outside.cloud, settings.params.cloud.rps),
-            core: RefCell::new(core),
+            controller: RefCell::new(controller),
             settings,
             started: Instant::now(),
-            wake_lead: Notify::new(),
-            wake_part: Notify::new(),
+            wake_epoch: Notify::new(),
+            wake_shard_report: Notify::new(),
             wake_election: Notify::new(),
             wake_finish: Notify::new(),
             wake_accept: Notify::new(),
@@ -154,7 +154,7 @@
             serving: Cell::new(0),
             announcing: Cell::new(0),
             told_unread: Cell::new(None),
-            meter: Meter::default(),
+            metrics: LatencyMetrics::default(),
             epoch_us: Cell::new(0),
         }
     }
@@ -179,7 +179,7 @@
     pub async fn run(self: Rc<Self>) -> std::io::Result<()> {
         let api = TcpListener::bind(self.settings.api_addr).await?;
         let back = TcpListener::bind(self.settings.back).await?;
-        let life = self.core.borrow().life;
+        let life = self.controller.borrow().life;
         let version = env!("CARGO_PKG_VERSION");
         info!(node = %self.settings.node_name, %life, version, "serving");
         let sockets = self.settings.params.limits.sockets;
@@ -200,7 +200,7 @@
         }));
         spawn_local(self.clone().keep_lease());
         spawn_local(self.clone().elect());
-        spawn_local(self.clone().report_part());
+        spawn_local(self.clone().report_shard());
         spawn_local(self.clone().run_epochs());
         spawn_local(self.clone().rent_and_return());
         spawn_local(self.clone().write_finished());
@@ -209,7 +209,7 @@
         spawn_local(self.clone().describe());
         spawn_local(self.clone().ask_who_leads());
         spawn_local(self.clone().announce_term());
-        if self.core.borrow().standby.is_some() {
+        if self.controller.borrow().standby.is_some() {
             info!("the warm standby is enabled");
             spawn_local(self.clone().watch_leader());
         }
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, info};
 
 use super::{RELAY, Service};
-use crate::metrics::Work;
+use crate::metrics::Operation;
 use crate::model::Revision;
 use crate::store_client::{Committed, StateError};
 use crate::wire::Txn;
@@ -23,8 +23,8 @@
     pub(super) async fn run_epochs(self: Rc<Self>) {
         let mut relayed = self.now();
         loop {
-            let _ = timeout(EPOCH, self.wake_lead.notified()).await;
-            self.lead_once().await;
+            let _ = timeout(EPOCH, self.wake_epoch.notified()).await;
+            self.run_epoch().await;
             let now = self.now();
             if now.since(relayed) >= RELAY.as_millis() as u64 {
                 relayed = now;
@@ -41,29 +41,29 @@
     pub(super) async fn describe(self: Rc<Self>) {
         loop {
             sleep(Duration::from_secs(10)).await;
-            let refused_starts = self.core.borrow().part.refused_starts();
-            info!(work = %self.meter.line(), refused_starts, "measured");
-            self.core.borrow_mut().with_lead(self.moment(), |lead, ctx| {
-                info!(term = %lead.term, state = %lead.describe(ctx), "epoch");
+            let refused_starts = self.controller.borrow().shard.refused_starts();
+            info!(work = %self.metrics.line(), refused_starts, "measured");
+            self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
+                info!(term = %leader.term, state = %leader.describe(cluster), "epoch");
             });
         }
     }
 
-    async fn lead_once(&self) {
+    async fn run_epoch(&self) {
         let moment = self.moment();
         let (found, took) = {
-            let mut core = self.core.borrow_mut();
-            self.meter.timed(Work::Epoch, || core.epoch(moment))
+            let mut controller = self.controller.borrow_mut();
+            self.metrics.timed(Operation::Epoch, || controller.epoch(moment))
         };
         self.epoch_us.set(took);
         let Some((epoch, term)) = found else { return };
         let renew = {
-            let core = self.core.borrow();
-            core.lead.as_ref().and_then(|l| l.renew_term)
+            let controller = self.controller.borrow();
+            controller.leader.as_ref().and_then(|l| l.renew_term)
         };
         if let Some(reason) = renew {
             info!(%term, reason, "taking a new term");
-            if let Err(e) = self.take_lead().await {
+            if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "new term undecided");
                 sleep(Duration::from_millis(500)).await;
             }
@@ -86,24 +86,24 @@
         }
         let granted = !epoch.is_empty();
         let moment = self.moment();
-        let mut core = self.core.borrow_mut();
-        self.meter.time(Work::Publish, || core.publish(moment, epoch, term));
-        drop(core);
+        let mut controller = self.controller.borrow_mut();
+        self.metrics.time(Operation::Publish, || controller.publish(moment, epoch, term));
+        drop(controller);
         if granted {
-            self.wake_part.notify_one();
+            self.wake_shard_report.notify_one();
         }
     }
 
     /// Writes less at once when the store calls a write malformed.
     pub(super) fn note_refused_write(&self, e: &StateError) {
         if matches!(e, StateError::Malformed(400)) {
-            self.core.borrow_mut().tighten();
+            self.controller.borrow_mut().tighten();
         }
     }
 
     /// Takes over what a transaction of this node just made durable.
     pub(super) fn apply_own(&self, txn: &Txn, stamp: Revision) {
-        let brought = self.core.borrow_mut().apply_own(txn, stamp);
-        self.note(&brought);
+        let replica_changes = self.controller.borrow_mut().apply_own(txn, stamp);
+        self.note(&replica_changes);
     }
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -28,7 +28,7 @@
     pub(super) async fn watch_leader(self: Rc<Self>) {
         loop {
             sleep(WATCH).await;
-            let command = self.core.borrow_mut().standby_tick(self.now());
+            let command = self.controller.borrow_mut().standby_tick(self.now());
             self.carry_out(command).await;
         }
     }
@@ -45,7 +45,8 @@
 
     /// Asks the leader itself, with more time than a summary has.
     fn probe_leader(self: &Rc<Self>, term: Term) {
-        let leader = self.core.borrow().ledger.lead.as_ref().map(|(record, _)| record.node);
+        let leader =
+            self.controller.borrow().replica.leader.as_ref().map(|(record, _)| record.node);
         let Some(client) = leader.and_then(|node| self.peers.get(usize::from(node.0))) else {
             return;
         };
@@ -62,22 +63,22 @@
                 Err(CallError::Connect) => ProbeOutcome::Refused,
                 Err(_) => ProbeOutcome::Silent,
             };
-            let command = service.core.borrow_mut().leader_probed(service.now(), outcome);
+            let command = service.controller.borrow_mut().leader_probed(service.now(), outcome);
             service.carry_out(command).await;
         });
     }
 
     /// Asks all others but the leader at once, as one that is gone must not hold up the rest.
     fn ask_when_leader_was_heard(self: &Rc<Self>, term: Term) {
-        let leader = self.core.borrow().leader();
-        let knows = |node: &NodeId| self.core.borrow().ledger.knows_standby(*node);
+        let leader = self.controller.borrow().leader();
+        let knows = |node: &NodeId| self.controller.borrow().replica.knows_standby(*node);
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
             let service = self.clone();
             spawn_local(async move {
                 let tell = service.ask(node, &Ask::LeaderSilence(term), ASK_LIMIT_MS).await;
                 let Some(Tell::LeaderSilence(silence_ms)) = tell else { return };
                 let answer = PeerAnswer { node, silence_ms };
-                let command = service.core.borrow_mut().peer_answered(service.now(), answer);
+                let command = service.controller.borrow_mut().peer_answered(service.now(), answer);
                 service.carry_out(command).await;
             });
         }
@@ -85,27 +86,29 @@
 
     /// Takes the term after that one, whose leader a majority does not hear.
     async fn replace_leader(&self, term: Term) {
-        if self.core.borrow().ledger.term != term {
-            self.core.borrow_mut().fence_answered(self.now(), Some(&Committed::No(Vec::new())));
+        if self.controller.borrow().replica.term != term {
+            self.controller
+                .borrow_mut()
+                .fence_answered(self.now(), Some(&Committed::No(Vec::new())));
             return;
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
-        if let Err(e) = self.take_lead().await {
+        if let Err(e) = self.acquire_leadership().await {
             debug!(error = %e, "replacing the leader is undecided");
         }
     }
 
     /// Whether this process still leads, as the store says now. Asked right before what cannot be guarded.
     pub(super) async fn still_leads(&self) -> bool {
-        if self.core.borrow().standby.is_none() {
+        if self.controller.borrow().standby.is_none() {
             return true;
         }
-        let Some(check) = self.core.borrow().leadership_check() else { return false };
+        let Some(check) = self.controller.borrow().leadership_check() else { return false };
         match self.store.commit(&check).await {
             Ok(Committed::Yes(_)) => true,
             Ok(Committed::No(_)) => {
                 warn!("an action as leader is given up: another controller leads");
-                if let Some(standby) = &mut self.core.borrow_mut().standby {
+                if let Some(standby) = &mut self.controller.borrow_mut().standby {
                     standby.note_refused_action();
                 }
                 false
@@ -119,7 +122,7 @@
 
     /// What operators are shown of the standby.
     pub(super) fn answer_status(&self) -> Response {
-        let status = self.core.borrow().standby_status(self.moment());
+        let status = self.controller.borrow().standby_status(self.moment());
         match status.and_then(|status| serde_json::to_vec(&status).ok()) {
             Some(body) => Response::new(200, body),
             None => Response::empty(404),
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -26,8 +26,8 @@
             let _ = timeout(Duration::from_millis(500), self.wake_finish.notified()).await;
             sleep(GATHER).await;
             let now = self.now();
-            self.store.set_leading(self.core.borrow().lead.is_some());
-            let next = self.core.borrow_mut().finished_txn(now);
+            self.store.set_leading(self.controller.borrow().leader.is_some());
+            let next = self.controller.borrow_mut().finished_txn(now);
             let Some(mut txn) = next else { continue };
             // Jobs that somebody else wrote meanwhile come next time, the others go now.
             for _ in 0..3 {
@@ -65,7 +65,7 @@
             loop {
                 let batch: Vec<Submission> = {
                     let mut queue = self.accepts.borrow_mut();
-                    let n = queue.len().min(self.core.borrow().limits.txn_ops);
+                    let n = queue.len().min(self.controller.borrow().limits.txn_ops);
                     queue.drain(..n).collect()
                 };
                 if batch.is_empty() {
@@ -85,10 +85,10 @@
                 return;
             }
             let txn = {
-                let core = self.core.borrow();
-                let bytes = core.limits.value_bytes();
+                let controller = self.controller.borrow();
+                let bytes = controller.limits.value_bytes();
                 let specs = batch.iter().map(|(spec, _)| spec);
-                accept_txn(specs, self.wall(), &core.flavors, bytes)
+                accept_txn(specs, self.wall(), &controller.flavors, bytes)
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
                 Ok(Committed::Yes(stamp)) => {
@@ -124,7 +124,7 @@
     /// Cancels a job durably: `Ok(true)` if it is cancelled now, `Ok(false)` if its progress
     /// changed meanwhile and the caller has to look again.
     pub(crate) async fn write_cancelled(self: &Rc<Self>, id: JobId) -> Result<bool, StateError> {
-        let Some((txn, progress)) = self.core.borrow().cancel_txn(id) else {
+        let Some((txn, progress)) = self.controller.borrow().cancel_txn(id) else {
             return Ok(false);
         };
         match self.store.commit_hedged(&txn, Duration::from_millis(150)).await? {
@@ -141,7 +141,7 @@
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
     fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, stamp: Revision) {
         let ask = Rc::new(Ask::Ended(id, progress, stamp));
-        for node in self.others().filter(|n| self.core.borrow().ledger.hears_ends(*n)) {
+        for node in self.others().filter(|n| self.controller.borrow().replica.hears_ends(*n)) {
             let (s, ask) = (self.clone(), ask.clone());
             spawn_local(async move { s.ask(node, &ask, 500).await });
         }
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -28,35 +28,35 @@
     }
 
     async fn renew_lease(&self) -> Result<(), StateError> {
-        if !self.core.borrow().loaded {
+        if !self.controller.borrow().loaded {
             return Err(StateError::Unknown);
         }
-        let lease = self.core.borrow().rights.lease;
+        let lease = self.controller.borrow().rights.lease;
         if let Some(lease) = lease {
             let sent = self.now();
             return match self.store.renew(lease).await {
                 Ok(()) => {
-                    self.core.borrow_mut().rights.confirm_renewal(sent);
+                    self.controller.borrow_mut().rights.confirm_renewal(sent);
                     Ok(())
                 }
                 Err(e) => {
                     if e == StateError::NoLease {
                         warn!("the lease in the store has ended");
-                        self.core.borrow_mut().rights.lose_lease();
+                        self.controller.borrow_mut().rights.lose_lease();
                     }
                     Err(e)
                 }
             };
         }
         let lease = self.store.grant(LEASE_MS).await?;
-        let txn = self.core.borrow().member_txn(lease);
+        let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
             Committed::Yes(_) => {
-                let mut core = self.core.borrow_mut();
-                core.rights.lease = Some(lease);
-                core.rights.confirm_renewal(sent);
-                drop(core);
+                let mut controller = self.controller.borrow_mut();
+                controller.rights.lease = Some(lease);
+                controller.rights.confirm_renewal(sent);
+                drop(controller);
                 self.wake_election.notify_one();
                 Ok(())
             }
@@ -70,18 +70,18 @@
     pub(super) async fn elect(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake_election.notified()).await;
-            let Some(own) = self.core.borrow().may_stand(self.now()) else {
+            let Some(own) = self.controller.borrow().may_run_for_leader(self.now()) else {
                 continue;
             };
             if !own {
                 let wait = rand::rng().random_range(0..120);
                 sleep(Duration::from_millis(wait)).await;
-                if self.core.borrow().may_stand(self.now()).is_none() {
+                if self.controller.borrow().may_run_for_leader(self.now()).is_none() {
                     continue;
                 }
             }
-            self.core.borrow_mut().lease_of_leader_ended(self.now());
-            if let Err(e) = self.take_lead().await {
+            self.controller.borrow_mut().lease_of_leader_ended(self.now());
+            if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "election undecided");
                 sleep(Duration::from_millis(100)).await;
             }
@@ -92,14 +92,14 @@
     pub(super) async fn ask_who_leads(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(500)).await;
-            let age = self.core.borrow().rights.sync_age(self.now());
+            let age = self.controller.borrow().rights.sync_age(self.now());
             if age.is_none_or(|a| a < 1_500) {
                 continue;
             }
             for node in self.others() {
-                if let Some(Tell::Lead(Some(lead))) = self.ask(node, &Ask::Lead, 300).await {
-                    self.core.borrow_mut().hear_lead(lead);
-                    self.wake_part.notify_one();
+                if let Some(Tell::Leader(Some(leader))) = self.ask(node, &Ask::Leader, 300).await {
+                    self.controller.borrow_mut().learn_leader_from_peer(leader);
+                    self.wake_shard_report.notify_one();
                     break;
                 }
             }
@@ -107,15 +107,15 @@
     }
 
     /// Takes the next term.
-    pub(super) async fn take_lead(&self) -> Result<(), StateError> {
-        let txn = self.core.borrow().lead_txn().ok_or(StateError::NoLease)?;
-        let standby = self.core.borrow().standby.is_some();
+    pub(super) async fn acquire_leadership(&self) -> Result<(), StateError> {
+        let txn = self.controller.borrow().election_txn().ok_or(StateError::NoLease)?;
+        let standby = self.controller.borrow().standby.is_some();
         let outcome = match standby {
             true => self.store.commit_hedged(&txn, FENCE_AGAIN).await,
             false => self.store.commit(&txn).await,
         };
         debug!(?outcome, "election");
-        self.core.borrow_mut().fence_answered(self.now(), outcome.as_ref().ok());
+        self.controller.borrow_mut().fence_answered(self.now(), outcome.as_ref().ok());
         outcome?;
         self.pull(Duration::ZERO).await
     }
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -11,7 +11,7 @@
 use super::{DIRECT_BYTES, RELAY, RELAY_SUMMARY_TXNS, Service, announcements, relay_value};
 use crate::http::{Client, Response};
 use crate::message_chunks;
-use crate::metrics::Work;
+use crate::metrics::Operation;
 use crate::model::{NodeId, Steady};
 use crate::peer::{self, Ask, Summary, Tell};
 use crate::shard::{Announcement, ReportAnswer};
@@ -33,13 +33,13 @@
 pub const STATUS_PATH: &str = "/standby";
 
 impl Service {
-    pub(super) async fn report_part(self: Rc<Self>) {
+    pub(super) async fn report_shard(self: Rc<Self>) {
         let mut failures = 0u32;
         let mut before: Option<NodeId> = None;
         let (mut relayed, mut tried) = (Steady(0), Steady(0));
         loop {
-            let _ = timeout(SUMMARY, self.wake_part.notified()).await;
-            let leader = self.core.borrow().leader();
+            let _ = timeout(SUMMARY, self.wake_shard_report.notified()).await;
+            let leader = self.controller.borrow().leader();
             let Some(leader) = leader else {
                 sleep(SUMMARY_LEAST).await;
                 continue;
@@ -54,7 +54,7 @@
                 tried = now;
                 let told = self.ask(leader, &Ask::Summary(self.summary(DIRECT_BYTES)), 600).await;
                 if let Some(tell) = &told {
-                    self.core.borrow_mut().heard_leader(now, tell);
+                    self.controller.borrow_mut().heard_leader(now, tell);
                 }
                 failures = if told.is_some() { 0 } else { failures + 1 };
                 told
@@ -72,18 +72,18 @@
                 None
             };
             if let Some(tell) = told {
-                let mut core = self.core.borrow_mut();
-                self.meter.time(Work::Plan, || core.take_answer(tell));
+                let mut controller = self.controller.borrow_mut();
+                self.metrics.time(Operation::Plan, || controller.take_answer(tell));
             }
             sleep(SUMMARY_LEAST).await;
         }
     }
 
     fn summary(&self, room: usize) -> Summary {
-        let mut core = self.core.borrow_mut();
-        core.part.news = false;
+        let mut controller = self.controller.borrow_mut();
+        controller.shard.news = false;
         let now = self.now();
-        self.meter.time(Work::Summary, || core.summary(now, room))
+        self.metrics.time(Operation::Summary, || controller.summary(now, room))
     }
 
     /// Tells machines of a new term straight away, so that what they may still run and what may
@@ -93,7 +93,7 @@
         loop {
             sleep(ANNOUNCE).await;
             let room = most.saturating_sub(self.announcing.get());
-            let due = self.core.borrow_mut().to_announce(self.now(), room);
+            let due = self.controller.borrow_mut().to_announce(self.now(), room);
             for a in due {
                 let s = self.clone();
                 s.announcing.set(s.announcing.get() + 1);
@@ -115,11 +115,11 @@
             return;
         }
         if let Ok(report) = wire::decode::<wire::Report>(&answer.body) {
-            let mut core = self.core.borrow_mut();
+            let mut controller = self.controller.borrow_mut();
             let now = self.now();
-            self.meter.time(Work::Report, || core.on_announced(now, a, &report));
-            if core.part.news {
-                self.wake_part.notify_one();
+            self.metrics.time(Operation::Report, || controller.on_announced(now, a, &report));
+            if controller.shard.news {
+                self.wake_shard_report.notify_one();
             }
         }
     }
@@ -127,13 +127,14 @@
     /// As the leader, takes a summary and answers with the plan.
     pub(super) fn take_summary(&self, summary: Summary) -> Tell {
         let now = self.now();
-        let mut core = self.core.borrow_mut();
-        let (tell, changed) = self.meter.time(Work::Taken, || core.take_summary(now, summary));
-        drop(core);
+        let mut controller = self.controller.borrow_mut();
+        let (tell, changed) =
+            self.metrics.time(Operation::Taken, || controller.take_summary(now, summary));
+        drop(controller);
         if changed {
-            self.wake_lead.notify_one();
+            self.wake_epoch.notify_one();
         }
-        if !self.core.borrow().part.finished.is_empty() {
+        if !self.controller.borrow().shard.finished.is_empty() {
             self.wake_finish.notify_one();
         }
         tell
@@ -150,7 +151,7 @@
             self.unread(self.name_of(node));
         }
         if tell.is_some() {
-            self.core.borrow_mut().peer_heard = self.now();
+            self.controller.borrow_mut().peer_heard = self.now();
         }
         tell
     }
@@ -179,7 +180,7 @@
             self.unread("a controller that does not say its name");
             return Response { close: true, ..Response::empty(400) };
         };
-        self.core.borrow_mut().peer_heard = self.now();
+        self.controller.borrow_mut().peer_heard = self.now();
         let tell = match ask {
             Ask::Summary(s) => {
                 if usize::from(s.node.0) >= self.nodes || s.node == self.me {
@@ -188,18 +189,19 @@
                 self.relaying.borrow_mut().remove(&s.node);
                 self.take_summary(s)
             }
-            Ask::Reach => Tell::Reach(self.core.borrow().store_ok),
+            Ask::Reach => Tell::Reach(self.controller.borrow().store_ok),
             Ask::LeaderSilence(term) => {
-                Tell::LeaderSilence(self.core.borrow().leader_silence_ms(self.now(), term))
+                Tell::LeaderSilence(self.controller.borrow().leader_silence_ms(self.now(), term))
             }
-            Ask::Lead => Tell::Lead(self.core.borrow().lead_for_peer(self.now())),
+            Ask::Leader => Tell::Leader(self.controller.borrow().leader_for_peer(self.now())),
             Ask::Submit(spec) => self.handed(self.submit(spec, false).await),
             Ask::Query(job) => self.handed(self.query(job, false).await),
             Ask::Abort(job) => self.handed(self.abort(job, false).await),
             Ask::Ended(job, progress, stamp) => {
-                let brought = self.core.borrow_mut().hear_ended(job, &progress, stamp);
-                self.note(&brought);
-                Tell::Reach(self.core.borrow().store_ok)
+                let replica_changes =
+                    self.controller.borrow_mut().hear_ended(job, &progress, stamp);
+                self.note(&replica_changes);
+                Tell::Reach(self.controller.borrow().store_ok)
             }
         };
         Response::new(200, peer::encode(&tell))
@@ -214,18 +216,18 @@
         let Ok(report) = wire::decode::<wire::Report>(body) else {
             return Response::empty(400);
         };
-        let mut core = self.core.borrow_mut();
-        if report.token > core.part.term() {
+        let mut controller = self.controller.borrow_mut();
+        if report.token > controller.shard.term() {
             // Somebody leads that this node does not know of yet.
             self.confirms.borrow_mut().push(oneshot::channel().0);
             self.wake_confirm.notify_one();
         }
         let now = self.now();
-        let answer = self.meter.time(Work::Report, || core.on_report(now, &report));
-        if core.part.news {
-            self.wake_part.notify_one();
+        let answer = self.metrics.time(Operation::Report, || controller.on_report(now, &report));
+        if controller.shard.news {
+            self.wake_shard_report.notify_one();
         }
-        if !core.part.finished.is_empty() {
+        if !controller.shard.finished.is_empty() {
             self.wake_finish.notify_one();
         }
         match answer {
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -10,7 +10,7 @@
 use super::Service;
 use crate::autoscaler::Offer;
 use crate::cloud::CloudError;
-use crate::leader::Lead;
+use crate::leader::Leader;
 use crate::model::{Steady, Term};
 use crate::replica;
 use crate::wire::{Rental, Txn};
@@ -28,10 +28,14 @@
         loop {
             sleep(Duration::from_millis(if open.is_empty() { 400 } else { 50 })).await;
             let leading = {
-                let core = self.core.borrow();
-                core.lead.as_ref().filter(|_| core.rights.may_lead(self.now())).map(|l| l.term)
+                let controller = self.controller.borrow();
+                controller
+                    .leader
+                    .as_ref()
+                    .filter(|_| controller.rights.may_lead(self.now()))
+                    .map(|l| l.term)
             };
-            let known = !self.core.borrow().flavors.is_empty();
+            let known = !self.controller.borrow().flavors.is_empty();
             let due = priced.is_none_or(|at| self.now().since(at) > 30_000);
             if !known || (leading.is_some() && due) {
                 if self.read_flavors(leading.is_some()).await {
@@ -64,9 +68,9 @@
                 unknown.clear();
             }
             if open.is_empty()
-                && let Some(lead) = &mut self.core.borrow_mut().lead
+                && let Some(leader) = &mut self.controller.borrow_mut().leader
             {
-                lead.decide_anew();
+                leader.decide_anew();
             }
             let lag = (self.settings.params.cloud.list_lag_s * 1000.0) as u64;
             if self.now().since(listed) > lag.clamp(2_000, 10_000) {
@@ -82,12 +86,15 @@
         };
         // The types are kept in the store for controllers that start while the cloud is down.
         let guard = {
-            let mut core = self.core.borrow_mut();
-            core.set_flavors(&got);
-            core.ledger.lead_guard().filter(|_| leading && core.ledger.flavors.is_none())
+            let mut controller = self.controller.borrow_mut();
+            controller.set_flavors(&got);
+            controller
+                .replica
+                .leader_condition()
+                .filter(|_| leading && controller.replica.flavors.is_none())
         };
         if let Some(guard) = guard {
-            let unchanged = self.core.borrow().ledger.unchanged(replica::FLAVORS_KEY);
+            let unchanged = self.controller.borrow().replica.unchanged(replica::FLAVORS_KEY);
             let limits = &self.settings.params.state;
             let mut pieces = replica::flavor_pieces(&got, limits.value_bytes());
             if pieces.len() > limits.txn_ops {
@@ -101,9 +108,9 @@
     }
 
     fn next_rentals(&self, term: Term, counter: &mut u32) -> VecDeque<(Rental, Offer)> {
-        let mut core = self.core.borrow_mut();
-        let life = core.life;
-        let wanted = core.lead.as_mut().map(Lead::to_rent).unwrap_or_default();
+        let mut controller = self.controller.borrow_mut();
+        let life = controller.life;
+        let wanted = controller.leader.as_mut().map(Leader::to_rent).unwrap_or_default();
         let mut out = VecDeque::new();
         for (offer, mut left) in wanted {
             while left > 0 {
@@ -124,8 +131,8 @@
     }
 
     fn is_refused(&self, offer: &Offer) -> bool {
-        let core = self.core.borrow();
-        core.lead.as_ref().is_some_and(|l| !l.market.open(offer, self.now()))
+        let controller = self.controller.borrow();
+        controller.leader.as_ref().is_some_and(|l| !l.market.open(offer, self.now()))
     }
 
     /// Makes a rental; true once its outcome is known.
@@ -135,27 +142,27 @@
         }
         let result = self.cloud.rent(rental).await;
         let now = self.now();
-        let mut core = self.core.borrow_mut();
-        let Some(lead) = &mut core.lead else {
+        let mut controller = self.controller.borrow_mut();
+        let Some(leader) = &mut controller.leader else {
             return !matches!(result, Err(CloudError::Unknown | CloudError::Refused(_)));
         };
         match result {
             Ok(ids) => {
                 info!(hull = %offer.hull, zone = %offer.zone, spot = offer.spot, asked = rental.number, got = ids.len(), "rented");
                 if (ids.len() as u32) < rental.number {
-                    lead.market.refused(offer, now);
+                    leader.market.refused(offer, now);
                 }
-                lead.fleet.rented(now, &ids, offer);
+                leader.fleet.rented(now, &ids, offer);
                 true
             }
             Err(CloudError::NoCapacity) => {
                 debug!(hull = %offer.hull, zone = %offer.zone, spot = offer.spot, "none to be had");
-                lead.market.refused(offer, now);
+                leader.market.refused(offer, now);
                 true
             }
             Err(CloudError::Refused(400)) => {
                 error!(?rental, "rental refused as malformed");
-                lead.market.refused(offer, now);
+                leader.market.refused(offer, now);
                 true
             }
             Err(_) => false,
@@ -164,19 +171,19 @@
 
     async fn return_machines(&self) {
         let ids = self
-            .core
+            .controller
             .borrow_mut()
-            .with_lead(self.moment(), |lead, ctx| lead.fleet.to_return(ctx))
+            .with_leader(self.moment(), |leader, cluster| leader.fleet.to_return(cluster))
             .unwrap_or_default();
         if ids.is_empty() || !self.still_leads().await {
             return;
         }
         if self.cloud.give_back(&ids).await.is_ok() {
             info!(machines = ?ids.iter().map(|i| i.to_string()).collect::<Vec<_>>(), "returned");
-            if let Some(lead) = &mut self.core.borrow_mut().lead {
-                lead.machines_gone(&ids);
+            if let Some(leader) = &mut self.controller.borrow_mut().leader {
+                leader.machines_gone(&ids);
             }
-            self.wake_lead.notify_one();
+            self.wake_epoch.notify_one();
         }
     }
 
@@ -186,8 +193,8 @@
             let Ok(page) = self.cloud.list(after.as_ref()).await else {
                 return;
             };
-            self.core.borrow_mut().with_lead(self.moment(), |lead, ctx| {
-                lead.fleet.listed_page(ctx, after.as_ref(), &page);
+            self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
+                leader.fleet.listed_page(cluster, after.as_ref(), &page);
             });
             after = page.hosts.last().map(|h| h.r#ref.clone());
             if !page.truncated || after.is_none() {
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -13,8 +13,9 @@
 impl Service {
     pub(super) async fn relay_summary(&self, leader: NodeId, summary: &Summary) {
         let guard = {
-            let core = self.core.borrow();
-            core.ledger
+            let controller = self.controller.borrow();
+            controller
+                .replica
                 .members
                 .get(&self.me)
                 .map(|m| Guard { path: replica::member_key(self.me), stamp: m.1 })
@@ -26,12 +27,12 @@
 
     async fn relay(&self, to: NodeId, guard: Guard, message: &[u8]) {
         let limits = &self.settings.params.state;
-        let parts = message_chunks::split(message, relay_value(limits));
-        if parts.len() > RELAY_TXNS * limits.txn_ops {
-            warn!(parts = parts.len(), "message too large for the store");
+        let chunks = message_chunks::split(message, relay_value(limits));
+        if chunks.len() > RELAY_TXNS * limits.txn_ops {
+            warn!(chunks = chunks.len(), "message too large for the store");
             return;
         }
-        let mut changes = parts.into_iter().enumerate().map(|(i, text)| Change::Set {
+        let mut changes = chunks.into_iter().enumerate().map(|(i, text)| Change::Set {
             path: replica::relay_key(to, self.me, i as u32),
             value: wire::Value::Text(text),
             lease: None,
@@ -58,25 +59,26 @@
     /// Takes messages that came through the store.
     pub(super) fn take_relayed(&self) {
         let mut senders: Vec<u8> =
-            self.core.borrow().ledger.relay.keys().map(|(from, _)| *from).collect();
+            self.controller.borrow().replica.relay.keys().map(|(from, _)| *from).collect();
         senders.dedup();
         for from in senders {
             let message = {
-                let core = self.core.borrow();
-                let parts = core.ledger.relay.range((from, 0)..=(from, u32::MAX));
-                message_chunks::join(parts.map(|(_, (text, _))| text.as_str()))
+                let controller = self.controller.borrow();
+                let chunks = controller.replica.relay.range((from, 0)..=(from, u32::MAX));
+                message_chunks::join(chunks.map(|(_, (text, _))| text.as_str()))
             };
             let Some(message) = message else { continue };
             match peer::decode::<Relayed>(&message) {
                 Some(Relayed::Summary(summary))
-                    if summary.node == NodeId(from) && self.core.borrow().lead.is_some() =>
+                    if summary.node == NodeId(from)
+                        && self.controller.borrow().leader.is_some() =>
                 {
                     let tell = self.take_summary(*summary);
                     self.relaying.borrow_mut().insert(NodeId(from), (self.now(), tell));
                 }
                 Some(Relayed::Tell(tell)) => {
-                    self.core.borrow_mut().heard_leader_through_store(self.now(), &tell);
-                    self.core.borrow_mut().take_answer(tell);
+                    self.controller.borrow_mut().heard_leader_through_store(self.now(), &tell);
+                    self.controller.borrow_mut().take_answer(tell);
                 }
                 None => self.unread(self.name_of(NodeId(from))),
                 _ => {}
@@ -93,7 +95,7 @@
             relaying.iter().map(|(n, (_, t))| (*n, matches!(t, Tell::SendWhole))).collect()
         };
         for (node, whole) in to {
-            let message = self.core.borrow().plan_for(node, now);
+            let message = self.controller.borrow().plan_for(node, now);
             if let Some((plan, guard)) = message {
                 let tell = if whole { Tell::SendWhole } else { Tell::Plan(Box::new(plan)) };
                 self.relay(node, guard, &peer::encode(&Relayed::Tell(tell))).await;
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -8,16 +8,16 @@
 use tracing::{debug, info};
 
 use super::Service;
-use crate::metrics::Work;
+use crate::metrics::Operation;
 use crate::model::Revision;
-use crate::replica::{self, Brought, Ledger};
+use crate::replica::{self, Replica, ReplicaChanges};
 use crate::store_client::{PageSize, StateError};
 
 impl Service {
     /// Keeps the replica current.
     pub(super) async fn follow_store(&self) {
         loop {
-            if !self.core.borrow().loaded {
+            if !self.controller.borrow().loaded {
                 if let Err(e) = self.load().await {
                     debug!(error = %e, "the store cannot be read yet");
                     sleep(Duration::from_millis(200)).await;
@@ -27,7 +27,7 @@
             }
             match self.pull(self.watch_for()).await {
                 Ok(()) => sleep(Duration::from_millis(40)).await,
-                Err(StateError::TooOld) => self.core.borrow_mut().loaded = false,
+                Err(StateError::TooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
                     debug!(error = %e, "cannot follow the store");
                     sleep(Duration::from_millis(150)).await;
@@ -47,7 +47,7 @@
         let sent = self.now();
         let mut first: Option<Revision> = None;
         // Pages as they were read take many times what the replica keeps of them, so each is taken at once.
-        let mut replica = Ledger::new(self.me);
+        let mut replica = Replica::new(self.me);
         let mut items = 0;
         for prefix in replica::KEY_PREFIXES {
             let mut after: Option<String> = None;
@@ -58,17 +58,24 @@
                 first.get_or_insert(page.epoch);
                 after = page.items.last().map(|i| i.path.clone());
                 items += page.items.len();
-                page.items.iter().for_each(|item| replica.load(item, &mut Brought::default()));
+                page.items
+                    .iter()
+                    .for_each(|item| replica.load(item, &mut ReplicaChanges::default()));
                 if !page.truncated || after.is_none() {
                     break;
                 }
             }
         }
-        self.core.borrow_mut().take_replica(replica, first.unwrap_or_default());
+        self.controller.borrow_mut().take_replica(replica, first.unwrap_or_default());
         debug!(items, sent = sent.0, "loaded");
         self.pull(Duration::ZERO).await?;
-        let all =
-            Brought { jobs: true, progress: true, lead: true, relay: true, ..Brought::default() };
+        let all = ReplicaChanges {
+            jobs: true,
+            progress: true,
+            leader: true,
+            relay: true,
+            ..ReplicaChanges::default()
+        };
         self.note(&all);
         Ok(())
     }
@@ -76,29 +83,31 @@
     /// Takes changes, waiting for some for up to `wait`.
     pub(super) async fn pull(&self, wait: Duration) -> Result<(), StateError> {
         let sent = self.now();
-        let after = self.core.borrow().changes_from().ok_or(StateError::Unknown)?;
+        let after = self.controller.borrow().changes_from().ok_or(StateError::Unknown)?;
         let got = self.store.changes(after, wait).await;
-        let brought = {
-            let mut core = self.core.borrow_mut();
-            core.store_ok = got.is_ok();
+        let replica_changes = {
+            let mut controller = self.controller.borrow_mut();
+            controller.store_ok = got.is_ok();
             let got = got?;
-            self.meter.time(Work::Watch, || core.apply(&got, sent)).ok_or(StateError::TooOld)?
+            self.metrics
+                .time(Operation::Watch, || controller.apply(&got, sent))
+                .ok_or(StateError::TooOld)?
         };
-        self.note(&brought);
+        self.note(&replica_changes);
         Ok(())
     }
 
     /// Follows a change and wakes the loops that it concerns.
-    pub(super) fn note(&self, brought: &Brought) {
-        self.core.borrow_mut().follow(self.moment(), brought);
-        if brought.lead {
+    pub(super) fn note(&self, replica_changes: &ReplicaChanges) {
+        self.controller.borrow_mut().follow(self.moment(), replica_changes);
+        if replica_changes.leader {
             self.wake_election.notify_one();
-            self.wake_part.notify_one();
+            self.wake_shard_report.notify_one();
         }
-        if brought.lead || brought.jobs || brought.progress {
-            self.wake_lead.notify_one();
+        if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
+            self.wake_epoch.notify_one();
         }
-        if brought.relay {
+        if replica_changes.relay {
             self.take_relayed();
         }
     }
@@ -106,7 +115,7 @@
     /// Waits until the replica is known to be as current as this moment; false if the store
     /// does not say so. Callers that come together share one request.
     pub async fn confirm(&self) -> bool {
-        if !self.core.borrow().loaded {
+        if !self.controller.borrow().loaded {
             return false;
         }
         let (tx, rx) = oneshot::channel();
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -13,7 +13,7 @@
 };
 use crate::peer::{OwnerNews, Plan, Standing};
 use crate::placement::Flavors;
-use crate::replica::Ledger;
+use crate::replica::Replica;
 use crate::wire::{Cause, JobStage, Order, Piece, PieceStage, Report, ReportReply, Shape};
 
 mod direct_commands;
@@ -104,7 +104,7 @@
     /// Milliseconds since the replica was known to be current.
     pub proof_ms: Option<u64>,
     /// The replica.
-    pub ledger: &'a Ledger,
+    pub replica: &'a Replica,
     /// Machine types.
     pub flavors: &'a Flavors,
     /// All controllers.
@@ -131,7 +131,7 @@
 /// What it follows on a leader's word is one value, void in the next term. All other fields are what this
 /// process has seen and done itself.
 #[derive(Debug)]
-pub struct Part {
+pub struct Shard {
     me: NodeId,
     life: Incarnation,
     followed: FollowedTerm,
@@ -163,10 +163,10 @@
     pub news: bool,
 }
 
-impl Part {
+impl Shard {
     /// A part without machines.
     pub fn new(me: NodeId, life: Incarnation) -> Self {
-        Part {
+        Shard {
             me,
             life,
             followed: FollowedTerm::begin(Term(0), me),
@@ -305,12 +305,12 @@
     pub fn on_report(&mut self, env: &Surroundings<'_>, report: &Report) -> ReportAnswer {
         self.heard = env.now;
         // A completed task stays completed whoever reports it and however late.
-        self.note_finished(env.now, env.ledger, report);
+        self.note_finished(env.now, env.replica, report);
         let term = self.followed.term;
         if !env.may_answer || term == Term(0) || report.token > term {
             return ReportAnswer::Refuse;
         }
-        if env.ledger.machine_gone(&report.host) {
+        if env.replica.machine_gone(&report.host) {
             return ReportAnswer::Refuse;
         }
         // A late copy tells of a past that newer reports have overtaken. It settles nothing,
@@ -378,24 +378,24 @@
     }
 
     /// Kills for what is to end on a machine.
-    fn kills(&self, ledger: &Ledger, machine: &MachineId, pieces: &[Piece]) -> Vec<Order> {
+    fn kills(&self, replica: &Replica, machine: &MachineId, pieces: &[Piece]) -> Vec<Order> {
         let on = pieces.iter().filter(|p| p.stage != PieceStage::Ended);
-        on.filter_map(|p| self.stop(ledger, machine, p.piece, p.r#try)).collect()
+        on.filter_map(|p| self.stop(replica, machine, p.piece, p.r#try)).collect()
     }
 
     /// The kill for a task that is to end: its job was cancelled, it is durably done already, or it is of a gang that is
     /// being stopped.
     fn stop(
         &self,
-        ledger: &Ledger,
+        replica: &Replica,
         machine: &MachineId,
         task: TaskId,
         attempt: Attempt,
     ) -> Option<Order> {
         let plan = &self.followed.plan;
         let (leeway_ms, why) = match plan.stop_of(task, attempt) {
-            _ if is_withdrawn(ledger, task.job) => (0, "its job is cancelled"),
-            _ if ledger.settled(task) => (0, "it is done"),
+            _ if is_withdrawn(replica, task.job) => (0, "its job is cancelled"),
+            _ if replica.settled(task) => (0, "it is done"),
             Some(stop) => (stop.leeway_ms, "its gang is being stopped"),
             None => return None,
         };
@@ -415,19 +415,19 @@
         );
     }
 
-    fn note_finished(&mut self, now: Steady, ledger: &Ledger, report: &Report) {
+    fn note_finished(&mut self, now: Steady, replica: &Replica, report: &Report) {
         for p in &report.pieces {
             if p.stage == PieceStage::Ended && p.cause == Some(Cause::Done) {
-                self.note_done(now, ledger, p.piece);
+                self.note_done(now, replica, p.piece);
             }
         }
     }
 
     /// Notes a task that completed; if it is of a gang, all of its tasks did.
-    pub fn note_done(&mut self, now: Steady, ledger: &Ledger, task: TaskId) {
-        let Some(job) = ledger.jobs.get(&task.job) else { return };
+    pub fn note_done(&mut self, now: Steady, replica: &Replica, task: TaskId) {
+        let Some(job) = replica.jobs.get(&task.job) else { return };
         let gang = job.spec.shape == Shape::Gang;
-        if !gang && !ledger.may_run(task) || task.index >= job.spec.pieces {
+        if !gang && !replica.may_run(task) || task.index >= job.spec.pieces {
             return;
         }
         let f = self
@@ -443,10 +443,10 @@
     }
 
     /// Takes completions that another controller heard of.
-    pub fn take_finished(&mut self, now: Steady, ledger: &Ledger, finished: &[(u64, Ranges)]) {
+    pub fn take_finished(&mut self, now: Steady, replica: &Replica, finished: &[(u64, Ranges)]) {
         for (job, tasks) in finished {
             for index in tasks.iter() {
-                self.note_done(now, ledger, TaskId { job: JobId(*job), index });
+                self.note_done(now, replica, TaskId { job: JobId(*job), index });
             }
         }
     }
@@ -475,7 +475,7 @@
         }
         let freed = machine.tasks.len() < before || turned || machine.shun_until != shunned;
         // A start that was lost, or a task that failed, has to go somewhere else.
-        self.followed.reassign |= left.iter().any(|t| self.may_start(env.ledger, *t));
+        self.followed.reassign |= left.iter().any(|t| self.may_start(env.replica, *t));
         if self.followed.plan.has_gangs() {
             // A refused start never ran, and may be tried elsewhere.
             let refused =
@@ -490,7 +490,7 @@
     fn on_own_report(&mut self, env: &Surroundings<'_>, report: &Report) -> ReportAnswer {
         let now = env.now;
         let freed = self.take_state(env, report);
-        let mut orders = self.kills(env.ledger, &report.host, &report.pieces);
+        let mut orders = self.kills(env.replica, &report.host, &report.pieces);
         self.clear_ended(env, report, &mut orders);
         self.start_granted(env, &report.host, freed, &mut orders);
         self.answered.insert(report.host.clone(), now);
@@ -505,7 +505,7 @@
             let done = p.cause == Some(Cause::Done);
             // `done` is cleared only once the store has it; should all controllers end before
             // that, the worker still tells the next one.
-            if done && !env.ledger.settled(p.piece) {
+            if done && !env.replica.settled(p.piece) {
                 continue;
             }
             orders.push(Order::Clear { piece: p.piece, r#try: p.r#try });
@@ -553,20 +553,20 @@
     }
 
     /// Forgets finished tasks that are durable by now and faults of jobs that have ended.
-    pub fn tidy(&mut self, ledger: &Ledger) {
+    pub fn tidy(&mut self, replica: &Replica) {
         self.finished.retain(|job, f| {
-            let open = |i: &u32| ledger.may_run(TaskId { job: *job, index: *i });
+            let open = |i: &u32| replica.may_run(TaskId { job: *job, index: *i });
             if !f.tasks.iter().all(|i| open(&i)) {
                 f.tasks = f.tasks.iter().filter(open).collect();
             }
             !f.tasks.is_empty()
         });
-        self.faults.retain(|job, _| ledger.jobs.contains_key(job));
+        self.faults.retain(|job, _| replica.jobs.contains_key(job));
     }
 }
 
-fn is_withdrawn(ledger: &Ledger, job: JobId) -> bool {
-    matches!(ledger.ended.get(&job), Some((JobStage::Withdrawn, _)))
+fn is_withdrawn(replica: &Replica, job: JobId) -> bool {
+    matches!(replica.ended.get(&job), Some((JobStage::Withdrawn, _)))
 }
 
 #[cfg(test)]
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -2,9 +2,9 @@
 
 use super::machine::{Held, Machine};
 use super::term_state::Announced;
-use super::{Announcement, LATEST_KEPT, Part, Surroundings, is_withdrawn};
+use super::{Announcement, LATEST_KEPT, Shard, Surroundings, is_withdrawn};
 use crate::model::{JobId, Session, Steady, TaskId};
-use crate::replica::Ledger;
+use crate::replica::Replica;
 use crate::wire::{Order, Report};
 
 /// How often a machine is told of a term straight away, and the time before the second try, which
@@ -16,7 +16,7 @@
 /// Least time between two questions to a machine of which old reports come.
 const DOUBT_AGAIN_MS: u64 = 10_000;
 
-impl Part {
+impl Shard {
     /// An old report is a late copy, or its machine was restarted and counts from the start again.
     /// Only the machine itself can tell.
     pub(super) fn doubt(&mut self, now: Steady, report: &Report) {
@@ -39,11 +39,11 @@
     pub fn to_announce(
         &mut self,
         now: Steady,
-        ledger: &Ledger,
+        replica: &Replica,
         may_answer: bool,
         most: usize,
     ) -> Vec<Announcement> {
-        let mut out = self.endings(ledger, most);
+        let mut out = self.endings(replica, most);
         if !may_answer {
             return out;
         }
@@ -56,7 +56,7 @@
                 out.push(Announcement { machine, endpoint, term, session, doubted, orders });
             }
         }
-        self.announce_term(now, ledger, most, &mut out);
+        self.announce_term(now, replica, most, &mut out);
         out
     }
 
@@ -64,7 +64,7 @@
     fn announce_term(
         &mut self,
         now: Steady,
-        ledger: &Ledger,
+        replica: &Replica,
         most: usize,
         out: &mut Vec<Announcement>,
     ) {
@@ -78,7 +78,7 @@
                 continue;
             }
             let newest = self.latest.get(id).map(|n| (n.endpoint.clone(), n.order.0));
-            let known = || ledger.machines.get(id).filter(|m| m.up && m.gone.is_none());
+            let known = || replica.machines.get(id).filter(|m| m.up && m.gone.is_none());
             let on_record = || known().map(|m| (m.endpoint.as_str().into(), Session(1)));
             let Some((endpoint, session)) = newest.or_else(on_record) else { continue };
             let Announced { times, at } =
@@ -102,13 +102,13 @@
     /// tell them, but a machine may reach nobody, or this node may not answer any more. A kill that is
     /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
     /// later has a higher attempt.
-    fn endings(&mut self, ledger: &Ledger, most: usize) -> Vec<Announcement> {
+    fn endings(&mut self, replica: &Replica, most: usize) -> Vec<Announcement> {
         let mut out = Vec::new();
         while out.len() < most
             && let Some(machine) = self.stopping.pop_first()
         {
             let Some(m) = self.machines.get(&machine) else { continue };
-            let order = |t: &TaskId, h: &Held| self.stop(ledger, &machine, *t, h.attempt);
+            let order = |t: &TaskId, h: &Held| self.stop(replica, &machine, *t, h.attempt);
             let orders: Vec<Order> = m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
             if orders.is_empty() {
                 continue;
@@ -134,14 +134,14 @@
         if *id != asked.machine {
             return;
         }
-        self.note_finished(env.now, env.ledger, report);
+        self.note_finished(env.now, env.replica, report);
         if asked.doubted.is_some_and(|newest| (report.session, report.sequence) <= newest) {
             tracing::info!(machine = %id, "was restarted");
             self.restarted.insert(id.clone());
             self.news = true;
             return;
         }
-        if env.ledger.machine_gone(id)
+        if env.replica.machine_gone(id)
             || self.machines.get(id).is_some_and(|m| m.is_settled(self.followed.term))
             || !self.is_newest(report)
         {
@@ -150,7 +150,7 @@
         if report.token == self.followed.term && self.followed.owner(id) == Some(self.me) {
             self.take_state(env, report);
             // It may report to nobody, and then nobody's answer ends what is not wanted any more.
-            if report.pieces.iter().any(|p| is_withdrawn(env.ledger, p.piece.job)) {
+            if report.pieces.iter().any(|p| is_withdrawn(env.replica, p.piece.job)) {
                 self.stopping.insert(id.clone());
             }
             // Its session may have begun just now, without any answer: its lease counts from here.
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -105,7 +105,7 @@
             tasks,
             &self.images,
             env.flavors,
-            env.ledger,
+            env.replica,
             open && self.usable(term, env.now, &env.pace),
         )
     }
@@ -145,7 +145,7 @@
         let left = self.tasks.keys().filter(|t| !tasks.contains_key(t)).copied().collect();
         self.tasks = tasks;
         for p in on() {
-            if let Some(job) = env.ledger.jobs.get(&p.piece.job) {
+            if let Some(job) = env.replica.jobs.get(&p.piece.job) {
                 self.remember_image(&job.spec);
             }
         }
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,6 +1,6 @@
 //! Machines of other parts that report here: sent to their owner, or kept alive if they cannot reach it.
 
-use super::{Part, ReportAnswer, Surroundings};
+use super::{ReportAnswer, Shard, Surroundings};
 use crate::config::Pace;
 use crate::model::{MachineId, Session, Steady};
 use crate::wire::{Report, ReportReply};
@@ -62,7 +62,7 @@
     pub(super) hears: bool,
 }
 
-impl Part {
+impl Shard {
     pub(super) fn go(&self, env: &Surroundings<'_>, node: usize) -> ReportAnswer {
         let name = env.nodes.get(node).map(|n| n.name.clone());
         name.map_or(ReportAnswer::Refuse, ReportAnswer::Go)
@@ -166,7 +166,7 @@
         self.news |= hears && !record.hears;
         record.hears = hears;
         self.answered.insert(report.host.clone(), now);
-        let orders = self.kills(env.ledger, &report.host, &report.pieces);
+        let orders = self.kills(env.replica, &report.host, &report.pieces);
         self.log_answer(env, report, false, &orders);
         ReportAnswer::Take(ReportReply { token: self.followed.term, orders })
     }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -1,6 +1,6 @@
 //! What the leader is told of the part.
 
-use super::Part;
+use super::Shard;
 use super::machine::Machine;
 use super::redirect::RELEASED_MS;
 use crate::config::Pace;
@@ -36,7 +36,7 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// What the leader is told, in about `room` bytes. Machines that do not fit are told of next, and
     /// the leader takes none of it before all is there.
     pub fn summary(&mut self, now: Steady, pace: &Pace, room: usize) -> Summary {
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -7,12 +7,12 @@
 
 use super::machine::{Held, Machine};
 use super::term_state::{FollowedPlan, GrantKind};
-use super::{Part, Surroundings};
+use super::{Shard, Surroundings};
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId, Term};
 use crate::peer::Grant;
 use crate::placement;
 use crate::placement::{Need, Room};
-use crate::replica::Ledger;
+use crate::replica::Replica;
 use crate::wire::{JobSpec, Order, PieceStage, Urgency};
 
 /// Longest time between two looks at where granted tasks are to start.
@@ -55,8 +55,11 @@
 }
 
 /// For each kind of these machines, the most urgent open work that may use it.
-fn most_urgent_by_kind(ledger: &Ledger, rooms: &[Room]) -> BTreeMap<MachineKind, Option<Urgency>> {
-    let specs = || ledger.jobs.values().map(|j| &j.spec);
+fn most_urgent_by_kind(
+    replica: &Replica,
+    rooms: &[Room],
+) -> BTreeMap<MachineKind, Option<Urgency>> {
+    let specs = || replica.jobs.values().map(|j| &j.spec);
     let mut kinds = BTreeMap::new();
     for r in rooms {
         kinds
@@ -66,7 +69,7 @@
     kinds
 }
 
-impl Part {
+impl Shard {
     /// Starts what is meant for a machine, after having looked anew where granted tasks are
     /// to go if anything speaks for that.
     pub(super) fn start_granted(
@@ -118,7 +121,7 @@
         }
         let mut backlog = std::mem::take(&mut self.followed.backlog);
         backlog.retain(|start| {
-            let job = env.ledger.jobs.get(&start.task.job);
+            let job = env.replica.jobs.get(&start.task.job);
             let Some(job) = job.filter(|j| self.may_try(env.now, j.spec.r#ref)) else {
                 return false;
             };
@@ -156,9 +159,9 @@
             self.refuse_start(room, granted);
             return true;
         }
-        let Some(job) = env.ledger.jobs.get(&task.job) else { return true };
+        let Some(job) = env.replica.jobs.get(&task.job) else { return true };
         let need = Need::of(&job.spec);
-        if !self.may_start(env.ledger, task)
+        if !self.may_start(env.replica, task)
             || !room.takes(&job.spec, &need, None)
             || self.machines.values().any(|m| m.tasks.contains_key(&task))
         {
@@ -196,8 +199,8 @@
     }
 
     /// Whether a task is neither done nor known here to have completed.
-    pub(super) fn may_start(&self, ledger: &Ledger, task: TaskId) -> bool {
-        ledger.may_run(task)
+    pub(super) fn may_start(&self, replica: &Replica, task: TaskId) -> bool {
+        replica.may_run(task)
             && !self.finished.get(&task.job).is_some_and(|f| f.tasks.contains(task.index))
     }
 
@@ -221,7 +224,7 @@
         let plan = &self.followed.plan;
         let mut queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
         for (grant, tasks) in wanted.tasks {
-            let Some(job) = env.ledger.jobs.get(&grant.job()) else { continue };
+            let Some(job) = env.replica.jobs.get(&grant.job()) else { continue };
             let need = Need::of(&job.spec);
             let zone = grant.zone.as_deref();
             let chosen = match grant.attempt {
@@ -236,11 +239,11 @@
         }
         let mut backlog = Vec::new();
         if !ahead.tasks.is_empty() {
-            self.followed.most_urgent = most_urgent_by_kind(env.ledger, &rooms);
+            self.followed.most_urgent = most_urgent_by_kind(env.replica, &rooms);
         }
         let plan = &self.followed.plan;
         for (grant, tasks) in ahead.tasks {
-            let Some(job) = env.ledger.jobs.get(&grant.job()) else { continue };
+            let Some(job) = env.replica.jobs.get(&grant.job()) else { continue };
             let need = Need::of(&job.spec);
             let mut first: Vec<Room> =
                 rooms.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
@@ -265,7 +268,7 @@
         let mut pauses = false;
         let mut by_urgency: Vec<(Urgency, &Grant, Vec<TaskId>)> = Vec::new();
         for g in grants {
-            let Some(job) = env.ledger.jobs.get(&g.job()) else { continue };
+            let Some(job) = env.replica.jobs.get(&g.job()) else { continue };
             if !self.may_try(env.now, g.job()) {
                 pauses = true;
                 continue;
@@ -277,7 +280,7 @@
                 .tasks
                 .iter()
                 .map(|index| TaskId { job: g.job(), index })
-                .filter(|t| !held.contains(t) && self.may_start(env.ledger, *t) && !shown(t))
+                .filter(|t| !held.contains(t) && self.may_start(env.replica, *t) && !shown(t))
                 .collect();
             if !tasks.is_empty() {
                 by_urgency.push((job.spec.urgency, g, tasks));
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -1,7 +1,7 @@
 //! What a part follows on the word of one term's leader.
 //!
 //! All of it is one value that is replaced as a whole when a term begins. A field added here is therefore void in the
-//! next term; what has to survive a term is a field of [`Part`](super::Part) and an observation of its own.
+//! next term; what has to survive a term is a field of [`Shard`](super::Part) and an observation of its own.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -6,12 +6,12 @@
 use super::*;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::model::{Moment, Revision, StoreLease, Wall};
 use crate::peer::{Grant, OwnerNews, PlanBody, Stop, Waits};
 use crate::placement::tests::flavor;
 use crate::replica::tests::group;
-use crate::replica::{self, Accepted, Brought, LeadRecord};
+use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
 use crate::wire::{self, Item, Urgency};
 
@@ -20,27 +20,27 @@
 const TASK: TaskId = TaskId { job: JobId(1), index: 0 };
 
 /// A node in a term of another leader, which owns n-1 of two machines and may start a task.
-fn node(owner: u8) -> Core {
-    let mut core = Core::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), LIFE);
-    core.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
-    let lead = LeadRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
+fn node(owner: u8) -> Controller {
+    let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), LIFE);
+    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    let leader = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
     let accepted = Accepted { spec: spec(1, 2), at: Wall(1) };
-    core.load(
+    controller.load(
         &[
             item(&replica::job_key(JobId(1)), wire::to_value(&accepted)),
-            item(replica::LEAD_KEY, wire::to_value(&lead)),
+            item(replica::LEADER_KEY, wire::to_value(&leader)),
             item(replica::TERM_KEY, wire::to_value(&replica::TermRecord { term: TERM })),
             item(&replica::machine_key(0), wire::to_value(&group)),
         ],
         Revision(9),
     );
-    core.rights.lease = Some(StoreLease(1));
+    controller.rights.lease = Some(StoreLease(1));
     let moment = Moment { steady: Steady(0), wall: Wall(0) };
-    core.follow(moment, &Brought { lead: true, ..Brought::default() });
+    controller.follow(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let grant = Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt: None };
-    core.part.follow(Plan {
+    controller.shard.follow(Plan {
         term: TERM,
         life: LIFE,
         seq: PlanSeq(1),
@@ -53,7 +53,7 @@
         body: Some(PlanBody { grants: vec![grant], ..PlanBody::default() }),
         decisions: None,
     });
-    core
+    controller
 }
 
 fn report(session: u64, sequence: u64, token: u64, stage: Option<PieceStage>) -> Report {
@@ -78,10 +78,10 @@
 }
 
 /// Has a report answered at that time; says whether with 200, and how many tasks it starts.
-fn hear(core: &mut Core, ms: u64, report: &Report) -> (bool, usize) {
-    core.rights.confirm_renewal(Steady(ms));
-    core.rights.confirm_sync(Steady(ms));
-    match core.on_report(Steady(ms), report) {
+fn hear(controller: &mut Controller, ms: u64, report: &Report) -> (bool, usize) {
+    controller.rights.confirm_renewal(Steady(ms));
+    controller.rights.confirm_sync(Steady(ms));
+    match controller.on_report(Steady(ms), report) {
         ReportAnswer::Take(reply) => {
             let starts = |o: &&Order| matches!(o, Order::Start { .. });
             (true, reply.orders.iter().filter(starts).count())
@@ -93,15 +93,15 @@
 #[test]
 fn an_announced_term_settles_a_machine_once_and_its_lease_counts_from_there() {
     use PieceStage::Running;
-    let mut core = node(0);
-    core.rights.confirm_renewal(Steady(1_000));
-    core.rights.confirm_sync(Steady(1_000));
+    let mut controller = node(0);
+    controller.rights.confirm_renewal(Steady(1_000));
+    controller.rights.confirm_sync(Steady(1_000));
     // It reported before the term: told at once, then after growing pauses, then no more.
-    assert!(core.part.is_newest(&report(1, 5, 2, Some(Running))));
-    let told = |core: &mut Core, ms| core.to_announce(Steady(ms), 8).len();
+    assert!(controller.shard.is_newest(&report(1, 5, 2, Some(Running))));
+    let told = |controller: &mut Controller, ms| controller.to_announce(Steady(ms), 8).len();
     let times = [(1_000, 1), (1_100, 0), (2_500, 1), (4_000, 0), (5_500, 1)];
     for (ms, count) in times {
-        assert_eq!(told(&mut core, ms), count, "{ms}");
+        assert_eq!(told(&mut controller, ms), count, "{ms}");
     }
     let asked = Announcement {
         machine: MachineId::new("n-1"),
@@ -114,18 +114,22 @@
     // (session, sequence, token, whether it is settled then); the session was not known at first.
     for (session, sequence, token, settled) in [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
     {
-        core.on_announced(Steady(6_000), &asked, &report(session, sequence, token, Some(Running)));
-        let now = core.summary(Steady(6_000), 900_000);
+        controller.on_announced(
+            Steady(6_000),
+            &asked,
+            &report(session, sequence, token, Some(Running)),
+        );
+        let now = controller.summary(Steady(6_000), 900_000);
         let is = now.machines.iter().any(|m| m.settled && m.tasks.len() == 1);
         assert_eq!(is, settled, "{session} {sequence} {token}");
         // Seen on a bench day: a machine whose session had begun just now counted as silent
         // since it was rented, so what ran on it was started again.
         assert_eq!(now.answered.len(), usize::from(settled), "{session} {sequence} {token}");
     }
-    assert_eq!(told(&mut core, 9_000), 0);
+    assert_eq!(told(&mut controller, 9_000), 0);
     // A later answer may be older than a start on its way: it changes nothing any more.
-    core.on_announced(Steady(6_500), &asked, &report(2, 8, 3, None));
-    assert!(core.summary(Steady(6_500), 900_000).machines.iter().all(|m| m.tasks.len() == 1));
+    controller.on_announced(Steady(6_500), &asked, &report(2, 8, 3, None));
+    assert!(controller.summary(Steady(6_500), 900_000).machines.iter().all(|m| m.tasks.len() == 1));
 }
 
 #[test]
@@ -135,38 +139,38 @@
     use PieceStage::Running;
     // (order of its answer to the question, whether it was restarted)
     for (session, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
-        let mut core = node(0);
-        hear(&mut core, 1_000, &report(2, 9, 3, Some(Running)));
-        assert!(core.to_announce(Steady(1_000), 8).is_empty());
-        assert!(!hear(&mut core, 1_100, &report(1, 3, 0, None)).0);
-        let asked = core.to_announce(Steady(1_100), 8);
+        let mut controller = node(0);
+        hear(&mut controller, 1_000, &report(2, 9, 3, Some(Running)));
+        assert!(controller.to_announce(Steady(1_000), 8).is_empty());
+        assert!(!hear(&mut controller, 1_100, &report(1, 3, 0, None)).0);
+        let asked = controller.to_announce(Steady(1_100), 8);
         assert_eq!(asked.len(), 1);
-        hear(&mut core, 1_200, &report(1, 2, 0, None));
-        assert!(core.to_announce(Steady(1_200), 8).is_empty(), "it is asked once in a while");
-        core.on_announced(Steady(1_300), &asked[0], &report(session, sequence, 3, None));
-        let told = core.summary(Steady(1_300), 900_000).restarted;
+        hear(&mut controller, 1_200, &report(1, 2, 0, None));
+        assert!(controller.to_announce(Steady(1_200), 8).is_empty(), "it is asked once in a while");
+        controller.on_announced(Steady(1_300), &asked[0], &report(session, sequence, 3, None));
+        let told = controller.summary(Steady(1_300), 900_000).restarted;
         assert_eq!(!told.is_empty(), restarted, "{session} {sequence}");
     }
 }
 
 #[test]
 fn a_summary_that_does_not_fit_comes_in_pieces() {
-    let mut core = node(0);
-    let pace = core.settings.pace();
+    let mut controller = node(0);
+    let pace = controller.settings.pace();
     for n in 0..40 {
         let mut machine = Machine::new(&report(1, 1, 3, None), Steady(0));
         machine.changed = 1;
-        core.part.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
+        controller.shard.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
     }
     let mut told = BTreeSet::new();
     let mut pieces = 0;
     loop {
-        let piece = core.part.summary(Steady(1_000), &pace, 2_048);
+        let piece = controller.shard.summary(Steady(1_000), &pace, 2_048);
         assert!(crate::peer::encode(&piece).len() <= 2_048);
         assert_eq!(piece.base == 0, pieces == 0);
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
-        core.part.followed.acknowledged = Some((piece.number, Steady(1_000)));
+        controller.shard.followed.acknowledged = Some((piece.number, Steady(1_000)));
         if !piece.more {
             break;
         }
@@ -177,9 +181,9 @@
 #[test]
 fn late_copies_change_nothing_but_what_they_completed() {
     use PieceStage::{Ended, Running};
-    let mut core = node(0);
-    assert!(hear(&mut core, 1_000, &report(2, 9, 3, Some(Running))).0);
-    let told = core.summary(Steady(2_000), 900_000);
+    let mut controller = node(0);
+    assert!(hear(&mut controller, 1_000, &report(2, 9, 3, Some(Running))).0);
+    let told = controller.summary(Steady(2_000), 900_000);
     let copies = [
         report(2, 9, 3, Some(Running)),
         report(2, 8, 3, None),
@@ -187,13 +191,13 @@
         report(2, 3, 2, Some(Ended)),
     ];
     for copy in &copies {
-        assert_eq!(hear(&mut core, 2_000, copy), (false, 0), "{copy:?}");
+        assert_eq!(hear(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
     }
-    let now = core.summary(Steady(2_000), 900_000);
+    let now = controller.summary(Steady(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
     assert_eq!(now.finished, [(1, Ranges::span(0, 1))], "a completed task stays completed");
-    assert!(hear(&mut core, 3_000, &report(2, 10, 3, Some(Running))).0);
+    assert!(hear(&mut controller, 3_000, &report(2, 10, 3, Some(Running))).0);
 }
 
 #[test]
@@ -214,9 +218,9 @@
         &[(0, 1, 1, 2, true), (500, 1, 2, 3, true), (9_000, 2, 3, 3, true)],
     ];
     for (n, case) in cases.iter().enumerate() {
-        let mut core = node(0);
+        let mut controller = node(0);
         for (ms, session, sequence, token, want) in *case {
-            let got = hear(&mut core, *ms, &report(*session, *sequence, *token, None)).0;
+            let got = hear(&mut controller, *ms, &report(*session, *sequence, *token, None)).0;
             assert_eq!(got, *want, "{n}: {ms}");
         }
     }
@@ -224,26 +228,26 @@
 
 #[test]
 fn starts_go_to_machines_that_hear_and_not_twice_to_one_that_misses_them() {
-    let mut core = node(0);
-    assert_eq!(hear(&mut core, 0, &report(1, 1, 2, None)), (true, 0), "token not shown");
-    assert_eq!(hear(&mut core, 500, &report(1, 2, 3, None)), (true, 1));
-    assert_eq!(hear(&mut core, 1_500, &report(1, 3, 3, None)), (true, 0), "not shown");
-    let view = core.summary(Steady(1_500), 900_000).machines.remove(0);
+    let mut controller = node(0);
+    assert_eq!(hear(&mut controller, 0, &report(1, 1, 2, None)), (true, 0), "token not shown");
+    assert_eq!(hear(&mut controller, 500, &report(1, 2, 3, None)), (true, 1));
+    assert_eq!(hear(&mut controller, 1_500, &report(1, 3, 3, None)), (true, 0), "not shown");
+    let view = controller.summary(Steady(1_500), 900_000).machines.remove(0);
     assert!(view.shun_ms > 0 && view.tasks.is_empty(), "{view:?}");
-    assert_eq!(hear(&mut core, 5_000, &report(1, 4, 3, None)), (true, 1), "tried again");
+    assert_eq!(hear(&mut controller, 5_000, &report(1, 4, 3, None)), (true, 1), "tried again");
     let shown = report(1, 5, 3, Some(PieceStage::Ended));
-    assert_eq!(hear(&mut core, 6_000, &shown), (true, 0), "it is done, though not on record");
+    assert_eq!(hear(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
     let again = report(1, 6, 3, Some(PieceStage::Ended));
-    assert_eq!(hear(&mut core, 30_000, &again), (true, 0), "and stays so");
+    assert_eq!(hear(&mut controller, 30_000, &again), (true, 0), "and stays so");
 }
 
 #[test]
 fn a_node_that_reaches_nobody_sends_its_workers_away_once() {
     // With the store out and connections between controllers refused, all nodes are alone:
     // then workers come back and must not lose their leases.
-    let mut core = node(0);
-    assert!(hear(&mut core, 1_000, &report(1, 1, 3, None)).0);
-    let mut answer = |ms, sequence| core.on_report(Steady(ms), &report(1, sequence, 3, None));
+    let mut controller = node(0);
+    assert!(hear(&mut controller, 1_000, &report(1, 1, 3, None)).0);
+    let mut answer = |ms, sequence| controller.on_report(Steady(ms), &report(1, sequence, 3, None));
     assert!(matches!(answer(5_500, 2), ReportAnswer::Take(_)), "not for long yet");
     assert!(matches!(answer(7_000, 3), ReportAnswer::Go(_)));
     assert!(matches!(answer(9_000, 4), ReportAnswer::Take(_)), "it found nobody");
@@ -252,12 +256,12 @@
 #[test]
 fn only_strays_that_show_the_token_are_told_of() {
     // A late copy must not bring a machine back or move it to another owner.
-    let mut core = node(1);
+    let mut controller = node(1);
     for (ms, sequence, token, told) in
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
-        hear(&mut core, ms, &report(1, sequence, token, None));
-        assert_eq!(core.summary(Steady(ms), 900_000).strays.len(), told, "{ms}");
+        hear(&mut controller, ms, &report(1, sequence, token, None));
+        assert_eq!(controller.summary(Steady(ms), 900_000).strays.len(), told, "{ms}");
     }
 }
 
@@ -270,11 +274,11 @@
         &[(0, false, false), (1_000, true, false), (2_000, false, false), (3_000, true, false)];
     let cut: Case = &[(0, false, false), (5_000, true, true), (6_000, true, true)];
     for case in [refused, cut] {
-        let mut core = node(1);
+        let mut controller = node(1);
         for (n, (ms, kept, told)) in case.iter().enumerate() {
-            let got = hear(&mut core, *ms, &report(1, n as u64 + 1, 3, None)).0;
+            let got = hear(&mut controller, *ms, &report(1, n as u64 + 1, 3, None)).0;
             assert_eq!(got, *kept, "{ms}");
-            let strays = core.summary(Steady(*ms + 3_000), 900_000).strays;
+            let strays = controller.summary(Steady(*ms + 3_000), 900_000).strays;
             assert_eq!(strays.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
         }
     }
@@ -282,10 +286,10 @@
 
 #[test]
 fn a_gang_is_stopped_straight_away_and_in_answers_and_its_next_attempt_is_not() {
-    let mut core = node(0);
-    let seq = core.part.followed.plan.seq;
-    let with = |core: &mut Core, seq, stops| {
-        core.part.follow(Plan {
+    let mut controller = node(0);
+    let seq = controller.shard.followed.plan.seq;
+    let with = |controller: &mut Controller, seq, stops| {
+        controller.shard.follow(Plan {
             term: TERM,
             life: LIFE,
             seq,
@@ -296,24 +300,24 @@
             decisions: None,
         })
     };
-    core.rights.confirm_renewal(Steady(0));
-    core.rights.confirm_sync(Steady(0));
-    core.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Running)));
+    controller.rights.confirm_renewal(Steady(0));
+    controller.rights.confirm_sync(Steady(0));
+    controller.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Running)));
     // (attempts below that are stopped, leeway, what the task of attempt 7 gets)
     let cases = [(7, 0, None), (8, 0, Some(0.0)), (8, 9_000, Some(9.0))];
     for (i, (before, leeway_ms, want)) in cases.into_iter().enumerate() {
         let stop = Stop { job: 1, before: Attempt(before), leeway_ms };
-        assert!(with(&mut core, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
+        assert!(with(&mut controller, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
         let leeway = |orders: &[Order]| {
             orders.iter().find_map(|o| match o {
                 Order::Kill { leeway_s, .. } => Some(*leeway_s),
                 _ => None,
             })
         };
-        let told = core.to_announce(Steady(200 + i as u64), 8);
+        let told = controller.to_announce(Steady(200 + i as u64), 8);
         assert_eq!(told.iter().find_map(|a| leeway(&a.orders)), want, "{before} direct");
         let shown = report(1, 2 + i as u64, 3, Some(PieceStage::Running));
-        let ReportAnswer::Take(reply) = core.on_report(Steady(300 + i as u64), &shown) else {
+        let ReportAnswer::Take(reply) = controller.on_report(Steady(300 + i as u64), &shown) else {
             panic!("refused");
         };
         assert_eq!(leeway(&reply.orders), want, "{before} in the answer");
@@ -324,21 +328,21 @@
 fn if_one_task_of_a_gang_is_done_all_are() {
     // Its machine may be lost before it tells, and nobody may start it again.
     for (shape, done) in [(Shape::Gang, 2), (Shape::Sweep, 1)] {
-        let mut core = node(0);
-        if let Some(job) = core.ledger.jobs.get_mut(&JobId(1)) {
+        let mut controller = node(0);
+        if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
             job.spec.shape = shape;
         }
-        core.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Ended)));
-        let finished = core.part.finished.get(&JobId(1)).map(|f| f.tasks.len());
+        controller.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Ended)));
+        let finished = controller.shard.finished.get(&JobId(1)).map(|f| f.tasks.len());
         assert_eq!(finished, Some(done), "{shape:?}");
     }
 }
 
 /// Makes job 1 cancelled, as a peer tells or the store.
-fn cancel(core: &mut Core, ms: u64) {
+fn cancel(controller: &mut Controller, ms: u64) {
     let gone = replica::Progress { end: Some(JobStage::Withdrawn), ..Default::default() };
-    let brought = core.hear_ended(JobId(1), &gone, Revision(12));
-    core.follow(Moment { steady: Steady(ms), wall: Wall(ms) }, &brought);
+    let replica_changes = controller.hear_ended(JobId(1), &gone, Revision(12));
+    controller.follow(Moment { steady: Steady(ms), wall: Wall(ms) }, &replica_changes);
 }
 
 #[test]
@@ -354,17 +358,17 @@
         (None, 3, 1_000, 1_100, true), // it was to start with the answer, which may be on its way
     ];
     for (stage, token, heard, cancelled, told) in cases {
-        let mut core = node(0);
-        hear(&mut core, heard, &report(1, 5, token, stage));
-        while !core.to_announce(Steady(heard), 8).is_empty() {}
-        cancel(&mut core, cancelled);
-        let out = core.to_announce(Steady(cancelled), 8);
+        let mut controller = node(0);
+        hear(&mut controller, heard, &report(1, 5, token, stage));
+        while !controller.to_announce(Steady(heard), 8).is_empty() {}
+        cancel(&mut controller, cancelled);
+        let out = controller.to_announce(Steady(cancelled), 8);
         let kills: Vec<&Order> = out.iter().flat_map(|a| &a.orders).collect();
         let what = format!("{stage:?} {token} {cancelled}");
         assert_eq!(kills.len(), usize::from(told), "{what}: {out:?}");
         let shown = |k: &&Order| matches!(k, Order::Kill { r#try: Attempt(7), .. });
         assert_eq!(kills.iter().all(shown), stage.is_some() || !told, "{what}");
-        let again = core.to_announce(Steady(cancelled), 8);
+        let again = controller.to_announce(Steady(cancelled), 8);
         assert!(again.iter().all(|a| a.orders.is_empty()), "{what}: told once");
     }
 }
@@ -372,15 +376,15 @@
 #[test]
 fn a_machine_that_only_commands_reach_is_told_of_earlier_cancellations() {
     // The leader changed after the cancellation, and no report of the machine reaches the new owner.
-    let mut core = node(0);
-    core.rights.confirm_renewal(Steady(1_000));
-    core.rights.confirm_sync(Steady(1_000));
-    cancel(&mut core, 1_000);
-    assert!(core.part.is_newest(&report(1, 5, 2, None)));
-    let asked = core.to_announce(Steady(1_000), 8);
+    let mut controller = node(0);
+    controller.rights.confirm_renewal(Steady(1_000));
+    controller.rights.confirm_sync(Steady(1_000));
+    cancel(&mut controller, 1_000);
+    assert!(controller.shard.is_newest(&report(1, 5, 2, None)));
+    let asked = controller.to_announce(Steady(1_000), 8);
     assert_eq!((asked.len(), asked[0].orders.len()), (1, 0));
-    core.on_announced(Steady(1_100), &asked[0], &report(1, 6, 3, Some(PieceStage::Running)));
-    let then = core.to_announce(Steady(1_200), 8);
+    controller.on_announced(Steady(1_100), &asked[0], &report(1, 6, 3, Some(PieceStage::Running)));
+    let then = controller.to_announce(Steady(1_200), 8);
     assert_eq!((then.len(), then[0].orders.len()), (1, 1));
 }
 
@@ -390,16 +394,16 @@
     for (synced, now, answered, starts) in
         [(1_000, 1_500, true, 1), (1_000, 4_400, true, 1), (1_000, 4_600, true, 0)]
     {
-        let mut core = node(0);
-        core.rights.confirm_renewal(Steady(now));
-        core.rights.confirm_sync(Steady(synced));
-        let got = match core.on_report(Steady(now), &report(1, 5, 3, None)) {
+        let mut controller = node(0);
+        controller.rights.confirm_renewal(Steady(now));
+        controller.rights.confirm_sync(Steady(synced));
+        let got = match controller.on_report(Steady(now), &report(1, 5, 3, None)) {
             ReportAnswer::Take(reply) => (true, reply.orders.len()),
             _ => (false, 0),
         };
         assert_eq!(got, (answered, starts), "{synced} {now}");
         // It starts once the store serves this node again.
-        assert_eq!(hear(&mut core, now + 600, &report(1, 6, 3, None)).1, 1 - starts);
+        assert_eq!(hear(&mut controller, now + 600, &report(1, 6, 3, None)).1, 1 - starts);
     }
 }
 
@@ -415,11 +419,13 @@
         ("its image is not there", None, "other", 0),
     ];
     for (what, urgent, image, starts) in cases {
-        let mut core = node(0);
+        let mut controller = node(0);
         let mut put = |spec: wire::JobSpec| {
             let path = replica::job_key(spec.r#ref);
             let v = wire::to_value(&Accepted { spec, at: Wall(1) });
-            core.ledger.load(&Item { path, v, stamp: Revision(10) }, &mut Brought::default());
+            controller
+                .replica
+                .load(&Item { path, v, stamp: Revision(10) }, &mut ReplicaChanges::default());
         };
         put(wire::JobSpec { vcpus: 8.0, bundle: image.into(), ..spec(2, 1) });
         if let Some(edit) = urgent {
@@ -440,7 +446,7 @@
             body: Some(body),
             decisions: None,
         };
-        assert!(core.part.follow(plan));
+        assert!(controller.shard.follow(plan));
         let of = |stage, cause| Piece {
             piece: TaskId { job: JobId(2), index: 0 },
             r#try: Attempt(7),
@@ -451,10 +457,10 @@
         let ended = vec![of(PieceStage::Ended, Some(Cause::Done))];
         let full = Report { pieces: runs, ..report(1, 1, TERM.0, None) };
         let empty = Report { pieces: ended, ..report(1, 2, TERM.0, None) };
-        assert_eq!(hear(&mut core, 1_000, &full), (true, 0), "{what}: there is no room");
-        assert_eq!(hear(&mut core, 1_030, &empty), (true, starts), "{what}");
+        assert_eq!(hear(&mut controller, 1_000, &full), (true, 0), "{what}: there is no room");
+        assert_eq!(hear(&mut controller, 1_030, &empty), (true, starts), "{what}");
         let again = Report { sequence: 3, ..empty };
-        assert_eq!(hear(&mut core, 1_040, &again), (true, 0), "{what}: once only");
+        assert_eq!(hear(&mut controller, 1_040, &again), (true, 0), "{what}: once only");
     }
 }
 
@@ -473,24 +479,24 @@
 const NEXT_TERM: Term = Term(4);
 
 /// Begins the next term in that way.
-fn begin_next_term(core: &mut Core, way: Way) {
-    let leader = |node, life| LeadRecord { node, life, term: NEXT_TERM };
+fn begin_next_term(controller: &mut Controller, way: Way) {
+    let leader = |node, life| LeaderRecord { node, life, term: NEXT_TERM };
     let other = leader(NodeId(2), Incarnation(11));
-    let lead = match way {
-        Way::Peer => return core.hear_lead(other),
+    let leader = match way {
+        Way::Peer => return controller.learn_leader_from_peer(other),
         Way::Watch => other,
-        Way::OwnElection => leader(core.me, LIFE),
+        Way::OwnElection => leader(controller.me, LIFE),
     };
-    let mut brought = Brought::default();
+    let mut replica_changes = ReplicaChanges::default();
     let records = [
-        (replica::LEAD_KEY, wire::to_value(&lead)),
+        (replica::LEADER_KEY, wire::to_value(&leader)),
         (replica::TERM_KEY, wire::to_value(&replica::TermRecord { term: NEXT_TERM })),
     ];
     for (path, v) in records {
         let item = Item { path: path.into(), v, stamp: Revision(20) };
-        core.ledger.load(&item, &mut brought);
+        controller.replica.load(&item, &mut replica_changes);
     }
-    core.follow(Moment { steady: Steady(1_000), wall: Wall(1_000) }, &brought);
+    controller.follow(Moment { steady: Steady(1_000), wall: Wall(1_000) }, &replica_changes);
 }
 
 #[test]
@@ -502,9 +508,9 @@
     let ahead = PlanBody { ahead: vec![granted()], ..PlanBody::default() };
     for way in WAYS {
         for (kind, body) in [("with room", &with_room), ("ahead", &ahead)] {
-            let mut core = node(0);
+            let mut controller = node(0);
             let owners = OwnerNews { base: PlanSeq(1), ..OwnerNews::default() };
-            assert!(core.part.follow(Plan {
+            assert!(controller.shard.follow(Plan {
                 term: TERM,
                 life: LIFE,
                 seq: PlanSeq(2),
@@ -514,18 +520,18 @@
                 body: Some(body.clone()),
                 decisions: None,
             }));
-            begin_next_term(&mut core, way);
-            assert_eq!(core.part.term(), NEXT_TERM, "{way:?}");
+            begin_next_term(&mut controller, way);
+            assert_eq!(controller.shard.term(), NEXT_TERM, "{way:?}");
             // Its new owner has told the machine of the term; its report waited here meanwhile.
             let shown = report(1, 1, NEXT_TERM.0, None);
-            assert_eq!(hear(&mut core, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
+            assert_eq!(hear(&mut controller, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
         }
     }
 }
 
 /// A part in which every field holds something.
-fn filled_part() -> Core {
-    let mut core = node(0);
+fn filled_part() -> Controller {
+    let mut controller = node(0);
     let machine = || MachineId::new("n-1");
     let shown = report(1, 1, TERM.0, Some(PieceStage::Running));
     let attempt = Attempt(7);
@@ -539,8 +545,8 @@
         stops: vec![Stop { job: 9, before: attempt, leeway_ms: 0 }],
         ..PlanBody::default()
     };
-    let part = &mut core.part;
-    let followed = &mut part.followed;
+    let shard = &mut controller.shard;
+    let followed = &mut shard.followed;
     followed.plan = FollowedPlan::new(TERM, PlanSeq(2), body);
     followed.clock_ms = 5;
     followed.attempts.give();
@@ -577,33 +583,33 @@
         hears: true,
     };
     followed.strays.insert(MachineId::new("n-2"), stray);
-    part.told_progress.standings.push(Standing { job: 1, running: 1, waits: Waits::No });
-    part.told_progress.completed.push((1, 1));
-    part.machines.insert(machine(), Machine::new(&shown, Steady(5)));
-    part.is_newest(&shown);
-    part.doubted.insert(machine(), Steady(5));
-    part.doubts.push((machine(), Session(1)));
-    part.stopping.insert(machine());
-    part.restarted.insert(machine());
-    part.answered.insert(machine(), Steady(5));
-    part.released_workers.insert(machine(), Steady(5));
-    part.faults.insert(JobId(1), JobFaults::default());
+    shard.told_progress.standings.push(Standing { job: 1, running: 1, waits: Waits::No });
+    shard.told_progress.completed.push((1, 1));
+    shard.machines.insert(machine(), Machine::new(&shown, Steady(5)));
+    shard.is_newest(&shown);
+    shard.doubted.insert(machine(), Steady(5));
+    shard.doubts.push((machine(), Session(1)));
+    shard.stopping.insert(machine());
+    shard.restarted.insert(machine());
+    shard.answered.insert(machine(), Steady(5));
+    shard.released_workers.insert(machine(), Steady(5));
+    shard.faults.insert(JobId(1), JobFaults::default());
     let finished = Finished { tasks: Ranges::span(0, 1), since: Steady(5) };
-    part.finished.insert(JobId(1), finished);
-    part.number = 3;
-    part.sent.push_back((3, Steady(5)));
-    part.heard = Steady(5);
-    part.refused_starts = 1;
-    part.news = true;
-    core
+    shard.finished.insert(JobId(1), finished);
+    shard.number = 3;
+    shard.sent.push_back((3, Steady(5)));
+    shard.heard = Steady(5);
+    shard.refused_starts = 1;
+    shard.news = true;
+    controller
 }
 
 #[test]
 fn a_term_voids_all_that_was_followed_and_keeps_what_was_observed() {
     // Both structs are taken apart whole: a new field has to be given its place here.
     for way in WAYS {
-        let mut core = filled_part();
-        let fresh = FollowedTerm::begin(TERM, core.me);
+        let mut controller = filled_part();
+        let fresh = FollowedTerm::begin(TERM, controller.me);
         let FollowedTerm {
             term,
             attempts,
@@ -623,7 +629,7 @@
             unacknowledged,
             redirected,
             strays,
-        } = &core.part.followed;
+        } = &controller.shard.followed;
         assert_eq!(*term, TERM);
         assert_ne!(format!("{attempts:?}"), format!("{:?}", fresh.attempts));
         assert_ne!(format!("{plan:?}"), format!("{:?}", fresh.plan));
@@ -639,9 +645,9 @@
         assert!(*clock_ms > 0 && *assigned > Steady(0));
         assert!(!unacknowledged.is_empty() && !redirected.is_empty() && !strays.is_empty());
 
-        begin_next_term(&mut core, way);
-        let me = core.me;
-        let Part {
+        begin_next_term(&mut controller, way);
+        let me = controller.me;
+        let Shard {
             me: _,
             life,
             followed,
@@ -661,7 +667,7 @@
             heard,
             refused_starts,
             news,
-        } = core.part;
+        } = controller.shard;
         let void = FollowedTerm::begin(NEXT_TERM, me);
         assert_eq!(format!("{followed:?}"), format!("{void:?}"), "{way:?}: all of it is void");
         assert_eq!(life, LIFE);
@@ -693,7 +699,7 @@
         ("backlog", |now, old| (now.backlog, now.most_urgent) = (old.backlog, old.most_urgent)),
     ];
     for (what, outlives) in cases {
-        let mut core = node(0);
+        let mut controller = node(0);
         let start = GrantedStart {
             task: TASK,
             attempt: None,
@@ -702,22 +708,24 @@
             kind: GrantKind::WithRoom,
         };
         let kind = ("small".into(), "a".into(), false);
-        core.part.followed.most_urgent.insert(kind, Some(Urgency::Normal));
-        core.part.followed.queues.insert(MachineId::new("n-1"), vec![start]);
-        core.part.followed.backlog.push(start);
+        controller.shard.followed.most_urgent.insert(kind, Some(Urgency::Normal));
+        controller.shard.followed.queues.insert(MachineId::new("n-1"), vec![start]);
+        controller.shard.followed.backlog.push(start);
         let before = report(1, 1, TERM.0, None);
         let mut machine = Machine::new(&before, Steady(0));
-        if let Some(job) = core.ledger.jobs.get(&TASK.job) {
+        if let Some(job) = controller.replica.jobs.get(&TASK.job) {
             machine.remember_image(&job.spec);
         }
-        core.part.machines.insert(before.host.clone(), machine);
-        let old =
-            std::mem::replace(&mut core.part.followed, FollowedTerm::begin(NEXT_TERM, NodeId(0)));
-        outlives(&mut core.part.followed, old);
-        core.part.followed.assigned = Steady(1_000);
+        controller.shard.machines.insert(before.host.clone(), machine);
+        let old = std::mem::replace(
+            &mut controller.shard.followed,
+            FollowedTerm::begin(NEXT_TERM, NodeId(0)),
+        );
+        outlives(&mut controller.shard.followed, old);
+        controller.shard.followed.assigned = Steady(1_000);
         let shown = report(1, 2, NEXT_TERM.0, None);
-        assert_eq!(hear(&mut core, 1_000, &shown), (true, 0), "{what}");
-        assert_eq!(core.part.refused_starts(), 1, "{what}");
+        assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
+        assert_eq!(controller.shard.refused_starts(), 1, "{what}");
     }
 }
 
@@ -726,10 +734,14 @@
     // (owner in the earlier term, whether the machine is sent away then, and after the next term began)
     for (owner, before, after) in [(0, false, false), (1, true, false)] {
         for way in WAYS {
-            let mut core = node(owner);
-            assert_eq!(!hear(&mut core, 500, &report(1, 1, TERM.0, None)).0, before, "{owner}");
-            begin_next_term(&mut core, way);
-            let answer = hear(&mut core, 1_000, &report(1, 2, TERM.0, None));
+            let mut controller = node(owner);
+            assert_eq!(
+                !hear(&mut controller, 500, &report(1, 1, TERM.0, None)).0,
+                before,
+                "{owner}"
+            );
+            begin_next_term(&mut controller, way);
+            let answer = hear(&mut controller, 1_000, &report(1, 2, TERM.0, None));
             assert_eq!(answer, (!after, 0), "{owner} {way:?}: kept alive, and nothing starts");
         }
     }
@@ -738,13 +750,13 @@
 #[test]
 fn late_copies_are_known_before_the_first_plan_of_a_term_whatever_the_size_of_the_fleet() {
     // Without owners, room made for a new machine would have meant forgetting all reports.
-    let mut core = node(0);
+    let mut controller = node(0);
     let of = |n: usize, sequence| Report {
         host: MachineId::new(&format!("n-{n}")),
         ..report(1, sequence, TERM.0, None)
     };
-    (0..LATEST_KEPT).for_each(|n| assert!(core.part.is_newest(&of(n, 2))));
-    begin_next_term(&mut core, Way::Watch);
-    assert!(core.part.is_newest(&of(LATEST_KEPT, 2)));
-    assert!(!core.part.is_newest(&of(1, 1)), "a late copy");
+    (0..LATEST_KEPT).for_each(|n| assert!(controller.shard.is_newest(&of(n, 2))));
+    begin_next_term(&mut controller, Way::Watch);
+    assert!(controller.shard.is_newest(&of(LATEST_KEPT, 2)));
+    assert!(!controller.shard.is_newest(&of(1, 1)), "a late copy");
 }
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -411,19 +411,19 @@
     ];
     for (name, troubles) in cases {
         for rhythm in [BRISK, SLOW] {
-            for lead in [false, true] {
+            for leader in [false, true] {
                 let ms = rhythm.cancel_ms + rhythm.lease_ms;
                 let mut faults: Vec<(u64, Fault)> =
                     troubles(ms).into_iter().map(|f| (20_000, f)).collect();
                 faults.push((20_500, CancelNow(4, 0)));
-                if lead {
+                if leader {
                     faults.push((20_600, CrashLeader));
                 }
                 let mut world = World::long(5, rhythm);
                 world.run(&faults, 20_000 + ms + 10_000);
                 let broken = &world.checker.broken;
-                assert!(broken.is_empty(), "{name} {rhythm:?} {lead}: {broken:?}");
-                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {lead}");
+                assert!(broken.is_empty(), "{name} {rhythm:?} {leader}: {broken:?}");
+                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {leader}");
             }
         }
     }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use willowshore::autoscaler::Offer;
 use willowshore::config::Settings;
-use willowshore::controller::Core;
+use willowshore::controller::Controller;
 use willowshore::lease::LEASE_MS;
 use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
 use willowshore::peer::{self, Ask, Summary, Tell};
@@ -50,7 +50,7 @@
 const BRIEF: u64 = 3;
 
 struct Node {
-    core: Core,
+    controller: Controller,
     started: u64,
     next: [u64; 4], // lease, sync, summary, epoch
     relaying: u64,
@@ -63,7 +63,7 @@
     fn moment(&self, now: u64) -> Moment {
         // A clock that runs a little fast, differently on each node.
         let gone = now - self.started;
-        let drift = gone * u64::from(self.core.me.0) / 4_000;
+        let drift = gone * u64::from(self.controller.me.0) / 4_000;
         Moment { steady: Steady(gone + drift), wall: Wall(1_000_000 + now) }
     }
 }
@@ -306,7 +306,7 @@
     /// The store's keys and the jobs that node `n` has in memory: open, ended, cancelled.
     pub fn kept(&self, n: usize) -> (usize, [usize; 3]) {
         let jobs = self.nodes[n].as_ref().map_or([0; 3], |node| {
-            let l = &node.core.ledger;
+            let l = &node.controller.replica;
             [l.jobs.len(), l.ended.len(), l.withdrawn.len()]
         });
         (self.store.len(), jobs)
@@ -345,14 +345,15 @@
     }
 
     fn leader(&self) -> usize {
-        let leads = |n: &Result<Node, u64>| n.as_ref().is_ok_and(|n| n.core.lead.is_some());
+        let leads = |n: &Result<Node, u64>| n.as_ref().is_ok_and(|n| n.controller.leader.is_some());
         self.nodes.iter().position(leads).unwrap_or(0)
     }
 
     /// The leader's place and term.
     fn leads(&self) -> Option<(usize, u64)> {
-        let lead = |n: &Result<Node, u64>| Some(n.as_ref().ok()?.core.lead.as_ref()?.term.0);
-        let all = self.nodes.iter().enumerate().filter_map(|(i, n)| Some((i, lead(n)?)));
+        let leader =
+            |n: &Result<Node, u64>| Some(n.as_ref().ok()?.controller.leader.as_ref()?.term.0);
+        let all = self.nodes.iter().enumerate().filter_map(|(i, n)| Some((i, leader(n)?)));
         all.max_by_key(|l| l.1)
     }
 
@@ -364,8 +365,8 @@
     /// The controller that owns a machine, as the leader says.
     pub fn owner_of(&self, w: usize) -> Option<usize> {
         let (leader, _) = self.leads()?;
-        let lead = self.nodes[leader].as_ref().ok()?.core.lead.as_ref()?;
-        let (owner, _) = lead.fleet.owners.get(&self.workers[w].name())?;
+        let leader = self.nodes[leader].as_ref().ok()?.controller.leader.as_ref()?;
+        let (owner, _) = leader.fleet.owners.get(&self.workers[w].name())?;
         Some(usize::from(owner.0))
     }
 
@@ -571,14 +572,14 @@
                 let Ok(node) = &mut self.nodes[n] else { return };
                 let steady = node.moment(now).steady;
                 let began = Instant::now();
-                let answer = node.core.on_report(steady, &report);
+                let answer = node.controller.on_report(steady, &report);
                 self.reports.count += 1;
                 self.reports.total += began.elapsed();
                 let answer = match answer {
                     ReportAnswer::Take(reply) => Answer::Take(reply),
-                    ReportAnswer::Go(name) => {
-                        Answer::Go(node.core.nodes.iter().position(|i| i.name == name).unwrap())
-                    }
+                    ReportAnswer::Go(name) => Answer::Go(
+                        node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
+                    ),
                     ReportAnswer::Refuse => Answer::Refuse,
                 };
                 if now < self.lossy_until && self.rng.random_bool(0.3) {
@@ -590,7 +591,7 @@
             Message::Copy(n, report) => {
                 if let Ok(node) = &mut self.nodes[n] {
                     let steady = node.moment(now).steady;
-                    node.core.on_report(steady, &report);
+                    node.controller.on_report(steady, &report);
                 }
             }
             Message::Announce(n, w, announced, sent)
@@ -628,7 +629,7 @@
                     && sent >= node.started
                 {
                     let steady = node.moment(now).steady;
-                    node.core.on_announced(steady, &asked, &report);
+                    node.controller.on_announced(steady, &asked, &report);
                 }
             }
             Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
@@ -643,8 +644,8 @@
             Message::Summary(from, to, summary, sent) => {
                 let Ok(node) = &mut self.nodes[to] else { return };
                 let steady = node.moment(now).steady;
-                node.core.peer_heard = steady;
-                let (mut tell, _) = node.core.take_summary(steady, *summary);
+                node.controller.peer_heard = steady;
+                let (mut tell, _) = node.controller.take_summary(steady, *summary);
                 if let Tell::Plan(plan) = &mut tell
                     && now < self.log_lags_until
                 {
@@ -666,27 +667,27 @@
                     return;
                 };
                 let moment = node.moment(now);
-                let brought = node.core.hear_ended(job, &progress, stamp);
-                node.core.follow(moment, &brought);
+                let replica_changes = node.controller.hear_ended(job, &progress, stamp);
+                node.controller.follow(moment, &replica_changes);
             }
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
                 let steady = node.moment(now).steady;
-                if let Some(Command::Fence(_)) = node.core.leader_probed(steady, outcome) {
+                if let Some(Command::Fence(_)) = node.controller.leader_probed(steady, outcome) {
                     self.replace_leader(n);
                 }
             }
             Message::Tell(to, tell, sent) => {
                 if let Ok(node) = &mut self.nodes[to] {
                     match sent {
-                        Some(sent) => node.core.heard_leader(sent, &tell),
+                        Some(sent) => node.controller.heard_leader(sent, &tell),
                         None => {
                             let steady = node.moment(now).steady;
-                            node.core.heard_leader_through_store(steady, &tell);
+                            node.controller.heard_leader_through_store(steady, &tell);
                         }
                     }
-                    node.core.peer_heard = node.moment(now).steady;
-                    node.core.take_answer(tell);
+                    node.controller.peer_heard = node.moment(now).steady;
+                    node.controller.take_answer(tell);
                 }
             }
         }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -1,4 +1,4 @@
-//! The loops of a controller, around the same `Core` that the service drives.
+//! The loops of a controller, around the same `Controller` that the service drives.
 
 use rand::seq::SliceRandom;
 
@@ -40,14 +40,14 @@
                 text += &next;
             }
             let settings = Rc::new(Settings::parse(&text).unwrap());
-            let mut core = Core::new(settings, Incarnation(self.lives));
-            assert_eq!(core.me, NodeId(n as u8));
-            core.set_flavors(&flavors());
+            let mut controller = Controller::new(settings, Incarnation(self.lives));
+            assert_eq!(controller.me, NodeId(n as u8));
+            controller.set_flavors(&flavors());
             if let Some(standby) = self.standby.clone().filter(|_| !self.old[n]) {
-                core.enable_standby(standby);
+                controller.enable_standby(standby);
             }
             self.nodes[n] = Ok(Node {
-                core,
+                controller,
                 started: now,
                 next: [now; 4],
                 relaying: 0,
@@ -108,7 +108,7 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let steady = node.moment(now).steady;
-        for a in node.core.to_announce(steady, 8) {
+        for a in node.controller.to_announce(steady, 8) {
             if let Ok(w) = a.endpoint.parse() {
                 let message = Message::Announce(n, w, a, now);
                 self.send(Place::Node(n), Place::Worker(w), message);
@@ -164,26 +164,26 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let sent = node.moment(now).steady;
-        if !node.core.loaded {
+        if !node.controller.loaded {
             return;
         }
-        if let Some(lease) = node.core.rights.lease {
+        if let Some(lease) = node.controller.rights.lease {
             if self.store.renew(now, lease) {
-                node.core.rights.confirm_renewal(sent);
+                node.controller.rights.confirm_renewal(sent);
             } else {
-                node.core.rights.lose_lease();
+                node.controller.rights.lose_lease();
             }
             return;
         }
         let lease = self.store.grant(now, LEASE_MS);
-        let mut txn = node.core.member_txn(lease);
+        let mut txn = node.controller.member_txn(lease);
         if self.old[n] {
             txn.apply.iter_mut().for_each(forget_what_is_new);
         }
         let done = self.commit(n, &txn);
         if let (Some(Committed::Yes(_)), Ok(node)) = (done, &mut self.nodes[n]) {
-            node.core.rights.lease = Some(lease);
-            node.core.rights.confirm_renewal(sent);
+            node.controller.rights.lease = Some(lease);
+            node.controller.rights.confirm_renewal(sent);
         }
     }
 
@@ -200,28 +200,28 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let moment = node.moment(now);
-        let core = &mut node.core;
-        if !core.loaded {
+        let controller = &mut node.controller;
+        if !controller.loaded {
             let (items, revision) = self.store.all();
-            core.load(&items, revision);
-            let all = willowshore::replica::Brought { lead: true, ..Default::default() };
-            core.follow(moment, &all);
+            controller.load(&items, revision);
+            let all = willowshore::replica::ReplicaChanges { leader: true, ..Default::default() };
+            controller.follow(moment, &all);
         }
-        let changes = self.store.changes(core.ledger.revision);
-        if let Some(brought) = core.apply(&changes, moment.steady) {
-            core.follow(moment, &brought);
+        let changes = self.store.changes(controller.replica.revision);
+        if let Some(replica_changes) = controller.apply(&changes, moment.steady) {
+            controller.follow(moment, &replica_changes);
         }
-        if core.may_stand(moment.steady).is_some()
-            && let Some(txn) = core.lead_txn()
+        if controller.may_run_for_leader(moment.steady).is_some()
+            && let Some(txn) = controller.election_txn()
         {
             if let Some(trace) = &mut self.trace {
                 trace.note_stands(now);
             }
-            core.lease_of_leader_ended(moment.steady);
+            controller.lease_of_leader_ended(moment.steady);
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        if let Some(txn) = node.core.finished_txn(moment.steady) {
+        if let Some(txn) = node.controller.finished_txn(moment.steady) {
             self.commit(n, &txn);
         }
     }
@@ -231,9 +231,9 @@
             let reached =
                 self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < self.now + 100);
             let Some(peer) = self.awake(m) else { continue };
-            let lead = peer.core.lead_for_peer(peer.moment(self.now).steady);
-            if let (true, Some(lead), Ok(node)) = (reached, lead, &mut self.nodes[n]) {
-                node.core.hear_lead(lead);
+            let leader = peer.controller.leader_for_peer(peer.moment(self.now).steady);
+            if let (true, Some(leader), Ok(node)) = (reached, leader, &mut self.nodes[n]) {
+                node.controller.learn_leader_from_peer(leader);
             }
         }
     }
@@ -245,13 +245,13 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let steady = node.moment(now).steady;
-        let Some(leader) = node.core.leader().map(|l| usize::from(l.0)) else {
+        let Some(leader) = node.controller.leader().map(|l| usize::from(l.0)) else {
             return;
         };
         if leader == n {
-            let summary = node.core.summary(steady, usize::MAX);
-            let (tell, _) = node.core.take_summary(steady, summary);
-            node.core.take_answer(tell);
+            let summary = node.controller.summary(steady, usize::MAX);
+            let (tell, _) = node.controller.take_summary(steady, summary);
+            node.controller.take_answer(tell);
             return;
         }
         // Peers that cannot reach each other go through the store, which takes longer.
@@ -259,7 +259,7 @@
         let direct = arrives.is_some_and(|at| at < now + 500);
         let room = if direct { DIRECT_BYTES } else { RELAY_BYTES };
         let Ok(node) = &mut self.nodes[n] else { return };
-        let summary = node.core.summary(steady, room);
+        let summary = node.controller.summary(steady, room);
         let size = &mut self.largest[usize::from(!direct)];
         *size = (*size).max(peer::encode(&summary).len());
         if direct {
@@ -281,9 +281,9 @@
             }
             node.relaying = now + 600;
         }
-        let Ok(lead) = &mut self.nodes[leader] else { return };
-        let steady = lead.moment(now).steady;
-        let (tell, _) = lead.core.take_summary(steady, summary);
+        let Ok(leader) = &mut self.nodes[leader] else { return };
+        let steady = leader.moment(now).steady;
+        let (tell, _) = leader.controller.take_summary(steady, summary);
         self.sent += 1;
         self.messages.insert((now + 600, self.sent), Message::Tell(n, tell, None));
     }
@@ -296,11 +296,11 @@
         let Ok(node) = &mut self.nodes[n] else { return };
         let moment = node.moment(now);
         let began = Instant::now();
-        let Some((epoch, term)) = node.core.epoch(moment) else { return };
+        let Some((epoch, term)) = node.controller.epoch(moment) else { return };
         self.epochs.count += 1;
         self.epochs.total += began.elapsed();
-        if node.core.lead.as_ref().is_some_and(|l| l.renew_term.is_some()) {
-            if let Some(txn) = node.core.lead_txn() {
+        if node.controller.leader.as_ref().is_some_and(|l| l.renew_term.is_some()) {
+            if let Some(txn) = node.controller.election_txn() {
                 self.commit(n, &txn);
             }
             self.pull(n);
@@ -322,11 +322,11 @@
         }
         let Ok(node) = &mut self.nodes[n] else { return };
         if let Some((txn, stamp)) = durable {
-            let brought = node.core.apply_own(&txn, stamp);
-            node.core.follow(moment, &brought);
+            let replica_changes = node.controller.apply_own(&txn, stamp);
+            node.controller.follow(moment, &replica_changes);
         }
         let began = Instant::now();
-        node.core.publish(moment, epoch, term);
+        node.controller.publish(moment, epoch, term);
         self.epochs.total += began.elapsed();
         self.return_machines(n);
     }
@@ -336,11 +336,13 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let moment = node.moment(now);
-        if !node.core.rights.may_lead(moment.steady) {
+        if !node.controller.rights.may_lead(moment.steady) {
             return;
         }
-        let gone =
-            node.core.with_lead(moment, |lead, ctx| lead.fleet.to_return(ctx)).unwrap_or_default();
+        let gone = node
+            .controller
+            .with_leader(moment, |leader, cluster| leader.fleet.to_return(cluster))
+            .unwrap_or_default();
         if !gone.is_empty() && !self.still_leads(n) {
             return;
         }
@@ -359,12 +361,12 @@
             self.workers.push(worker);
         }
         if let Ok(node) = &mut self.nodes[n]
-            && let Some(lead) = &mut node.core.lead
+            && let Some(leader) = &mut node.controller.leader
         {
-            lead.machines_gone(&gone);
+            leader.machines_gone(&gone);
             for (id, zone) in rented {
                 let offer = Offer { hull: "small".into(), zone: zone.into(), spot: false };
-                lead.fleet.rented(moment.steady, &[id], &offer);
+                leader.fleet.rented(moment.steady, &[id], &offer);
             }
         }
     }
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -278,8 +278,8 @@
             {
                 let steady = node.moment(self.now).steady;
                 let offer = Offer { hull: "small".into(), zone: zone.into(), spot: false };
-                if let Some(lead) = &mut node.core.lead {
-                    lead.fleet.rented(steady, &[name], &offer);
+                if let Some(leader) = &mut node.controller.leader {
+                    leader.fleet.rented(steady, &[name], &offer);
                 }
             }
         }
@@ -336,8 +336,9 @@
             Fault::ListedFailed(w) => {
                 let (leader, id) = (self.leader(), self.workers[w].name());
                 let node = self.nodes[leader].as_mut().ok();
-                let lead = node.and_then(|node| node.core.lead.as_mut());
-                if let Some(machine) = lead.and_then(|lead| lead.fleet.machines.get_mut(&id)) {
+                let leader = node.and_then(|node| node.controller.leader.as_mut());
+                if let Some(machine) = leader.and_then(|leader| leader.fleet.machines.get_mut(&id))
+                {
                     machine.failed = true;
                 }
             }
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/succession.rs
@@ -12,7 +12,7 @@
         }
         if let Ok(node) = &mut self.nodes[n] {
             let steady = node.moment(now).steady;
-            node.core.fence_answered(steady, outcome.as_ref());
+            node.controller.fence_answered(steady, outcome.as_ref());
         }
     }
 
@@ -24,7 +24,7 @@
         }
         let Ok(node) = &mut self.nodes[n] else { return };
         let steady = node.moment(now).steady;
-        match node.core.standby_tick(steady) {
+        match node.controller.standby_tick(steady) {
             Some(Command::ProbeLeader(_)) => self.probe_leader(n),
             Some(Command::AskPeers(term)) => self.ask_when_leader_was_heard(n, term),
             Some(Command::Fence(_)) => self.replace_leader(n),
@@ -35,13 +35,13 @@
     /// Asks the leader itself. A process that is gone refuses at once; one that is stopped or cut off says nothing.
     pub(super) fn probe_leader(&mut self, n: usize) {
         let now = self.now;
-        let leader = self.nodes[n].as_ref().ok().and_then(|node| node.core.leader());
+        let leader = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leader());
         let Some(leader) = leader.map(|l| usize::from(l.0)) else { return };
         let ways =
             [(n, leader), (leader, n)].map(|(a, b)| self.arrival(Place::Node(a), Place::Node(b)));
         let reached = ways.iter().all(|at| at.is_some_and(|at| at < now + PROBE_MS));
         let outcome = match (&self.nodes[leader], reached) {
-            (Ok(node), true) if node.frozen.is_none() => match node.core.lead {
+            (Ok(node), true) if node.frozen.is_none() => match node.controller.leader {
                 Some(_) => ProbeOutcome::Answered,
                 None => ProbeOutcome::Refused,
             },
@@ -60,11 +60,11 @@
             let reached =
                 self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < now + 100);
             let Some(peer) = self.awake(m).filter(|_| reached && !self.old[m]) else { continue };
-            let silence_ms = peer.core.leader_silence_ms(peer.moment(now).steady, term);
+            let silence_ms = peer.controller.leader_silence_ms(peer.moment(now).steady, term);
             let answer = PeerAnswer { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
             let steady = node.moment(now).steady;
-            if let Some(Command::Fence(_)) = node.core.peer_answered(steady, answer) {
+            if let Some(Command::Fence(_)) = node.controller.peer_answered(steady, answer) {
                 return self.replace_leader(n);
             }
         }
@@ -75,7 +75,7 @@
         if let Some(trace) = &mut self.trace {
             trace.note_stands(now);
         }
-        let txn = self.nodes[n].as_ref().ok().and_then(|node| node.core.lead_txn());
+        let txn = self.nodes[n].as_ref().ok().and_then(|node| node.controller.election_txn());
         if let Some(txn) = txn {
             self.take_term(n, &txn);
             self.pull(n);
@@ -87,7 +87,7 @@
         if self.standby.is_none() {
             return true;
         }
-        let check = self.nodes[n].as_ref().ok().and_then(|node| node.core.leadership_check());
+        let check = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leadership_check());
         let outcome = check.and_then(|txn| self.commit(n, &txn));
         if let Some(Committed::No(_)) = outcome {
             self.refused_actions += 1;
@@ -98,14 +98,14 @@
     /// Follows a change of leader.
     pub(super) fn observe_takeover(&mut self) {
         let leader = self.nodes.iter().flatten().filter(|node| node.frozen.is_none());
-        let leader = leader.filter(|node| node.core.lead.is_some());
-        let leader = leader.max_by_key(|node| node.core.lead.as_ref().map(|l| l.term));
-        let led = leader.map(|node| (usize::from(node.core.me.0), node.core.life.0));
+        let leader = leader.filter(|node| node.controller.leader.is_some());
+        let leader = leader.max_by_key(|node| node.controller.leader.as_ref().map(|l| l.term));
+        let led = leader.map(|node| (usize::from(node.controller.me.0), node.controller.life.0));
         if led.is_some() && led != self.last_led {
             self.changes_of_leader += 1;
             self.last_led = led;
         }
-        let leader = leader.and_then(|node| node.core.lead.as_ref());
+        let leader = leader.and_then(|node| node.controller.leader.as_ref());
         let seen = Observed {
             stored_term: self.store.term(),
             leader: leader.map(|l| {
@@ -121,7 +121,7 @@
     /// What the leader's last takeover found of the mirrored records, and how many copies had not matched.
     pub fn verification_of_leader(&self) -> (VerificationCounts, u64) {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
-        let standby = node.and_then(|node| node.core.standby.as_ref());
+        let standby = node.and_then(|node| node.controller.standby.as_ref());
         standby.map_or_else(Default::default, |standby| {
             (standby.verification(), standby.mirror().counts().divergences)
         })
@@ -131,7 +131,7 @@
     /// to.
     pub fn log_of_leader(&self) -> (u64, usize, usize) {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
-        let log = node.and_then(|node| node.core.standby.as_ref()?.log());
+        let log = node.and_then(|node| node.controller.standby.as_ref()?.log());
         log.map_or((0, 0, 0), |log| (log.bytes_sent(), log.kept(), log.state().len()))
     }
 }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -65,9 +65,9 @@
             self.pull(n);
         }
         let answer = match self.awake(n) {
-            Some(node) if node.core.ledger.ended.contains_key(&JobId(id)) => Some(true),
-            Some(node) if node.core.loaded && confirmed => {
-                Some(node.core.ledger.jobs.contains_key(&JobId(id)))
+            Some(node) if node.controller.replica.ended.contains_key(&JobId(id)) => Some(true),
+            Some(node) if node.controller.loaded && confirmed => {
+                Some(node.controller.replica.jobs.contains_key(&JobId(id)))
             }
             _ => None,
         };
@@ -81,8 +81,8 @@
     pub(super) fn ask(&mut self, n: usize, id: u64) {
         let now = self.now;
         let Some(node) = self.awake(n) else { return };
-        let ledger = &node.core.ledger;
-        if let Some((stage, _)) = ledger.ended.get(&JobId(id)).copied() {
+        let replica = &node.controller.replica;
+        if let Some((stage, _)) = replica.ended.get(&JobId(id)).copied() {
             let of = self.jobs[&id].pieces;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.told.insert(id);
@@ -97,18 +97,18 @@
             }
             return;
         }
-        if !node.core.loaded || !self.reaches_store(n) {
+        if !node.controller.loaded || !self.reaches_store(n) {
             return;
         }
         let Ok(node) = &self.nodes[n] else { return };
-        if !node.core.ledger.jobs.contains_key(&JobId(id)) {
+        if !node.controller.replica.jobs.contains_key(&JobId(id)) {
             // A repeat at another node, or while the first is still out, changes nothing.
             self.checker.see(now, Event::Submitted { job: id });
             let txn = accept_txn(
                 [&self.jobs[&id]].into_iter(),
                 Wall(1_000_000 + now),
-                &node.core.flavors,
-                node.core.settings.params.state.value_bytes(),
+                &node.controller.flavors,
+                node.controller.settings.params.state.value_bytes(),
             );
             self.commit(n, &txn);
         } else if self.wanted_cancels.contains(&id) {
@@ -120,10 +120,10 @@
     /// the store. `None` if it has to look further.
     fn at_once(&mut self, n: usize, job: JobId) -> Option<Option<Told>> {
         let Some(node) = self.awake(n) else { return Some(None) };
-        if let Some(answer) = node.core.final_answer(job) {
+        if let Some(answer) = node.controller.final_answer(job) {
             return Some(Some(told(answer.stage)));
         }
-        if !node.core.loaded || !self.reaches_store(n) {
+        if !node.controller.loaded || !self.reaches_store(n) {
             return Some(None);
         }
         None
@@ -136,8 +136,8 @@
             return answer;
         }
         self.pull(n);
-        let core = &self.awake(n)?.core;
-        let answer = core.final_answer(job).or_else(|| core.open_answer(job));
+        let controller = &self.awake(n)?.controller;
+        let answer = controller.final_answer(job).or_else(|| controller.open_answer(job));
         match answer {
             Some(answer) => Some(told(answer.stage)),
             None if self.store.has(&replica::job_key(job)) => None,
@@ -153,17 +153,18 @@
             return answer;
         }
         let node = self.nodes[n].as_ref().ok()?;
-        if !node.core.ledger.jobs.contains_key(&job) {
-            let bytes = node.core.settings.params.state.value_bytes();
+        if !node.controller.replica.jobs.contains_key(&job) {
+            let bytes = node.controller.settings.params.state.value_bytes();
             let wall = Wall(1_000_000 + self.now);
-            let txn = accept_txn([&self.jobs[&id]].into_iter(), wall, &node.core.flavors, bytes);
+            let txn =
+                accept_txn([&self.jobs[&id]].into_iter(), wall, &node.controller.flavors, bytes);
             match self.commit(n, &txn)? {
                 Committed::Yes(stamp) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
-                    let core = &mut self.nodes[n].as_mut().ok()?.core;
-                    let brought = core.apply_own(&txn, stamp);
-                    core.follow(moment, &brought);
-                    let answer = core.final_answer(job);
+                    let controller = &mut self.nodes[n].as_mut().ok()?.controller;
+                    let replica_changes = controller.apply_own(&txn, stamp);
+                    controller.follow(moment, &replica_changes);
+                    let answer = controller.final_answer(job);
                     return Some(answer.map_or(Told::Open, |a| told(a.stage)));
                 }
                 Committed::No(_) => {}
@@ -179,7 +180,8 @@
             if let Some(answer) = self.at_once(n, job) {
                 return answer;
             }
-            let Some((txn, progress)) = self.nodes[n].as_ref().ok()?.core.cancel_txn(job) else {
+            let Some((txn, progress)) = self.nodes[n].as_ref().ok()?.controller.cancel_txn(job)
+            else {
                 match self.answer(n, id)? {
                     Told::Unknown => return Some(Told::Unknown),
                     _ => continue,
@@ -188,9 +190,9 @@
             match self.commit(n, &txn)? {
                 Committed::Yes(stamp) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
-                    let core = &mut self.nodes[n].as_mut().ok()?.core;
-                    let brought = core.apply_own(&txn, stamp);
-                    core.follow(moment, &brought);
+                    let controller = &mut self.nodes[n].as_mut().ok()?.controller;
+                    let replica_changes = controller.apply_own(&txn, stamp);
+                    controller.follow(moment, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
                         if self.old[to] || !self.tells_ends {
                             continue;
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -15,8 +15,8 @@
     Summary, TaskView, Tell, Waits,
 };
 use willowshore::replica::{
-    Accepted, Brought, EpochRecord, LeadRecord, Ledger, MachineGroup, MachineRecord, MemberRecord,
-    Progress, SPEAKS, TermRecord,
+    Accepted, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord, Progress,
+    Replica, ReplicaChanges, SPEAKS, TermRecord,
 };
 use willowshore::wire::{self, Item, JobSpec, JobStage, PieceStage, Shape, Urgency};
 use willowshore_standby::decision_log::{DecisionLog, FollowRequest};
@@ -158,11 +158,11 @@
     let tell = |name: &str| peer::decode::<Tell>(&f[name]);
     assert!(matches!(ask("ask-summary"), Some(Ask::Summary(s)) if s == summary()));
     assert!(matches!(ask("ask-submit"), Some(Ask::Submit(s)) if s == spec()));
-    assert!(matches!(ask("ask-lead"), Some(Ask::Lead)));
+    assert!(matches!(ask("ask-lead"), Some(Ask::Leader)));
     assert!(matches!(ask("ask-query"), Some(Ask::Query(JobId(412)))));
     assert!(matches!(tell("tell-plan"), Some(Tell::Plan(p)) if *p == plan()));
     assert!(matches!(tell("tell-send-whole"), Some(Tell::SendWhole)));
-    assert!(matches!(tell("tell-lead"), Some(Tell::Lead(Some(l))) if l.term == Term(41)));
+    assert!(matches!(tell("tell-lead"), Some(Tell::Leader(Some(l))) if l.term == Term(41)));
     assert!(matches!(tell("tell-answer"), Some(Tell::Answer(200, b)) if b == [1, 2]));
     let relayed = |name: &str| peer::decode::<Relayed>(&f[name]);
     assert!(matches!(relayed("relayed-summary"), Some(Relayed::Summary(s)) if *s == summary()));
@@ -179,7 +179,7 @@
     assert_eq!(value::<Accepted>(&f["j"]).spec, spec());
     assert_eq!(value::<Progress>(&f["d"]).done, Ranges::span(0, 3));
     assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobStage::Done));
-    assert_eq!(value::<LeadRecord>(&f["lead"]).node, NodeId(2));
+    assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
     assert_eq!((member.life, member.speaks), (Incarnation(77), 0), "it does not know gangs");
     assert!(member.speaks < SPEAKS);
@@ -231,8 +231,8 @@
 
     let submit = peer::encode(&Ask::Submit(spec()));
     assert!(matches!(rmp_serde::from_slice(&submit), Ok(frozen::Ask::Submit(s)) if s == spec()));
-    let lead = LeadRecord { node: NodeId(2), life: Incarnation(78), term: Term(41) };
-    let bytes = peer::encode(&Tell::Lead(Some(lead)));
+    let leader = LeaderRecord { node: NodeId(2), life: Incarnation(78), term: Term(41) };
+    let bytes = peer::encode(&Tell::Leader(Some(leader)));
     assert!(
         matches!(rmp_serde::from_slice(&bytes), Ok(frozen::Tell::Lead(Some(l))) if l.term == 41)
     );
@@ -287,11 +287,11 @@
 fn only_versions_that_read_it_are_told_of_cancellations_directly() {
     // (what a member says that it understands, whether it is told)
     for (speaks, told) in [(0, false), (1, false), (2, true), (3, true)] {
-        let mut ledger = Ledger::new(NodeId(0));
+        let mut replica = Replica::new(NodeId(0));
         let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
         let item = Item { path: "n/1".into(), v: wire::to_value(&member), stamp: Revision(3) };
-        ledger.load(&item, &mut Brought::default());
-        assert_eq!(ledger.hears_ends(NodeId(1)), told, "{speaks}");
+        replica.load(&item, &mut ReplicaChanges::default());
+        assert_eq!(replica.hears_ends(NodeId(1)), told, "{speaks}");
     }
     let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
     let sent = peer::encode(&Ask::Ended(JobId(412), gone.clone(), Revision(9)));
@@ -304,11 +304,11 @@
 fn only_versions_that_read_it_are_asked_when_they_heard_the_leader() {
     // (what a member says that it understands, whether it is asked)
     for (speaks, asked) in [(0, false), (3, false), (4, true)] {
-        let mut ledger = Ledger::new(NodeId(0));
+        let mut replica = Replica::new(NodeId(0));
         let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
         let item = Item { path: "n/1".into(), v: wire::to_value(&member), stamp: Revision(3) };
-        ledger.load(&item, &mut Brought::default());
-        assert_eq!(ledger.knows_standby(NodeId(1)), asked, "{speaks}");
+        replica.load(&item, &mut ReplicaChanges::default());
+        assert_eq!(replica.knows_standby(NodeId(1)), asked, "{speaks}");
     }
     let sent = peer::encode(&Ask::LeaderSilence(Term(41)));
     assert!(matches!(peer::decode::<Ask>(&sent), Some(Ask::LeaderSilence(Term(41)))));
