--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -116,7 +116,7 @@
 );
 count_type!(
     /// A worker's session; grows each time its lease expires.
-    Session
+    AgentEpoch
 );
 count_type!(
     /// One life of a controller process.
--- a/src/api.rs
+++ b/src/api.rs
@@ -12,7 +12,7 @@
 use crate::peer::{Ask, Tell};
 use crate::placement;
 use crate::service::{Accepting, Service};
-use crate::wire::{self, JobAnswer, JobSpec, JobStage, Shape};
+use crate::wire::{self, JobAnswer, JobKind, JobSpec, JobState};
 
 /// Most user requests served at a time; more are told to come back.
 const MOST_AT_ONCE: usize = 256;
@@ -46,7 +46,7 @@
     pub async fn answer(self: &Rc<Self>, request: Request) -> Response {
         let path = request.path.split('?').next().unwrap_or("");
         match (path, request.method.as_str()) {
-            ("/v1/report", "POST") => return self.on_report(&request.body),
+            ("/v1/report", "POST") => return self.on_heartbeat(&request.body),
             ("/ready", "GET") => return self.ready().await,
             ("/v1/report" | "/ready", _) => return Response::empty(405),
             _ => {}
@@ -152,7 +152,7 @@
 
     /// Takes a submission, or hands it over if this node cannot write and may do that.
     pub(crate) async fn submit(&self, spec: JobSpec, may_hand_over: bool) -> Response {
-        let id = spec.r#ref;
+        let id = spec.id;
         if let Some(answer) = self.final_answer(id) {
             return answer;
         }
@@ -182,7 +182,7 @@
                     }
                     let answer = JobAnswer {
                         job: id,
-                        stage: JobStage::Pending,
+                        state: JobState::Pending,
                         done: 0,
                         running: 0,
                         reason: None,
@@ -206,7 +206,7 @@
     }
 
     fn fitness(&self, spec: &JobSpec) -> Fitness {
-        let Some(team) = self.settings.team(&spec.owner) else {
+        let Some(team) = self.settings.team(&spec.team) else {
             return Fitness::Never("unknown team");
         };
         let controller = self.controller.borrow();
@@ -219,9 +219,9 @@
         if !placement::zones_allow_all(spec, &controller.flavors) {
             return Fitness::Never("its tasks can't all run at once in the zones it may use");
         }
-        let tasks = match spec.shape {
-            Shape::Sweep => 1,
-            Shape::Service | Shape::Gang => u64::from(spec.pieces),
+        let tasks = match spec.kind {
+            JobKind::Array => 1,
+            JobKind::Service | JobKind::Gang => u64::from(spec.task_count),
         };
         let need = placement::Need::of(spec);
         let over = |limit: Option<crate::model::Cores>, each: u64| {
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -6,13 +6,13 @@
 
 use crate::model::{Cores, MachineId, Steady};
 use crate::placement::{Flavors, Need, allowed, slots};
-use crate::wire::{JobSpec, Shape, Urgency};
+use crate::wire::{JobKind, JobSpec, Priority};
 
 /// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     /// Type.
-    pub hull: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -280,7 +280,7 @@
 ) -> Decision {
     let mut bins: Vec<Bin> = Vec::new();
     for h in held.iter().filter(|h| !h.leaving) {
-        let startup = flavors.get(&h.offer.hull).map_or(60.0, |f| f.startup_s);
+        let startup = flavors.get(&h.offer.machine_type).map_or(60.0, |f| f.startup_s);
         // A machine that takes much longer than usual may never come.
         if !h.booting || h.age_s < startup * 2.0 {
             bins.push(Bin { offer: h.offer.clone(), free: h.free, kept: h.kept });
@@ -297,26 +297,26 @@
     let per_zone = |zone: &str| zones.get(zone).copied().unwrap_or(0);
     let queues = queues(flavors, held, wants);
     // Gangs first: what they need is whole, and nothing else fits where it has to be.
-    for want in wants.iter().filter(|w| w.spec.shape == Shape::Gang && w.tasks > 0) {
+    for want in wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.tasks > 0) {
         rent_for_gang(flavors, want, &any, &mut bins, &mut rent, &per_zone);
     }
     for loose in [false, true] {
         keep_ready(flavors, wants, market, loose, &any, &mut bins, &mut rent, &per_zone);
     }
-    let others = |w: &Want<'_>| !w.brief && w.spec.shape != Shape::Gang;
+    let others = |w: &Want<'_>| !w.brief && w.spec.kind != JobKind::Gang;
     for (want, queue_s) in wants.iter().zip(&queues).filter(|(w, _)| others(w)) {
         // What waits for a short time only is not worth an ordinary machine.
-        let patient = want.spec.urgency >= Urgency::Normal && *queue_s < PATIENT_S;
+        let patient = want.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
         let offers: &dyn Fn(&Offer) -> bool = if patient { &spot_only } else { &any };
         rent_for(flavors, want, offers, &mut bins, &mut rent, &per_zone);
     }
     // What is free or brief work already has counts for the cores kept ready for it.
     let in_use: f64 = wants
         .iter()
-        .filter(|w| w.brief && w.spec.shape != Shape::Gang)
+        .filter(|w| w.brief && w.spec.kind != JobKind::Gang)
         .map(|w| Need::of(w.spec).cores.amount() * f64::from(w.running))
         .sum();
-    let models = wants.iter().filter(|w| w.brief && w.spec.shape != Shape::Gang);
+    let models = wants.iter().filter(|w| w.brief && w.spec.kind != JobKind::Gang);
     if let Some(model) = models.max_by_key(|w| w.tasks + w.running) {
         let each = Need::of(model.spec).cores.amount();
         let tasks = |spot| {
@@ -335,9 +335,9 @@
     let mut spare = false;
     if rent.is_empty() && !waiting {
         let lacking = |spot| (market.ready(spot) - in_use).max(0.0);
-        let long = |hull: &str| {
+        let long = |machine_type: &str| {
             let fits = |w: &&Want<'_>| {
-                let offered = flavors.get(hull).map(Need::offered);
+                let offered = flavors.get(machine_type).map(Need::offered);
                 !w.brief && offered.is_some_and(|o| Need::of(w.spec).fits(&o))
             };
             if wants.iter().any(|w| fits(&w)) { market.load.long.mean() } else { 0.0 }
@@ -365,8 +365,8 @@
 
 impl Bin {
     fn takes(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.offer.hull, &self.offer.zone, self.offer.spot)
-            && !(self.kept && spec.loaners && spec.shape != Shape::Gang)
+        allowed(spec, &self.offer.machine_type, &self.offer.zone, self.offer.spot)
+            && !(self.kept && spec.allows_spot && spec.kind != JobKind::Gang)
     }
 }
 
@@ -422,7 +422,8 @@
     rent: &mut BTreeMap<Offer, u32>,
     per_zone: &dyn Fn(&str) -> usize,
 ) {
-    let gangs = || wants.iter().filter(|w| w.spec.shape == Shape::Gang && w.spec.loaners == loose);
+    let gangs =
+        || wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.spec.allows_spot == loose);
     let cores = |w: &Want<'_>| Need::of(w.spec).cores.amount();
     let in_use: f64 = gangs().map(|w| cores(w) * f64::from(w.running)).sum();
     let Some(model) = gangs().max_by_key(|w| w.tasks + w.running) else { return };
@@ -452,11 +453,11 @@
     let work: f64 = wants.iter().map(|w| f64::from(w.tasks) * cores(w) * w.run_s).sum();
     let mut of_type: BTreeMap<&str, f64> = BTreeMap::new();
     for h in held.iter().filter(|h| !h.leaving) {
-        let offered = flavors.get(&h.offer.hull).map_or(0.0, |f| f.vcpus);
-        *of_type.entry(h.offer.hull.as_str()).or_default() += offered;
+        let offered = flavors.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
+        *of_type.entry(h.offer.machine_type.as_str()).or_default() += offered;
     }
-    let takes = |w: &Want<'_>, hull: &str| {
-        let offered = flavors.get(hull).map(Need::offered);
+    let takes = |w: &Want<'_>, machine_type: &str| {
+        let offered = flavors.get(machine_type).map(Need::offered);
         offered.is_some_and(|o| Need::of(w.spec).fits(&o))
     };
     wants
@@ -486,7 +487,7 @@
         }
     }
     while left > 0 {
-        let open = |o: &Offer| to_be_had(o) && allowed(want.spec, &o.hull, &o.zone, o.spot);
+        let open = |o: &Offer| to_be_had(o) && allowed(want.spec, &o.machine_type, &o.zone, o.spot);
         let Some((offer, offered)) = cheapest(flavors, &need, left, &open, rent, per_zone) else {
             return left;
         };
@@ -520,7 +521,7 @@
             continue;
         }
         for (zone, spot) in f.yards.iter().flat_map(|z| [(z, true), (z, false)]) {
-            let offer = Offer { hull: f.sku.clone(), zone: zone.clone(), spot };
+            let offer = Offer { machine_type: f.sku.clone(), zone: zone.clone(), spot };
             if !open(&offer) {
                 continue;
             }
@@ -549,14 +550,14 @@
     long: &dyn Fn(&str) -> f64,
 ) -> Vec<MachineId> {
     let up = || held.iter().filter(|h| !h.leaving && !h.booting);
-    let cores = |h: &Held| flavors.get(&h.offer.hull).map_or(0.0, |f| f.vcpus);
+    let cores = |h: &Held| flavors.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
     let used = |h: &Held| cores(h) - h.free.cores.amount();
     // In a small fleet one job is much of the load, and what is spare now is wanted again soon.
     let most = up().count() / SHED_PART;
     let mut out = Vec::new();
-    for hull in flavors.keys() {
-        let of_type = || up().filter(|h| h.offer.hull == *hull);
-        let in_use = of_type().map(used).sum::<f64>().max(long(hull)) * (1.0 + SPARE_PART);
+    for machine_type in flavors.keys() {
+        let of_type = || up().filter(|h| h.offer.machine_type == *machine_type);
+        let in_use = of_type().map(used).sum::<f64>().max(long(machine_type)) * (1.0 + SPARE_PART);
         let mut spare = of_type().map(cores).sum::<f64>() - in_use - lacking;
         let mut some: Vec<&Held> = of_type()
             .filter(|h| h.offer.spot == spot && !h.kept && h.age_s >= LEAST_PAID_S)
@@ -578,7 +579,7 @@
 fn retire(flavors: &Flavors, held: &[Held], market: &Market, in_use: f64) -> Vec<MachineId> {
     let price = |o: &Offer| {
         flavors
-            .get(&o.hull)
+            .get(&o.machine_type)
             .map_or(0.0, |f| (if o.spot { f.market_price } else { f.hourly }) / f.vcpus.max(0.001))
     };
     let mut room: f64 =
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -8,7 +8,7 @@
     [flavor("small", 8.0, 64.0)].map(|f| (f.sku.clone(), f)).into()
 }
 fn offer(zone: &str, spot: bool) -> Offer {
-    Offer { hull: "small".into(), zone: zone.into(), spot }
+    Offer { machine_type: "small".into(), zone: zone.into(), spot }
 }
 fn held(id: &str, spot: bool, idle_s: f64) -> Held {
     Held {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,10 +15,10 @@
 use crate::peer::{Plan, Summary, Tell, Waits};
 use crate::placement::Flavors;
 use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
-use crate::shard::{Announcement, ReportAnswer, Shard, Surroundings};
+use crate::shard::{Announcement, HeartbeatOutcome, Shard, Surroundings};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
-use crate::wire::{self, Change, Changes, Guard, Item, Report, Txn};
+use crate::wire::{self, Change, Changes, Guard, Heartbeat, Item, Txn};
 
 mod failover;
 
@@ -216,7 +216,7 @@
             .replica
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.shape == wire::Shape::Gang && !j.progress.done.is_empty())
+            .filter(|(_, j)| j.spec.kind == wire::JobKind::Gang && !j.progress.done.is_empty())
             .map(|(id, _)| *id)
             .collect();
         for job in partly {
@@ -226,7 +226,7 @@
 
     /// Takes machine types.
     pub fn set_flavors(&mut self, flavors: &wire::Flavors) {
-        self.flavors = flavors.hulls.iter().map(|f| (f.sku.clone(), f.clone())).collect();
+        self.flavors = flavors.machine_types.iter().map(|f| (f.sku.clone(), f.clone())).collect();
     }
 
     /// Follows changes of term and leader. A leadership begins only here, when the replica
@@ -394,8 +394,8 @@
     }
 
     /// Answers a worker's report.
-    pub fn on_report(&mut self, now: Steady, report: &Report) -> ReportAnswer {
-        self.with_shard(now, |shard, env| shard.on_report(env, report))
+    pub fn on_heartbeat(&mut self, now: Steady, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        self.with_shard(now, |shard, env| shard.on_heartbeat(env, heartbeat))
     }
 
     /// Machines that are to be told something straight away, up to `most`. Only a node that may
@@ -426,8 +426,8 @@
     }
 
     /// Takes a machine's answer to an announcement.
-    pub fn on_announced(&mut self, now: Steady, asked: &Announcement, report: &Report) {
-        self.with_shard(now, |shard, env| shard.on_announced(env, asked, report));
+    pub fn on_announced(&mut self, now: Steady, asked: &Announcement, heartbeat: &Heartbeat) {
+        self.with_shard(now, |shard, env| shard.on_announced(env, asked, heartbeat));
     }
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
@@ -546,12 +546,12 @@
 
     /// What a user is told of a job that has ended, which nothing can change any more.
     pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
-        let (stage, done) = self.replica.ended.get(&id).copied()?;
-        let reason = match stage {
-            wire::JobStage::Withdrawn => Some("cancelled by its user".to_string()),
+        let (state, done) = self.replica.ended.get(&id).copied()?;
+        let reason = match state {
+            wire::JobState::Cancelled => Some("cancelled by its user".to_string()),
             _ => None,
         };
-        Some(wire::JobAnswer { job: id, stage, done, running: 0, reason })
+        Some(wire::JobAnswer { job: id, state, done, running: 0, reason })
     }
 
     /// What a user is told of a job that has not ended, as the replica has it.
@@ -559,21 +559,21 @@
         let job = self.replica.jobs.get(&id)?;
         let standing = self.shard.standing(id);
         // A job is done when the store says so; the count may be ahead of what is on record.
-        let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.pieces);
-        let running = standing.map_or(0, |s| s.running).min(job.spec.pieces - done);
-        let stage = match running {
-            0 => wire::JobStage::Pending,
-            _ => wire::JobStage::Running,
+        let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.task_count);
+        let running = standing.map_or(0, |s| s.running).min(job.spec.task_count - done);
+        let state = match running {
+            0 => wire::JobState::Pending,
+            _ => wire::JobState::Running,
         };
-        let reason = standing.and_then(|s| why_it_waits(s.waits, job.spec.shape, running));
-        Some(wire::JobAnswer { job: id, stage, done, running, reason: reason.map(str::to_string) })
+        let reason = standing.and_then(|s| why_it_waits(s.waits, job.spec.kind, running));
+        Some(wire::JobAnswer { job: id, state, done, running, reason: reason.map(str::to_string) })
     }
 
     /// The transaction that cancels a job, if it has not ended, and the progress record it writes.
     pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, replica::Progress)> {
         let job = self.replica.jobs.get(&id)?;
         let progress = replica::Progress {
-            end: Some(wire::JobStage::Withdrawn),
+            end: Some(wire::JobState::Cancelled),
             done: job.progress.done.fitting(self.limits.value_bytes()),
             gang: None,
         };
@@ -586,8 +586,8 @@
     }
 }
 
-fn why_it_waits(waits: Waits, shape: wire::Shape, running: u32) -> Option<&'static str> {
-    let gang = shape == wire::Shape::Gang && running == 0;
+fn why_it_waits(waits: Waits, kind: wire::JobKind, running: u32) -> Option<&'static str> {
+    let gang = kind == wire::JobKind::Gang && running == 0;
     match waits {
         Waits::No if gang => Some("waits: its tasks begin once all of them can"),
         Waits::No => None,
@@ -611,7 +611,7 @@
 ) -> Txn {
     let mut txn = Txn::default();
     for spec in specs {
-        let path = replica::job_key(spec.r#ref);
+        let path = replica::job_key(spec.id);
         if txn.guards.iter().any(|g| g.path == path) {
             continue;
         }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -137,7 +137,7 @@
         }));
         let answer = controller.open_answer(JobId(1)).unwrap();
         assert_eq!(answer.done, shown, "{told:?} {recorded}");
-        assert_eq!(answer.stage, wire::JobStage::Pending, "{told:?} {recorded}");
+        assert_eq!(answer.state, wire::JobState::Pending, "{told:?} {recorded}");
     }
 }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -9,10 +9,10 @@
 use crate::autoscaler::Offer;
 use crate::cluster_view::ClusterView;
 use crate::config::Pace;
-use crate::model::{Incarnation, MachineId, NodeId, PlanSeq, Session, Steady, TaskId};
+use crate::model::{AgentEpoch, Incarnation, MachineId, NodeId, PlanSeq, Steady, TaskId};
 use crate::peer::{MachineView, Summary};
 use crate::placement::Room;
-use crate::wire::{self, HostList, PieceStage};
+use crate::wire::{self, HostList, TaskState};
 
 mod lease_expiry;
 mod ownership;
@@ -102,8 +102,8 @@
     pub draining: Option<PlanSeq>,
     /// Whether the cloud says that it stopped by itself.
     pub failed: bool,
-    session: Session,
-    lost_session: Option<Steady>,
+    agent_epoch: AgentEpoch,
+    lost_agent_epoch: Option<Steady>,
     /// It lost its session twice in a short time.
     pub losing: bool,
     /// When the cloud first listed it.
@@ -125,7 +125,7 @@
     /// The machine.
     pub machine: &'a MachineView,
     /// Its state there.
-    pub stage: PieceStage,
+    pub state: TaskState,
 }
 
 /// Tasks on settled machines.
@@ -159,7 +159,7 @@
     heard: HashMap<MachineId, Steady>,
     /// Machines whose lease has run out, and the session that ended with it: what their owner
     /// still remembers of that session is over.
-    pub lapsed: BTreeMap<MachineId, Session>,
+    pub lapsed: BTreeMap<MachineId, AgentEpoch>,
     absent: HashMap<NodeId, (u64, Steady)>,
     /// Controllers that hear no workers, and until when they get no part for that.
     unheard: HashMap<NodeId, Steady>,
@@ -352,7 +352,7 @@
         self.nodes.iter().flat_map(move |(node, n)| {
             let told = n.machines.values();
             let over =
-                |k: &&Known| self.lapsed.get(&k.view.id).is_some_and(|s| k.view.session <= *s);
+                |k: &&Known| self.lapsed.get(&k.view.id).is_some_and(|s| k.view.agent_epoch <= *s);
             told.filter(move |k| self.tells(*node, n, &k.view.id) && !over(k))
                 .map(move |k| (k, *node, n))
         })
@@ -369,7 +369,7 @@
         let mut on = OnMachines::default();
         for (k, _, _) in self.known().filter(|(k, _, _)| k.view.settled) {
             for t in &k.view.tasks {
-                on.insert(t.task, Seen { machine: &k.view, stage: t.stage });
+                on.insert(t.task, Seen { machine: &k.view, state: t.state });
             }
         }
         on
@@ -405,8 +405,8 @@
                     && v.settled
                     && !v.leaving
                     && k.shun_until <= cluster.now;
-                let tasks = v.tasks.iter().map(|t| (t.task, t.stage));
-                let what = (&v.id, &v.hull, &v.zone, v.spot);
+                let tasks = v.tasks.iter().map(|t| (t.task, t.state));
+                let what = (&v.id, &v.machine_type, &v.zone, v.spot);
                 Room::of(what, tasks, &v.images, cluster.flavors, cluster.replica, open)
             })
             .collect()
@@ -445,8 +445,8 @@
             busy: now,
             draining: None,
             failed: false,
-            session: Session(0),
-            lost_session: None,
+            agent_epoch: AgentEpoch(0),
+            lost_agent_epoch: None,
             losing: false,
             listed: None,
             missing: false,
@@ -466,17 +466,21 @@
     /// Takes what the cloud's list says of a machine. The list is old: it only adds machines
     /// and tells of failed ones.
     fn listed(&mut self, cluster: &ClusterView<'_>, host: &wire::ListedHost) {
-        if self.is_gone(cluster, &host.r#ref) {
+        if self.is_gone(cluster, &host.id) {
             return;
         }
-        let offer = Offer { hull: host.hull.clone(), zone: host.yard.clone(), spot: host.loaners };
+        let offer = Offer {
+            machine_type: host.machine_type.clone(),
+            zone: host.zone.clone(),
+            spot: host.spot,
+        };
         let age = (host.held_s.max(0.0) * 1000.0) as u64;
-        self.note_machine(cluster.now, &host.r#ref, offer);
-        if let Some(m) = self.machines.get_mut(&host.r#ref) {
+        self.note_machine(cluster.now, &host.id, offer);
+        if let Some(m) = self.machines.get_mut(&host.id) {
             m.since = m.since.min(cluster.now.less(age));
             m.listed.get_or_insert(cluster.now);
             m.missing = false;
-            m.failed |= host.stage == wire::HostStage::Failed;
+            m.failed |= host.state == wire::HostStage::Failed;
         }
     }
 
@@ -491,8 +495,8 @@
         page: &HostList,
     ) {
         page.hosts.iter().for_each(|host| self.listed(cluster, host));
-        let names: HashSet<&MachineId> = page.hosts.iter().map(|h| &h.r#ref).collect();
-        let last = page.hosts.last().map(|h| &h.r#ref).filter(|_| page.truncated);
+        let names: HashSet<&MachineId> = page.hosts.iter().map(|h| &h.id).collect();
+        let last = page.hosts.last().map(|h| &h.id).filter(|_| page.truncated);
         let sure_ms = (cluster.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_MARGIN_MS;
         for (id, m) in &mut self.machines {
             let covered = after.is_none_or(|a| id > a) && last.is_none_or(|l| id <= l);
@@ -531,12 +535,12 @@
             if m.endpoint.is_empty() {
                 m.endpoint = k.view.endpoint.clone();
             }
-            if k.view.session > m.session {
-                if m.session > Session(0) {
-                    m.losing |= m.lost_session.is_some_and(|at| now.since(at) < LOSING_MS);
-                    m.lost_session = Some(now);
+            if k.view.agent_epoch > m.agent_epoch {
+                if m.agent_epoch > AgentEpoch(0) {
+                    m.losing |= m.lost_agent_epoch.is_some_and(|at| now.since(at) < LOSING_MS);
+                    m.lost_agent_epoch = Some(now);
                 }
-                m.session = k.view.session;
+                m.agent_epoch = k.view.agent_epoch;
             }
         }
         self.machines = machines;
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -5,7 +5,7 @@
 use super::{Fleet, FleetMachine, HEARS_MS, Known, MANY_LEAST, NodeState};
 use crate::cluster_view::ClusterView;
 use crate::lease::{last_right, plus_drift};
-use crate::model::{MachineId, NodeId, Session, Steady};
+use crate::model::{AgentEpoch, MachineId, NodeId, Steady};
 
 /// Part of the machines that are cut off rather than dead when they are silent together; how long they
 /// are waited for then.
@@ -49,15 +49,15 @@
             let last = self.heard.get(id).copied().unwrap_or_default().max(last_other);
             last.plus(lease) < told_until
         };
-        let lapsed: Vec<(MachineId, Session)> = self
+        let lapsed: Vec<(MachineId, AgentEpoch)> = self
             .known()
             .filter(|(k, _, _)| k.view.settled && over(&k.view.id))
-            .map(|(k, _, _)| (k.view.id.clone(), k.view.session))
+            .map(|(k, _, _)| (k.view.id.clone(), k.view.agent_epoch))
             .collect();
         let silent: Vec<MachineId> = self.unsettled.iter().filter(|id| over(id)).cloned().collect();
-        for (id, session) in lapsed {
+        for (id, agent_epoch) in lapsed {
             tracing::warn!(machine = %id, "lease has run out at every controller");
-            self.lapsed.insert(id, session);
+            self.lapsed.insert(id, agent_epoch);
         }
         for id in silent {
             tracing::warn!(machine = %id, "lease has run out at every controller");
@@ -100,7 +100,7 @@
         let mute = self.machines.iter().filter(|(id, m)| m.up && silent_ms(id) > quick).count();
         let cut_off = mute > (up / MANY_PART).max(MANY_LEAST);
         let over = |id: &MachineId, m: &FleetMachine| {
-            let startup = cluster.flavors.get(&m.offer.hull).map_or(60.0, |f| f.startup_s);
+            let startup = cluster.flavors.get(&m.offer.machine_type).map_or(60.0, |f| f.startup_s);
             let silent = silent_ms(id);
             // What ran before it was restarted is over, but nobody can tell its reports from
             // late copies of earlier ones.
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -126,7 +126,11 @@
         let mut found: Vec<(MachineId, Offer)> = Vec::new();
         for (node, n) in self.nodes.iter().filter(|(id, _)| live.contains(id)) {
             for s in n.strays.iter().filter(|s| s.silent_ms < heard_ms) {
-                let offer = Offer { hull: s.hull.clone(), zone: s.zone.clone(), spot: s.spot };
+                let offer = Offer {
+                    machine_type: s.machine_type.clone(),
+                    zone: s.zone.clone(),
+                    spot: s.spot,
+                };
                 found.push((s.id.clone(), offer));
                 if s.since_ms > STRAY_MS {
                     strays.insert(s.id.clone(), *node);
@@ -140,7 +144,11 @@
         }
         for (id, m) in &cluster.replica.machines {
             if m.gone.is_none() && !self.machines.contains_key(id) && !self.gone.contains(id) {
-                let offer = Offer { hull: m.hull.clone(), zone: m.zone.clone(), spot: m.spot };
+                let offer = Offer {
+                    machine_type: m.machine_type.clone(),
+                    zone: m.zone.clone(),
+                    spot: m.spot,
+                };
                 self.note_machine(now, id, offer);
                 // It may be gone without the record saying so: then it is returned when its
                 // silence has lasted, and does not count as one that still boots.
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, Subcommand};
 use willowshore::http::Client;
-use willowshore::wire::{self, JobAnswer, JobStage, Value};
+use willowshore::wire::{self, JobAnswer, JobState, Value};
 
 /// Arguments of `job`.
 #[derive(Args)]
@@ -119,12 +119,12 @@
 }
 
 fn line(job: &JobAnswer) -> String {
-    let stage = match job.stage {
-        JobStage::Pending => "pending",
-        JobStage::Running => "running",
-        JobStage::Done => "done",
-        JobStage::Withdrawn => "cancelled",
+    let state = match job.state {
+        JobState::Pending => "pending",
+        JobState::Running => "running",
+        JobState::Done => "done",
+        JobState::Cancelled => "cancelled",
     };
     let reason = job.reason.as_ref().map_or(String::new(), |r| format!(" ({r})"));
-    format!("{}: {stage}, {} done, {} running{reason}", job.job, job.done, job.running)
+    format!("{}: {state}, {} done, {} running{reason}", job.job, job.done, job.running)
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -21,7 +21,7 @@
     Term,
 };
 use crate::peer::{PlanBody, Summary, Tell, Waits};
-use crate::wire::{Shape, Txn};
+use crate::wire::{JobKind, Txn};
 
 /// Least time between two new terms that only balance the parts.
 const REBALANCE_MS: u64 = 30_000;
@@ -416,8 +416,10 @@
         // What waits for a place counts as held, so urgent work finds as much again beside it.
         let bounds = Bounds {
             held: filling.rooms.iter().fold(Cores(filling.extra.0 * 2), |sum, r| {
-                let total =
-                    cluster.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
+                let total = cluster
+                    .flavors
+                    .get(&*r.machine_type)
+                    .map_or(Cores(0), |f| Cores::offer(f.vcpus));
                 Cores(sum.0 + if r.open { total.0 } else { 0 })
             }),
             teams: cluster.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
@@ -452,7 +454,7 @@
             if share < d.max {
                 self.waits.entry(d.job).or_insert(Waits::ForMachines);
             }
-            if job.spec.shape == Shape::Gang {
+            if job.spec.kind == JobKind::Gang {
                 self.grant_gang(cluster, fleet, on, job, d.team, more, held, &mut filling);
             } else {
                 // What has waited long needs a machine, as small places may never hold it.
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -101,7 +101,7 @@
     pub(super) fn of(spec: &wire::JobSpec) -> Self {
         ZoneRule {
             one: spec.one_zone,
-            most_per_zone: spec.scatter.then(|| spec.pieces.div_ceil(2)),
+            most_per_zone: spec.spread_zones.then(|| spec.task_count.div_ceil(2)),
             counts: BTreeMap::new(),
         }
     }
@@ -200,7 +200,7 @@
         ahead: bool,
         filling: &mut Filling,
     ) {
-        let id = job.spec.r#ref;
+        let id = job.spec.id;
         let need = Need::of(&job.spec);
         if more == 0 || !filling.may_hold(&job.spec, &need, ahead) {
             return;
@@ -216,7 +216,7 @@
             }
             self.count_zones(id, on, &mut zones);
         }
-        let free: Vec<TaskId> = (0..job.spec.pieces)
+        let free: Vec<TaskId> = (0..job.spec.task_count)
             .map(|index| TaskId { job: id, index })
             .filter(|t| self.is_free(cluster, on, *t))
             .take(more.min(fits))
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -4,7 +4,7 @@
 use crate::model::Cores;
 use crate::placement::Need;
 use crate::replica;
-use crate::wire::PieceStage;
+use crate::wire::TaskState;
 
 /// The versions of the controllers that are up, in their order.
 fn versions(cluster: &ClusterView<'_>) -> String {
@@ -25,9 +25,9 @@
         for (t, s) in &on {
             let cores =
                 cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Need::of(&j.spec).cores);
-            let sum = match s.stage {
-                PieceStage::Fetching => &mut fetches,
-                PieceStage::Waiting => &mut waits,
+            let sum = match s.state {
+                TaskState::FetchingImage => &mut fetches,
+                TaskState::WaitingForGang => &mut waits,
                 _ => &mut runs,
             };
             sum.0 += cores.0;
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -139,7 +139,7 @@
 
 fn record_of(m: &crate::fleet::FleetMachine) -> MachineRecord {
     MachineRecord {
-        hull: m.offer.hull.clone(),
+        machine_type: m.offer.machine_type.clone(),
         zone: m.offer.zone.clone(),
         spot: m.offer.spot,
         up: true,
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -16,14 +16,14 @@
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Cores, MachineId, NodeId};
 use crate::placement::{self, Need, Room};
-use crate::wire::{JobSpec, PieceStage, Shape, Urgency};
+use crate::wire::{JobKind, JobSpec, Priority, TaskState};
 
 /// Seconds of expected completions that are granted ahead: some epochs, so that there is always
 /// something to start, and little enough to be used before it is taken back.
 const AHEAD_S: f64 = 1.5;
 
 /// How many urgencies there are.
-const URGENCIES: usize = Urgency::BestEffort as usize + 1;
+const PRIORITIES: usize = Priority::BestEffort as usize + 1;
 
 /// Places of one size on alike machines of one controller.
 #[derive(Clone, Debug)]
@@ -31,21 +31,21 @@
     /// The controller that owns the machines.
     pub(super) owner: NodeId,
     zone: Rc<str>,
-    hull: Rc<str>,
+    machine_type: Rc<str>,
     spot: bool,
     /// The largest task that one of these places holds.
     each: Need,
     /// What they hold all together and is not granted yet to work of an urgency or of a better one,
     /// by urgency. A controller starts urgent work first, so less urgent grants take nothing from it.
-    free: [Need; URGENCIES],
+    free: [Need; PRIORITIES],
 }
 
 impl Turnover {
     /// Whether a task can be granted here.
     pub(super) fn takes(&self, spec: &JobSpec, need: &Need) -> bool {
         need.fits(&self.each)
-            && need.fits(&self.free[spec.urgency as usize])
-            && placement::allowed(spec, &self.hull, &self.zone, self.spot)
+            && need.fits(&self.free[spec.priority as usize])
+            && placement::allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
     /// Cores that are not granted yet to any work.
@@ -54,8 +54,8 @@
     }
 
     /// Grants a place to a task of that urgency.
-    fn take(&mut self, need: &Need, urgency: Urgency) {
-        for free in &mut self.free[urgency as usize..] {
+    fn take(&mut self, need: &Need, priority: Priority) {
+        for free in &mut self.free[priority as usize..] {
             need.take_from(free);
         }
     }
@@ -102,29 +102,29 @@
         let open: FxHashMap<&MachineId, &Room> =
             rooms.iter().filter(|r| r.open && !kept(r)).map(|r| (&r.id, r)).collect();
         let mut ending: BTreeMap<Alike<'_>, Ending> = BTreeMap::new();
-        for (task, seen) in on.iter().filter(|(_, s)| s.stage == PieceStage::Running) {
+        for (task, seen) in on.iter().filter(|(_, s)| s.state == TaskState::Running) {
             let Some(room) = open.get(&seen.machine.id) else { continue };
             let owner = fleet.owners.get(&room.id).map(|(owner, _)| *owner);
             let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
             let job = cluster.replica.jobs.get(&task.job);
-            let Some(job) = job.filter(|j| j.spec.shape == Shape::Sweep) else { continue };
+            let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else { continue };
             let need = Need::of(&job.spec);
             let size = need.cores.0.checked_ilog2().unwrap_or(0);
-            let alike = (owner, &*room.hull, &*room.zone, room.spot, size);
+            let alike = (owner, &*room.machine_type, &*room.zone, room.spot, size);
             ending.entry(alike).or_default().add(&need, AHEAD_S / self.run_s(job));
         }
         let specs = || cluster.replica.jobs.values().map(|j| &j.spec);
-        let mut first: BTreeMap<(&str, &str, bool), Option<Urgency>> = BTreeMap::new();
+        let mut first: BTreeMap<(&str, &str, bool), Option<Priority>> = BTreeMap::new();
         let mut places = Vec::with_capacity(ending.len());
-        for ((owner, hull, zone, spot, _), e) in ending {
-            let most_urgent = *first
-                .entry((hull, zone, spot))
-                .or_insert_with(|| placement::most_urgent(specs(), hull, zone, spot));
-            let mut free = [Need::default(); URGENCIES];
-            let until = most_urgent.map_or(URGENCIES, |u| u as usize + 1);
+        for ((owner, machine_type, zone, spot, _), e) in ending {
+            let highest_priority = *first
+                .entry((machine_type, zone, spot))
+                .or_insert_with(|| placement::highest_priority(specs(), machine_type, zone, spot));
+            let mut free = [Need::default(); PRIORITIES];
+            let until = highest_priority.map_or(PRIORITIES, |u| u as usize + 1);
             free[..until].fill(e.free());
-            let (zone, hull) = (zone.into(), hull.into());
-            places.push(Turnover { owner, zone, hull, spot, each: e.each, free });
+            let (zone, machine_type) = (zone.into(), machine_type.into());
+            places.push(Turnover { owner, zone, machine_type, spot, each: e.each, free });
         }
         places
     }
@@ -144,9 +144,9 @@
         let best = (0..turnover.len())
             .filter(|&i| owner.is_none_or(|o| o == turnover[i].owner))
             .filter(|&i| turnover[i].takes(spec, need))
-            .max_by_key(|&i| turnover[i].free[spec.urgency as usize].cores);
+            .max_by_key(|&i| turnover[i].free[spec.priority as usize].cores);
         let Some(i) = best else { break };
-        turnover[i].take(need, spec.urgency);
+        turnover[i].take(need, spec.priority);
         taken.push(i);
     }
     taken
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -16,7 +16,7 @@
 use crate::peer::{Stop, Waits};
 use crate::placement::{self, Need, Room};
 use crate::replica::Job;
-use crate::wire::{PieceStage, Shape};
+use crate::wire::{JobKind, TaskState};
 
 /// Part of the time that a gang's tasks wait for each other in which it has to be whole.
 const GATHER_PART: f64 = 0.4;
@@ -82,7 +82,7 @@
         fleet: &Fleet,
         on: &OnMachines<'_>,
     ) {
-        let is_gang = |j: &Job| j.spec.shape == Shape::Gang;
+        let is_gang = |j: &Job| j.spec.kind == JobKind::Gang;
         let mut gangs: BTreeMap<JobId, Presence> = cluster
             .replica
             .jobs
@@ -99,7 +99,7 @@
         for (t, seen) in on {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
             p.on += 1;
-            let runs = matches!(seen.stage, PieceStage::Running | PieceStage::Flushing);
+            let runs = matches!(seen.state, TaskState::Running | TaskState::SavingCheckpoint);
             p.running += u32::from(runs);
             p.leaves = match (p.leaves, fleet.leaves(&seen.machine.id)) {
                 (Some(a), Some(b)) => Some(a.min(b)),
@@ -110,7 +110,7 @@
         for (t, g) in &mut self.granted {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
             match on.get(t) {
-                Some(seen) => g.seen |= seen.stage != PieceStage::Unknown,
+                Some(seen) => g.seen |= seen.state != TaskState::Unknown,
                 None => {
                     p.under_way += 1;
                     p.lost |= g.seen;
@@ -150,7 +150,7 @@
             }
             return;
         }
-        let whole = p.on + p.under_way == job.spec.pieces && p.revoked == 0 && !p.lost;
+        let whole = p.on + p.under_way == job.spec.task_count && p.revoked == 0 && !p.lost;
         if whole {
             self.stop_in_order(cluster, job, p);
             return;
@@ -172,19 +172,19 @@
     /// Stops a running gang whose machine is about to be taken, if all its machines can be told in
     /// time and saving is worth anything: as late as that allows.
     fn stop_in_order(&mut self, cluster: &ClusterView<'_>, job: &Job, p: &Presence) {
-        let Some(leaves) = p.leaves.filter(|_| p.running == job.spec.pieces) else { return };
-        if job.spec.bookmark_s <= 0.0 || !p.heard {
+        let Some(leaves) = p.leaves.filter(|_| p.running == job.spec.task_count) else { return };
+        if job.spec.checkpoint_interval_s <= 0.0 || !p.heard {
             return;
         }
         let pace = cluster.settings.pace();
         let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
-        let save_ms = (job.spec.stash_s * 1000.0) as u64;
+        let save_ms = (job.spec.checkpoint_save_s * 1000.0) as u64;
         let way_ms = (pace.gap_ms + STOP_WAY_MS).min(peer_ms);
         let left = leaves.since(cluster.now);
         if left < save_ms + way_ms / 2 || left > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
         }
-        self.halt(cluster, job.spec.r#ref, save_ms + peer_ms, "its machine is about to be taken");
+        self.halt(cluster, job.spec.id, save_ms + peer_ms, "its machine is about to be taken");
     }
 
     /// Stops a gang wherever its tasks are and takes back what is granted of it.
@@ -206,8 +206,8 @@
 
     /// Whether a gang may be granted now, as a whole or, while it gathers, what is missing of it.
     pub(super) fn gang_tries(&self, job: &Job, held: u32, unresolved: u32) -> u32 {
-        let id = job.spec.r#ref;
-        let missing = job.spec.pieces.saturating_sub(held + unresolved);
+        let id = job.spec.id;
+        let missing = job.spec.task_count.saturating_sub(held + unresolved);
         let open = job.progress.done.is_empty() && unresolved == 0 && !self.halts.contains_key(&id);
         if open && (held == 0 || self.gangs.contains_key(&id)) { missing } else { 0 }
     }
@@ -225,8 +225,8 @@
         held: u32,
         filling: &mut Filling,
     ) {
-        let id = job.spec.r#ref;
-        if more == 0 || more < (job.spec.pieces.saturating_sub(held)) as usize {
+        let id = job.spec.id;
+        if more == 0 || more < (job.spec.task_count.saturating_sub(held)) as usize {
             return;
         }
         let need = Need::of(&job.spec);
@@ -234,7 +234,7 @@
             self.waits.insert(id, Waits::TeamLimit);
             return;
         }
-        let free: Vec<TaskId> = (0..job.spec.pieces)
+        let free: Vec<TaskId> = (0..job.spec.task_count)
             .map(|index| TaskId { job: id, index })
             .filter(|t| self.is_free(cluster, on, *t))
             .collect();
@@ -298,9 +298,9 @@
         rooms: &mut [Room],
     ) {
         self.kept.clear();
-        for job in cluster.replica.jobs.values().filter(|j| j.spec.shape == Shape::Gang) {
-            self.gang_images.insert(job.spec.bundle.clone(), cluster.now);
-            if job.spec.scatter {
+        for job in cluster.replica.jobs.values().filter(|j| j.spec.kind == JobKind::Gang) {
+            self.gang_images.insert(job.spec.image.clone(), cluster.now);
+            if job.spec.spread_zones {
                 self.spread_gangs = Some(cluster.now);
             }
         }
@@ -313,13 +313,14 @@
         let mut hosts: FxHashSet<&MachineId> = FxHashSet::default();
         for (t, seen) in on {
             let Some(job) = cluster.replica.jobs.get(&t.job) else { continue };
-            if job.spec.shape == Shape::Gang {
-                used[usize::from(job.spec.loaners)] += Need::of(&job.spec).cores.0;
+            if job.spec.kind == JobKind::Gang {
+                used[usize::from(job.spec.allows_spot)] += Need::of(&job.spec).cores.0;
                 hosts.insert(&seen.machine.id);
             }
         }
-        let offered =
-            |r: &Room| cluster.flavors.get(&*r.hull).map_or(Cores(0), |f| Cores::offer(f.vcpus));
+        let offered = |r: &Room| {
+            cluster.flavors.get(&*r.machine_type).map_or(Cores(0), |f| Cores::offer(f.vcpus))
+        };
         let open = rooms.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
         let speaks = |r: &Room| {
             fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n))
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -169,10 +169,11 @@
             if wide {
                 continue;
             }
-            let pieces = cluster.replica.jobs.get(&t.job).map_or(t.index + 1, |j| j.spec.pieces);
+            let task_count =
+                cluster.replica.jobs.get(&t.job).map_or(t.index + 1, |j| j.spec.task_count);
             let ranges = wider.entry(t.job).or_insert_with(|| known.cloned().unwrap_or_default());
             // Tasks are granted from the first on, so what comes next is known.
-            let until = (t.index + 1 + RECORD_AHEAD).min(pieces);
+            let until = (t.index + 1 + RECORD_AHEAD).min(task_count);
             ranges.extend(t.index..until);
         }
         // To have more on record than may run is safe, and what lies far apart has to fit.
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -11,7 +11,7 @@
 use crate::model::{Cores, JobId};
 use crate::placement::Need;
 use crate::replica::Job;
-use crate::wire::{Shape, Urgency};
+use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
 /// Part of its time that a job may have left beyond what it needs before it counts for less, and what it
@@ -26,24 +26,23 @@
 /// Part of its tasks that it begins with.
 const STARVED_PART: u32 = 8;
 
-pub(super) fn rank(urgency: Urgency) -> u32 {
-    match urgency {
-        Urgency::Critical => 1,
-        Urgency::High => 2,
-        Urgency::Normal => 3,
-        Urgency::BestEffort => 4,
+pub(super) fn rank(priority: Priority) -> u32 {
+    match priority {
+        Priority::Critical => 1,
+        Priority::High => 2,
+        Priority::Normal => 3,
+        Priority::BestEffort => 4,
     }
 }
 
 /// Seconds after acceptance by which a job should be done: its own deadline, or else what
 /// the settings expect of its class.
-pub(super) fn due_s(settings: &Settings, spec: &wire::JobSpec) -> Option<f64> {
-    spec.due_s.or_else(|| {
-        let of_class = settings
-            .params
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(spec.lane.as_str()));
+pub(super) fn deadline_s(settings: &Settings, spec: &wire::JobSpec) -> Option<f64> {
+    spec.deadline_s.or_else(|| {
+        let of_class =
+            settings.params.objectives.iter().filter(|o| {
+                o.kind == "finished" && o.class.as_deref() == Some(spec.class.as_str())
+            });
         of_class.filter_map(|o| o.within_s).min_by(f64::total_cmp)
     })
 }
@@ -51,14 +50,14 @@
 /// Importance of a job's first task per core. Urgency counts most; within an urgency, work
 /// that is close to its deadline and can still make it, and work within a guarantee.
 pub(super) fn weight(cluster: &ClusterView<'_>, job: &Job, run_s: f64, required: bool) -> f64 {
-    let base = match job.spec.urgency {
-        Urgency::Critical => 64.0,
-        Urgency::High => 16.0,
-        Urgency::Normal => 4.0,
-        Urgency::BestEffort => 1.0,
+    let base = match job.spec.priority {
+        Priority::Critical => 64.0,
+        Priority::High => 16.0,
+        Priority::Normal => 4.0,
+        Priority::BestEffort => 1.0,
     };
     let age = cluster.wall.0.saturating_sub(job.at.0) as f64 / 1000.0;
-    let pressing = match due_s(cluster.settings, &job.spec) {
+    let pressing = match deadline_s(cluster.settings, &job.spec) {
         Some(due) => {
             let due = due.max(1.0);
             let work = f64::from(job.remaining()) * run_s / due;
@@ -94,19 +93,19 @@
         .map(|t| (t.name.as_str(), Cores::offer(t.cpus)))
         .collect();
     let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
-    jobs.sort_by_key(|j| (j.at, j.spec.r#ref));
+    jobs.sort_by_key(|j| (j.at, j.spec.id));
     let mut inside = HashSet::new();
     for job in jobs {
-        let tasks = match job.spec.shape {
-            Shape::Sweep | Shape::Gang => job.remaining(),
-            Shape::Service => job.spec.pieces,
+        let tasks = match job.spec.kind {
+            JobKind::Array | JobKind::Gang => job.remaining(),
+            JobKind::Service => job.spec.task_count,
         };
         let need = Cores(Need::of(&job.spec).cores.0 * u64::from(tasks));
-        if let Some(left) = room.get_mut(job.spec.owner.as_str())
+        if let Some(left) = room.get_mut(job.spec.team.as_str())
             && need <= *left
         {
             *left = left.less(need);
-            inside.insert(job.spec.r#ref);
+            inside.insert(job.spec.id);
         }
     }
     inside
@@ -116,8 +115,8 @@
     /// A task's expected run time: the owner's estimate, corrected by how its class's
     /// estimates turned out so far.
     pub(super) fn run_s(&self, job: &Job) -> f64 {
-        let ratio = self.runs.get(&job.spec.lane).filter(|r| r.1 > 0.0).map_or(1.0, |r| r.0 / r.1);
-        job.spec.guess_s.max(1.0) * ratio.clamp(0.3, 3.0)
+        let ratio = self.runs.get(&job.spec.class).filter(|r| r.1 > 0.0).map_or(1.0, |r| r.0 / r.1);
+        job.spec.estimated_run_s.max(1.0) * ratio.clamp(0.3, 3.0)
     }
 
     /// What every unfinished job asks of admission.
@@ -130,7 +129,7 @@
     ) -> Vec<Demand> {
         let required = within_guarantees(cluster);
         let ranks: HashMap<JobId, u32> =
-            cluster.replica.jobs.iter().map(|(id, j)| (*id, rank(j.spec.urgency))).collect();
+            cluster.replica.jobs.iter().map(|(id, j)| (*id, rank(j.spec.priority))).collect();
         let ranks = admission::revised_ranks(&ranks, &[]);
         let teams = cluster.settings.params.teams.iter().enumerate();
         let teams: FxHashMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
@@ -138,7 +137,7 @@
         for (id, job) in &cluster.replica.jobs {
             let (held, unresolved) = counts.get(id).copied().unwrap_or_default();
             let runnable = job.remaining().saturating_sub(held + unresolved);
-            let Some(team) = teams.get(job.spec.owner.as_str()).copied() else {
+            let Some(team) = teams.get(job.spec.team.as_str()).copied() else {
                 continue;
             };
             // A job that fails everywhere keeps the value it would have, but only one task
@@ -146,20 +145,20 @@
             let tries = if failing.contains(id) { runnable.min(1) } else { runnable };
             let mut rank = ranks.get(id).copied().unwrap_or(u32::MAX);
             let mut weight = weight(cluster, job, self.run_s(job), required.contains(id));
-            let mut tries = match job.spec.shape {
-                Shape::Gang => self.gang_tries(job, held, unresolved),
-                Shape::Sweep | Shape::Service => tries,
+            let mut tries = match job.spec.kind {
+                JobKind::Gang => self.gang_tries(job, held, unresolved),
+                JobKind::Array | JobKind::Service => tries,
             };
             let at_limit = at_limit.get(team).copied().unwrap_or(false);
             let starved = self.starved(cluster, job, held, at_limit);
-            let gang = job.spec.shape == Shape::Gang;
+            let gang = job.spec.kind == JobKind::Gang;
             if starved {
                 // Nobody waits without bound: it begins with a few tasks before others go on, or
                 // with all if it runs whole or not at all.
                 rank = rank.min(STARVED_RANK);
                 weight = weight.max(STARVED_WEIGHT);
                 if !gang {
-                    tries = tries.min(job.spec.pieces.div_ceil(STARVED_PART));
+                    tries = tries.min(job.spec.task_count.div_ceil(STARVED_PART));
                 }
             }
             // What is kept for such gangs is of no use to others.
@@ -168,9 +167,9 @@
                 job: *id,
                 rank,
                 weight,
-                curve: match job.spec.shape {
-                    Shape::Gang => Curve::Step,
-                    Shape::Sweep | Shape::Service => Curve::Concave { fade: FADE },
+                curve: match job.spec.kind {
+                    JobKind::Gang => Curve::Step,
+                    JobKind::Array | JobKind::Service => Curve::Concave { fade: FADE },
                 },
                 team,
                 cores: Need::of(&job.spec).cores,
--- a/src/leader/machine_speed.rs
+++ b/src/leader/machine_speed.rs
@@ -5,7 +5,7 @@
 use super::{ClusterView, Leader};
 use crate::fleet::OnMachines;
 use crate::replica::Job;
-use crate::wire::PieceStage;
+use crate::wire::TaskState;
 
 /// Tasks of a job that must have completed before others are compared with them.
 const COMPARED: u32 = 3;
@@ -44,7 +44,7 @@
     pub(super) fn learn(&mut self, cluster: &ClusterView<'_>, on: &OnMachines<'_>) {
         let now = cluster.now;
         for (t, (began, machine)) in &self.seen_running {
-            if on.get(t).is_some_and(|s| s.stage == PieceStage::Running) {
+            if on.get(t).is_some_and(|s| s.state == TaskState::Running) {
                 continue;
             }
             // It may have completed without being on record yet.
@@ -60,16 +60,16 @@
                 speed.note(took / (known.0 / f64::from(known.1)).max(0.1));
             }
             *known = (known.0 + took, known.1 + 1);
-            if !self.runs.contains_key(&job.spec.lane) {
-                self.runs.insert(job.spec.lane.clone(), (0.0, 0.0));
+            if !self.runs.contains_key(&job.spec.class) {
+                self.runs.insert(job.spec.class.clone(), (0.0, 0.0));
             }
-            if let Some(entry) = self.runs.get_mut(&job.spec.lane) {
+            if let Some(entry) = self.runs.get_mut(&job.spec.class) {
                 entry.0 = entry.0 * 0.97 + took;
-                entry.1 = entry.1 * 0.97 + job.spec.guess_s.max(0.1);
+                entry.1 = entry.1 * 0.97 + job.spec.estimated_run_s.max(0.1);
             }
         }
         let mut running = FxHashMap::default();
-        for (t, s) in on.iter().filter(|(_, s)| s.stage == PieceStage::Running) {
+        for (t, s) in on.iter().filter(|(_, s)| s.state == TaskState::Running) {
             let seen = self.seen_running.get(t).filter(|(_, m)| *m == s.machine.id).cloned();
             running.insert(*t, seen.unwrap_or_else(|| (now, s.machine.id.clone())));
         }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -7,7 +7,7 @@
 use super::{ClusterView, Epoch, Granted, Leader};
 use crate::model::{Attempt, JobId, NodeId, PlanSeq, Ranges, Steady};
 use crate::peer::{Grant, Plan, PlanBody, Standing, Waits};
-use crate::wire::PieceStage;
+use crate::wire::TaskState;
 
 /// Longest time for which parts are not told how jobs stand.
 const STANDINGS_MS: u64 = 1_000;
@@ -33,7 +33,7 @@
         }
         let mut bodies = self.bodies_without_standings();
         let same = |id: &NodeId, body: &PlanBody| {
-            self.bodies.get(id).is_some_and(|known| known.orders_as(body))
+            self.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
         };
         // A plan that tells nothing new would only be sent around.
         let due = cluster.now.since(self.told_standings) >= STANDINGS_MS;
@@ -67,7 +67,7 @@
         let mut common = PlanBody {
             drain: draining.map(|(id, _)| id.clone()).collect(),
             slow: slow.map(|(id, _)| id.clone()).collect(),
-            lapsed: lapsed.map(|(id, session)| (id.clone(), *session)).collect(),
+            lapsed: lapsed.map(|(id, agent_epoch)| (id.clone(), *agent_epoch)).collect(),
             stops: self.stops(),
             kept: self.kept.clone(),
             ..PlanBody::default()
@@ -112,8 +112,8 @@
         let on = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         // What still fetches its image or waits for its gang does not run.
-        let runs = |s: PieceStage| matches!(s, PieceStage::Running | PieceStage::Flushing);
-        for (t, _) in on.iter().filter(|(_, s)| runs(s.stage)) {
+        let runs = |s: TaskState| matches!(s, TaskState::Running | TaskState::SavingCheckpoint);
+        for (t, _) in on.iter().filter(|(_, s)| runs(s.state)) {
             *running.entry(t.job).or_default() += 1;
         }
         cluster
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -44,15 +44,15 @@
         }
         for (job, tasks) in by_job {
             if let Some(j) = cluster.replica.jobs.get(&job) {
-                add(&mut used, &j.spec.owner, &Need::of(&j.spec), tasks);
+                add(&mut used, &j.spec.team, &Need::of(&j.spec), tasks);
             } else if let Some(w) = cluster.replica.withdrawn.get(&job) {
                 add(&mut used, &w.owner, &w.need, tasks);
             }
         }
         // Machines whose tasks belong to nobody known count in full for every team.
         let offered = |id: &MachineId| {
-            let hull = &fleet.machines.get(id)?.offer.hull;
-            cluster.flavors.get(hull).map(Need::offered)
+            let machine_type = &fleet.machines.get(id)?.offer.machine_type;
+            cluster.flavors.get(machine_type).map(Need::offered)
         };
         for need in strange.into_iter().filter_map(offered) {
             for u in &mut used {
@@ -76,8 +76,8 @@
     ) {
         let mut held = Need::default();
         for id in &fleet.unsettled {
-            let hull = fleet.machines.get(id).map(|m| &m.offer.hull);
-            if let Some(f) = hull.and_then(|h| cluster.flavors.get(h)) {
+            let machine_type = fleet.machines.get(id).map(|m| &m.offer.machine_type);
+            if let Some(f) = machine_type.and_then(|h| cluster.flavors.get(h)) {
                 let offered = Need::offered(f);
                 held.cores.0 += offered.cores.0;
                 held.accelerators.0 += offered.accelerators.0;
@@ -99,7 +99,7 @@
         }
         for (job, tasks) in by_job {
             if let Some(j) = cluster.replica.jobs.get(&job) {
-                add(&j.spec.owner, &Need::of(&j.spec), tasks);
+                add(&j.spec.team, &Need::of(&j.spec), tasks);
             }
         }
         for w in cluster.replica.withdrawn.values() {
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -12,7 +12,7 @@
 use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
 use crate::placement::{Need, Room};
 use crate::replica::Job;
-use crate::wire::{Shape, Urgency};
+use crate::wire::{JobKind, Priority};
 
 /// Time between two decisions on what to rent and return.
 pub(super) const CAPACITY_MS: u64 = 1_000;
@@ -43,10 +43,10 @@
             *held.entry(t.job).or_default() += 1;
         }
         let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
-        jobs.sort_by_key(|j| (j.spec.urgency, j.at, j.spec.r#ref));
+        jobs.sort_by_key(|j| (j.spec.priority, j.at, j.spec.id));
         for job in jobs {
             let need = Need::of(&job.spec);
-            let room = team_room.get_mut(job.spec.owner.as_str());
+            let room = team_room.get_mut(job.spec.team.as_str());
             let can = room.as_ref().map_or(0, |r| **r / need.cores.0.max(1));
             let wanted = u64::from(job.remaining()).min(can) as u32;
             if let Some(r) = room {
@@ -55,10 +55,10 @@
             let run_s = self.run_s(job);
             let brief = autoscaler::is_brief(cluster.flavors, &job.spec, run_s);
             let age_ms = waited_ms(cluster, job) as f64;
-            let gang = job.spec.shape == Shape::Gang;
+            let gang = job.spec.kind == JobKind::Gang;
             if gang {
-                let cores = Cores(need.cores.0 * u64::from(job.spec.pieces));
-                let (sum, largest) = &mut gangs[usize::from(job.spec.loaners)];
+                let cores = Cores(need.cores.0 * u64::from(job.spec.task_count));
+                let (sum, largest) = &mut gangs[usize::from(job.spec.allows_spot)];
                 // It counts from its arrival for as long as it runs, wherever it is.
                 if age_ms < run_s * 1000.0 {
                     sum.0 += cores.0;
@@ -66,11 +66,11 @@
                 *largest = cores.max(*largest);
             }
             if brief && !gang && age_ms < run_s * 1000.0 {
-                let cores = need.cores.0 * u64::from(job.spec.pieces).min(can);
+                let cores = need.cores.0 * u64::from(job.spec.task_count).min(can);
                 brief_cores.0 += cores;
-                urgent.0 += if job.spec.urgency <= Urgency::High { cores } else { 0 };
+                urgent.0 += if job.spec.priority <= Priority::High { cores } else { 0 };
             }
-            let running = held.get(&job.spec.r#ref).copied().unwrap_or(0);
+            let running = held.get(&job.spec.id).copied().unwrap_or(0);
             if !brief {
                 long.0 += need.cores.0 * u64::from(running);
             }
@@ -89,8 +89,11 @@
             .machines
             .iter()
             .map(|(id, m)| {
-                let offered =
-                    cluster.flavors.get(&m.offer.hull).map(Need::offered).unwrap_or_default();
+                let offered = cluster
+                    .flavors
+                    .get(&m.offer.machine_type)
+                    .map(Need::offered)
+                    .unwrap_or_default();
                 let room = free.get(id);
                 Held {
                     id: id.clone(),
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -22,13 +22,21 @@
 
 impl From<&Offer> for RentalOffer {
     fn from(offer: &Offer) -> Self {
-        RentalOffer { machine_type: offer.hull.clone(), zone: offer.zone.clone(), spot: offer.spot }
+        RentalOffer {
+            machine_type: offer.machine_type.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+        }
     }
 }
 
 impl From<&RentalOffer> for Offer {
     fn from(offer: &RentalOffer) -> Self {
-        Offer { hull: offer.machine_type.clone(), zone: offer.zone.clone(), spot: offer.spot }
+        Offer {
+            machine_type: offer.machine_type.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+        }
     }
 }
 
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -10,7 +10,7 @@
 use crate::placement;
 use crate::placement::{Need, Room};
 use crate::replica::Job;
-use crate::wire::Shape;
+use crate::wire::JobKind;
 
 /// How long a job waits at most before its first tasks go before others.
 const STARVED_MS: u64 = 100_000;
@@ -41,7 +41,7 @@
 /// Keeps machines from others in the zone where a gang that fits nowhere can begin first: those
 /// that would hold it once they are empty.
 fn hold_back_for_gang(cluster: &ClusterView<'_>, job: &Job, need: &Need, rooms: &mut [Room]) {
-    let count = job.spec.pieces as usize;
+    let count = job.spec.task_count as usize;
     let all = vec![true; rooms.len()];
     let zones: Vec<Option<&str>> = match job.spec.one_zone {
         true => cluster.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
@@ -51,8 +51,8 @@
         return;
     }
     let slots = |r: &Room| {
-        let offered = cluster.flavors.get(&*r.hull).map(Need::offered).unwrap_or_default();
-        let may = r.open && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot);
+        let offered = cluster.flavors.get(&*r.machine_type).map(Need::offered).unwrap_or_default();
+        let may = r.open && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot);
         if may { placement::slots(need, &offered) as usize } else { 0 }
     };
     // The zone that lacks least now, of those that could hold it at all.
@@ -108,7 +108,7 @@
         if held > 0 || !at_limit {
             return held == 0 && waits > STARVED_MS;
         }
-        let idle = self.idle.get(&job.spec.r#ref).map_or(0, |at| cluster.now.since(*at));
+        let idle = self.idle.get(&job.spec.id).map_or(0, |at| cluster.now.since(*at));
         idle.max(waits) > STARVED_AT_LIMIT_MS
     }
 
@@ -126,7 +126,7 @@
             let Some(job) = cluster.replica.jobs.get(&d.job) else { continue };
             let need = Need::of(&job.spec);
             let running = counts.get(&d.job).map_or(0, |c| c.0);
-            if job.spec.shape == Shape::Gang {
+            if job.spec.kind == JobKind::Gang {
                 if running == 0 && waited_ms(cluster, job) > CLEARED_MS {
                     hold_back_for_gang(cluster, job, &need, &mut filling.rooms);
                 }
@@ -147,10 +147,10 @@
                 continue;
             }
             let could = |r: &Room| {
-                let offered = cluster.flavors.get(&*r.hull).map(Need::offered);
+                let offered = cluster.flavors.get(&*r.machine_type).map(Need::offered);
                 r.open
                     && offered.is_some_and(|o| need.fits(&o))
-                    && placement::allowed(&job.spec, &r.hull, &r.zone, r.spot)
+                    && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot)
             };
             let best = (0..filling.rooms.len())
                 .filter(|&i| could(&filling.rooms[i]))
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -6,13 +6,13 @@
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
-use crate::model::{Incarnation, Moment, Revision, Session, StoreLease, Wall};
+use crate::model::{AgentEpoch, Incarnation, Moment, Revision, StoreLease, Wall};
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::flavor;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, EpochRecord, LeaderRecord, ReplicaChanges, TermRecord};
 use crate::wire::tests::spec;
-use crate::wire::{self, Change, Item, PieceStage, Urgency};
+use crate::wire::{self, Change, Item, Priority, TaskState};
 
 const LIFE: Incarnation = Incarnation(5);
 
@@ -25,7 +25,7 @@
     let settings = Settings::parse(EXAMPLE).unwrap();
     let mut controller = Controller::new(Rc::new(settings), LIFE);
     let small = flavor("small", 8.0, 64.0);
-    controller.set_flavors(&wire::Flavors { hulls: vec![small] });
+    controller.set_flavors(&wire::Flavors { machine_types: vec![small] });
     let job = JobId(1);
     let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
     let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
@@ -52,11 +52,11 @@
 fn view(id: &str, settled: bool, tasks: &[u32]) -> MachineView {
     MachineView {
         id: MachineId::new(id),
-        hull: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         endpoint: "10.1.0.1:9000".into(),
-        session: Session(1),
+        agent_epoch: AgentEpoch(1),
         settled,
         leaving: false,
         shun_ms: 0,
@@ -64,7 +64,7 @@
             .iter()
             .map(|index| TaskView {
                 task: TaskId { job: JobId(1), index: *index },
-                stage: PieceStage::Running,
+                state: TaskState::Running,
             })
             .collect(),
         images: vec![],
@@ -197,11 +197,11 @@
     // Whole zones were returned a moment before their cut ended, though the run-out of
     // their leases had proven all that was needed.
     let mut controller = leader();
-    let tells = |controller: &mut Controller, ms: u64, alive: bool, session: u64| {
+    let tells = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
         controller.rights.confirm_renewal(Steady(ms));
         controller.rights.confirm_sync(Steady(ms));
-        let mut n1 = view("n-1", true, if session == 1 { &[0] } else { &[] });
-        n1.session = Session(session);
+        let mut n1 = view("n-1", true, if agent_epoch == 1 { &[0] } else { &[] });
+        n1.agent_epoch = AgentEpoch(agent_epoch);
         let mut s = Summary {
             node: NodeId(0),
             number: ms,
@@ -228,7 +228,7 @@
     assert_eq!(tells(&mut controller, 42_000, false, 1), (false, 1));
     let plan = controller.plan_for(NodeId(0), Steady(42_000)).unwrap().0;
     let told = plan.body.map(|b| b.lapsed);
-    assert_eq!(told, Some(vec![(MachineId::new("n-1"), Session(1))]), "its part is told");
+    assert_eq!(told, Some(vec![(MachineId::new("n-1"), AgentEpoch(1))]), "its part is told");
     assert_eq!(tells(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
     tells(&mut controller, 44_000, true, 2);
     assert!(controller.leader.as_ref().unwrap().fleet.views().any(|m| &*m.id.0 == "n-1"), "back");
@@ -323,12 +323,12 @@
 #[test]
 fn a_machine_that_later_lists_lack_is_returned_once_it_is_silent() {
     let host = |id: &str| wire::ListedHost {
-        r#ref: MachineId::new(id),
+        id: MachineId::new(id),
         endpoint: None,
-        hull: "small".into(),
-        yard: "a".into(),
-        loaners: false,
-        stage: wire::HostStage::Running,
+        machine_type: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        state: wire::HostStage::Running,
         held_s: 50.0,
     };
     // The list lags by 6 s. (when the second list came, its first name, whether it is cut off
@@ -463,7 +463,7 @@
         let moment = Moment { steady: Steady(1), wall: Wall(1 + age_s * 1_000) };
         let due = |cluster: &ClusterView<'_>| {
             let mut job = cluster.replica.jobs[&JobId(1)].clone();
-            job.spec.due_s = Some(100.0);
+            job.spec.deadline_s = Some(100.0);
             weight(cluster, &job, 10.0, false)
         };
         controller.with_leader(moment, |_, cluster| due(cluster)).unwrap()
@@ -506,7 +506,7 @@
         text += &format!("\n[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
     }
     let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), LIFE);
-    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
     let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let mut items: Vec<(String, wire::Value)> = vec![
         (replica::LEADER_KEY.into(), wire::to_value(&leader)),
@@ -577,7 +577,7 @@
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
         let before = controller.replica.granted_before();
         let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
-        let offer = Offer { hull: "small".into(), zone: "a".into(), spot: false };
+        let offer = Offer { machine_type: "small".into(), zone: "a".into(), spot: false };
         controller
             .with_leader(at(1_000), |l, cluster| l.fleet.rented(cluster.now, &rented, &offer));
         let mut revision = 9;
@@ -652,7 +652,7 @@
     let recorded = |path: &str| path.starts_with("e/");
     let fresh: Vec<Item> = items.into_values().filter(|i| !recorded(&i.path)).collect();
     let mut controller = Controller::new(earlier.settings.clone(), LIFE);
-    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
     controller.load(&fresh, Revision(9));
     controller.rights.lease = Some(StoreLease(1));
     controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
@@ -688,7 +688,7 @@
 /// A leader that knows two machines of two places each, and a gang besides the job of the others.
 fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), speaks: u32) -> Controller {
     let mut controller = leader();
-    let mut gang = wire::JobSpec { shape: Shape::Gang, one_zone: true, ..spec(7, tasks) };
+    let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
     let item = |path: String, v| Item { path, v, stamp: Revision(10) };
     let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
@@ -704,9 +704,9 @@
 }
 
 /// What a machine shows of the gang.
-fn shows(id: &str, tasks: &[(u32, PieceStage)]) -> MachineView {
+fn shows(id: &str, tasks: &[(u32, TaskState)]) -> MachineView {
     let task = |index| TaskId { job: JobId(7), index };
-    let tasks = tasks.iter().map(|(i, stage)| TaskView { task: task(*i), stage: *stage });
+    let tasks = tasks.iter().map(|(i, state)| TaskView { task: task(*i), state: *state });
     MachineView { tasks: tasks.collect(), ..view(id, true, &[]) }
 }
 
@@ -731,7 +731,7 @@
         (
             "half of it has to be in the other zone",
             4,
-            |s| (s.one_zone, s.scatter) = (false, true),
+            |s| (s.one_zone, s.spread_zones) = (false, true),
             1,
             0,
         ),
@@ -751,14 +751,24 @@
 
 #[test]
 fn a_gang_that_lost_a_task_is_stopped_and_begins_anew_once_all_are_gone() {
-    use PieceStage::{Running, Unknown, Waiting};
-    type Shown = &'static [(u32, PieceStage)];
+    use TaskState::{Running, Unknown, WaitingForGang};
+    type Shown = &'static [(u32, TaskState)];
     // What n-1 and n-2 show next, and whether the gang is stopped then.
     let cases: [(&str, Shown, Shown, bool); 5] = [
         ("all run", &[(0, Running), (1, Running)], &[(2, Running)], false),
-        ("one fetches still", &[(0, Waiting), (1, Waiting)], &[(2, PieceStage::Fetching)], false),
-        ("a start was lost", &[(0, Waiting), (1, Waiting)], &[], false),
-        ("a start is on its way", &[(0, Waiting), (1, Waiting)], &[(2, Unknown)], false),
+        (
+            "one fetches still",
+            &[(0, WaitingForGang), (1, WaitingForGang)],
+            &[(2, TaskState::FetchingImage)],
+            false,
+        ),
+        ("a start was lost", &[(0, WaitingForGang), (1, WaitingForGang)], &[], false),
+        (
+            "a start is on its way",
+            &[(0, WaitingForGang), (1, WaitingForGang)],
+            &[(2, Unknown)],
+            false,
+        ),
         ("one is gone while others run", &[(0, Running), (1, Running)], &[], true),
     ];
     for (what, first, second, stopped) in cases {
@@ -810,14 +820,15 @@
         (3_000, 3.0, 20.0, None),
         (6_500, 3.0, 0.0, None),
     ];
-    for (ms, stash_s, bookmark_s, want) in cases {
+    for (ms, checkpoint_save_s, checkpoint_interval_s, want) in cases {
         let mut controller = leader_with_gang(3, |_| {}, 1);
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(7)) {
-            (job.spec.stash_s, job.spec.bookmark_s) = (stash_s, bookmark_s);
+            (job.spec.checkpoint_save_s, job.spec.checkpoint_interval_s) =
+                (checkpoint_save_s, checkpoint_interval_s);
         }
         controller.replica.jobs.remove(&JobId(1));
         tell(&mut controller, 1_100, 0, vec![]);
-        let runs = PieceStage::Running;
+        let runs = TaskState::Running;
         let told = Summary {
             node: NodeId(0),
             number: 1_300,
@@ -830,7 +841,11 @@
         controller.take_summary(Steady(1_300), told);
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
-        assert_eq!(stops.first().map(|s| s.leeway_ms), want, "{ms} {stash_s} {bookmark_s}");
+        assert_eq!(
+            stops.first().map(|s| s.leeway_ms),
+            want,
+            "{ms} {checkpoint_save_s} {checkpoint_interval_s}"
+        );
     }
 }
 
@@ -841,7 +856,7 @@
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
     for (machines, age_s, kept, begins) in cases {
         let mut controller =
-            leader_with_gang(64, |s| (s.loaners, s.bundle) = (false, "gang".into()), 1);
+            leader_with_gang(64, |s| (s.allows_spot, s.image) = (false, "gang".into()), 1);
         controller.replica.jobs.remove(&JobId(1));
         let item = |path: String, v| Item { path, v, stamp: Revision(11) };
         let mut replica_changes = ReplicaChanges::default();
@@ -881,17 +896,17 @@
         ("urgent work may go there", Some(|_| {}), replica::SPEAKS_AHEAD, 0),
         (
             "urgent work may not",
-            Some(|s| s.hulls = Some(vec!["large".into()])),
+            Some(|s| s.machine_types = Some(vec!["large".into()])),
             replica::SPEAKS_AHEAD,
             3,
         ),
-        ("as urgent", Some(|s| s.urgency = Urgency::Normal), replica::SPEAKS_AHEAD, 3),
+        ("as urgent", Some(|s| s.priority = Priority::Normal), replica::SPEAKS_AHEAD, 3),
         ("the controller does not read such grants", None, replica::SPEAKS_ENDED, 0),
     ];
     let running = |id: &str, tasks: [u32; 2]| {
         let tasks = tasks.map(|index| TaskView {
             task: TaskId { job: JobId(8), index },
-            stage: PieceStage::Running,
+            state: TaskState::Running,
         });
         MachineView { tasks: tasks.to_vec(), ..view(id, true, &[]) }
     };
@@ -904,11 +919,11 @@
         };
         let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
-        let brief = wire::JobSpec { guess_s: 2.0, ..spec(8, 20) };
+        let brief = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
         put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
         if let Some(edit) = urgent {
             let mut other =
-                wire::JobSpec { urgency: Urgency::High, owner: "blue".into(), ..spec(9, 1) };
+                wire::JobSpec { priority: Priority::High, team: "blue".into(), ..spec(9, 1) };
             edit(&mut other);
             put(replica::job_key(JobId(9)), wire::to_value(&Accepted { spec: other, at: Wall(1) }));
         }
@@ -946,10 +961,14 @@
         (small(190.0), large(40.0)),
     ];
     let mut controller = leader();
-    let mut weigh = |(age, due_s, run_s, tasks): (f64, f64, f64, u32)| {
+    let mut weigh = |(age, deadline_s, run_s, tasks): (f64, f64, f64, u32)| {
         let now = at(1_000_000);
         let accepted = Wall(now.wall.0 - (age * 1_000.0) as u64);
-        let spec = wire::JobSpec { due_s: Some(due_s), guess_s: run_s, ..spec(8, tasks) };
+        let spec = wire::JobSpec {
+            deadline_s: Some(deadline_s),
+            estimated_run_s: run_s,
+            ..spec(8, tasks)
+        };
         let accepted = Accepted { spec, at: accepted };
         let item = Item {
             path: replica::job_key(JobId(8)),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// A worker's report.
-    Report,
+    Heartbeat,
     /// An epoch, as far as it is worked out.
     Epoch,
     /// Plans made of an epoch.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -16,11 +16,11 @@
 use willowshore_standby::decision_log::{Batch, FollowRequest};
 
 use crate::model::{
-    Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Session, TaskId,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
     Term,
 };
 use crate::replica::{LeaderRecord, Progress};
-use crate::wire::{JobSpec, PieceStage};
+use crate::wire::{JobSpec, TaskState};
 
 /// A task as its machine's owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -29,19 +29,20 @@
     /// The task.
     pub task: TaskId,
     /// Its state; `Unknown` for a start that the worker has not shown yet.
-    pub stage: PieceStage,
+    #[serde(rename = "stage")]
+    pub state: TaskState,
 }
 
 /// Stages by their number in messages between controllers.
 ///
 /// The version before gangs reads the last one as `Unknown`: on its machine, not shown yet.
-const STAGES: [PieceStage; 6] = [
-    PieceStage::Unknown,
-    PieceStage::Fetching,
-    PieceStage::Running,
-    PieceStage::Flushing,
-    PieceStage::Ended,
-    PieceStage::Waiting,
+const STAGES: [TaskState; 6] = [
+    TaskState::Unknown,
+    TaskState::FetchingImage,
+    TaskState::Running,
+    TaskState::SavingCheckpoint,
+    TaskState::Exited,
+    TaskState::WaitingForGang,
 ];
 
 /// Writes a struct as the list of these fields, in this order.
@@ -56,22 +57,22 @@
         }
     };
 }
-as_list!(MachineView, 11: id, hull, zone, spot, endpoint, settled, session, leaving, shun_ms, tasks, images);
-as_list!(Stray, 6: id, hull, zone, spot, silent_ms, since_ms);
+as_list!(MachineView, 11: id, machine_type, zone, spot, endpoint, settled, agent_epoch, leaving, shun_ms, tasks, images);
+as_list!(Stray, 6: id, machine_type, zone, spot, silent_ms, since_ms);
 as_list!(Grant, 4: job, tasks, zone, attempt);
 as_list!(Standing, 3: job, running, waits);
 
 impl From<TaskView> for (u64, u32, u8) {
     fn from(t: TaskView) -> Self {
-        let stage = STAGES.iter().position(|s| *s == t.stage).unwrap_or(0);
-        (t.task.job.0, t.task.index, stage as u8)
+        let state = STAGES.iter().position(|s| *s == t.state).unwrap_or(0);
+        (t.task.job.0, t.task.index, state as u8)
     }
 }
 
 impl From<(u64, u32, u8)> for TaskView {
-    fn from((job, index, stage): (u64, u32, u8)) -> Self {
-        let stage = STAGES.get(usize::from(stage)).copied().unwrap_or(PieceStage::Unknown);
-        TaskView { task: TaskId { job: JobId(job), index }, stage }
+    fn from((job, index, state): (u64, u32, u8)) -> Self {
+        let state = STAGES.get(usize::from(state)).copied().unwrap_or(TaskState::Unknown);
+        TaskView { task: TaskId { job: JobId(job), index }, state }
     }
 }
 
@@ -81,7 +82,8 @@
     /// The machine.
     pub id: MachineId,
     /// Type.
-    pub hull: Rc<str>,
+    #[serde(rename = "hull")]
+    pub machine_type: Rc<str>,
     /// Zone.
     pub zone: Rc<str>,
     /// Spot or ordinary.
@@ -92,7 +94,8 @@
     /// and its task list is the truth.
     pub settled: bool,
     /// Its session.
-    pub session: Session,
+    #[serde(rename = "session")]
+    pub agent_epoch: AgentEpoch,
     /// Whether the cloud is about to take it.
     pub leaving: bool,
     /// Milliseconds for which it takes nothing new: it failed tasks or showed no effect of
@@ -110,7 +113,8 @@
     /// The machine.
     pub id: MachineId,
     /// Type.
-    pub hull: String,
+    #[serde(rename = "hull")]
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -259,7 +263,7 @@
     /// Machines that are used last, as they run slow.
     pub slow: Vec<MachineId>,
     /// Machines whose lease has run out, and the session that ended with it.
-    pub lapsed: Vec<(MachineId, Session)>,
+    pub lapsed: Vec<(MachineId, AgentEpoch)>,
     /// How jobs stand.
     pub standings: Vec<Standing>,
     /// Gangs that are to be stopped wherever their tasks are.
@@ -279,7 +283,7 @@
 
 impl PlanBody {
     /// Whether both order the same, however jobs stand.
-    pub fn orders_as(&self, other: &PlanBody) -> bool {
+    pub fn has_same_commands(&self, other: &PlanBody) -> bool {
         self.grants == other.grants
             && self.ahead == other.ahead
             && self.drain == other.drain
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -9,7 +9,7 @@
 
 use crate::model::{Cores, MachineId, TaskId};
 use crate::replica::Replica;
-use crate::wire::{Flavor, JobSpec, PieceStage, Shape, Urgency};
+use crate::wire::{Flavor, JobKind, JobSpec, Priority, TaskState};
 
 /// Machine types by name, with what their machines offer.
 pub type Flavors = HashMap<String, Flavor>;
@@ -57,21 +57,21 @@
 }
 
 /// Whether a job may use machines of that type, zone and kind at all.
-pub fn allowed(spec: &JobSpec, hull: &str, zone: &str, spot: bool) -> bool {
-    spec.hulls.as_ref().is_none_or(|h| h.iter().any(|n| n == hull))
-        && spec.yard.as_ref().is_none_or(|y| y == zone)
-        && (!spot || spec.loaners)
+pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+    spec.machine_types.as_ref().is_none_or(|h| h.iter().any(|n| n == machine_type))
+        && spec.zone.as_ref().is_none_or(|y| y == zone)
+        && (!spot || spec.allows_spot)
 }
 
 /// The most urgent of some jobs that may use machines of that type, zone and kind. Less urgent work takes
 /// places there only after it.
-pub fn most_urgent<'a>(
+pub fn highest_priority<'a>(
     specs: impl Iterator<Item = &'a JobSpec>,
-    hull: &str,
+    machine_type: &str,
     zone: &str,
     spot: bool,
-) -> Option<Urgency> {
-    specs.filter(|spec| allowed(spec, hull, zone, spot)).map(|spec| spec.urgency).min()
+) -> Option<Priority> {
+    specs.filter(|spec| allowed(spec, machine_type, zone, spot)).map(|spec| spec.priority).min()
 }
 
 /// A machine as placement sees it.
@@ -80,7 +80,7 @@
     /// The machine.
     pub id: MachineId,
     /// Type.
-    pub hull: Rc<str>,
+    pub machine_type: Rc<str>,
     /// Zone.
     pub zone: Rc<str>,
     /// Spot or ordinary.
@@ -106,7 +106,8 @@
 impl Room {
     /// Whether a task of the job may start here now.
     pub fn takes(&self, spec: &JobSpec, need: &Need, zone: Option<&str>) -> bool {
-        !(self.kept && spec.loaners && spec.shape != Shape::Gang) && self.holds(spec, need, zone)
+        !(self.kept && spec.allows_spot && spec.kind != JobKind::Gang)
+            && self.holds(spec, need, zone)
     }
 
     /// The same, whether it is kept for others or not.
@@ -114,17 +115,17 @@
         self.open
             && need.fits(&self.free)
             && zone.is_none_or(|z| *z == *self.zone)
-            && allowed(spec, &self.hull, &self.zone, self.spot)
+            && allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
     /// Seconds that a task would wait here for its image.
     fn fetch_s(&self, spec: &JobSpec) -> f64 {
         let rate = if self.fetch_rate > 0.0 { self.fetch_rate } else { 1.0 };
-        let alone = spec.size_gb / rate;
-        if self.fetching.contains(&spec.bundle) {
+        let alone = spec.image_gb / rate;
+        if self.fetching.contains(&spec.image) {
             // Somewhere on its way, and shared with whatever else is fetched.
             alone * 0.5 * self.fetching.len() as f64
-        } else if self.has(&spec.bundle) {
+        } else if self.has(&spec.image) {
             0.0
         } else {
             alone * (1 + self.fetching.len()) as f64
@@ -133,7 +134,7 @@
 
     /// Whether a task would not wait for its image here.
     pub fn is_warm(&self, spec: &JobSpec) -> bool {
-        self.has(&spec.bundle) && !self.fetching.contains(&spec.bundle)
+        self.has(&spec.image) && !self.fetching.contains(&spec.image)
     }
 
     fn has(&self, image: &str) -> bool {
@@ -142,45 +143,45 @@
 
     /// GB of images of other jobs that the machine has.
     fn others_gb(&self, spec: &JobSpec) -> f64 {
-        self.images.iter().filter(|(name, _)| *name != spec.bundle).map(|(_, gb)| gb).sum()
+        self.images.iter().filter(|(name, _)| *name != spec.image).map(|(_, gb)| gb).sum()
     }
 
     /// Counts a task in.
     pub fn add(&mut self, spec: &JobSpec, need: &Need) {
         need.take_from(&mut self.free);
-        if !self.has(&spec.bundle) {
-            self.images.push((spec.bundle.clone(), spec.size_gb));
-            self.fetching.push(spec.bundle.clone());
+        if !self.has(&spec.image) {
+            self.images.push((spec.image.clone(), spec.image_gb));
+            self.fetching.push(spec.image.clone());
         }
     }
 
     /// A machine with these tasks and images; `open` says what speaks for or against it.
     pub fn of(
-        (id, hull, zone, spot): (&MachineId, &Rc<str>, &Rc<str>, bool),
-        tasks: impl Iterator<Item = (TaskId, PieceStage)>,
+        (id, machine_type, zone, spot): (&MachineId, &Rc<str>, &Rc<str>, bool),
+        tasks: impl Iterator<Item = (TaskId, TaskState)>,
         images: &[(Rc<str>, f64)],
         flavors: &Flavors,
         replica: &Replica,
         open: bool,
     ) -> Option<Self> {
-        let flavor = flavors.get(&**hull)?;
+        let flavor = flavors.get(&**machine_type)?;
         let mut free = Need::offered(flavor);
         let mut known = true;
         let mut fetching: Vec<Rc<str>> = Vec::new();
-        for (task, stage) in tasks {
+        for (task, state) in tasks {
             // A task of a job that has ended still takes room until it is gone.
             let Some(job) = replica.jobs.get(&task.job) else {
                 known = false;
                 continue;
             };
             Need::of(&job.spec).take_from(&mut free);
-            if stage == PieceStage::Fetching && !fetching.contains(&job.spec.bundle) {
-                fetching.push(job.spec.bundle.clone());
+            if state == TaskState::FetchingImage && !fetching.contains(&job.spec.image) {
+                fetching.push(job.spec.image.clone());
             }
         }
         Some(Room {
             id: id.clone(),
-            hull: hull.clone(),
+            machine_type: machine_type.clone(),
             zone: zone.clone(),
             spot,
             free,
@@ -218,10 +219,9 @@
     r.fetch_s(spec)
         + r.delay_s
         + r.free.cores.less(need.cores).amount() * SPARE_CORE_S
-        + if r.spot { 0.0 } else { spec.guess_s * ORDINARY_PART }
-        + r.others_gb(spec)
-            * if r.has(&spec.bundle) { WARM_S_PER_GB } else { OTHER_IMAGES_S_PER_GB }
-        + if r.slow { spec.guess_s * SLOW_PART } else { 0.0 }
+        + if r.spot { 0.0 } else { spec.estimated_run_s * ORDINARY_PART }
+        + r.others_gb(spec) * if r.has(&spec.image) { WARM_S_PER_GB } else { OTHER_IMAGES_S_PER_GB }
+        + if r.slow { spec.estimated_run_s * SLOW_PART } else { 0.0 }
 }
 
 /// The best machine for a task: shortest wait for the image, then the tightest fit.
@@ -281,8 +281,9 @@
     count: usize,
 ) -> Option<(f64, Vec<usize>)> {
     let wait = |r: &Room| {
-        let slow = if r.slow { spec.guess_s * SLOW_PART } else { 0.0 };
-        let dear = if spec.loaners && !r.spot { spec.guess_s * ORDINARY_PART } else { 0.0 };
+        let slow = if r.slow { spec.estimated_run_s * SLOW_PART } else { 0.0 };
+        let dear =
+            if spec.allows_spot && !r.spot { spec.estimated_run_s * ORDINARY_PART } else { 0.0 };
         r.fetch_s(spec) + r.delay_s + slow + dear
     };
     let mut open: Vec<(f64, usize, usize)> = rooms
@@ -350,8 +351,8 @@
     let need = Need::of(spec);
     flavors.values().filter(move |f| {
         need.fits(&Need::offered(f))
-            && spec.hulls.as_ref().is_none_or(|h| h.contains(&f.sku))
-            && spec.yard.as_ref().is_none_or(|y| f.yards.contains(y))
+            && spec.machine_types.as_ref().is_none_or(|h| h.contains(&f.sku))
+            && spec.zone.as_ref().is_none_or(|y| f.yards.contains(y))
     })
 }
 
@@ -359,12 +360,12 @@
 /// need that. At most half of the tasks, rounded up, may be in one zone under `Scatter`, so two tasks
 /// need two zones, and they can't all be in one as `OneZone` wants.
 pub fn zones_allow_all(spec: &JobSpec, flavors: &Flavors) -> bool {
-    if !spec.scatter || spec.pieces < 2 || spec.shape == Shape::Sweep {
+    if !spec.spread_zones || spec.task_count < 2 || spec.kind == JobKind::Array {
         return true;
     }
     let mut zones: Vec<&String> = possible(spec, flavors)
         .flat_map(|f| &f.yards)
-        .filter(|z| spec.yard.as_ref().is_none_or(|y| y == *z))
+        .filter(|z| spec.zone.as_ref().is_none_or(|y| y == *z))
         .collect();
     zones.sort();
     zones.dedup();
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -22,7 +22,7 @@
 fn room(id: &str, cores: u64, memory: u64) -> Room {
     Room {
         id: MachineId::new(id),
-        hull: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         free: Need {
@@ -124,26 +124,26 @@
 #[test]
 fn jobs_stay_where_they_are_allowed() {
     let mut job = spec(1, 1);
-    job.hulls = Some(vec!["small".into()]);
-    job.yard = Some("a".into());
-    job.loaners = false;
+    job.machine_types = Some(vec!["small".into()]);
+    job.zone = Some("a".into());
+    job.allows_spot = false;
     let cases = [
         ("small", "a", false, true),
         ("big", "a", false, false),
         ("small", "b", false, false),
         ("small", "a", true, false),
     ];
-    for (hull, zone, spot, want) in cases {
-        assert_eq!(allowed(&job, hull, zone, spot), want, "{hull} {zone} {spot}");
+    for (machine_type, zone, spot, want) in cases {
+        assert_eq!(allowed(&job, machine_type, zone, spot), want, "{machine_type} {zone} {spot}");
     }
     let flavors: Flavors =
         [flavor("small", 8.0, 64.0), flavor("big", 64.0, 256.0)].map(|f| (f.sku.clone(), f)).into();
     assert!(can_ever_run(&job, &flavors));
     job.vcpus = 32.0;
     assert!(!can_ever_run(&job, &flavors), "the allowed type is too small");
-    job.hulls = None;
+    job.machine_types = None;
     assert!(can_ever_run(&job, &flavors));
-    job.yard = Some("c".into());
+    job.zone = Some("c".into());
     assert!(!can_ever_run(&job, &flavors));
 }
 
@@ -177,7 +177,7 @@
             .map(|(id, cores, warm)| {
                 let mut r = room(id, *cores, 512);
                 if *warm {
-                    r.images.push((job.bundle.clone(), job.size_gb));
+                    r.images.push((job.image.clone(), job.image_gb));
                 }
                 r
             })
@@ -200,11 +200,11 @@
 fn what_must_run_at_once_needs_zones_that_allow_it() {
     // Accepted, such jobs would wait for ever.
     // (shape, tasks, one zone, scattered, the only zone, zones of the type, whether it can run)
-    use Shape::{Gang, Service, Sweep};
+    use JobKind::{Array, Gang, Service};
     let cases = [
         (Gang, 2, true, true, None, 2, false),
         (Service, 2, true, true, None, 2, false),
-        (Sweep, 2, true, true, None, 2, true), // one after the other
+        (Array, 2, true, true, None, 2, true), // one after the other
         (Gang, 1, true, true, None, 1, true),
         (Gang, 2, false, true, None, 2, true),
         (Gang, 2, false, true, None, 1, false),
@@ -213,14 +213,14 @@
         (Service, 5, true, false, Some("a"), 2, true),
         (Gang, 5, true, false, None, 1, true),
     ];
-    for (shape, pieces, one_zone, scatter, yard, zones, can) in cases {
-        let yard = yard.map(String::from);
-        let job = JobSpec { shape, one_zone, scatter, yard, ..spec(1, pieces) };
+    for (kind, task_count, one_zone, spread_zones, zone, zones, can) in cases {
+        let zone = zone.map(String::from);
+        let job = JobSpec { kind, one_zone, spread_zones, zone, ..spec(1, task_count) };
         let mut small = flavor("small", 8.0, 64.0);
         small.yards.truncate(zones);
         let flavors = Flavors::from([("small".to_string(), small)]);
         assert!(can_ever_run(&job, &flavors));
-        let what = format!("{shape:?} {pieces} {one_zone} {scatter} {zones}");
+        let what = format!("{kind:?} {task_count} {one_zone} {spread_zones} {zones}");
         assert_eq!(zones_allow_all(&job, &flavors), can, "{what}");
     }
 }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -15,7 +15,7 @@
 use crate::autoscaler::Load;
 use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, Wall};
 use crate::placement::{Flavors, Need};
-use crate::wire::{self, Changes, Guard, Item, JobSpec, JobStage, Value};
+use crate::wire::{self, Changes, Guard, Item, JobSpec, JobState, Value};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
 const ENDED_KEPT: usize = 100_000;
@@ -38,7 +38,7 @@
 pub struct Progress {
     /// Set once the job has ended, and never changed then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<JobStage>,
+    pub end: Option<JobState>,
     /// Tasks that completed.
     #[serde(default)]
     pub done: Ranges,
@@ -88,7 +88,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Type.
-    pub hull: String,
+    #[serde(rename = "hull")]
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -110,7 +111,7 @@
     /// What is kept of it once it is gone: that it is.
     pub fn tombstone(&self, at: Wall) -> Self {
         MachineRecord {
-            hull: String::new(),
+            machine_type: String::new(),
             zone: String::new(),
             endpoint: String::new(),
             gone: Some(self.gone.unwrap_or(at)),
@@ -139,8 +140,8 @@
 
 impl Withdrawn {
     fn of(spec: &JobSpec, done: u32) -> Self {
-        let left = spec.pieces.saturating_sub(done);
-        Withdrawn { owner: spec.owner.clone(), need: Need::of(spec), left }
+        let left = spec.task_count.saturating_sub(done);
+        Withdrawn { owner: spec.team.clone(), need: Need::of(spec), left }
     }
 }
 
@@ -180,7 +181,7 @@
     }
     /// Tasks that are not done.
     pub fn remaining(&self) -> u32 {
-        self.spec.pieces.saturating_sub(self.progress.done.len())
+        self.spec.task_count.saturating_sub(self.progress.done.len())
     }
 }
 
@@ -208,7 +209,7 @@
     /// Jobs that have not ended.
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that have ended, with the number of tasks done.
-    pub ended: HashMap<JobId, (JobStage, u32)>,
+    pub ended: HashMap<JobId, (JobState, u32)>,
     /// The same in the order in which their ends became known.
     ended_order: VecDeque<JobId>,
     orphaned: HashMap<JobId, (Progress, Revision)>,
@@ -295,13 +296,13 @@
 
 /// Machine types as values of up to so many bytes; the first key is the one that all versions read.
 pub fn flavor_pieces(flavors: &wire::Flavors, bytes: usize) -> Vec<wire::Change> {
-    let mut pieces: Vec<wire::Flavors> = vec![wire::Flavors { hulls: Vec::new() }];
-    for flavor in &flavors.hulls {
+    let mut pieces: Vec<wire::Flavors> = vec![wire::Flavors { machine_types: Vec::new() }];
+    for flavor in &flavors.machine_types {
         if let Some(last) = pieces.last_mut() {
-            last.hulls.push(flavor.clone());
-            if last.hulls.len() > 1 && wire::stored_bytes(last) > bytes {
-                let next = last.hulls.pop();
-                pieces.push(wire::Flavors { hulls: next.into_iter().collect() });
+            last.machine_types.push(flavor.clone());
+            if last.machine_types.len() > 1 && wire::stored_bytes(last) > bytes {
+                let next = last.machine_types.pop();
+                pieces.push(wire::Flavors { machine_types: next.into_iter().collect() });
             }
         }
     }
@@ -319,11 +320,11 @@
 pub fn kept_spec(spec: &JobSpec, flavors: &Flavors, bytes: usize) -> JobSpec {
     let mut kept = spec.clone();
     if wire::stored_bytes(&Accepted { spec: kept.clone(), at: Wall(u64::MAX) }) > bytes
-        && let Some(hulls) = &mut kept.hulls
+        && let Some(machine_types) = &mut kept.machine_types
     {
-        hulls.retain(|h| flavors.contains_key(h));
-        hulls.sort();
-        hulls.dedup();
+        machine_types.retain(|h| flavors.contains_key(h));
+        machine_types.sort();
+        machine_types.dedup();
     }
     kept
 }
@@ -353,7 +354,7 @@
 
     /// Remembers that a job has ended; false if that was known. The oldest go first: tasks of jobs
     /// that ended lately may still be on machines, and are killed there because their end is known.
-    fn remember_end(&mut self, id: JobId, end: (JobStage, u32)) -> bool {
+    fn remember_end(&mut self, id: JobId, end: (JobState, u32)) -> bool {
         if self.ended.insert(id, end).is_some() {
             return false;
         }
@@ -546,7 +547,7 @@
     fn put_job(&mut self, rest: &str, value: &Value, replica_changes: &mut ReplicaChanges) {
         let Some(id) = JobId::parse(rest) else { return };
         let end = self.ended.get(&id).copied();
-        let over = matches!(end, Some((JobStage::Done, _))) || self.withdrawn.contains_key(&id);
+        let over = matches!(end, Some((JobState::Done, _))) || self.withdrawn.contains_key(&id);
         if over || self.jobs.contains_key(&id) {
             return;
         }
@@ -575,7 +576,7 @@
         b.progress = true;
         if let Some(end) = progress.end {
             let job = self.jobs.remove(&id);
-            if end == JobStage::Withdrawn {
+            if end == JobState::Cancelled {
                 if let Some(job) = job {
                     let left = Withdrawn::of(&job.spec, progress.done.len());
                     self.remember_withdrawn(id, left);
@@ -584,7 +585,7 @@
                 self.remember_withdrawn(id, left);
             }
             self.orphaned.remove(&id);
-            if self.remember_end(id, (end, progress.done.len())) && end == JobStage::Withdrawn {
+            if self.remember_end(id, (end, progress.done.len())) && end == JobState::Cancelled {
                 b.withdrawn.push(id);
             }
         } else if let Some(job) = self.jobs.get_mut(&id) {
@@ -641,8 +642,10 @@
     /// All machine types on record.
     pub fn all_flavors(&self) -> Option<wire::Flavors> {
         let (first, _) = self.flavors.as_ref()?;
-        let more = self.more_flavors.values().flat_map(|f| &f.hulls);
-        Some(wire::Flavors { hulls: first.hulls.iter().chain(more).cloned().collect() })
+        let more = self.more_flavors.values().flat_map(|f| &f.machine_types);
+        Some(wire::Flavors {
+            machine_types: first.machine_types.iter().chain(more).cloned().collect(),
+        })
     }
 
     /// Whether a controller that is up knows gangs.
@@ -670,7 +673,7 @@
     pub fn may_run(&self, task: TaskId) -> bool {
         self.jobs
             .get(&task.job)
-            .is_some_and(|j| task.index < j.spec.pieces && !j.is_done(task.index))
+            .is_some_and(|j| task.index < j.spec.task_count && !j.is_done(task.index))
     }
 
     /// Whether a task's outcome no longer matters: its job has ended or it is durably done.
@@ -735,7 +738,7 @@
         let mut any = false;
         let mut apart = Vec::new();
         for index in tasks {
-            if index >= job.spec.pieces {
+            if index >= job.spec.task_count {
             } else if progress.done.spans().len() < most || progress.done.touches(index) {
                 any |= progress.done.insert(index);
             } else {
@@ -750,10 +753,10 @@
         if !any {
             return None;
         }
-        let all = progress.done.len() == job.spec.pieces;
-        if all && job.spec.shape != wire::Shape::Service {
-            progress.end = Some(JobStage::Done);
-            if job.spec.shape == wire::Shape::Gang {
+        let all = progress.done.len() == job.spec.task_count;
+        if all && job.spec.kind != wire::JobKind::Service {
+            progress.end = Some(JobState::Done);
+            if job.spec.kind == wire::JobKind::Gang {
                 progress.gang = Some(Withdrawn::of(&job.spec, 0));
             }
         }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -7,7 +7,7 @@
 /// Machines of type `small` in zone `a` that are up.
 pub(crate) fn group(ids: &[&str]) -> MachineGroup {
     let record = MachineRecord {
-        hull: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         up: true,
@@ -58,10 +58,10 @@
     assert!(job.is_done(0) && !job.is_done(1));
     assert_eq!(job.progress_stamp, Revision(5));
     let end = Replica::with_done(job, [1, 1, 99], 2_048).unwrap();
-    assert_eq!(end.end, Some(JobStage::Done));
+    assert_eq!(end.end, Some(JobState::Done));
     assert!(Replica::with_done(job, [0], 2_048).is_none());
     l.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut b);
-    assert_eq!(l.ended[&JobId(7)], (JobStage::Done, 2));
+    assert_eq!(l.ended[&JobId(7)], (JobState::Done, 2));
     // An ended job stays ended whatever is read later.
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
     l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
@@ -76,7 +76,7 @@
     for (cancelled, left, forgotten) in [(3, 3, false), (kept, kept, false), (kept + 1, kept, true)]
     {
         let mut l = Replica::new(NodeId(0));
-        let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
+        let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
         for n in 1..=cancelled {
             let accepted = Accepted { spec: spec(n, 2), at: Wall(1) };
             let news = vec![
@@ -93,9 +93,9 @@
 fn what_a_gang_that_is_done_may_still_use_is_on_record() {
     // Found in the simulation: a machine that hung had tasks of a gang that was done, and after a
     // takeover they counted for no limit. (shape, tasks that may still be somewhere)
-    for (shape, left) in [(wire::Shape::Gang, Some(3)), (wire::Shape::Sweep, None)] {
+    for (kind, left) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
         let job = Job {
-            spec: JobSpec { shape, ..spec(7, 3) },
+            spec: JobSpec { kind, ..spec(7, 3) },
             at: Wall(1),
             progress: Progress::default(),
             progress_stamp: Revision(0),
@@ -105,7 +105,7 @@
         // A controller that has never seen the job read its end alone.
         let mut l = Replica::new(NodeId(0));
         l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut replica_changes);
-        assert_eq!(l.withdrawn.get(&JobId(7)).map(|w| w.left), left, "{shape:?}");
+        assert_eq!(l.withdrawn.get(&JobId(7)).map(|w| w.left), left, "{kind:?}");
     }
 }
 
@@ -126,7 +126,7 @@
     assert!(wire::stored_bytes(&more) <= 2_048 && more.done.contains(1));
     job.progress = some;
     let all = Replica::with_done(&job, 0..4_000, 2_048).unwrap();
-    assert_eq!((all.end, all.done.len()), (Some(JobStage::Done), 4_000));
+    assert_eq!((all.end, all.done.len()), (Some(JobState::Done), 4_000));
 }
 
 #[test]
@@ -134,7 +134,7 @@
     // All ends were forgotten at once when there were too many: tasks of a job that had been cancelled
     // just before got no kill any more, and ran on.
     let mut l = Replica::new(NodeId(0));
-    let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
+    let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let gone = wire::to_value(&gone);
     let mut replica_changes = ReplicaChanges::default();
     let ends = ENDED_KEPT as u64 + 3;
@@ -152,7 +152,7 @@
 #[test]
 fn a_replica_that_is_read_anew_keeps_what_cannot_change() {
     let member = |speaks| MemberRecord { life: Incarnation(9), version: String::new(), speaks };
-    let done = Progress { end: Some(JobStage::Done), ..Progress::default() };
+    let done = Progress { end: Some(JobState::Done), ..Progress::default() };
     let mut l = Replica::new(NodeId(0));
     l.apply(&changes(4, vec![set(member_key(NodeId(1)), &member(SPEAKS_ENDED), 3)]));
     l.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -94,7 +94,7 @@
                 Ok(Committed::Yes(stamp)) => {
                     self.apply_own(&txn, stamp);
                     for (spec, tx) in batch {
-                        debug!(job = %spec.r#ref, lane = %spec.lane, tasks = spec.pieces, "accepted");
+                        debug!(job = %spec.id, class = %spec.class, tasks = spec.task_count, "accepted");
                         let _ = tx.send(Accepting::New);
                     }
                     return;
@@ -102,7 +102,7 @@
                 Ok(Committed::No(failed)) => {
                     let (known, rest) = batch
                         .into_iter()
-                        .partition(|(spec, _)| failed.contains(&replica::job_key(spec.r#ref)));
+                        .partition(|(spec, _)| failed.contains(&replica::job_key(spec.id)));
                     batch = rest;
                     let known: Vec<Submission> = known;
                     for (_, tx) in known {
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -14,8 +14,8 @@
 use crate::metrics::Operation;
 use crate::model::{NodeId, Steady};
 use crate::peer::{self, Ask, Summary, Tell};
-use crate::shard::{Announcement, ReportAnswer};
-use crate::wire::{self, Direct};
+use crate::shard::{Announcement, HeartbeatOutcome};
+use crate::wire::{self, DirectCommand};
 
 /// Longest wait between two summaries of a part; news bring them sooner.
 const SUMMARY: Duration = Duration::from_millis(200);
@@ -107,17 +107,20 @@
 
     async fn announce(&self, a: &Announcement) {
         let Ok(addr) = a.endpoint.parse() else { return };
-        let body =
-            wire::encode(&Direct { token: a.term, session: a.session, orders: a.orders.clone() });
+        let body = wire::encode(&DirectCommand {
+            token: a.term,
+            agent_epoch: a.agent_epoch,
+            commands: a.commands.clone(),
+        });
         let client = Client::new(addr, wire::BODY_LIMIT * 4);
         let Ok(answer) = client.call("POST", "/do", &body, ANNOUNCE_LIMIT).await else { return };
         if !matches!(answer.status, 200 | 409) {
             return;
         }
-        if let Ok(report) = wire::decode::<wire::Report>(&answer.body) {
+        if let Ok(heartbeat) = wire::decode::<wire::Heartbeat>(&answer.body) {
             let mut controller = self.controller.borrow_mut();
             let now = self.now();
-            self.metrics.time(Operation::Report, || controller.on_announced(now, a, &report));
+            self.metrics.time(Operation::Heartbeat, || controller.on_announced(now, a, &heartbeat));
             if controller.shard.news {
                 self.wake_shard_report.notify_one();
             }
@@ -212,18 +215,19 @@
     }
 
     /// Answers a worker's report.
-    pub(crate) fn on_report(&self, body: &[u8]) -> Response {
-        let Ok(report) = wire::decode::<wire::Report>(body) else {
+    pub(crate) fn on_heartbeat(&self, body: &[u8]) -> Response {
+        let Ok(heartbeat) = wire::decode::<wire::Heartbeat>(body) else {
             return Response::empty(400);
         };
         let mut controller = self.controller.borrow_mut();
-        if report.token > controller.shard.term() {
+        if heartbeat.token > controller.shard.term() {
             // Somebody leads that this node does not know of yet.
             self.confirms.borrow_mut().push(oneshot::channel().0);
             self.wake_confirm.notify_one();
         }
         let now = self.now();
-        let answer = self.metrics.time(Operation::Report, || controller.on_report(now, &report));
+        let answer =
+            self.metrics.time(Operation::Heartbeat, || controller.on_heartbeat(now, &heartbeat));
         if controller.shard.news {
             self.wake_shard_report.notify_one();
         }
@@ -231,11 +235,11 @@
             self.wake_finish.notify_one();
         }
         match answer {
-            ReportAnswer::Take(reply) => Response::new(200, wire::encode(&reply)),
-            ReportAnswer::Go(name) => {
-                Response::new(421, wire::encode(&wire::Redirect { steward: Some(name) }))
+            HeartbeatOutcome::Take(reply) => Response::new(200, wire::encode(&reply)),
+            HeartbeatOutcome::Go(name) => {
+                Response::new(421, wire::encode(&wire::Redirect { controller: Some(name) }))
             }
-            ReportAnswer::Refuse => Response::later(1),
+            HeartbeatOutcome::Refuse => Response::later(1),
         }
     }
 }
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -119,9 +119,9 @@
                 *counter += 1;
                 let rental = Rental {
                     idempotency_key: format!("r-{term}-{life}-{counter}"),
-                    hull: offer.hull.clone(),
-                    yard: offer.zone.clone(),
-                    loaners: offer.spot,
+                    machine_type: offer.machine_type.clone(),
+                    zone: offer.zone.clone(),
+                    spot: offer.spot,
                     number,
                 };
                 out.push_back((rental, offer.clone()));
@@ -148,7 +148,7 @@
         };
         match result {
             Ok(ids) => {
-                info!(hull = %offer.hull, zone = %offer.zone, spot = offer.spot, asked = rental.number, got = ids.len(), "rented");
+                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = rental.number, got = ids.len(), "rented");
                 if (ids.len() as u32) < rental.number {
                     leader.market.refused(offer, now);
                 }
@@ -156,7 +156,7 @@
                 true
             }
             Err(CloudError::NoCapacity) => {
-                debug!(hull = %offer.hull, zone = %offer.zone, spot = offer.spot, "none to be had");
+                debug!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, "none to be had");
                 leader.market.refused(offer, now);
                 true
             }
@@ -196,7 +196,7 @@
             self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
                 leader.fleet.listed_page(cluster, after.as_ref(), &page);
             });
-            after = page.hosts.last().map(|h| h.r#ref.clone());
+            after = page.hosts.last().map(|h| h.id.clone());
             if !page.truncated || after.is_none() {
                 return;
             }
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -9,12 +9,16 @@
 
 use crate::config::{NodeInfo, Pace};
 use crate::model::{
-    Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Session, Steady, TaskId, Term,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
+    Term,
 };
 use crate::peer::{OwnerNews, Plan, Standing};
 use crate::placement::Flavors;
 use crate::replica::Replica;
-use crate::wire::{Cause, JobStage, Order, Piece, PieceStage, Report, ReportReply, Shape};
+use crate::wire::{
+    ExitReason, Heartbeat, HeartbeatResponse, JobKind, JobState, TaskState, TaskStatus,
+    WorkerCommand,
+};
 
 mod direct_commands;
 mod machine;
@@ -41,9 +45,9 @@
 
 /// How a report is answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReportAnswer {
+pub enum HeartbeatOutcome {
     /// 200 with orders.
-    Take(ReportReply),
+    Take(HeartbeatResponse),
     /// 421: report to that controller.
     Go(String),
     /// 503: this node may not act, or the report is a late one.
@@ -63,7 +67,7 @@
 /// The newest report of a machine, and where its worker listens.
 #[derive(Clone, Debug)]
 struct Newest {
-    order: (Session, u64),
+    order: (AgentEpoch, u64),
     endpoint: Rc<str>,
 }
 
@@ -77,12 +81,12 @@
     /// The term.
     pub term: Term,
     /// Its session, as far as known.
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// The newest report known when this goes out, if an older one came since: a worker that
     /// answers with nothing newer counts from the start again.
-    pub doubted: Option<(Session, u64)>,
+    pub doubted: Option<(AgentEpoch, u64)>,
     /// What it is to do. Only kills: a start could run late.
-    pub orders: Vec<Order>,
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Errors of a job's tasks, to tell a faulty job from a faulty machine.
@@ -141,7 +145,7 @@
     latest: HashMap<MachineId, Newest>,
     /// Machines of which an old report came: when they were asked, and whom to ask still.
     doubted: HashMap<MachineId, Steady>,
-    doubts: Vec<(MachineId, Session)>,
+    doubts: Vec<(MachineId, AgentEpoch)>,
     /// Machines that are to be told straight away to end tasks: of gangs that are being stopped, or
     /// of jobs that were cancelled.
     stopping: BTreeSet<MachineId>,
@@ -228,7 +232,7 @@
             return false;
         };
         self.follow_owners(plan.owners);
-        self.end_lapsed_sessions(&body.lapsed);
+        self.end_expired_agent_epochs(&body.lapsed);
         self.told_progress = ToldProgress {
             standings: std::mem::take(&mut body.standings),
             completed: std::mem::take(&mut body.completed),
@@ -268,9 +272,9 @@
     }
 
     /// Forgets the tasks of sessions whose lease has run out.
-    fn end_lapsed_sessions(&mut self, lapsed: &[(MachineId, Session)]) {
-        for (id, session) in lapsed {
-            if let Some(m) = self.machines.get_mut(id).filter(|m| m.session <= *session) {
+    fn end_expired_agent_epochs(&mut self, lapsed: &[(MachineId, AgentEpoch)]) {
+        for (id, agent_epoch) in lapsed {
+            if let Some(m) = self.machines.get_mut(id).filter(|m| m.agent_epoch <= *agent_epoch) {
                 m.tasks.clear();
             }
         }
@@ -302,42 +306,48 @@
     }
 
     /// Answers a report.
-    pub fn on_report(&mut self, env: &Surroundings<'_>, report: &Report) -> ReportAnswer {
+    pub fn on_heartbeat(
+        &mut self,
+        env: &Surroundings<'_>,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatOutcome {
         self.heard = env.now;
         // A completed task stays completed whoever reports it and however late.
-        self.note_finished(env.now, env.replica, report);
+        self.note_finished(env.now, env.replica, heartbeat);
         let term = self.followed.term;
-        if !env.may_answer || term == Term(0) || report.token > term {
-            return ReportAnswer::Refuse;
+        if !env.may_answer || term == Term(0) || heartbeat.token > term {
+            return HeartbeatOutcome::Refuse;
         }
-        if env.replica.machine_gone(&report.host) {
-            return ReportAnswer::Refuse;
+        if env.replica.machine_gone(&heartbeat.machine) {
+            return HeartbeatOutcome::Refuse;
         }
         // A late copy tells of a past that newer reports have overtaken. It settles nothing,
         // and its answer would reach nobody.
-        if !self.is_newest(report) {
-            self.doubt(env.now, report);
-            return ReportAnswer::Refuse;
+        if !self.is_newest(heartbeat) {
+            self.doubt(env.now, heartbeat);
+            return HeartbeatOutcome::Refuse;
         }
-        if !self.accepts_answers(env, report) {
-            return ReportAnswer::Refuse;
+        if !self.accepts_answers(env, heartbeat) {
+            return HeartbeatOutcome::Refuse;
         }
-        match self.responsibility(&report.host) {
+        match self.responsibility(&heartbeat.machine) {
             Responsibility::Own => {
                 // Whoever still reaches the store may have taken its machines over. A worker
                 // that comes back found nobody, as in an outage, and is kept alive here.
-                if env.alone && self.releases_worker(env.now, &report.host) {
+                if env.alone && self.releases_worker(env.now, &heartbeat.machine) {
                     let next = (usize::from(self.me.0) + 1) % env.nodes.len().max(1);
                     return self.go(env, next);
                 }
-                self.on_own_report(env, report)
+                self.on_own_heartbeat(env, heartbeat)
+            }
+            Responsibility::Other(owner) => {
+                match self.route(env.now, &env.pace, &heartbeat.machine) {
+                    Route::Send => self.go(env, usize::from(owner.0)),
+                    Route::Keep => self.on_foreign_heartbeat(env, heartbeat, false),
+                    Route::Cut => self.on_foreign_heartbeat(env, heartbeat, true),
+                }
             }
-            Responsibility::Other(owner) => match self.route(env.now, &env.pace, &report.host) {
-                Route::Send => self.go(env, usize::from(owner.0)),
-                Route::Keep => self.on_stray_report(env, report, false),
-                Route::Cut => self.on_stray_report(env, report, true),
-            },
-            Responsibility::Unknown => self.on_stray_report(env, report, false),
+            Responsibility::Unknown => self.on_foreign_heartbeat(env, heartbeat, false),
         }
     }
 
@@ -355,15 +365,15 @@
     }
 
     /// Whether a report is newer than all others of its machine; remembers it if so.
-    fn is_newest(&mut self, report: &Report) -> bool {
-        let order = (report.session, report.sequence);
-        if let Some(newest) = self.latest.get_mut(&report.host) {
+    fn is_newest(&mut self, heartbeat: &Heartbeat) -> bool {
+        let order = (heartbeat.agent_epoch, heartbeat.sequence);
+        if let Some(newest) = self.latest.get_mut(&heartbeat.machine) {
             if order <= newest.order {
                 return false;
             }
             newest.order = order;
-            if *newest.endpoint != *report.endpoint {
-                newest.endpoint = report.endpoint.as_str().into();
+            if *newest.endpoint != *heartbeat.endpoint {
+                newest.endpoint = heartbeat.endpoint.as_str().into();
             }
             return true;
         }
@@ -372,15 +382,20 @@
             let owners = &self.followed.owners;
             self.latest.retain(|id, _| owners.contains_key(id));
         }
-        let newest = Newest { order, endpoint: report.endpoint.as_str().into() };
-        self.latest.insert(report.host.clone(), newest);
+        let newest = Newest { order, endpoint: heartbeat.endpoint.as_str().into() };
+        self.latest.insert(heartbeat.machine.clone(), newest);
         true
     }
 
     /// Kills for what is to end on a machine.
-    fn kills(&self, replica: &Replica, machine: &MachineId, pieces: &[Piece]) -> Vec<Order> {
-        let on = pieces.iter().filter(|p| p.stage != PieceStage::Ended);
-        on.filter_map(|p| self.stop(replica, machine, p.piece, p.r#try)).collect()
+    fn kills(
+        &self,
+        replica: &Replica,
+        machine: &MachineId,
+        tasks: &[TaskStatus],
+    ) -> Vec<WorkerCommand> {
+        let on = tasks.iter().filter(|p| p.state != TaskState::Exited);
+        on.filter_map(|p| self.stop(replica, machine, p.task, p.attempt)).collect()
     }
 
     /// The kill for a task that is to end: its job was cancelled, it is durably done already, or it is of a gang that is
@@ -391,7 +406,7 @@
         machine: &MachineId,
         task: TaskId,
         attempt: Attempt,
-    ) -> Option<Order> {
+    ) -> Option<WorkerCommand> {
         let plan = &self.followed.plan;
         let (leeway_ms, why) = match plan.stop_of(task, attempt) {
             _ if is_withdrawn(replica, task.job) => (0, "its job is cancelled"),
@@ -402,23 +417,29 @@
         tracing::debug!(
             %task, %machine, %attempt, why, term = %plan.term, plan = plan.seq.0, "stops"
         );
-        let leeway_s = leeway_ms as f64 / 1000.0;
-        Some(Order::Kill { piece: task, r#try: attempt, leeway_s })
+        let grace_s = leeway_ms as f64 / 1000.0;
+        Some(WorkerCommand::Kill { task: task, attempt: attempt, grace_s })
     }
 
     /// Logs why a report may be answered with 200.
-    fn log_answer(&self, env: &Surroundings<'_>, report: &Report, own: bool, orders: &[Order]) {
+    fn log_response(
+        &self,
+        env: &Surroundings<'_>,
+        heartbeat: &Heartbeat,
+        own: bool,
+        commands: &[WorkerCommand],
+    ) {
         tracing::debug!(
-            machine = %report.host, own, term = %self.followed.term, plan = self.followed.plan.seq.0,
-            proof_ms = env.proof_ms, session = report.session.0, token = %report.token,
-            orders = orders.len(), "answers"
+            machine = %heartbeat.machine, own, term = %self.followed.term, plan = self.followed.plan.seq.0,
+            proof_ms = env.proof_ms, agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
+            commands = commands.len(), "answers"
         );
     }
 
-    fn note_finished(&mut self, now: Steady, replica: &Replica, report: &Report) {
-        for p in &report.pieces {
-            if p.stage == PieceStage::Ended && p.cause == Some(Cause::Done) {
-                self.note_done(now, replica, p.piece);
+    fn note_finished(&mut self, now: Steady, replica: &Replica, heartbeat: &Heartbeat) {
+        for p in &heartbeat.tasks {
+            if p.state == TaskState::Exited && p.exit_reason == Some(ExitReason::Done) {
+                self.note_done(now, replica, p.task);
             }
         }
     }
@@ -426,8 +447,8 @@
     /// Notes a task that completed; if it is of a gang, all of its tasks did.
     pub fn note_done(&mut self, now: Steady, replica: &Replica, task: TaskId) {
         let Some(job) = replica.jobs.get(&task.job) else { return };
-        let gang = job.spec.shape == Shape::Gang;
-        if !gang && !replica.may_run(task) || task.index >= job.spec.pieces {
+        let gang = job.spec.kind == JobKind::Gang;
+        if !gang && !replica.may_run(task) || task.index >= job.spec.task_count {
             return;
         }
         let f = self
@@ -436,8 +457,8 @@
             .or_insert_with(|| Finished { tasks: Ranges::default(), since: now });
         if !gang {
             self.news |= f.tasks.insert(task.index);
-        } else if f.tasks.len() < job.spec.pieces {
-            f.tasks = Ranges::span(0, job.spec.pieces);
+        } else if f.tasks.len() < job.spec.task_count {
+            f.tasks = Ranges::span(0, job.spec.task_count);
             self.news = true;
         }
     }
@@ -453,20 +474,22 @@
 
     /// Takes what a report of a machine of this part tells of it; says whether it has more room
     /// than before.
-    fn take_state(&mut self, env: &Surroundings<'_>, report: &Report) -> bool {
+    fn take_state(&mut self, env: &Surroundings<'_>, heartbeat: &Heartbeat) -> bool {
         let now = env.now;
         let next = self.number + 1;
-        let machine =
-            self.machines.entry(report.host.clone()).or_insert_with(|| Machine::new(report, now));
-        let warned = report.warning_s.is_some();
-        machine.leaves = report.warning_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
+        let machine = self
+            .machines
+            .entry(heartbeat.machine.clone())
+            .or_insert_with(|| Machine::new(heartbeat, now));
+        let warned = heartbeat.spot_notice_s.is_some();
+        machine.leaves = heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
         let shunned = machine.shun_until;
-        let state = (report.session, report.token, warned);
-        let turned = state != (machine.session, machine.token, machine.warned);
-        (machine.session, machine.token, machine.warned) = state;
+        let state = (heartbeat.agent_epoch, heartbeat.token, warned);
+        let turned = state != (machine.agent_epoch, machine.token, machine.warned);
+        (machine.agent_epoch, machine.token, machine.warned) = state;
         machine.heard = now;
         let before = machine.tasks.len();
-        let (changed, others, left) = machine.take_tasks(env, report);
+        let (changed, others, left) = machine.take_tasks(env, heartbeat);
         let new = machine.changed == 0;
         self.news |= others || turned || new;
         // Stages matter to the leader only in passing, so they are told without haste.
@@ -478,50 +501,73 @@
         self.followed.reassign |= left.iter().any(|t| self.may_start(env.replica, *t));
         if self.followed.plan.has_gangs() {
             // A refused start never ran, and may be tried elsewhere.
-            let refused =
-                |p: &Piece| matches!(p.cause, Some(Cause::NoRoom | Cause::InUse | Cause::Unknown));
-            let shown = report.pieces.iter().filter(|p| !refused(p)).map(|p| (p.piece, p.r#try));
+            let refused = |p: &TaskStatus| {
+                matches!(
+                    p.exit_reason,
+                    Some(
+                        ExitReason::InsufficientResources
+                            | ExitReason::AttemptConflict
+                            | ExitReason::Unknown
+                    )
+                )
+            };
+            let shown = heartbeat.tasks.iter().filter(|p| !refused(p)).map(|p| (p.task, p.attempt));
             let plan = &self.followed.plan;
             self.followed.shown_gang_attempts.extend(shown.filter(|p| plan.grants_gang(p.1)));
         }
         freed
     }
 
-    fn on_own_report(&mut self, env: &Surroundings<'_>, report: &Report) -> ReportAnswer {
+    fn on_own_heartbeat(
+        &mut self,
+        env: &Surroundings<'_>,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatOutcome {
         let now = env.now;
-        let freed = self.take_state(env, report);
-        let mut orders = self.kills(env.replica, &report.host, &report.pieces);
-        self.clear_ended(env, report, &mut orders);
-        self.start_granted(env, &report.host, freed, &mut orders);
-        self.answered.insert(report.host.clone(), now);
-        self.log_answer(env, report, true, &orders);
-        ReportAnswer::Take(ReportReply { token: self.followed.term, orders })
+        let freed = self.take_state(env, heartbeat);
+        let mut commands = self.kills(env.replica, &heartbeat.machine, &heartbeat.tasks);
+        self.clear_ended(env, heartbeat, &mut commands);
+        self.start_granted(env, &heartbeat.machine, freed, &mut commands);
+        self.answered.insert(heartbeat.machine.clone(), now);
+        self.log_response(env, heartbeat, true, &commands);
+        HeartbeatOutcome::Take(HeartbeatResponse { token: self.followed.term, commands })
     }
 
     /// Clears ended tasks whose outcome no longer depends on the worker's memory, and learns
     /// from those that failed.
-    fn clear_ended(&mut self, env: &Surroundings<'_>, report: &Report, orders: &mut Vec<Order>) {
-        for p in report.pieces.iter().filter(|p| p.stage == PieceStage::Ended) {
-            let done = p.cause == Some(Cause::Done);
+    fn clear_ended(
+        &mut self,
+        env: &Surroundings<'_>,
+        heartbeat: &Heartbeat,
+        commands: &mut Vec<WorkerCommand>,
+    ) {
+        for p in heartbeat.tasks.iter().filter(|p| p.state == TaskState::Exited) {
+            let done = p.exit_reason == Some(ExitReason::Done);
             // `done` is cleared only once the store has it; should all controllers end before
             // that, the worker still tells the next one.
-            if done && !env.replica.settled(p.piece) {
+            if done && !env.replica.settled(p.task) {
                 continue;
             }
-            orders.push(Order::Clear { piece: p.piece, r#try: p.r#try });
-            match p.cause {
-                Some(Cause::Error) => self.note_error(env.now, p.piece.job, &report.host),
-                Some(Cause::NoRoom | Cause::InUse | Cause::Unknown) => {
-                    if let Some(m) = self.machines.get_mut(&report.host) {
+            commands.push(WorkerCommand::Clear { task: p.task, attempt: p.attempt });
+            match p.exit_reason {
+                Some(ExitReason::Failed) => {
+                    self.note_error(env.now, p.task.job, &heartbeat.machine)
+                }
+                Some(
+                    ExitReason::InsufficientResources
+                    | ExitReason::AttemptConflict
+                    | ExitReason::Unknown,
+                ) => {
+                    if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
                         m.shun_until = m.shun_until.max(env.now.plus(2_000));
                         m.changed = self.number + 1;
                     }
                 }
-                Some(Cause::Done) => {
-                    if let Some(m) = self.machines.get_mut(&report.host) {
+                Some(ExitReason::Done) => {
+                    if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
                         m.faults = 0;
                     }
-                    self.faults.remove(&p.piece.job);
+                    self.faults.remove(&p.task.job);
                 }
                 _ => {}
             }
@@ -566,7 +612,7 @@
 }
 
 fn is_withdrawn(replica: &Replica, job: JobId) -> bool {
-    matches!(replica.ended.get(&job), Some((JobStage::Withdrawn, _)))
+    matches!(replica.ended.get(&job), Some((JobState::Cancelled, _)))
 }
 
 #[cfg(test)]
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -3,9 +3,9 @@
 use super::machine::{Held, Machine};
 use super::term_state::Announced;
 use super::{Announcement, LATEST_KEPT, Shard, Surroundings, is_withdrawn};
-use crate::model::{JobId, Session, Steady, TaskId};
+use crate::model::{AgentEpoch, JobId, Steady, TaskId};
 use crate::replica::Replica;
-use crate::wire::{Order, Report};
+use crate::wire::{Heartbeat, WorkerCommand};
 
 /// How often a machine is told of a term straight away, and the time before the second try, which
 /// doubles for the next.
@@ -19,8 +19,8 @@
 impl Shard {
     /// An old report is a late copy, or its machine was restarted and counts from the start again.
     /// Only the machine itself can tell.
-    pub(super) fn doubt(&mut self, now: Steady, report: &Report) {
-        let id = &report.host;
+    pub(super) fn doubt(&mut self, now: Steady, heartbeat: &Heartbeat) {
+        let id = &heartbeat.machine;
         if self.restarted.contains(id)
             || self.doubted.get(id).is_some_and(|at| now.since(*at) < DOUBT_AGAIN_MS)
         {
@@ -30,7 +30,7 @@
             self.doubted.retain(|_, at| now.since(*at) < DOUBT_AGAIN_MS);
         }
         self.doubted.insert(id.clone(), now);
-        self.doubts.push((id.clone(), report.session));
+        self.doubts.push((id.clone(), heartbeat.agent_epoch));
     }
 
     /// Machines that are to be asked or told something straight away, up to `most`: those that may
@@ -48,12 +48,12 @@
             return out;
         }
         while out.len() < most
-            && let Some((machine, session)) = self.doubts.pop()
+            && let Some((machine, agent_epoch)) = self.doubts.pop()
         {
             if let Some(newest) = self.latest.get(&machine) {
                 let (endpoint, doubted) = (newest.endpoint.clone(), Some(newest.order));
-                let (term, orders) = (self.followed.term, Vec::new());
-                out.push(Announcement { machine, endpoint, term, session, doubted, orders });
+                let (term, commands) = (self.followed.term, Vec::new());
+                out.push(Announcement { machine, endpoint, term, agent_epoch, doubted, commands });
             }
         }
         self.announce_term(now, replica, most, &mut out);
@@ -79,8 +79,8 @@
             }
             let newest = self.latest.get(id).map(|n| (n.endpoint.clone(), n.order.0));
             let known = || replica.machines.get(id).filter(|m| m.up && m.gone.is_none());
-            let on_record = || known().map(|m| (m.endpoint.as_str().into(), Session(1)));
-            let Some((endpoint, session)) = newest.or_else(on_record) else { continue };
+            let on_record = || known().map(|m| (m.endpoint.as_str().into(), AgentEpoch(1)));
+            let Some((endpoint, agent_epoch)) = newest.or_else(on_record) else { continue };
             let Announced { times, at } =
                 self.followed.announced.get(id).copied().unwrap_or_default();
             if endpoint.is_empty() || times >= ANNOUNCEMENTS {
@@ -91,8 +91,8 @@
             if due && out.len() < most {
                 let announced = Announced { times: times + 1, at: now };
                 self.followed.announced.insert(id.clone(), announced);
-                let (machine, doubted, orders) = (id.clone(), None, Vec::new());
-                out.push(Announcement { machine, endpoint, term, session, doubted, orders });
+                let (machine, doubted, commands) = (id.clone(), None, Vec::new());
+                out.push(Announcement { machine, endpoint, term, agent_epoch, doubted, commands });
             }
         }
         self.followed.announcing = open;
@@ -109,12 +109,21 @@
         {
             let Some(m) = self.machines.get(&machine) else { continue };
             let order = |t: &TaskId, h: &Held| self.stop(replica, &machine, *t, h.attempt);
-            let orders: Vec<Order> = m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
-            if orders.is_empty() {
+            let commands: Vec<WorkerCommand> =
+                m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
+            if commands.is_empty() {
                 continue;
             }
-            let (endpoint, session, term) = (m.endpoint.clone(), m.session, self.followed.term);
-            out.push(Announcement { machine, endpoint, term, session, doubted: None, orders });
+            let (endpoint, agent_epoch, term) =
+                (m.endpoint.clone(), m.agent_epoch, self.followed.term);
+            out.push(Announcement {
+                machine,
+                endpoint,
+                term,
+                agent_epoch,
+                doubted: None,
+                commands,
+            });
         }
         out
     }
@@ -129,13 +138,19 @@
     /// Takes a machine's answer to an announcement: it shows the token and the machine's tasks as a
     /// report does. It counts only for a machine that has not settled: none of this term's
     /// starts can be on its way to it then.
-    pub fn on_announced(&mut self, env: &Surroundings<'_>, asked: &Announcement, report: &Report) {
-        let id = &report.host;
+    pub fn on_announced(
+        &mut self,
+        env: &Surroundings<'_>,
+        asked: &Announcement,
+        heartbeat: &Heartbeat,
+    ) {
+        let id = &heartbeat.machine;
         if *id != asked.machine {
             return;
         }
-        self.note_finished(env.now, env.replica, report);
-        if asked.doubted.is_some_and(|newest| (report.session, report.sequence) <= newest) {
+        self.note_finished(env.now, env.replica, heartbeat);
+        if asked.doubted.is_some_and(|newest| (heartbeat.agent_epoch, heartbeat.sequence) <= newest)
+        {
             tracing::info!(machine = %id, "was restarted");
             self.restarted.insert(id.clone());
             self.news = true;
@@ -143,14 +158,14 @@
         }
         if env.replica.machine_gone(id)
             || self.machines.get(id).is_some_and(|m| m.is_settled(self.followed.term))
-            || !self.is_newest(report)
+            || !self.is_newest(heartbeat)
         {
             return;
         }
-        if report.token == self.followed.term && self.followed.owner(id) == Some(self.me) {
-            self.take_state(env, report);
+        if heartbeat.token == self.followed.term && self.followed.owner(id) == Some(self.me) {
+            self.take_state(env, heartbeat);
             // It may report to nobody, and then nobody's answer ends what is not wanted any more.
-            if report.pieces.iter().any(|p| is_withdrawn(env.replica, p.piece.job)) {
+            if heartbeat.tasks.iter().any(|p| is_withdrawn(env.replica, p.task.job)) {
                 self.stopping.insert(id.clone());
             }
             // Its session may have begun just now, without any answer: its lease counts from here.
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -5,25 +5,25 @@
 
 use super::Surroundings;
 use crate::config::Pace;
-use crate::model::{Attempt, MachineId, Session, Steady, TaskId, Term};
+use crate::model::{AgentEpoch, Attempt, MachineId, Steady, TaskId, Term};
 use crate::placement::Room;
-use crate::wire::{JobSpec, PieceStage, Report};
+use crate::wire::{Heartbeat, JobSpec, TaskState};
 
 /// A task on a machine or on its way there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Held {
     pub(super) attempt: Attempt,
-    pub(super) stage: PieceStage,
+    pub(super) state: TaskState,
 }
 
 /// What is remembered of a machine.
 #[derive(Clone, Debug)]
 pub(super) struct Machine {
-    pub(super) hull: Rc<str>,
+    pub(super) machine_type: Rc<str>,
     pub(super) zone: Rc<str>,
     pub(super) spot: bool,
     pub(super) endpoint: Rc<str>,
-    pub(super) session: Session,
+    pub(super) agent_epoch: AgentEpoch,
     /// The token that its newest report showed.
     pub(super) token: Term,
     pub(super) heard: Steady,
@@ -41,13 +41,13 @@
 }
 
 impl Machine {
-    pub(super) fn new(report: &Report, now: Steady) -> Self {
+    pub(super) fn new(heartbeat: &Heartbeat, now: Steady) -> Self {
         Machine {
-            hull: report.hull.as_str().into(),
-            zone: report.yard.as_str().into(),
-            spot: report.loaners,
-            endpoint: report.endpoint.as_str().into(),
-            session: report.session,
+            machine_type: heartbeat.machine_type.as_str().into(),
+            zone: heartbeat.zone.as_str().into(),
+            spot: heartbeat.spot,
+            endpoint: heartbeat.endpoint.as_str().into(),
+            agent_epoch: heartbeat.agent_epoch,
             token: Term(0),
             heard: now,
             warned: false,
@@ -62,11 +62,11 @@
     }
 
     pub(super) fn remember_image(&mut self, spec: &JobSpec) {
-        if self.images.last().is_some_and(|(name, _)| *name == spec.bundle) {
+        if self.images.last().is_some_and(|(name, _)| *name == spec.image) {
             return;
         }
-        self.images.retain(|(name, _)| *name != spec.bundle);
-        self.images.push((spec.bundle.clone(), spec.size_gb));
+        self.images.retain(|(name, _)| *name != spec.image);
+        self.images.push((spec.image.clone(), spec.image_gb));
     }
 
     /// Forgets the images that no longer fit into the machine's cache.
@@ -98,8 +98,8 @@
         term: Term,
         open: bool,
     ) -> Option<Room> {
-        let tasks = self.tasks.iter().map(|(t, h)| (*t, h.stage));
-        let what = (id, &self.hull, &self.zone, self.spot);
+        let tasks = self.tasks.iter().map(|(t, h)| (*t, h.state));
+        let what = (id, &self.machine_type, &self.zone, self.spot);
         Room::of(
             what,
             tasks,
@@ -115,23 +115,23 @@
     pub(super) fn take_tasks(
         &mut self,
         env: &Surroundings<'_>,
-        report: &Report,
+        heartbeat: &Heartbeat,
     ) -> (bool, bool, Vec<TaskId>) {
-        let on = || report.pieces.iter().filter(|p| p.stage != PieceStage::Ended);
+        let on = || heartbeat.tasks.iter().filter(|p| p.state != TaskState::Exited);
         let same = on().count() == self.tasks.len()
             && on().all(|p| {
                 self.tasks
-                    .get(&p.piece)
-                    .is_some_and(|h| *h == Held { attempt: p.r#try, stage: p.stage })
+                    .get(&p.task)
+                    .is_some_and(|h| *h == Held { attempt: p.attempt, state: p.state })
             });
         if same {
             return (false, false, Vec::new());
         }
         // A start that this report does not show was in a response that the worker dropped:
         // it has one report in flight at a time, so replacing the list forgets it rightly.
-        let ordered = |h: &Held| h.stage == PieceStage::Unknown;
+        let ordered = |h: &Held| h.state == TaskState::Unknown;
         let shown = |t: &TaskId, h: &Held| {
-            report.pieces.iter().any(|p| p.piece == *t && p.r#try == h.attempt)
+            heartbeat.tasks.iter().any(|p| p.task == *t && p.attempt == h.attempt)
         };
         if self.tasks.iter().any(|(t, h)| ordered(h) && shown(t, h)) {
             self.missed = 0;
@@ -140,16 +140,16 @@
             self.shun_until = self.shun_until.max(env.now.plus(1_000 << self.missed.min(5)));
         }
         let tasks: BTreeMap<TaskId, Held> =
-            on().map(|p| (p.piece, Held { attempt: p.r#try, stage: p.stage })).collect();
+            on().map(|p| (p.task, Held { attempt: p.attempt, state: p.state })).collect();
         let others = !tasks.keys().eq(self.tasks.keys());
         let left = self.tasks.keys().filter(|t| !tasks.contains_key(t)).copied().collect();
         self.tasks = tasks;
         for p in on() {
-            if let Some(job) = env.replica.jobs.get(&p.piece.job) {
+            if let Some(job) = env.replica.jobs.get(&p.task.job) {
                 self.remember_image(&job.spec);
             }
         }
-        if let Some(f) = env.flavors.get(&*self.hull) {
+        if let Some(f) = env.flavors.get(&*self.machine_type) {
             self.trim_images(f.local_gb);
         }
         (true, others, left)
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,9 +1,9 @@
 //! Machines of other parts that report here: sent to their owner, or kept alive if they cannot reach it.
 
-use super::{ReportAnswer, Shard, Surroundings};
+use super::{HeartbeatOutcome, Shard, Surroundings};
 use crate::config::Pace;
-use crate::model::{MachineId, Session, Steady};
-use crate::wire::{Report, ReportReply};
+use crate::model::{AgentEpoch, MachineId, Steady};
+use crate::wire::{Heartbeat, HeartbeatResponse};
 
 /// Answers that a machine gets without showing this term's token before it is taken for deaf.
 const DEAF_ANSWERS: u32 = 3;
@@ -45,14 +45,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct Unacknowledged {
     pub(super) first: Steady,
-    pub(super) session: Session,
+    pub(super) agent_epoch: AgentEpoch,
     pub(super) answers: u32,
     pub(super) refuse_until: Steady,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct StrayRecord {
-    pub(super) hull: String,
+    pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
     /// When it came back from being sent to its owner, which it cannot reach then.
@@ -63,9 +63,9 @@
 }
 
 impl Shard {
-    pub(super) fn go(&self, env: &Surroundings<'_>, node: usize) -> ReportAnswer {
+    pub(super) fn go(&self, env: &Surroundings<'_>, node: usize) -> HeartbeatOutcome {
         let name = env.nodes.get(node).map(|n| n.name.clone());
-        name.map_or(ReportAnswer::Refuse, ReportAnswer::Go)
+        name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Go)
     }
 
     /// Whether an isolated node sends a machine of its own away: not again for a while, as every
@@ -81,22 +81,26 @@
     /// Whether a machine may be taken to hear its answers. One that never shows the token is
     /// deaf, or somebody repeats old reports of it: it gets no answer for a whole lease, so
     /// that its tasks are proven gone and no proof waits for it.
-    pub(super) fn accepts_answers(&mut self, env: &Surroundings<'_>, report: &Report) -> bool {
-        if report.token == self.followed.term {
-            self.followed.unacknowledged.remove(&report.host);
+    pub(super) fn accepts_answers(
+        &mut self,
+        env: &Surroundings<'_>,
+        heartbeat: &Heartbeat,
+    ) -> bool {
+        if heartbeat.token == self.followed.term {
+            self.followed.unacknowledged.remove(&heartbeat.machine);
             return true;
         }
         let now = env.now;
         let fresh = Unacknowledged {
             first: now,
-            session: report.session,
+            agent_epoch: heartbeat.agent_epoch,
             answers: 0,
             refuse_until: Steady(0),
         };
         let u = self
             .followed
             .unacknowledged
-            .entry(report.host.clone())
+            .entry(heartbeat.machine.clone())
             .or_insert_with(|| fresh.clone());
         if u.refuse_until > now {
             return false;
@@ -105,9 +109,9 @@
             *u = fresh; // It gets another chance.
         }
         let ignored = u.answers >= DEAF_ANSWERS && now.since(u.first) > DEAF_MS;
-        if ignored || (u.answers > 0 && report.session > u.session) {
+        if ignored || (u.answers > 0 && heartbeat.agent_epoch > u.agent_epoch) {
             u.refuse_until = now.plus(env.lease_ms + 4_000);
-            tracing::info!(machine = %report.host, "does not hear its answers");
+            tracing::info!(machine = %heartbeat.machine, "does not hear its answers");
             return false;
         }
         u.answers += 1;
@@ -142,19 +146,19 @@
     }
 
     /// Keeps a worker alive that this node does not own: no starts, but kills and news.
-    pub(super) fn on_stray_report(
+    pub(super) fn on_foreign_heartbeat(
         &mut self,
         env: &Surroundings<'_>,
-        report: &Report,
+        heartbeat: &Heartbeat,
         cut: bool,
-    ) -> ReportAnswer {
+    ) -> HeartbeatOutcome {
         let now = env.now;
-        let hears = report.token == self.followed.term;
+        let hears = heartbeat.token == self.followed.term;
         let record =
-            self.followed.strays.entry(report.host.clone()).or_insert_with(|| StrayRecord {
-                hull: report.hull.clone(),
-                zone: report.yard.clone(),
-                spot: report.loaners,
+            self.followed.strays.entry(heartbeat.machine.clone()).or_insert_with(|| StrayRecord {
+                machine_type: heartbeat.machine_type.clone(),
+                zone: heartbeat.zone.clone(),
+                spot: heartbeat.spot,
                 back: None,
                 last: now,
                 hears: false,
@@ -165,9 +169,9 @@
         }
         self.news |= hears && !record.hears;
         record.hears = hears;
-        self.answered.insert(report.host.clone(), now);
-        let orders = self.kills(env.replica, &report.host, &report.pieces);
-        self.log_answer(env, report, false, &orders);
-        ReportAnswer::Take(ReportReply { token: self.followed.term, orders })
+        self.answered.insert(heartbeat.machine.clone(), now);
+        let commands = self.kills(env.replica, &heartbeat.machine, &heartbeat.tasks);
+        self.log_response(env, heartbeat, false, &commands);
+        HeartbeatOutcome::Take(HeartbeatResponse { token: self.followed.term, commands })
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -23,15 +23,15 @@
 pub(super) fn view(id: &MachineId, m: &Machine, term: Term, now: Steady) -> MachineView {
     MachineView {
         id: id.clone(),
-        hull: m.hull.clone(),
+        machine_type: m.machine_type.clone(),
         zone: m.zone.clone(),
         spot: m.spot,
         endpoint: m.endpoint.clone(),
         settled: m.is_settled(term),
-        session: m.session,
+        agent_epoch: m.agent_epoch,
         leaving: m.warned,
         shun_ms: m.shun_until.since(now),
-        tasks: m.tasks.iter().map(|(task, h)| TaskView { task: *task, stage: h.stage }).collect(),
+        tasks: m.tasks.iter().map(|(task, h)| TaskView { task: *task, state: h.state }).collect(),
         images: m.images.clone(),
     }
 }
@@ -65,7 +65,7 @@
             .take(room / 2 / STRAY_BYTES)
             .map(|(id, s)| Stray {
                 id: id.clone(),
-                hull: s.hull.clone(),
+                machine_type: s.machine_type.clone(),
                 zone: s.zone.clone(),
                 spot: s.spot,
                 silent_ms: now.since(s.last),
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -13,7 +13,7 @@
 use crate::placement;
 use crate::placement::{Need, Room};
 use crate::replica::Replica;
-use crate::wire::{JobSpec, Order, PieceStage, Urgency};
+use crate::wire::{JobSpec, Priority, TaskState, WorkerCommand};
 
 /// Longest time between two looks at where granted tasks are to start.
 const ASSIGN_MS: u64 = 700;
@@ -55,16 +55,16 @@
 }
 
 /// For each kind of these machines, the most urgent open work that may use it.
-fn most_urgent_by_kind(
+fn highest_priority_by_kind(
     replica: &Replica,
     rooms: &[Room],
-) -> BTreeMap<MachineKind, Option<Urgency>> {
+) -> BTreeMap<MachineKind, Option<Priority>> {
     let specs = || replica.jobs.values().map(|j| &j.spec);
     let mut kinds = BTreeMap::new();
     for r in rooms {
-        kinds
-            .entry((r.hull.clone(), r.zone.clone(), r.spot))
-            .or_insert_with(|| placement::most_urgent(specs(), &r.hull, &r.zone, r.spot));
+        kinds.entry((r.machine_type.clone(), r.zone.clone(), r.spot)).or_insert_with(|| {
+            placement::highest_priority(specs(), &r.machine_type, &r.zone, r.spot)
+        });
     }
     kinds
 }
@@ -77,7 +77,7 @@
         env: &Surroundings<'_>,
         id: &MachineId,
         freed: bool,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<WorkerCommand>,
     ) {
         if !env.may_start {
             return;
@@ -95,11 +95,11 @@
         let Some(mut room) = room else { return };
         room.kept = plan.is_kept(id);
         for start in queue {
-            if !self.start(env, &mut room, &start, orders) {
+            if !self.start(env, &mut room, &start, commands) {
                 self.followed.unplaced = true;
             }
         }
-        self.start_backlog(env, &mut room, orders);
+        self.start_backlog(env, &mut room, commands);
     }
 
     /// Whether granted tasks are to be given machines anew: something speaks for it, or some have waited.
@@ -115,14 +115,19 @@
 
     /// Starts what is granted ahead on a machine that has room and the images for it. What would have
     /// to fetch its image first is left to the next look at all machines.
-    fn start_backlog(&mut self, env: &Surroundings<'_>, room: &mut Room, orders: &mut Vec<Order>) {
+    fn start_backlog(
+        &mut self,
+        env: &Surroundings<'_>,
+        room: &mut Room,
+        commands: &mut Vec<WorkerCommand>,
+    ) {
         if !room.open || room.free.cores == Cores(0) || self.followed.backlog.is_empty() {
             return;
         }
         let mut backlog = std::mem::take(&mut self.followed.backlog);
         backlog.retain(|start| {
             let job = env.replica.jobs.get(&start.task.job);
-            let Some(job) = job.filter(|j| self.may_try(env.now, j.spec.r#ref)) else {
+            let Some(job) = job.filter(|j| self.may_try(env.now, j.spec.id)) else {
                 return false;
             };
             if room.free.cores == Cores(0)
@@ -131,16 +136,16 @@
             {
                 return true;
             }
-            !self.start(env, room, start, orders)
+            !self.start(env, room, start, commands)
         });
         self.followed.backlog = backlog;
     }
 
     /// Whether no job that is more urgent may use such machines.
     fn is_first(&self, spec: &JobSpec, room: &Room) -> bool {
-        let kind = (room.hull.clone(), room.zone.clone(), room.spot);
-        let most_urgent = self.followed.most_urgent.get(&kind).copied().flatten();
-        most_urgent.is_some_and(|urgency| spec.urgency <= urgency)
+        let kind = (room.machine_type.clone(), room.zone.clone(), room.spot);
+        let highest_priority = self.followed.highest_priority.get(&kind).copied().flatten();
+        highest_priority.is_some_and(|priority| spec.priority <= priority)
     }
 
     /// Orders a granted task to start on a machine, unless it has no room for it or the task is anywhere. True if the
@@ -152,7 +157,7 @@
         env: &Surroundings<'_>,
         room: &mut Room,
         granted: &GrantedStart,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<WorkerCommand>,
     ) -> bool {
         let task = granted.task;
         if granted.term != self.followed.term {
@@ -171,15 +176,15 @@
         room.add(&job.spec, &need);
         let attempt = granted.attempt.unwrap_or_else(|| self.followed.attempts.give());
         machine.remember_image(&job.spec);
-        machine.tasks.insert(task, Held { attempt, stage: PieceStage::Unknown });
+        machine.tasks.insert(task, Held { attempt, state: TaskState::Unknown });
         machine.changed = self.number + 1;
         self.news = true;
         tracing::debug!(
             %task, machine = %room.id, %attempt, term = %granted.term, plan = granted.plan.0,
-            grant = ?granted.kind, proof_ms = env.proof_ms, session = machine.session.0,
+            grant = ?granted.kind, proof_ms = env.proof_ms, agent_epoch = machine.agent_epoch.0,
             token = %machine.token, "starts"
         );
-        orders.push(Order::Start { piece: task, r#try: attempt });
+        commands.push(WorkerCommand::Start { task: task, attempt: attempt });
         true
     }
 
@@ -239,7 +244,7 @@
         }
         let mut backlog = Vec::new();
         if !ahead.tasks.is_empty() {
-            self.followed.most_urgent = most_urgent_by_kind(env.replica, &rooms);
+            self.followed.highest_priority = highest_priority_by_kind(env.replica, &rooms);
         }
         let plan = &self.followed.plan;
         for (grant, tasks) in ahead.tasks {
@@ -266,7 +271,7 @@
         let held: FxHashSet<TaskId> =
             self.machines.values().flat_map(|m| m.tasks.keys()).copied().collect();
         let mut pauses = false;
-        let mut by_urgency: Vec<(Urgency, &Grant, Vec<TaskId>)> = Vec::new();
+        let mut by_priority: Vec<(Priority, &Grant, Vec<TaskId>)> = Vec::new();
         for g in grants {
             let Some(job) = env.replica.jobs.get(&g.job()) else { continue };
             if !self.may_try(env.now, g.job()) {
@@ -283,11 +288,11 @@
                 .filter(|t| !held.contains(t) && self.may_start(env.replica, *t) && !shown(t))
                 .collect();
             if !tasks.is_empty() {
-                by_urgency.push((job.spec.urgency, g, tasks));
+                by_priority.push((job.spec.priority, g, tasks));
             }
         }
-        by_urgency.sort_by_key(|w| w.0);
-        Wanted { tasks: by_urgency.into_iter().map(|(_, g, tasks)| (g, tasks)).collect(), pauses }
+        by_priority.sort_by_key(|w| w.0);
+        Wanted { tasks: by_priority.into_iter().map(|(_, g, tasks)| (g, tasks)).collect(), pauses }
     }
 
     /// The machines that take new tasks now.
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -10,7 +10,7 @@
 use crate::lease::Attempts;
 use crate::model::{Attempt, MachineId, NodeId, PlanSeq, Steady, TaskId, Term};
 use crate::peer::{Grant, PlanBody, Stop};
-use crate::wire::Urgency;
+use crate::wire::Priority;
 
 /// How a grant came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,7 +144,7 @@
     /// What is granted ahead and found no machine: any may take it as soon as it has room, the first ones first.
     pub(super) backlog: Vec<GrantedStart>,
     /// The most urgent work that may use machines of a type, zone and kind.
-    pub(super) most_urgent: BTreeMap<MachineKind, Option<Urgency>>,
+    pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
     /// Whether granted tasks have to be given machines anew, and when they last were.
     pub(super) reassign: bool,
     pub(super) assigned: Steady,
@@ -176,7 +176,7 @@
             shown_gang_attempts: HashSet::new(),
             queues: BTreeMap::new(),
             backlog: Vec::new(),
-            most_urgent: BTreeMap::new(),
+            highest_priority: BTreeMap::new(),
             reassign: false,
             assigned: Steady(0),
             unplaced: false,
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -13,7 +13,7 @@
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
-use crate::wire::{self, Item, Urgency};
+use crate::wire::{self, Item, Priority};
 
 const LIFE: Incarnation = Incarnation(5);
 const TERM: Term = Term(3);
@@ -22,7 +22,7 @@
 /// A node in a term of another leader, which owns n-1 of two machines and may start a task.
 fn node(owner: u8) -> Controller {
     let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), LIFE);
-    controller.set_flavors(&wire::Flavors { hulls: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
     let leader = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
@@ -56,35 +56,35 @@
     controller
 }
 
-fn report(session: u64, sequence: u64, token: u64, stage: Option<PieceStage>) -> Report {
-    let piece = |stage| Piece {
-        piece: TASK,
-        r#try: Attempt(7),
-        stage,
-        cause: (stage == PieceStage::Ended).then_some(Cause::Done),
+fn heartbeat(agent_epoch: u64, sequence: u64, token: u64, state: Option<TaskState>) -> Heartbeat {
+    let piece = |state| TaskStatus {
+        task: TASK,
+        attempt: Attempt(7),
+        state,
+        exit_reason: (state == TaskState::Exited).then_some(ExitReason::Done),
     };
-    Report {
-        host: MachineId::new("n-1"),
+    Heartbeat {
+        machine: MachineId::new("n-1"),
         endpoint: "10.1.0.1:9000".into(),
-        hull: "small".into(),
-        yard: "a".into(),
-        loaners: false,
-        session: Session(session),
+        machine_type: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        agent_epoch: AgentEpoch(agent_epoch),
         sequence,
         token: Term(token),
-        warning_s: None,
-        pieces: stage.map(piece).into_iter().collect(),
+        spot_notice_s: None,
+        tasks: state.map(piece).into_iter().collect(),
     }
 }
 
 /// Has a report answered at that time; says whether with 200, and how many tasks it starts.
-fn hear(controller: &mut Controller, ms: u64, report: &Report) -> (bool, usize) {
+fn hear(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
     controller.rights.confirm_renewal(Steady(ms));
     controller.rights.confirm_sync(Steady(ms));
-    match controller.on_report(Steady(ms), report) {
-        ReportAnswer::Take(reply) => {
-            let starts = |o: &&Order| matches!(o, Order::Start { .. });
-            (true, reply.orders.iter().filter(starts).count())
+    match controller.on_heartbeat(Steady(ms), heartbeat) {
+        HeartbeatOutcome::Take(reply) => {
+            let starts = |o: &&WorkerCommand| matches!(o, WorkerCommand::Start { .. });
+            (true, reply.commands.iter().filter(starts).count())
         }
         _ => (false, 0),
     }
@@ -92,12 +92,12 @@
 
 #[test]
 fn an_announced_term_settles_a_machine_once_and_its_lease_counts_from_there() {
-    use PieceStage::Running;
+    use TaskState::Running;
     let mut controller = node(0);
     controller.rights.confirm_renewal(Steady(1_000));
     controller.rights.confirm_sync(Steady(1_000));
     // It reported before the term: told at once, then after growing pauses, then no more.
-    assert!(controller.shard.is_newest(&report(1, 5, 2, Some(Running))));
+    assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, Some(Running))));
     let told = |controller: &mut Controller, ms| controller.to_announce(Steady(ms), 8).len();
     let times = [(1_000, 1), (1_100, 0), (2_500, 1), (4_000, 0), (5_500, 1)];
     for (ms, count) in times {
@@ -107,28 +107,29 @@
         machine: MachineId::new("n-1"),
         endpoint: "10.1.0.1:9000".into(),
         term: TERM,
-        session: Session(1),
+        agent_epoch: AgentEpoch(1),
         doubted: None,
-        orders: vec![],
+        commands: vec![],
     };
     // (session, sequence, token, whether it is settled then); the session was not known at first.
-    for (session, sequence, token, settled) in [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
+    for (agent_epoch, sequence, token, settled) in
+        [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
     {
         controller.on_announced(
             Steady(6_000),
             &asked,
-            &report(session, sequence, token, Some(Running)),
+            &heartbeat(agent_epoch, sequence, token, Some(Running)),
         );
         let now = controller.summary(Steady(6_000), 900_000);
         let is = now.machines.iter().any(|m| m.settled && m.tasks.len() == 1);
-        assert_eq!(is, settled, "{session} {sequence} {token}");
+        assert_eq!(is, settled, "{agent_epoch} {sequence} {token}");
         // Seen on a bench day: a machine whose session had begun just now counted as silent
         // since it was rented, so what ran on it was started again.
-        assert_eq!(now.answered.len(), usize::from(settled), "{session} {sequence} {token}");
+        assert_eq!(now.answered.len(), usize::from(settled), "{agent_epoch} {sequence} {token}");
     }
     assert_eq!(told(&mut controller, 9_000), 0);
     // A later answer may be older than a start on its way: it changes nothing any more.
-    controller.on_announced(Steady(6_500), &asked, &report(2, 8, 3, None));
+    controller.on_announced(Steady(6_500), &asked, &heartbeat(2, 8, 3, None));
     assert!(controller.summary(Steady(6_500), 900_000).machines.iter().all(|m| m.tasks.len() == 1));
 }
 
@@ -136,20 +137,24 @@
 fn a_machine_that_counts_from_the_start_again_is_told_from_late_copies() {
     // Seen on a simulated day: its owner refused it as a late copy, another controller kept it
     // alive as one that cannot reach its owner, and a new term came every 15 s.
-    use PieceStage::Running;
+    use TaskState::Running;
     // (order of its answer to the question, whether it was restarted)
-    for (session, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
+    for (agent_epoch, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
         let mut controller = node(0);
-        hear(&mut controller, 1_000, &report(2, 9, 3, Some(Running)));
+        hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
         assert!(controller.to_announce(Steady(1_000), 8).is_empty());
-        assert!(!hear(&mut controller, 1_100, &report(1, 3, 0, None)).0);
+        assert!(!hear(&mut controller, 1_100, &heartbeat(1, 3, 0, None)).0);
         let asked = controller.to_announce(Steady(1_100), 8);
         assert_eq!(asked.len(), 1);
-        hear(&mut controller, 1_200, &report(1, 2, 0, None));
+        hear(&mut controller, 1_200, &heartbeat(1, 2, 0, None));
         assert!(controller.to_announce(Steady(1_200), 8).is_empty(), "it is asked once in a while");
-        controller.on_announced(Steady(1_300), &asked[0], &report(session, sequence, 3, None));
+        controller.on_announced(
+            Steady(1_300),
+            &asked[0],
+            &heartbeat(agent_epoch, sequence, 3, None),
+        );
         let told = controller.summary(Steady(1_300), 900_000).restarted;
-        assert_eq!(!told.is_empty(), restarted, "{session} {sequence}");
+        assert_eq!(!told.is_empty(), restarted, "{agent_epoch} {sequence}");
     }
 }
 
@@ -158,7 +163,7 @@
     let mut controller = node(0);
     let pace = controller.settings.pace();
     for n in 0..40 {
-        let mut machine = Machine::new(&report(1, 1, 3, None), Steady(0));
+        let mut machine = Machine::new(&heartbeat(1, 1, 3, None), Steady(0));
         machine.changed = 1;
         controller.shard.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
     }
@@ -180,15 +185,15 @@
 
 #[test]
 fn late_copies_change_nothing_but_what_they_completed() {
-    use PieceStage::{Ended, Running};
+    use TaskState::{Exited, Running};
     let mut controller = node(0);
-    assert!(hear(&mut controller, 1_000, &report(2, 9, 3, Some(Running))).0);
+    assert!(hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
     let told = controller.summary(Steady(2_000), 900_000);
     let copies = [
-        report(2, 9, 3, Some(Running)),
-        report(2, 8, 3, None),
-        report(1, 99, 3, None),
-        report(2, 3, 2, Some(Ended)),
+        heartbeat(2, 9, 3, Some(Running)),
+        heartbeat(2, 8, 3, None),
+        heartbeat(1, 99, 3, None),
+        heartbeat(2, 3, 2, Some(Exited)),
     ];
     for copy in &copies {
         assert_eq!(hear(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
@@ -197,7 +202,7 @@
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
     assert_eq!(now.finished, [(1, Ranges::span(0, 1))], "a completed task stays completed");
-    assert!(hear(&mut controller, 3_000, &report(2, 10, 3, Some(Running))).0);
+    assert!(hear(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
 }
 
 #[test]
@@ -219,8 +224,9 @@
     ];
     for (n, case) in cases.iter().enumerate() {
         let mut controller = node(0);
-        for (ms, session, sequence, token, want) in *case {
-            let got = hear(&mut controller, *ms, &report(*session, *sequence, *token, None)).0;
+        for (ms, agent_epoch, sequence, token, want) in *case {
+            let got =
+                hear(&mut controller, *ms, &heartbeat(*agent_epoch, *sequence, *token, None)).0;
             assert_eq!(got, *want, "{n}: {ms}");
         }
     }
@@ -229,15 +235,15 @@
 #[test]
 fn starts_go_to_machines_that_hear_and_not_twice_to_one_that_misses_them() {
     let mut controller = node(0);
-    assert_eq!(hear(&mut controller, 0, &report(1, 1, 2, None)), (true, 0), "token not shown");
-    assert_eq!(hear(&mut controller, 500, &report(1, 2, 3, None)), (true, 1));
-    assert_eq!(hear(&mut controller, 1_500, &report(1, 3, 3, None)), (true, 0), "not shown");
+    assert_eq!(hear(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
+    assert_eq!(hear(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
+    assert_eq!(hear(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
     let view = controller.summary(Steady(1_500), 900_000).machines.remove(0);
     assert!(view.shun_ms > 0 && view.tasks.is_empty(), "{view:?}");
-    assert_eq!(hear(&mut controller, 5_000, &report(1, 4, 3, None)), (true, 1), "tried again");
-    let shown = report(1, 5, 3, Some(PieceStage::Ended));
+    assert_eq!(hear(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
+    let shown = heartbeat(1, 5, 3, Some(TaskState::Exited));
     assert_eq!(hear(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
-    let again = report(1, 6, 3, Some(PieceStage::Ended));
+    let again = heartbeat(1, 6, 3, Some(TaskState::Exited));
     assert_eq!(hear(&mut controller, 30_000, &again), (true, 0), "and stays so");
 }
 
@@ -246,11 +252,12 @@
     // With the store out and connections between controllers refused, all nodes are alone:
     // then workers come back and must not lose their leases.
     let mut controller = node(0);
-    assert!(hear(&mut controller, 1_000, &report(1, 1, 3, None)).0);
-    let mut answer = |ms, sequence| controller.on_report(Steady(ms), &report(1, sequence, 3, None));
-    assert!(matches!(answer(5_500, 2), ReportAnswer::Take(_)), "not for long yet");
-    assert!(matches!(answer(7_000, 3), ReportAnswer::Go(_)));
-    assert!(matches!(answer(9_000, 4), ReportAnswer::Take(_)), "it found nobody");
+    assert!(hear(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
+    let mut answer =
+        |ms, sequence| controller.on_heartbeat(Steady(ms), &heartbeat(1, sequence, 3, None));
+    assert!(matches!(answer(5_500, 2), HeartbeatOutcome::Take(_)), "not for long yet");
+    assert!(matches!(answer(7_000, 3), HeartbeatOutcome::Go(_)));
+    assert!(matches!(answer(9_000, 4), HeartbeatOutcome::Take(_)), "it found nobody");
 }
 
 #[test]
@@ -260,7 +267,7 @@
     for (ms, sequence, token, told) in
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
-        hear(&mut controller, ms, &report(1, sequence, token, None));
+        hear(&mut controller, ms, &heartbeat(1, sequence, token, None));
         assert_eq!(controller.summary(Steady(ms), 900_000).strays.len(), told, "{ms}");
     }
 }
@@ -276,7 +283,7 @@
     for case in [refused, cut] {
         let mut controller = node(1);
         for (n, (ms, kept, told)) in case.iter().enumerate() {
-            let got = hear(&mut controller, *ms, &report(1, n as u64 + 1, 3, None)).0;
+            let got = hear(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
             assert_eq!(got, *kept, "{ms}");
             let strays = controller.summary(Steady(*ms + 3_000), 900_000).strays;
             assert_eq!(strays.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
@@ -302,45 +309,46 @@
     };
     controller.rights.confirm_renewal(Steady(0));
     controller.rights.confirm_sync(Steady(0));
-    controller.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Running)));
+    controller.on_heartbeat(Steady(100), &heartbeat(1, 1, 3, Some(TaskState::Running)));
     // (attempts below that are stopped, leeway, what the task of attempt 7 gets)
     let cases = [(7, 0, None), (8, 0, Some(0.0)), (8, 9_000, Some(9.0))];
     for (i, (before, leeway_ms, want)) in cases.into_iter().enumerate() {
         let stop = Stop { job: 1, before: Attempt(before), leeway_ms };
         assert!(with(&mut controller, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
-        let leeway = |orders: &[Order]| {
-            orders.iter().find_map(|o| match o {
-                Order::Kill { leeway_s, .. } => Some(*leeway_s),
+        let leeway = |commands: &[WorkerCommand]| {
+            commands.iter().find_map(|o| match o {
+                WorkerCommand::Kill { grace_s, .. } => Some(*grace_s),
                 _ => None,
             })
         };
         let told = controller.to_announce(Steady(200 + i as u64), 8);
-        assert_eq!(told.iter().find_map(|a| leeway(&a.orders)), want, "{before} direct");
-        let shown = report(1, 2 + i as u64, 3, Some(PieceStage::Running));
-        let ReportAnswer::Take(reply) = controller.on_report(Steady(300 + i as u64), &shown) else {
+        assert_eq!(told.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
+        let shown = heartbeat(1, 2 + i as u64, 3, Some(TaskState::Running));
+        let HeartbeatOutcome::Take(reply) = controller.on_heartbeat(Steady(300 + i as u64), &shown)
+        else {
             panic!("refused");
         };
-        assert_eq!(leeway(&reply.orders), want, "{before} in the answer");
+        assert_eq!(leeway(&reply.commands), want, "{before} in the answer");
     }
 }
 
 #[test]
 fn if_one_task_of_a_gang_is_done_all_are() {
     // Its machine may be lost before it tells, and nobody may start it again.
-    for (shape, done) in [(Shape::Gang, 2), (Shape::Sweep, 1)] {
+    for (kind, done) in [(JobKind::Gang, 2), (JobKind::Array, 1)] {
         let mut controller = node(0);
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
-            job.spec.shape = shape;
+            job.spec.kind = kind;
         }
-        controller.on_report(Steady(100), &report(1, 1, 3, Some(PieceStage::Ended)));
+        controller.on_heartbeat(Steady(100), &heartbeat(1, 1, 3, Some(TaskState::Exited)));
         let finished = controller.shard.finished.get(&JobId(1)).map(|f| f.tasks.len());
-        assert_eq!(finished, Some(done), "{shape:?}");
+        assert_eq!(finished, Some(done), "{kind:?}");
     }
 }
 
 /// Makes job 1 cancelled, as a peer tells or the store.
 fn cancel(controller: &mut Controller, ms: u64) {
-    let gone = replica::Progress { end: Some(JobStage::Withdrawn), ..Default::default() };
+    let gone = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
     let replica_changes = controller.hear_ended(JobId(1), &gone, Revision(12));
     controller.follow(Moment { steady: Steady(ms), wall: Wall(ms) }, &replica_changes);
 }
@@ -348,28 +356,29 @@
 #[test]
 fn tasks_of_a_cancelled_job_are_ended_straight_away() {
     // A machine may reach nobody (mute), and its owner may not be allowed to answer any more.
-    use PieceStage::{Ended, Running};
+    use TaskState::{Exited, Running};
     // (its last report's task and token, when that was, when the job is cancelled, whether it is told)
     let cases = [
         (Some(Running), 3, 1_000, 1_100, true),
         (Some(Running), 2, 1_000, 1_100, true), // it has not settled
         (Some(Running), 3, 1_000, 60_000, true), // no right to answer is left
-        (Some(Ended), 3, 1_000, 1_100, false),
+        (Some(Exited), 3, 1_000, 1_100, false),
         (None, 3, 1_000, 1_100, true), // it was to start with the answer, which may be on its way
     ];
-    for (stage, token, heard, cancelled, told) in cases {
+    for (state, token, heard, cancelled, told) in cases {
         let mut controller = node(0);
-        hear(&mut controller, heard, &report(1, 5, token, stage));
+        hear(&mut controller, heard, &heartbeat(1, 5, token, state));
         while !controller.to_announce(Steady(heard), 8).is_empty() {}
         cancel(&mut controller, cancelled);
         let out = controller.to_announce(Steady(cancelled), 8);
-        let kills: Vec<&Order> = out.iter().flat_map(|a| &a.orders).collect();
-        let what = format!("{stage:?} {token} {cancelled}");
+        let kills: Vec<&WorkerCommand> = out.iter().flat_map(|a| &a.commands).collect();
+        let what = format!("{state:?} {token} {cancelled}");
         assert_eq!(kills.len(), usize::from(told), "{what}: {out:?}");
-        let shown = |k: &&Order| matches!(k, Order::Kill { r#try: Attempt(7), .. });
-        assert_eq!(kills.iter().all(shown), stage.is_some() || !told, "{what}");
+        let shown =
+            |k: &&WorkerCommand| matches!(k, WorkerCommand::Kill { attempt: Attempt(7), .. });
+        assert_eq!(kills.iter().all(shown), state.is_some() || !told, "{what}");
         let again = controller.to_announce(Steady(cancelled), 8);
-        assert!(again.iter().all(|a| a.orders.is_empty()), "{what}: told once");
+        assert!(again.iter().all(|a| a.commands.is_empty()), "{what}: told once");
     }
 }
 
@@ -380,12 +389,16 @@
     controller.rights.confirm_renewal(Steady(1_000));
     controller.rights.confirm_sync(Steady(1_000));
     cancel(&mut controller, 1_000);
-    assert!(controller.shard.is_newest(&report(1, 5, 2, None)));
+    assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, None)));
     let asked = controller.to_announce(Steady(1_000), 8);
-    assert_eq!((asked.len(), asked[0].orders.len()), (1, 0));
-    controller.on_announced(Steady(1_100), &asked[0], &report(1, 6, 3, Some(PieceStage::Running)));
+    assert_eq!((asked.len(), asked[0].commands.len()), (1, 0));
+    controller.on_announced(
+        Steady(1_100),
+        &asked[0],
+        &heartbeat(1, 6, 3, Some(TaskState::Running)),
+    );
     let then = controller.to_announce(Steady(1_200), 8);
-    assert_eq!((then.len(), then[0].orders.len()), (1, 1));
+    assert_eq!((then.len(), then[0].commands.len()), (1, 1));
 }
 
 #[test]
@@ -397,13 +410,13 @@
         let mut controller = node(0);
         controller.rights.confirm_renewal(Steady(now));
         controller.rights.confirm_sync(Steady(synced));
-        let got = match controller.on_report(Steady(now), &report(1, 5, 3, None)) {
-            ReportAnswer::Take(reply) => (true, reply.orders.len()),
+        let got = match controller.on_heartbeat(Steady(now), &heartbeat(1, 5, 3, None)) {
+            HeartbeatOutcome::Take(reply) => (true, reply.commands.len()),
             _ => (false, 0),
         };
         assert_eq!(got, (answered, starts), "{synced} {now}");
         // It starts once the store serves this node again.
-        assert_eq!(hear(&mut controller, now + 600, &report(1, 6, 3, None)).1, 1 - starts);
+        assert_eq!(hear(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1, 1 - starts);
     }
 }
 
@@ -415,21 +428,21 @@
     let cases: [(&str, Option<Edit>, &str, usize); 4] = [
         ("warm", None, "img", 1),
         ("urgent work may go there", Some(|_| {}), "img", 0),
-        ("urgent work may not", Some(|s| s.yard = Some("b".into())), "img", 1),
+        ("urgent work may not", Some(|s| s.zone = Some("b".into())), "img", 1),
         ("its image is not there", None, "other", 0),
     ];
     for (what, urgent, image, starts) in cases {
         let mut controller = node(0);
         let mut put = |spec: wire::JobSpec| {
-            let path = replica::job_key(spec.r#ref);
+            let path = replica::job_key(spec.id);
             let v = wire::to_value(&Accepted { spec, at: Wall(1) });
             controller
                 .replica
                 .load(&Item { path, v, stamp: Revision(10) }, &mut ReplicaChanges::default());
         };
-        put(wire::JobSpec { vcpus: 8.0, bundle: image.into(), ..spec(2, 1) });
+        put(wire::JobSpec { vcpus: 8.0, image: image.into(), ..spec(2, 1) });
         if let Some(edit) = urgent {
-            let mut other = wire::JobSpec { urgency: Urgency::High, ..spec(3, 1) };
+            let mut other = wire::JobSpec { priority: Priority::High, ..spec(3, 1) };
             edit(&mut other);
             put(other);
         }
@@ -447,19 +460,19 @@
             decisions: None,
         };
         assert!(controller.shard.follow(plan));
-        let of = |stage, cause| Piece {
-            piece: TaskId { job: JobId(2), index: 0 },
-            r#try: Attempt(7),
-            stage,
-            cause,
+        let of = |state, exit_reason| TaskStatus {
+            task: TaskId { job: JobId(2), index: 0 },
+            attempt: Attempt(7),
+            state,
+            exit_reason,
         };
-        let runs = vec![of(PieceStage::Running, None)];
-        let ended = vec![of(PieceStage::Ended, Some(Cause::Done))];
-        let full = Report { pieces: runs, ..report(1, 1, TERM.0, None) };
-        let empty = Report { pieces: ended, ..report(1, 2, TERM.0, None) };
+        let runs = vec![of(TaskState::Running, None)];
+        let ended = vec![of(TaskState::Exited, Some(ExitReason::Done))];
+        let full = Heartbeat { tasks: runs, ..heartbeat(1, 1, TERM.0, None) };
+        let empty = Heartbeat { tasks: ended, ..heartbeat(1, 2, TERM.0, None) };
         assert_eq!(hear(&mut controller, 1_000, &full), (true, 0), "{what}: there is no room");
         assert_eq!(hear(&mut controller, 1_030, &empty), (true, starts), "{what}");
-        let again = Report { sequence: 3, ..empty };
+        let again = Heartbeat { sequence: 3, ..empty };
         assert_eq!(hear(&mut controller, 1_040, &again), (true, 0), "{what}: once only");
     }
 }
@@ -523,7 +536,7 @@
             begin_next_term(&mut controller, way);
             assert_eq!(controller.shard.term(), NEXT_TERM, "{way:?}");
             // Its new owner has told the machine of the term; its report waited here meanwhile.
-            let shown = report(1, 1, NEXT_TERM.0, None);
+            let shown = heartbeat(1, 1, NEXT_TERM.0, None);
             assert_eq!(hear(&mut controller, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
         }
     }
@@ -533,7 +546,7 @@
 fn filled_part() -> Controller {
     let mut controller = node(0);
     let machine = || MachineId::new("n-1");
-    let shown = report(1, 1, TERM.0, Some(PieceStage::Running));
+    let shown = heartbeat(1, 1, TERM.0, Some(TaskState::Running));
     let attempt = Attempt(7);
     let grant = |attempt| Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt };
     let body = PlanBody {
@@ -560,14 +573,14 @@
     };
     followed.queues.insert(machine(), vec![start]);
     followed.backlog.push(start);
-    followed.most_urgent.insert(("small".into(), "a".into(), false), None);
+    followed.highest_priority.insert(("small".into(), "a".into(), false), None);
     (followed.reassign, followed.assigned, followed.unplaced) = (true, Steady(5), true);
     followed.acknowledged = Some((1, Steady(5)));
     followed.announced.insert(machine(), Announced { times: 1, at: Steady(5) });
     followed.announcing = true;
     let unacknowledged = Unacknowledged {
         first: Steady(5),
-        session: Session(1),
+        agent_epoch: AgentEpoch(1),
         answers: 1,
         refuse_until: Steady(0),
     };
@@ -575,7 +588,7 @@
     let redirected = Redirected { at: Steady(5), tries: 1, seen: false };
     followed.redirected.insert(machine(), redirected);
     let stray = StrayRecord {
-        hull: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         back: None,
@@ -588,7 +601,7 @@
     shard.machines.insert(machine(), Machine::new(&shown, Steady(5)));
     shard.is_newest(&shown);
     shard.doubted.insert(machine(), Steady(5));
-    shard.doubts.push((machine(), Session(1)));
+    shard.doubts.push((machine(), AgentEpoch(1)));
     shard.stopping.insert(machine());
     shard.restarted.insert(machine());
     shard.answered.insert(machine(), Steady(5));
@@ -619,7 +632,7 @@
             shown_gang_attempts,
             queues,
             backlog,
-            most_urgent,
+            highest_priority,
             reassign,
             assigned,
             unplaced,
@@ -640,7 +653,7 @@
         assert!(plan.is_kept(&kept_for_gangs) && plan.is_slow(&kept_for_gangs));
         assert!(plan.is_drained(&kept_for_gangs) && plan.grants_gang(Attempt(7)));
         assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !queues.is_empty());
-        assert!(!backlog.is_empty() && !most_urgent.is_empty() && *reassign && *unplaced);
+        assert!(!backlog.is_empty() && !highest_priority.is_empty() && *reassign && *unplaced);
         assert!(acknowledged.is_some() && !announced.is_empty() && *announcing);
         assert!(*clock_ms > 0 && *assigned > Steady(0));
         assert!(!unacknowledged.is_empty() && !redirected.is_empty() && !strays.is_empty());
@@ -696,7 +709,9 @@
             (now.plan, now.owners, now.reassign) = (old.plan, old.owners, true);
         }),
         ("queue", |now, old| now.queues = old.queues),
-        ("backlog", |now, old| (now.backlog, now.most_urgent) = (old.backlog, old.most_urgent)),
+        ("backlog", |now, old| {
+            (now.backlog, now.highest_priority) = (old.backlog, old.highest_priority)
+        }),
     ];
     for (what, outlives) in cases {
         let mut controller = node(0);
@@ -708,22 +723,22 @@
             kind: GrantKind::WithRoom,
         };
         let kind = ("small".into(), "a".into(), false);
-        controller.shard.followed.most_urgent.insert(kind, Some(Urgency::Normal));
+        controller.shard.followed.highest_priority.insert(kind, Some(Priority::Normal));
         controller.shard.followed.queues.insert(MachineId::new("n-1"), vec![start]);
         controller.shard.followed.backlog.push(start);
-        let before = report(1, 1, TERM.0, None);
+        let before = heartbeat(1, 1, TERM.0, None);
         let mut machine = Machine::new(&before, Steady(0));
         if let Some(job) = controller.replica.jobs.get(&TASK.job) {
             machine.remember_image(&job.spec);
         }
-        controller.shard.machines.insert(before.host.clone(), machine);
+        controller.shard.machines.insert(before.machine.clone(), machine);
         let old = std::mem::replace(
             &mut controller.shard.followed,
             FollowedTerm::begin(NEXT_TERM, NodeId(0)),
         );
         outlives(&mut controller.shard.followed, old);
         controller.shard.followed.assigned = Steady(1_000);
-        let shown = report(1, 2, NEXT_TERM.0, None);
+        let shown = heartbeat(1, 2, NEXT_TERM.0, None);
         assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
         assert_eq!(controller.shard.refused_starts(), 1, "{what}");
     }
@@ -736,12 +751,12 @@
         for way in WAYS {
             let mut controller = node(owner);
             assert_eq!(
-                !hear(&mut controller, 500, &report(1, 1, TERM.0, None)).0,
+                !hear(&mut controller, 500, &heartbeat(1, 1, TERM.0, None)).0,
                 before,
                 "{owner}"
             );
             begin_next_term(&mut controller, way);
-            let answer = hear(&mut controller, 1_000, &report(1, 2, TERM.0, None));
+            let answer = hear(&mut controller, 1_000, &heartbeat(1, 2, TERM.0, None));
             assert_eq!(answer, (!after, 0), "{owner} {way:?}: kept alive, and nothing starts");
         }
     }
@@ -751,9 +766,9 @@
 fn late_copies_are_known_before_the_first_plan_of_a_term_whatever_the_size_of_the_fleet() {
     // Without owners, room made for a new machine would have meant forgetting all reports.
     let mut controller = node(0);
-    let of = |n: usize, sequence| Report {
-        host: MachineId::new(&format!("n-{n}")),
-        ..report(1, sequence, TERM.0, None)
+    let of = |n: usize, sequence| Heartbeat {
+        machine: MachineId::new(&format!("n-{n}")),
+        ..heartbeat(1, sequence, TERM.0, None)
     };
     (0..LATEST_KEPT).for_each(|n| assert!(controller.shard.is_newest(&of(n, 2))));
     begin_next_term(&mut controller, Way::Watch);
