--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-use crate::model::{Attempt, JobId, MachineId, Revision, Session, StoreLease, TaskId, Term};
+use crate::model::{AgentEpoch, Attempt, JobId, MachineId, Revision, StoreLease, TaskId, Term};
 
 /// Largest body of a request, and of a response to workers and users.
 pub const BODY_LIMIT: usize = 64 * 1024;
@@ -73,9 +73,10 @@
 /// How a job's tasks behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks that run to completion.
-    Sweep,
+    #[serde(rename = "sweep")]
+    Array,
     /// Replicas that run until the job is cancelled.
     Service,
     /// Tasks that need each other: they run all at once or wait, and complete together.
@@ -85,7 +86,7 @@
 /// A job's urgency, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Urgency {
+pub enum Priority {
     /// Before everything.
     Critical,
     /// Before normal work.
@@ -101,17 +102,23 @@
 #[serde(rename_all = "PascalCase")]
 pub struct JobSpec {
     /// Unique id.
-    pub r#ref: JobId,
+    #[serde(rename = "Ref")]
+    pub id: JobId,
     /// Class of jobs.
-    pub lane: String,
+    #[serde(rename = "Lane")]
+    pub class: String,
     /// Team.
-    pub owner: String,
+    #[serde(rename = "Owner")]
+    pub team: String,
     /// How its tasks behave.
-    pub shape: Shape,
+    #[serde(rename = "Shape")]
+    pub kind: JobKind,
     /// Urgency.
-    pub urgency: Urgency,
+    #[serde(rename = "Urgency")]
+    pub priority: Priority,
     /// Number of tasks.
-    pub pieces: u32,
+    #[serde(rename = "Pieces")]
+    pub task_count: u32,
     /// Cores of a task.
     #[serde(deserialize_with = "amount")]
     pub vcpus: f64,
@@ -122,41 +129,51 @@
     #[serde(deserialize_with = "amount")]
     pub mem_gb: f64,
     /// Image.
-    pub bundle: Rc<str>,
+    #[serde(rename = "Bundle")]
+    pub image: Rc<str>,
     /// Size of the image.
     #[serde(deserialize_with = "amount")]
-    pub size_gb: f64,
+    #[serde(rename = "SizeGb")]
+    pub image_gb: f64,
     /// Allowed machine types.
     #[serde(default)]
-    pub hulls: Option<Vec<String>>,
+    #[serde(rename = "Hulls")]
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(default)]
-    pub yard: Option<String>,
+    #[serde(rename = "Yard")]
+    pub zone: Option<String>,
     /// All tasks in one zone.
     pub one_zone: bool,
     /// At most half of the tasks in a zone.
-    pub scatter: bool,
+    #[serde(rename = "Scatter")]
+    pub spread_zones: bool,
     /// May use spot machines.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub allows_spot: bool,
     /// The owner's estimate of a task's run time.
     #[serde(deserialize_with = "amount")]
-    pub guess_s: f64,
+    #[serde(rename = "GuessS")]
+    pub estimated_run_s: f64,
     /// Interval of checkpoints; 0 for none.
     #[serde(deserialize_with = "amount", default)]
-    pub bookmark_s: f64,
+    #[serde(rename = "BookmarkS")]
+    pub checkpoint_interval_s: f64,
     /// Time to save when stopped.
     #[serde(deserialize_with = "amount", default)]
-    pub stash_s: f64,
+    #[serde(rename = "StashS")]
+    pub checkpoint_save_s: f64,
     /// Deadline from submission.
     #[serde(deserialize_with = "amount_or_null", default)]
-    pub due_s: Option<f64>,
+    #[serde(rename = "DueS")]
+    pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
     /// Checks ranges that types alone do not express.
     pub fn check(&self) -> Result<(), BadBody> {
         let bad = |field: &str| Err(BadBody(format!("{field} is out of range")));
-        if self.pieces == 0 || self.pieces > MAX_TASKS {
+        if self.task_count == 0 || self.task_count > MAX_TASKS {
             return bad("Pieces");
         }
         if !(self.vcpus >= 0.0 && self.vcpus < 1e6) {
@@ -165,21 +182,21 @@
         let amounts = [
             ("Accelerators", self.accelerators),
             ("MemGb", self.mem_gb),
-            ("SizeGb", self.size_gb),
-            ("GuessS", self.guess_s),
-            ("BookmarkS", self.bookmark_s),
-            ("StashS", self.stash_s),
-            ("DueS", self.due_s.unwrap_or(0.0)),
+            ("SizeGb", self.image_gb),
+            ("GuessS", self.estimated_run_s),
+            ("BookmarkS", self.checkpoint_interval_s),
+            ("StashS", self.checkpoint_save_s),
+            ("DueS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, value) in amounts {
             if !(0.0..1e9).contains(&value) {
                 return bad(field);
             }
         }
-        if self.owner.is_empty() || self.owner.len() > 200 {
+        if self.team.is_empty() || self.team.len() > 200 {
             return bad("Owner");
         }
-        if self.lane.len() > 200 || self.bundle.len() > 400 {
+        if self.class.len() > 200 || self.image.len() > 400 {
             return bad("Lane or Bundle");
         }
         Ok(())
@@ -189,7 +206,7 @@
 /// A job's state as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum JobStage {
+pub enum JobState {
     /// No task runs.
     Pending,
     /// Some task runs.
@@ -197,7 +214,8 @@
     /// All tasks are done.
     Done,
     /// Its user cancelled it.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// What users are told about a job.
@@ -208,7 +226,7 @@
     pub job: JobId,
     /// Its state.
     #[serde(rename = "Stage")]
-    pub stage: JobStage,
+    pub state: JobState,
     /// Tasks done.
     #[serde(default)]
     pub done: u32,
@@ -223,17 +241,21 @@
 /// A task's state on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum PieceStage {
+pub enum TaskState {
     /// Waits for its image.
-    Fetching,
+    #[serde(rename = "fetching")]
+    FetchingImage,
     /// Runs.
     Running,
     /// A gang's task that waits for the others of its attempt.
-    Waiting,
+    #[serde(rename = "waiting")]
+    WaitingForGang,
     /// Saves after having been told to stop.
-    Flushing,
+    #[serde(rename = "flushing")]
+    SavingCheckpoint,
     /// Has ended.
-    Ended,
+    #[serde(rename = "ended")]
+    Exited,
     /// A state that this version does not know; it counts as on the machine.
     #[serde(other)]
     Unknown,
@@ -242,21 +264,26 @@
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
     Stopped,
     /// Failed.
-    Error,
+    #[serde(rename = "error")]
+    Failed,
     /// Refused: no room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientResources,
     /// Refused: here with another attempt.
-    InUse,
+    #[serde(rename = "in_use")]
+    AttemptConflict,
     /// Another task of its gang is gone.
-    Peers,
+    #[serde(rename = "peers")]
+    GangTaskLost,
     /// Its gang was not complete in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// Refused: no such task; also any cause that this version does not know.
     #[serde(other)]
     Unknown,
@@ -265,35 +292,43 @@
 /// A task in a worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Piece {
+pub struct TaskStatus {
     /// The task.
-    pub piece: TaskId,
+    #[serde(rename = "Piece")]
+    pub task: TaskId,
     /// Its attempt.
-    pub r#try: Attempt,
+    #[serde(rename = "Try")]
+    pub attempt: Attempt,
     /// Its state.
-    pub stage: PieceStage,
+    #[serde(rename = "Stage")]
+    pub state: TaskState,
     /// Why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    #[serde(rename = "Cause")]
+    pub exit_reason: Option<ExitReason>,
 }
 
 /// A worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
-    pub host: MachineId,
+    #[serde(rename = "Host")]
+    pub machine: MachineId,
     /// The worker's address.
     pub endpoint: String,
     /// The machine's type.
-    pub hull: String,
+    #[serde(rename = "Hull")]
+    pub machine_type: String,
     /// Its zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Whether it is a spot machine.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// The worker's session.
     #[serde(rename = "Tenure")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// The sequence number of the message within the session.
     #[serde(rename = "Tally")]
     pub sequence: u64,
@@ -302,51 +337,60 @@
     pub token: Term,
     /// Seconds until the cloud takes it away.
     #[serde(default, deserialize_with = "amount_or_null")]
-    pub warning_s: Option<f64>,
+    #[serde(rename = "WarningS")]
+    pub spot_notice_s: Option<f64>,
     /// All its tasks.
     #[serde(default)]
-    pub pieces: Vec<Piece>,
+    #[serde(rename = "Pieces")]
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start a task.
     #[serde(rename_all = "PascalCase")]
     Start {
         /// The task.
-        piece: TaskId,
+        #[serde(rename = "Piece")]
+        task: TaskId,
         /// Its attempt.
-        r#try: Attempt,
+        #[serde(rename = "Try")]
+        attempt: Attempt,
     },
     /// Stop a task.
     #[serde(rename_all = "PascalCase")]
     Kill {
         /// The task.
-        piece: TaskId,
+        #[serde(rename = "Piece")]
+        task: TaskId,
         /// Its attempt.
-        r#try: Attempt,
+        #[serde(rename = "Try")]
+        attempt: Attempt,
         /// Time it has to save.
-        leeway_s: f64,
+        #[serde(rename = "LeewayS")]
+        grace_s: f64,
     },
     /// Forget an ended task.
     #[serde(rename_all = "PascalCase")]
     Clear {
         /// The task.
-        piece: TaskId,
+        #[serde(rename = "Piece")]
+        task: TaskId,
         /// Its attempt.
-        r#try: Attempt,
+        #[serde(rename = "Try")]
+        attempt: Attempt,
     },
 }
 
-impl Order {
+impl WorkerCommand {
     /// The task that it is about.
-    pub fn piece(&self) -> TaskId {
+    pub fn task(&self) -> TaskId {
         match self {
-            Order::Start { piece, .. } | Order::Kill { piece, .. } | Order::Clear { piece, .. } => {
-                *piece
-            }
+            WorkerCommand::Start { task, .. }
+            | WorkerCommand::Kill { task, .. }
+            | WorkerCommand::Clear { task, .. } => *task,
         }
     }
 }
@@ -354,26 +398,28 @@
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     /// The fencing token.
     #[serde(rename = "Baton")]
     pub token: Term,
     /// Commands, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "Orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Direct {
+pub struct DirectCommand {
     /// The fencing token.
     #[serde(rename = "Baton")]
     pub token: Term,
     /// The session they are meant for.
     #[serde(rename = "Tenure")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     /// The commands.
-    pub orders: Vec<Order>,
+    #[serde(rename = "Orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Where a worker should report.
@@ -382,7 +428,8 @@
 pub struct Redirect {
     /// The controller's name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub steward: Option<String>,
+    #[serde(rename = "Steward")]
+    pub controller: Option<String>,
 }
 
 /// A machine type.
@@ -425,7 +472,8 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Flavors {
     /// The types.
-    pub hulls: Vec<Flavor>,
+    #[serde(rename = "Hulls")]
+    pub machine_types: Vec<Flavor>,
 }
 
 /// A rental request.
@@ -436,11 +484,14 @@
     #[serde(rename = "Hire")]
     pub idempotency_key: String,
     /// Machine type.
-    pub hull: String,
+    #[serde(rename = "Hull")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Spot or ordinary.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// How many.
     pub number: u32,
 }
@@ -474,18 +525,23 @@
 #[serde(rename_all = "PascalCase")]
 pub struct ListedHost {
     /// Its name.
-    pub r#ref: MachineId,
+    #[serde(rename = "Ref")]
+    pub id: MachineId,
     /// Its worker's address.
     #[serde(default)]
     pub endpoint: Option<String>,
     /// Type.
-    pub hull: String,
+    #[serde(rename = "Hull")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Spot or ordinary.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// State.
-    pub stage: HostStage,
+    #[serde(rename = "Stage")]
+    pub state: HostStage,
     /// Age since the rental request.
     #[serde(deserialize_with = "amount", default)]
     pub held_s: f64,
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -6,26 +6,26 @@
 /// A plain job of some tasks.
 pub(crate) fn spec(id: u64, tasks: u32) -> JobSpec {
     JobSpec {
-        r#ref: JobId(id),
-        lane: "lane".into(),
-        owner: "red".into(),
-        shape: Shape::Sweep,
-        urgency: Urgency::Normal,
-        pieces: tasks,
+        id: JobId(id),
+        class: "lane".into(),
+        team: "red".into(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        task_count: tasks,
         vcpus: 4.0,
         accelerators: 0.0,
         mem_gb: 8.0,
-        bundle: "img".into(),
-        size_gb: 1.0,
-        hulls: None,
-        yard: None,
+        image: "img".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
         one_zone: false,
-        scatter: false,
-        loaners: true,
-        guess_s: 30.0,
-        bookmark_s: 0.0,
-        stash_s: 0.0,
-        due_s: None,
+        spread_zones: false,
+        allows_spot: true,
+        estimated_run_s: 30.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
+        deadline_s: None,
     }
 }
 
@@ -107,18 +107,18 @@
         })
         .unwrap(),
     );
-    let report: Report = decode(&body).unwrap();
-    assert_eq!(report.pieces[0].stage, PieceStage::Unknown);
-    assert_eq!(report.pieces[1].cause, Some(Cause::Unknown));
-    assert_eq!(report.warning_s, None);
+    let heartbeat: Heartbeat = decode(&body).unwrap();
+    assert_eq!(heartbeat.tasks[0].state, TaskState::Unknown);
+    assert_eq!(heartbeat.tasks[1].exit_reason, Some(ExitReason::Unknown));
+    assert_eq!(heartbeat.spot_notice_s, None);
 }
 
 #[test]
 fn orders_have_their_published_form() {
-    let order = Order::Kill {
-        piece: TaskId::parse("wk-000377/1").unwrap(),
-        r#try: Attempt(1),
-        leeway_s: 10.0,
+    let order = WorkerCommand::Kill {
+        task: TaskId::parse("wk-000377/1").unwrap(),
+        attempt: Attempt(1),
+        grace_s: 10.0,
     };
     let want = cbor!({"Verb" => "kill", "Piece" => "wk-000377/1", "Try" => 1, "LeewayS" => 10.0});
     assert_eq!(to_value(&order), want.unwrap());
--- a/tests/loopback/cloud_server.rs
+++ b/tests/loopback/cloud_server.rs
@@ -58,7 +58,7 @@
     }
     let mut hosts = Vec::new();
     for _ in 0..room.min(rental.number as usize) {
-        hosts.push(machines.add_in(&rental.yard, rental.loaners).await);
+        hosts.push(machines.add_in(&rental.zone, rental.spot).await);
     }
     machines.note_rental(&rental.idempotency_key, &hosts);
     Response::new(200, wire::encode(&Hosts { hosts }))
--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -11,7 +11,9 @@
 use tokio::time::sleep;
 use willowshore::http::{self, Client, Request, Response, ServerLimits};
 use willowshore::model::MachineId;
-use willowshore::wire::{self, Direct, HostStage, ListedHost, Redirect, Report, ReportReply};
+use willowshore::wire::{
+    self, DirectCommand, Heartbeat, HeartbeatResponse, HostStage, ListedHost, Redirect,
+};
 
 use crate::check::Event;
 use crate::history::History;
@@ -66,16 +68,16 @@
         let listed = there.map(|(w, spot)| {
             let w = w.borrow();
             ListedHost {
-                r#ref: w.name(),
+                id: w.name(),
                 endpoint: Some(w.endpoint.clone()),
-                hull: "small".into(),
-                yard: w.zone.into(),
-                loaners: *spot,
-                stage: HostStage::Running,
+                machine_type: "small".into(),
+                zone: w.zone.into(),
+                spot: *spot,
+                state: HostStage::Running,
                 held_s: 60.0,
             }
         });
-        listed.filter(|host| *host.r#ref.0 > *after).collect()
+        listed.filter(|host| *host.id.0 > *after).collect()
     }
 
     /// The machines of a rental that was carried out under that name.
@@ -125,13 +127,16 @@
 
     /// A direct command.
     fn command(&self, worker: &Rc<RefCell<Worker>>, request: &Request) -> Response {
-        let Ok(direct) = wire::decode::<Direct>(&request.body) else { return Response::empty(400) };
-        let (term, session) = (direct.token.0, direct.session.0);
+        let Ok(direct) = wire::decode::<DirectCommand>(&request.body) else {
+            return Response::empty(400);
+        };
+        let (term, agent_epoch) = (direct.token.0, direct.agent_epoch.0);
         let refused = term < worker.borrow().token;
         let now = self.history.now();
-        let (report, changes) = worker.borrow_mut().direct(now, term, session, &direct.orders);
+        let (heartbeat, changes) =
+            worker.borrow_mut().direct(now, term, agent_epoch, &direct.commands);
         self.see(worker.borrow().id, changes);
-        Response::new(if refused { 409 } else { 200 }, wire::encode(&report))
+        Response::new(if refused { 409 } else { 200 }, wire::encode(&heartbeat))
     }
 
     /// Runs a machine until it is gone.
@@ -149,33 +154,39 @@
                 |task: willowshore::model::TaskId| RUN_MS + 100 * u64::from(task.index % 4);
             let changes = worker.borrow_mut().tick(now, run_ms, |_| false);
             self.see(machine, changes);
-            let due = worker.borrow_mut().report(now);
-            if let Some((node, report)) = due {
-                spawn_local(self.clone().report(worker.clone(), clients[node].clone(), report));
+            let due = worker.borrow_mut().heartbeat(now);
+            if let Some((node, heartbeat)) = due {
+                spawn_local(self.clone().heartbeat(
+                    worker.clone(),
+                    clients[node].clone(),
+                    heartbeat,
+                ));
             }
             sleep(TICK).await;
         }
     }
 
-    async fn report(
+    async fn heartbeat(
         self: Rc<Self>,
         worker: Rc<RefCell<Worker>>,
         client: Rc<Client>,
-        report: Report,
+        heartbeat: Heartbeat,
     ) {
-        let body = wire::encode(&report);
+        let body = wire::encode(&heartbeat);
         let answer = client.call("POST", "/v1/report", &body, ANSWER_LIMIT).await;
         let answer = match answer {
-            Ok(a) if a.status == 200 => wire::decode::<ReportReply>(&a.body).map(Answer::Take).ok(),
+            Ok(a) if a.status == 200 => {
+                wire::decode::<HeartbeatResponse>(&a.body).map(Answer::Take).ok()
+            }
             Ok(a) if a.status == 421 => {
-                let redirect = wire::decode::<Redirect>(&a.body).ok().and_then(|r| r.steward);
+                let redirect = wire::decode::<Redirect>(&a.body).ok().and_then(|r| r.controller);
                 let node = redirect.and_then(|name| name.strip_prefix("host-")?.parse().ok());
                 node.map(Answer::Go)
             }
             _ => None,
         };
         let answer = answer.unwrap_or(Answer::Refuse);
-        let changes = worker.borrow_mut().answer(self.history.now(), report.sequence, answer);
+        let changes = worker.borrow_mut().answer(self.history.now(), heartbeat.sequence, answer);
         self.see(worker.borrow().id, changes);
     }
 
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 use willowshore::http::Client;
 use willowshore::model::JobId;
-use willowshore::wire::{self, JobAnswer, JobSpec, JobStage};
+use willowshore::wire::{self, JobAnswer, JobSpec, JobState};
 
 use crate::check::{Event, Told};
 use crate::history::History;
@@ -53,8 +53,8 @@
 
     /// Submits a job and asks until it has ended.
     async fn follow(self: Rc<Self>, id: u64) {
-        let job = JobSpec { scatter: false, ..spec(id, 1 + id as u32 % 3, 1.0) };
-        self.history.submits(id, job.pieces);
+        let job = JobSpec { spread_zones: false, ..spec(id, 1 + id as u32 % 3, 1.0) };
+        self.history.submits(id, job.task_count);
         let body = wire::encode(&job);
         let mut tries = id as usize;
         while !self.ask(id, "POST", "/api/jobs", &body, tries).await {
@@ -82,10 +82,10 @@
             return false;
         }
         let Ok(answer) = wire::decode::<JobAnswer>(&answer.body) else { return false };
-        let told = match answer.stage {
-            JobStage::Pending | JobStage::Running => Told::Open,
-            JobStage::Done => Told::Done,
-            JobStage::Withdrawn => Told::Withdrawn,
+        let told = match answer.state {
+            JobState::Pending | JobState::Running => Told::Open,
+            JobState::Done => Told::Done,
+            JobState::Cancelled => Told::Withdrawn,
         };
         self.history.see(Event::Told { job: id, node, told });
         if told == Told::Done && self.open.borrow_mut().remove(&id) {
--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -1,7 +1,7 @@
 //! Follows a change of leader through its phases, by what the stand-ins see.
 
 use willowshore::model::{JobId, Term};
-use willowshore::wire::{Order, ReportReply, Urgency};
+use willowshore::wire::{HeartbeatResponse, Priority, WorkerCommand};
 
 /// Part of the machines that may be left when the fleet counts as settled: some are always booting or hanging.
 const UNSETTLED_PART: usize = 50;
@@ -106,17 +106,17 @@
     pub fn note_reply(
         &mut self,
         now: u64,
-        reply: &ReportReply,
-        urgency: impl Fn(JobId) -> Option<Urgency>,
+        reply: &HeartbeatResponse,
+        priority: impl Fn(JobId) -> Option<Priority>,
     ) {
         if reply.token <= Term(self.old_term) {
             return;
         }
         let since = now - self.began;
-        for order in &reply.orders {
-            if let Order::Start { piece, .. } = order {
+        for order in &reply.commands {
+            if let WorkerCommand::Start { task, .. } = order {
                 self.phases.first_start.get_or_insert(since);
-                if urgency(piece.job).is_some_and(|u| u <= Urgency::High) {
+                if priority(task.job).is_some_and(|u| u <= Priority::High) {
                     self.phases.first_urgent_start.get_or_insert(since);
                 }
             }
--- a/tests/sim/site.rs
+++ b/tests/sim/site.rs
@@ -1,7 +1,7 @@
 //! The site that is played: its rhythm, its jobs and its machine types.
 
 use willowshore::model::JobId;
-use willowshore::wire::{Flavor, Flavors, JobSpec, Shape, Urgency};
+use willowshore::wire::{Flavor, Flavors, JobKind, JobSpec, Priority};
 
 /// The zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
@@ -38,33 +38,33 @@
 /// A job of so many tasks of half a machine, which run for about that long.
 pub fn spec(id: u64, tasks: u32, run_s: f64) -> JobSpec {
     JobSpec {
-        r#ref: JobId(id),
-        lane: "lane".into(),
-        owner: "red".into(),
-        shape: Shape::Sweep,
-        urgency: if id.is_multiple_of(2) { Urgency::High } else { Urgency::Normal },
-        pieces: tasks,
+        id: JobId(id),
+        class: "lane".into(),
+        team: "red".into(),
+        kind: JobKind::Array,
+        priority: if id.is_multiple_of(2) { Priority::High } else { Priority::Normal },
+        task_count: tasks,
         vcpus: 4.0,
         accelerators: 0.0,
         mem_gb: 8.0,
-        bundle: format!("img-{}", id % 3).into(),
-        size_gb: 1.0,
-        hulls: None,
-        yard: None,
+        image: format!("img-{}", id % 3).into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
         one_zone: false,
-        scatter: id.is_multiple_of(4),
-        loaners: true,
-        guess_s: run_s,
-        bookmark_s: 0.0,
-        stash_s: 0.0,
-        due_s: None,
+        spread_zones: id.is_multiple_of(4),
+        allows_spot: true,
+        estimated_run_s: run_s,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
+        deadline_s: None,
     }
 }
 
 /// The machine types.
 pub fn flavors() -> Flavors {
     Flavors {
-        hulls: vec![Flavor {
+        machine_types: vec![Flavor {
             sku: "small".into(),
             vcpus: 8.0,
             accelerators: 0.0,
--- a/tests/sim/worker.rs
+++ b/tests/sim/worker.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use willowshore::model::{Attempt, MachineId, Session, TaskId, Term};
-use willowshore::wire::{Cause, Order, Piece, PieceStage, Report, ReportReply};
+use willowshore::model::{AgentEpoch, Attempt, MachineId, TaskId, Term};
+use willowshore::wire::{
+    ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand,
+};
 
 use crate::site::Rhythm;
 
@@ -12,8 +14,8 @@
 const GANG_WAIT_MS: u64 = 30_000;
 
 struct Task {
-    stage: PieceStage,
-    cause: Option<Cause>,
+    state: TaskState,
+    exit_reason: Option<ExitReason>,
     until: u64,
 }
 
@@ -36,7 +38,7 @@
     /// When the cloud takes it, if it gave notice.
     pub taken_at: Option<u64>,
     pub target: usize,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
     pub token: u64,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
@@ -58,7 +60,7 @@
             hung_until: 0,
             taken_at: None,
             target: id % 3,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
@@ -88,7 +90,7 @@
     /// Restarts at once: nothing is left, and it counts from 1 again.
     pub fn reborn(&mut self, now: u64) -> Vec<Change> {
         let out = self.leave(|_| true);
-        (self.session, self.sequence, self.token) = (1, 0, 0);
+        (self.agent_epoch, self.sequence, self.token) = (1, 0, 0);
         (self.answered, self.in_flight, self.next) = (now, None, now + 300);
         out
     }
@@ -99,7 +101,7 @@
             if !which(t) {
                 return true;
             }
-            if is_there(t.stage) {
+            if is_there(t.state) {
                 out.push(Change::Leaves(*task));
             }
             false
@@ -127,7 +129,7 @@
         // A hanging machine goes on with its tasks within its lease or not at all.
         if now.saturating_sub(self.answered) > self.lease {
             out.extend(self.leave(|_| true));
-            self.session += 1;
+            self.agent_epoch += 1;
             self.answered = now;
             self.in_flight = None;
         }
@@ -139,31 +141,31 @@
             if t.until > now {
                 continue;
             }
-            match t.stage {
-                PieceStage::Fetching if is_gang(*task) => {
-                    t.stage = PieceStage::Waiting;
+            match t.state {
+                TaskState::FetchingImage if is_gang(*task) => {
+                    t.state = TaskState::WaitingForGang;
                     t.until = now + GANG_WAIT_MS;
                     out.push(Change::Runs(*task));
                     changed = true;
                 }
-                PieceStage::Waiting => {
-                    end(t, Cause::Alone);
+                TaskState::WaitingForGang => {
+                    end(t, ExitReason::GangIncomplete);
                     out.push(Change::Leaves(*task));
                     changed = true;
                 }
-                PieceStage::Flushing => {
-                    end(t, Cause::Stopped);
+                TaskState::SavingCheckpoint => {
+                    end(t, ExitReason::Stopped);
                     out.push(Change::Leaves(*task));
                     changed = true;
                 }
-                PieceStage::Fetching => {
-                    t.stage = PieceStage::Running;
+                TaskState::FetchingImage => {
+                    t.state = TaskState::Running;
                     t.until = now + run_ms(*task);
                     out.push(Change::Runs(*task));
                     changed = true;
                 }
-                PieceStage::Running => {
-                    end(t, Cause::Done);
+                TaskState::Running => {
+                    end(t, ExitReason::Done);
                     out.push(Change::Completes(*task));
                     changed = true;
                 }
@@ -181,13 +183,13 @@
 
     /// Tasks that run.
     pub fn running(&self) -> impl Iterator<Item = TaskId> + '_ {
-        let runs = self.tasks.iter().filter(|(_, t)| t.stage == PieceStage::Running);
+        let runs = self.tasks.iter().filter(|(_, t)| t.state == TaskState::Running);
         runs.map(|((task, _), _)| *task)
     }
 
     /// Tasks that are on it or fetch their image.
     pub fn held(&self) -> usize {
-        self.tasks.values().filter(|t| t.stage != PieceStage::Ended).count()
+        self.tasks.values().filter(|t| t.state != TaskState::Exited).count()
     }
 
     /// Whether it could take one more task.
@@ -196,10 +198,10 @@
     }
 
     /// Gang tasks that wait for the others or run, with their attempt.
-    pub fn gang_tasks(&self) -> impl Iterator<Item = (TaskId, Attempt, PieceStage)> + '_ {
-        let there = |t: &Task| matches!(t.stage, PieceStage::Waiting | PieceStage::Running);
+    pub fn gang_tasks(&self) -> impl Iterator<Item = (TaskId, Attempt, TaskState)> + '_ {
+        let there = |t: &Task| matches!(t.state, TaskState::WaitingForGang | TaskState::Running);
         let all = self.tasks.iter().filter(move |(_, t)| there(t));
-        all.map(|((task, attempt), t)| (*task, *attempt, t.stage))
+        all.map(|((task, attempt), t)| (*task, *attempt, t.state))
     }
 
     /// Gang tasks that were told to save since this was last asked.
@@ -210,7 +212,7 @@
     /// All tasks of its gang are there: it runs until then.
     pub fn gang_runs(&mut self, task: TaskId, attempt: Attempt, until: u64, now: u64) {
         if let Some(t) = self.tasks.get_mut(&(task, attempt)) {
-            (t.stage, t.until) = (PieceStage::Running, until);
+            (t.state, t.until) = (TaskState::Running, until);
             self.next = self.next.min(now + 500);
         }
     }
@@ -218,7 +220,7 @@
     /// Another task of its gang is gone.
     pub fn gang_breaks(&mut self, task: TaskId, attempt: Attempt, now: u64) -> Vec<Change> {
         let Some(t) = self.tasks.get_mut(&(task, attempt)) else { return Vec::new() };
-        end(t, Cause::Peers);
+        end(t, ExitReason::GangTaskLost);
         self.next = self.next.min(now + 500);
         vec![Change::Leaves(task)]
     }
@@ -230,7 +232,7 @@
     }
 
     /// The next report, if one is due: the node it goes to and the report.
-    pub fn report(&mut self, now: u64) -> Option<(usize, Report)> {
+    pub fn heartbeat(&mut self, now: u64) -> Option<(usize, Heartbeat)> {
         if !self.active(now) || self.in_flight.is_some() || now < self.next {
             return None;
         }
@@ -245,39 +247,39 @@
         &mut self,
         now: u64,
         token: u64,
-        session: u64,
-        orders: &[Order],
-    ) -> (Report, Vec<Change>) {
+        agent_epoch: u64,
+        commands: &[WorkerCommand],
+    ) -> (Heartbeat, Vec<Change>) {
         let mut changes = Vec::new();
-        if token >= self.token && session == self.session {
+        if token >= self.token && agent_epoch == self.agent_epoch {
             if token > self.token {
                 self.next = self.next.min(now + 500);
             }
             self.token = token;
-            changes = orders.iter().flat_map(|o| self.order(now, o.clone())).collect();
+            changes = commands.iter().flat_map(|o| self.execute(now, o.clone())).collect();
         }
         self.sequence += 1;
         (self.state(now), changes)
     }
 
-    fn state(&self, now: u64) -> Report {
-        let pieces = self.tasks.iter().map(|((task, attempt), t)| Piece {
-            piece: *task,
-            r#try: *attempt,
-            stage: t.stage,
-            cause: t.cause,
+    fn state(&self, now: u64) -> Heartbeat {
+        let pieces = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
+            task: *task,
+            attempt: *attempt,
+            state: t.state,
+            exit_reason: t.exit_reason,
         });
-        Report {
-            host: self.name(),
+        Heartbeat {
+            machine: self.name(),
             endpoint: self.endpoint.clone(),
-            hull: "small".into(),
-            yard: self.zone.into(),
-            loaners: false,
-            session: Session(self.session),
+            machine_type: "small".into(),
+            zone: self.zone.into(),
+            spot: false,
+            agent_epoch: AgentEpoch(self.agent_epoch),
             sequence: self.sequence,
             token: Term(self.token),
-            warning_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
-            pieces: pieces.collect(),
+            spot_notice_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
+            tasks: pieces.collect(),
         }
     }
 
@@ -298,7 +300,7 @@
                     self.next = self.next.min(now + 500);
                 }
                 self.answered = sent;
-                reply.orders.into_iter().flat_map(|o| self.order(now, o)).collect()
+                reply.commands.into_iter().flat_map(|o| self.execute(now, o)).collect()
             }
             Answer::Go(node) => {
                 self.target = node;
@@ -312,41 +314,43 @@
         }
     }
 
-    fn order(&mut self, now: u64, order: Order) -> Vec<Change> {
+    fn execute(&mut self, now: u64, command: WorkerCommand) -> Vec<Change> {
         self.next = self.next.min(now + 500);
-        match order {
-            Order::Start { piece, r#try } => {
-                let room = self.tasks.values().filter(|t| t.stage != PieceStage::Ended).count() < 2;
-                let (stage, cause) = if room {
-                    (PieceStage::Fetching, None)
+        match command {
+            WorkerCommand::Start { task, attempt } => {
+                let room = self.tasks.values().filter(|t| t.state != TaskState::Exited).count() < 2;
+                let (state, exit_reason) = if room {
+                    (TaskState::FetchingImage, None)
                 } else {
-                    (PieceStage::Ended, Some(Cause::NoRoom))
+                    (TaskState::Exited, Some(ExitReason::InsufficientResources))
                 };
-                let task = Task { stage, cause, until: now + FETCH_MS };
-                self.tasks.entry((piece, r#try)).or_insert(task);
+                let started = Task { state, exit_reason, until: now + FETCH_MS };
+                self.tasks.entry((task, attempt)).or_insert(started);
                 Vec::new()
             }
-            Order::Kill { piece, r#try, leeway_s } => match self.tasks.get_mut(&(piece, r#try)) {
-                Some(t) if t.stage != PieceStage::Ended => {
-                    let ran = is_there(t.stage);
-                    if leeway_s > 0.0 && t.stage == PieceStage::Running {
-                        t.stage = PieceStage::Flushing;
-                        t.until = now + 1_000;
-                        self.told_to_save.push((piece, r#try));
-                        return Vec::new();
+            WorkerCommand::Kill { task, attempt, grace_s } => {
+                match self.tasks.get_mut(&(task, attempt)) {
+                    Some(t) if t.state != TaskState::Exited => {
+                        let ran = is_there(t.state);
+                        if grace_s > 0.0 && t.state == TaskState::Running {
+                            t.state = TaskState::SavingCheckpoint;
+                            t.until = now + 1_000;
+                            self.told_to_save.push((task, attempt));
+                            return Vec::new();
+                        }
+                        if grace_s > 0.0 && t.state == TaskState::SavingCheckpoint {
+                            return Vec::new();
+                        }
+                        end(t, ExitReason::Stopped);
+                        if ran { vec![Change::Leaves(task)] } else { Vec::new() }
                     }
-                    if leeway_s > 0.0 && t.stage == PieceStage::Flushing {
-                        return Vec::new();
-                    }
-                    end(t, Cause::Stopped);
-                    if ran { vec![Change::Leaves(piece)] } else { Vec::new() }
+                    _ => Vec::new(),
                 }
-                _ => Vec::new(),
-            },
-            Order::Clear { piece, r#try } => {
-                let ended = |t: &Task| t.stage == PieceStage::Ended;
-                if self.tasks.get(&(piece, r#try)).is_some_and(ended) {
-                    self.tasks.remove(&(piece, r#try));
+            }
+            WorkerCommand::Clear { task, attempt } => {
+                let ended = |t: &Task| t.state == TaskState::Exited;
+                if self.tasks.get(&(task, attempt)).is_some_and(ended) {
+                    self.tasks.remove(&(task, attempt));
                 }
                 Vec::new()
             }
@@ -354,19 +358,19 @@
     }
 }
 
-fn end(t: &mut Task, cause: Cause) {
-    (t.stage, t.cause, t.until) = (PieceStage::Ended, Some(cause), u64::MAX);
+fn end(t: &mut Task, exit_reason: ExitReason) {
+    (t.state, t.exit_reason, t.until) = (TaskState::Exited, Some(exit_reason), u64::MAX);
 }
 
 /// Whether a task is on its machine as the rules see it: it has its image.
-fn is_there(stage: PieceStage) -> bool {
-    matches!(stage, PieceStage::Running | PieceStage::Waiting | PieceStage::Flushing)
+fn is_there(state: TaskState) -> bool {
+    matches!(state, TaskState::Running | TaskState::WaitingForGang | TaskState::SavingCheckpoint)
 }
 
 /// How a report was answered.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    Take(ReportReply),
+    Take(HeartbeatResponse),
     Go(usize),
     Refuse,
 }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -12,9 +12,9 @@
 use willowshore::lease::LEASE_MS;
 use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
 use willowshore::peer::{self, Ask, Summary, Tell};
-use willowshore::shard::{Announcement, ReportAnswer};
+use willowshore::shard::{Announcement, HeartbeatOutcome};
 use willowshore::store_client::Committed;
-use willowshore::wire::{JobSpec, PieceStage, Report, Shape, Txn, Urgency};
+use willowshore::wire::{Heartbeat, JobKind, JobSpec, Priority, TaskState, Txn};
 use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::VerificationCounts;
@@ -76,14 +76,14 @@
 }
 
 enum Message {
-    Report(usize, usize, Report),
+    Heartbeat(usize, usize, Heartbeat),
     /// A late copy of a report to that node; nobody waits for its answer.
-    Copy(usize, Report),
+    Copy(usize, Heartbeat),
     Reply(usize, u64, Answer),
     /// A node announces its term to a worker; when it was sent.
     Announce(usize, usize, Announcement, u64),
     /// The worker's answer to that.
-    Announced(usize, Announcement, Report, u64),
+    Announced(usize, Announcement, Heartbeat, u64),
     /// A summary, and when it was sent by the sender's clock.
     Summary(usize, usize, Box<Summary>, Steady),
     /// The answer; when the summary was sent, if it came directly.
@@ -98,7 +98,7 @@
     /// The controller that it is for, if it is for one.
     fn to_node(&self) -> Option<usize> {
         match self {
-            Message::Report(_, n, _)
+            Message::Heartbeat(_, n, _)
             | Message::Copy(n, _)
             | Message::Announced(n, ..)
             | Message::Summary(_, n, ..)
@@ -155,7 +155,7 @@
     lost_answers_until: u64,
     hold_until: u64,
     copies_kept_until: u64,
-    kept_copies: Vec<Report>,
+    kept_copies: Vec<Heartbeat>,
     last_leader: Option<(usize, u64)>,
     cancel_at_end_until: u64,
     looks_until: u64,
@@ -442,7 +442,7 @@
                 self.see(w, changes);
             }
             let jobs = &self.jobs;
-            let gang = |t: TaskId| jobs.get(&t.job.0).is_some_and(|j| j.shape == Shape::Gang);
+            let gang = |t: TaskId| jobs.get(&t.job.0).is_some_and(|j| j.kind == JobKind::Gang);
             let long = self.run_ms;
             let run_ms = |t: TaskId| match long > 60_000 && t.job.0 == BRIEF {
                 true => 500 + 100 * u64::from(t.index % 5),
@@ -455,27 +455,28 @@
                     self.just_completed.push(t.job.0);
                     // If one task of a gang is done, all are.
                     if gang(*t) {
-                        let all = (0..jobs[&t.job.0].pieces).map(|index| TaskId { index, ..*t });
+                        let all =
+                            (0..jobs[&t.job.0].task_count).map(|index| TaskId { index, ..*t });
                         self.completed.extend(all);
                     }
                 }
             }
             self.see(w, changes);
-            if let Some((node, report)) = self.workers[w].report(now) {
+            if let Some((node, heartbeat)) = self.workers[w].heartbeat(now) {
                 if now < self.copies_until && self.rng.random_bool(0.5) {
                     let most = self.rhythm.lease_ms * 5 / 2;
                     let late = now + self.rng.random_range(1_000..most);
                     self.sent += 1;
-                    let copy = Message::Copy(node, report.clone());
+                    let copy = Message::Copy(node, heartbeat.clone());
                     self.messages.insert((late, self.sent), copy);
                 }
                 if now < self.copies_kept_until && self.kept_copies.len() < 200 {
-                    self.kept_copies.push(report.clone());
+                    self.kept_copies.push(heartbeat.clone());
                 }
                 if self.mute.iter().any(|m| m.0 == w && now < m.1) {
                     continue;
                 }
-                let message = Message::Report(w, node, report);
+                let message = Message::Heartbeat(w, node, heartbeat);
                 self.send(Place::Worker(w), Place::Node(node), message);
             }
         }
@@ -514,12 +515,12 @@
             let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
             let open = !self.told.contains(&id) && !self.wanted_cancels.contains(&id);
             let job = &self.jobs[&id];
-            let free = (0..job.pieces).any(|index| {
+            let free = (0..job.task_count).any(|index| {
                 let task = TaskId { job: JobId(id), index };
                 !self.completed.contains(&task) && !self.checker.is_on((id, index))
             });
             // A gang needs more than room for one task.
-            let could = could && accepted && open && free && job.shape != Shape::Gang;
+            let could = could && accepted && open && free && job.kind != JobKind::Gang;
             self.checker.see(now, Event::Waits { job: id, could });
         }
     }
@@ -527,26 +528,26 @@
     /// Gangs begin when all tasks of an attempt wait, and break when one is gone or hangs.
     fn gangs(&mut self) {
         let now = self.now;
-        type OnWorker = (usize, TaskId, PieceStage);
+        type OnWorker = (usize, TaskId, TaskState);
         let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
         for (w, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.active(now)) {
-            for (task, attempt, stage) in worker.gang_tasks() {
+            for (task, attempt, state) in worker.gang_tasks() {
                 let of = self.jobs.get(&task.job.0);
-                if of.is_some_and(|j| j.shape == Shape::Gang) {
-                    gangs.entry((task.job, attempt)).or_default().push((w, task, stage));
+                if of.is_some_and(|j| j.kind == JobKind::Gang) {
+                    gangs.entry((task.job, attempt)).or_default().push((w, task, state));
                 }
             }
         }
         self.broken_gangs.retain(|g, _| gangs.contains_key(g));
         for ((job, attempt), tasks) in gangs {
-            let pieces = self.jobs[&job.0].pieces as usize;
-            let runs = tasks.iter().any(|t| t.2 == PieceStage::Running);
-            if tasks.len() == pieces && !runs {
+            let task_count = self.jobs[&job.0].task_count as usize;
+            let runs = tasks.iter().any(|t| t.2 == TaskState::Running);
+            if tasks.len() == task_count && !runs {
                 for (w, task, _) in tasks {
                     self.workers[w].gang_runs(task, attempt, now + self.gang_run_ms, now);
                     self.gangs_begun += 1;
                 }
-            } else if tasks.len() < pieces && runs && !self.completed.contains(&tasks[0].1) {
+            } else if tasks.len() < task_count && runs && !self.completed.contains(&tasks[0].1) {
                 let since = *self.broken_gangs.entry((job, attempt)).or_insert(now);
                 if now - since >= GANG_NOTICE_MS {
                     for (w, task, _) in tasks {
@@ -568,30 +569,30 @@
             return;
         }
         match message {
-            Message::Report(w, n, report) => {
+            Message::Heartbeat(w, n, heartbeat) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
                 let steady = node.moment(now).steady;
                 let began = Instant::now();
-                let answer = node.controller.on_report(steady, &report);
+                let answer = node.controller.on_heartbeat(steady, &heartbeat);
                 self.reports.count += 1;
                 self.reports.total += began.elapsed();
                 let answer = match answer {
-                    ReportAnswer::Take(reply) => Answer::Take(reply),
-                    ReportAnswer::Go(name) => Answer::Go(
+                    HeartbeatOutcome::Take(reply) => Answer::Take(reply),
+                    HeartbeatOutcome::Go(name) => Answer::Go(
                         node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
                     ),
-                    ReportAnswer::Refuse => Answer::Refuse,
+                    HeartbeatOutcome::Refuse => Answer::Refuse,
                 };
                 if now < self.lossy_until && self.rng.random_bool(0.3) {
                     return;
                 }
-                let reply = Message::Reply(w, report.sequence, answer);
+                let reply = Message::Reply(w, heartbeat.sequence, answer);
                 self.send(Place::Node(n), Place::Worker(w), reply);
             }
-            Message::Copy(n, report) => {
+            Message::Copy(n, heartbeat) => {
                 if let Ok(node) = &mut self.nodes[n] {
                     let steady = node.moment(now).steady;
-                    node.controller.on_report(steady, &report);
+                    node.controller.on_heartbeat(steady, &heartbeat);
                 }
             }
             Message::Announce(n, w, announced, sent)
@@ -616,27 +617,28 @@
                     self.messages.insert((until, self.sent), message);
                     return;
                 }
-                let (term, session) = (announced.term.0, announced.session.0);
-                let (report, changes) = worker.direct(now, term, session, &announced.orders);
+                let (term, agent_epoch) = (announced.term.0, announced.agent_epoch.0);
+                let (heartbeat, changes) =
+                    worker.direct(now, term, agent_epoch, &announced.commands);
                 self.see(w, changes);
-                let message = Message::Announced(n, announced, report, sent);
+                let message = Message::Announced(n, announced, heartbeat, sent);
                 self.send(Place::Worker(w), Place::Node(n), message);
             }
-            Message::Announced(n, asked, report, sent) => {
+            Message::Announced(n, asked, heartbeat, sent) => {
                 // Nobody waits for it any more after a second.
                 if let Ok(node) = &mut self.nodes[n]
                     && now - sent < 1_000
                     && sent >= node.started
                 {
                     let steady = node.moment(now).steady;
-                    node.controller.on_announced(steady, &asked, &report);
+                    node.controller.on_announced(steady, &asked, &heartbeat);
                 }
             }
             Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
             Message::Reply(w, sequence, answer) => {
                 if let (Answer::Take(reply), Some(trace)) = (&answer, &mut self.trace) {
                     let jobs = &self.jobs;
-                    trace.note_reply(now, reply, |job| jobs.get(&job.0).map(|j| j.urgency));
+                    trace.note_reply(now, reply, |job| jobs.get(&job.0).map(|j| j.priority));
                 }
                 let changes = self.workers[w].answer(now, sequence, answer);
                 self.see(w, changes);
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -365,7 +365,7 @@
         {
             leader.machines_gone(&gone);
             for (id, zone) in rented {
-                let offer = Offer { hull: "small".into(), zone: zone.into(), spot: false };
+                let offer = Offer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 leader.fleet.rented(moment.steady, &[id], &offer);
             }
         }
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -277,7 +277,7 @@
                 && let Ok(node) = &mut self.nodes[leader]
             {
                 let steady = node.moment(self.now).steady;
-                let offer = Offer { hull: "small".into(), zone: zone.into(), spot: false };
+                let offer = Offer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 if let Some(leader) = &mut node.controller.leader {
                     leader.fleet.rented(steady, &[name], &offer);
                 }
@@ -292,11 +292,11 @@
             return;
         }
         self.last_leader = leads;
-        for report in std::mem::take(&mut self.kept_copies) {
+        for heartbeat in std::mem::take(&mut self.kept_copies) {
             for n in 0..3 {
                 self.sent += 1;
                 let at = self.now + self.rng.random_range(0..400);
-                self.messages.insert((at, self.sent), Message::Copy(n, report.clone()));
+                self.messages.insert((at, self.sent), Message::Copy(n, heartbeat.clone()));
             }
         }
     }
--- a/tests/sim/world/scenarios.rs
+++ b/tests/sim/world/scenarios.rs
@@ -11,12 +11,12 @@
     pub fn with_gangs(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
         for (id, job) in world.jobs.iter_mut().filter(|(id, _)| *id % 2 == 1 || **id == 4) {
-            job.shape = Shape::Gang;
+            job.kind = JobKind::Gang;
             job.one_zone = id % 4 == 1;
-            job.scatter = *id == 4;
-            job.pieces = [2, 3, 4, 6][*id as usize / 2 % 4];
-            job.bookmark_s = if *id == 3 { 0.0 } else { 2.0 };
-            job.stash_s = 1.0;
+            job.spread_zones = *id == 4;
+            job.task_count = [2, 3, 4, 6][*id as usize / 2 % 4];
+            job.checkpoint_interval_s = if *id == 3 { 0.0 } else { 2.0 };
+            job.checkpoint_save_s = 1.0;
         }
         world
     }
@@ -38,13 +38,13 @@
         world.jobs = (2..220)
             .map(|id| {
                 let mut job = spec(id, 3, 8.0);
-                job.urgency = Urgency::High;
-                job.scatter = false;
+                job.priority = Priority::High;
+                job.spread_zones = false;
                 (id, job)
             })
             .collect();
         let mut large = spec(31, 30, 8.0);
-        large.scatter = false;
+        large.spread_zones = false;
         world.jobs.insert(31, large);
         world
     }
@@ -57,8 +57,9 @@
         world.checker = Checker::new(SLOW.cancel_ms, world.team_limit);
         world.every = 60;
         let tasks = machines as u32 / 6;
-        world.jobs =
-            (1..=60).map(|id| (id, JobSpec { scatter: false, ..spec(id, tasks, 8.0) })).collect();
+        world.jobs = (1..=60)
+            .map(|id| (id, JobSpec { spread_zones: false, ..spec(id, tasks, 8.0) }))
+            .collect();
         world
     }
 
@@ -69,7 +70,7 @@
         world.cancel_every = 7;
         let job = |id: u64| JobSpec {
             one_zone: id % 3 == 1 && !id.is_multiple_of(4),
-            scatter: id % 8 == 4,
+            spread_zones: id % 8 == 4,
             ..spec(id, 1 + id as u32 % 3, 8.0)
         };
         world.jobs = (1..=72).map(|id| (id, job(id))).collect();
@@ -80,12 +81,12 @@
     pub fn busy_with_gangs(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::busy(seed, rhythm);
         for (id, job) in world.jobs.iter_mut().filter(|(id, _)| *id % 4 == 2) {
-            job.shape = Shape::Gang;
-            job.pieces = 2 + *id as u32 % 3;
+            job.kind = JobKind::Gang;
+            job.task_count = 2 + *id as u32 % 3;
             job.one_zone = id % 8 == 2;
-            job.scatter = false;
-            job.bookmark_s = 2.0;
-            job.stash_s = 1.0;
+            job.spread_zones = false;
+            job.checkpoint_interval_s = 2.0;
+            job.checkpoint_save_s = 1.0;
         }
         world
     }
@@ -98,9 +99,9 @@
         world.team_limit = SATURATED_LIMIT;
         world.checker = Checker::new(rhythm.cancel_ms, world.team_limit);
         let job = |id| JobSpec {
-            scatter: false,
-            urgency: Urgency::Normal,
-            bundle: "img".into(),
+            spread_zones: false,
+            priority: Priority::Normal,
+            image: "img".into(),
             ..spec(id, 8, 4.0)
         };
         world.jobs = (1..=SATURATED_JOBS).map(|id| (id, job(id))).collect();
@@ -114,7 +115,7 @@
         world.every = 1_000;
         world.cancel_every = 0;
         world.jobs.retain(|id, _| *id <= 24);
-        world.jobs.values_mut().for_each(|job| job.urgency = Urgency::High);
+        world.jobs.values_mut().for_each(|job| job.priority = Priority::High);
         world
     }
 
@@ -124,7 +125,7 @@
         let mut world = World::new(seed, rhythm);
         world.every = 700;
         world.run_ms = rhythm.cancel_ms * 3;
-        let loose = |job| JobSpec { scatter: false, ..job };
+        let loose = |job| JobSpec { spread_zones: false, ..job };
         world.jobs = (1..=2).map(|id| (id, loose(spec(id, 2, 100.0)))).collect();
         world.jobs.insert(BRIEF, loose(spec(BRIEF, 400, 3.0)));
         world
@@ -138,8 +139,9 @@
         world.checker = Checker::new(BRISK.cancel_ms, world.team_limit);
         world.every = 250;
         world.cancel_every = 4;
-        world.jobs =
-            (1..=jobs).map(|id| (id, JobSpec { scatter: false, ..spec(id, 1, 5.0) })).collect();
+        world.jobs = (1..=jobs)
+            .map(|id| (id, JobSpec { spread_zones: false, ..spec(id, 1, 5.0) }))
+            .collect();
         world
     }
 }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -8,7 +8,7 @@
 use willowshore::peer::Ask;
 use willowshore::replica;
 use willowshore::store_client::Committed;
-use willowshore::wire::{JobStage, Shape};
+use willowshore::wire::{JobKind, JobState};
 
 use super::{Message, World};
 use crate::check::{Event, Told};
@@ -16,11 +16,11 @@
 /// A job that nobody submits.
 const NOBODYS: u64 = 999_999;
 
-fn told(stage: JobStage) -> Told {
-    match stage {
-        JobStage::Done => Told::Done,
-        JobStage::Withdrawn => Told::Withdrawn,
-        JobStage::Pending | JobStage::Running => Told::Open,
+fn told(state: JobState) -> Told {
+    match state {
+        JobState::Done => Told::Done,
+        JobState::Cancelled => Told::Withdrawn,
+        JobState::Pending | JobState::Running => Told::Open,
     }
 }
 
@@ -39,7 +39,7 @@
             if cancelled && now >= id * self.every + 7_000 {
                 self.wanted_cancels.insert(id);
             }
-            let gang = self.jobs[&id].shape == Shape::Gang;
+            let gang = self.jobs[&id].kind == JobKind::Gang;
             let may = !gang || self.old == [false; 3];
             if may && now >= id * self.every && !self.told.contains(&id) {
                 let n = self.rng.random_range(0..3);
@@ -82,12 +82,12 @@
         let now = self.now;
         let Some(node) = self.awake(n) else { return };
         let replica = &node.controller.replica;
-        if let Some((stage, _)) = replica.ended.get(&JobId(id)).copied() {
-            let of = self.jobs[&id].pieces;
+        if let Some((state, _)) = replica.ended.get(&JobId(id)).copied() {
+            let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.told.insert(id);
-            let (event, told) = match stage {
-                JobStage::Done => (Event::CalledDone { job: id, done, of }, Told::Done),
+            let (event, told) = match state {
+                JobState::Done => (Event::CalledDone { job: id, done, of }, Told::Done),
                 _ => (Event::Cancelled { job: id }, Told::Withdrawn),
             };
             self.checker.see(now, event);
@@ -121,7 +121,7 @@
     fn at_once(&mut self, n: usize, job: JobId) -> Option<Option<Told>> {
         let Some(node) = self.awake(n) else { return Some(None) };
         if let Some(answer) = node.controller.final_answer(job) {
-            return Some(Some(told(answer.stage)));
+            return Some(Some(told(answer.state)));
         }
         if !node.controller.loaded || !self.reaches_store(n) {
             return Some(None);
@@ -139,7 +139,7 @@
         let controller = &self.awake(n)?.controller;
         let answer = controller.final_answer(job).or_else(|| controller.open_answer(job));
         match answer {
-            Some(answer) => Some(told(answer.stage)),
+            Some(answer) => Some(told(answer.state)),
             None if self.store.has(&replica::job_key(job)) => None,
             None => Some(Told::Unknown),
         }
@@ -165,7 +165,7 @@
                     let replica_changes = controller.apply_own(&txn, stamp);
                     controller.follow(moment, &replica_changes);
                     let answer = controller.final_answer(job);
-                    return Some(answer.map_or(Told::Open, |a| told(a.stage)));
+                    return Some(answer.map_or(Told::Open, |a| told(a.state)));
                 }
                 Committed::No(_) => {}
             }
@@ -225,7 +225,7 @@
         }
         let Some(answer) = answer else { return };
         if answer == Told::Done {
-            let of = self.jobs[&id].pieces;
+            let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.checker.see(self.now, Event::CalledDone { job: id, done, of });
         }
@@ -294,7 +294,7 @@
         if now < self.cancel_at_end_until {
             let ended: Vec<u64> = std::mem::take(&mut self.just_completed);
             for id in ended {
-                let of = self.jobs[&id].pieces as usize;
+                let of = self.jobs[&id].task_count as usize;
                 let done = self.completed.iter().filter(|t| t.job.0 == id).count();
                 if done == of && !self.told.contains(&id) {
                     // At the moment of the end, when a node may or may not have heard of it.
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -7,7 +7,7 @@
 
 use willowshore::autoscaler::Load;
 use willowshore::model::{
-    Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Session, TaskId,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
     Term, Wall,
 };
 use willowshore::peer::{
@@ -18,7 +18,7 @@
     Accepted, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord, Progress,
     Replica, ReplicaChanges, SPEAKS, TermRecord,
 };
-use willowshore::wire::{self, Item, JobSpec, JobStage, PieceStage, Shape, Urgency};
+use willowshore::wire::{self, Item, JobKind, JobSpec, JobState, Priority, TaskState};
 use willowshore_standby::decision_log::{DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
 use willowshore_standby::settings::StandbySettings;
@@ -35,8 +35,8 @@
         .collect()
 }
 
-fn task(job: u64, index: u32, stage: PieceStage) -> TaskView {
-    TaskView { task: TaskId { job: JobId(job), index }, stage }
+fn task(job: u64, index: u32, state: TaskState) -> TaskView {
+    TaskView { task: TaskId { job: JobId(job), index }, state }
 }
 
 fn machine(id: &str) -> MachineId {
@@ -47,20 +47,20 @@
 fn summary() -> Summary {
     let view = MachineView {
         id: machine("n-000001"),
-        hull: "kleine".into(),
+        machine_type: "kleine".into(),
         zone: "a".into(),
         spot: true,
         endpoint: "10.1.0.1:9000".into(),
         settled: true,
-        session: Session(2),
+        agent_epoch: AgentEpoch(2),
         leaving: false,
         shun_ms: 700,
-        tasks: vec![task(412, 3, PieceStage::Running), task(412, 4, PieceStage::Unknown)],
+        tasks: vec![task(412, 3, TaskState::Running), task(412, 4, TaskState::Unknown)],
         images: vec![("img-07".into(), 6.25)],
     };
     let stray = Stray {
         id: machine("n-000002"),
-        hull: "kleine".into(),
+        machine_type: "kleine".into(),
         zone: "b".into(),
         spot: false,
         silent_ms: 5,
@@ -115,7 +115,7 @@
             ],
             drain: vec![machine("n-000001")],
             slow: vec![machine("n-000002")],
-            lapsed: vec![(machine("n-000002"), Session(3))],
+            lapsed: vec![(machine("n-000002"), AgentEpoch(3))],
             standings: vec![Standing { job: 412, running: 3, waits: Waits::ForMachines }],
             stops: vec![],
             kept: vec![],
@@ -128,26 +128,26 @@
 
 fn spec() -> JobSpec {
     JobSpec {
-        r#ref: JobId(412),
-        lane: "train".into(),
-        owner: "vision".into(),
-        shape: Shape::Gang,
-        urgency: Urgency::High,
-        pieces: 16,
+        id: JobId(412),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: JobKind::Gang,
+        priority: Priority::High,
+        task_count: 16,
         vcpus: 8.0,
         accelerators: 1.0,
         mem_gb: 64.0,
-        bundle: "img-07".into(),
-        size_gb: 6.25,
-        hulls: Some(vec!["g8".into()]),
-        yard: None,
+        image: "img-07".into(),
+        image_gb: 6.25,
+        machine_types: Some(vec!["g8".into()]),
+        zone: None,
         one_zone: true,
-        scatter: false,
-        loaners: true,
-        guess_s: 240.0,
-        bookmark_s: 30.0,
-        stash_s: 4.0,
-        due_s: Some(900.0),
+        spread_zones: false,
+        allows_spot: true,
+        estimated_run_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_save_s: 4.0,
+        deadline_s: Some(900.0),
     }
 }
 
@@ -178,7 +178,7 @@
     }
     assert_eq!(value::<Accepted>(&f["j"]).spec, spec());
     assert_eq!(value::<Progress>(&f["d"]).done, Ranges::span(0, 3));
-    assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobStage::Done));
+    assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobState::Done));
     assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
     assert_eq!((member.life, member.speaks), (Incarnation(77), 0), "it does not know gangs");
@@ -195,7 +195,7 @@
 fn the_version_before_reads_what_this_one_writes() {
     // With what it does not know: a waiting task, notices, stops and kept machines.
     let mut told = summary();
-    told.machines[0].tasks.push(task(398, 1, PieceStage::Waiting));
+    told.machines[0].tasks.push(task(398, 1, TaskState::WaitingForGang));
     told.notices = vec![(machine("n-000001"), 9_000)];
     told.follow = Some(FollowRequest::default());
     let frozen::Ask::Summary(s) =
@@ -244,7 +244,7 @@
     let old: frozen::MemberRecord = wire::from_value(&wire::to_value(&member)).unwrap();
     assert_eq!(old.life, 77);
     let up = MachineRecord {
-        hull: "kleine".into(),
+        machine_type: "kleine".into(),
         zone: "a".into(),
         spot: false,
         up: true,
@@ -265,7 +265,7 @@
 fn sizes_count_in_the_form_in_which_the_protocol_shows_messages() {
     // Seen on a bench day: groups of machines that were small enough as CBOR were refused.
     let record = MachineRecord {
-        hull: "may-chuan".into(),
+        machine_type: "may-chuan".into(),
         zone: "binh-duong".into(),
         spot: false,
         up: true,
@@ -293,7 +293,7 @@
         replica.load(&item, &mut ReplicaChanges::default());
         assert_eq!(replica.hears_ends(NodeId(1)), told, "{speaks}");
     }
-    let gone = Progress { end: Some(JobStage::Withdrawn), ..Progress::default() };
+    let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let sent = peer::encode(&Ask::Ended(JobId(412), gone.clone(), Revision(9)));
     let read = peer::decode::<Ask>(&sent);
     assert!(matches!(read, Some(Ask::Ended(JobId(412), p, Revision(9))) if p == gone));
