--- a/src/api.rs
+++ b/src/api.rs
@@ -210,13 +210,13 @@
             return Fitness::Never("unknown team");
         };
         let controller = self.controller.borrow();
-        if controller.flavors.is_empty() {
+        if controller.catalog.is_empty() {
             return Fitness::NotKnown;
         }
-        if !placement::can_ever_run(spec, &controller.flavors) {
+        if !placement::can_ever_run(spec, &controller.catalog) {
             return Fitness::Never("a task fits no allowed machine type");
         }
-        if !placement::zones_allow_all(spec, &controller.flavors) {
+        if !placement::zones_allow_all(spec, &controller.catalog) {
             return Fitness::Never("its tasks can't all run at once in the zones it may use");
         }
         let tasks = match spec.kind {
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Cores, MachineId, Steady};
-use crate::placement::{Flavors, Need, allowed, slots};
+use crate::placement::{MachineCatalog, Need, allowed, slots};
 use crate::wire::{JobKind, JobSpec, Priority};
 
 /// A kind of machine that can be rented.
@@ -264,23 +264,23 @@
 }
 
 /// Whether work is brief in comparison with how long machines boot.
-pub fn is_brief(flavors: &Flavors, spec: &JobSpec, run_s: f64) -> bool {
+pub fn is_brief(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
     let need = Need::of(spec);
-    let boots = flavors.values().filter(|f| slots(&need, &Need::offered(f)) > 0);
-    boots.map(|f| f.startup_s).min_by(f64::total_cmp).is_some_and(|boot| run_s < boot * BRIEF)
+    let boots = catalog.values().filter(|f| slots(&need, &Need::offered(f)) > 0);
+    boots.map(|f| f.boot_s).min_by(f64::total_cmp).is_some_and(|boot| run_s < boot * BRIEF)
 }
 
 /// Decides what to rent and what to return.
 pub fn decide(
     now: Steady,
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     held: &[Held],
     wants: &[Want<'_>],
     market: &Market,
 ) -> Decision {
     let mut bins: Vec<Bin> = Vec::new();
     for h in held.iter().filter(|h| !h.leaving) {
-        let startup = flavors.get(&h.offer.machine_type).map_or(60.0, |f| f.startup_s);
+        let startup = catalog.get(&h.offer.machine_type).map_or(60.0, |f| f.boot_s);
         // A machine that takes much longer than usual may never come.
         if !h.booting || h.age_s < startup * 2.0 {
             bins.push(Bin { offer: h.offer.clone(), free: h.free, kept: h.kept });
@@ -295,20 +295,20 @@
         *zones.entry(&h.offer.zone).or_default() += 1;
     }
     let per_zone = |zone: &str| zones.get(zone).copied().unwrap_or(0);
-    let queues = queues(flavors, held, wants);
+    let queues = queues(catalog, held, wants);
     // Gangs first: what they need is whole, and nothing else fits where it has to be.
     for want in wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.tasks > 0) {
-        rent_for_gang(flavors, want, &any, &mut bins, &mut rent, &per_zone);
+        rent_for_gang(catalog, want, &any, &mut bins, &mut rent, &per_zone);
     }
     for loose in [false, true] {
-        keep_ready(flavors, wants, market, loose, &any, &mut bins, &mut rent, &per_zone);
+        keep_ready(catalog, wants, market, loose, &any, &mut bins, &mut rent, &per_zone);
     }
     let others = |w: &Want<'_>| !w.brief && w.spec.kind != JobKind::Gang;
     for (want, queue_s) in wants.iter().zip(&queues).filter(|(w, _)| others(w)) {
         // What waits for a short time only is not worth an ordinary machine.
         let patient = want.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
         let offers: &dyn Fn(&Offer) -> bool = if patient { &spot_only } else { &any };
-        rent_for(flavors, want, offers, &mut bins, &mut rent, &per_zone);
+        rent_for(catalog, want, offers, &mut bins, &mut rent, &per_zone);
     }
     // What is free or brief work already has counts for the cores kept ready for it.
     let in_use: f64 = wants
@@ -325,11 +325,11 @@
         };
         let (on_spot, on_any) = (tasks(true), tasks(false));
         let ready = |tasks| Want { tasks, ..model.clone() };
-        let left = rent_for(flavors, &ready(on_spot), &spot_only, &mut bins, &mut rent, &per_zone);
+        let left = rent_for(catalog, &ready(on_spot), &spot_only, &mut bins, &mut rent, &per_zone);
         let more = left.saturating_sub(on_spot - on_any);
-        rent_for(flavors, &ready(more), &any, &mut bins, &mut rent, &per_zone);
+        rent_for(catalog, &ready(more), &any, &mut bins, &mut rent, &per_zone);
     }
-    let mut retire = if rent.is_empty() { retire(flavors, held, market, in_use) } else { vec![] };
+    let mut retire = if rent.is_empty() { retire(catalog, held, market, in_use) } else { vec![] };
     let long = wants.iter().zip(&queues).filter(|(w, _)| others(w) && w.tasks > 0);
     let waiting = long.map(|(_, q)| *q).fold(0.0, f64::max) > PATIENT_S / 3.0;
     let mut spare = false;
@@ -337,14 +337,14 @@
         let lacking = |spot| (market.ready(spot) - in_use).max(0.0);
         let long = |machine_type: &str| {
             let fits = |w: &&Want<'_>| {
-                let offered = flavors.get(machine_type).map(Need::offered);
+                let offered = catalog.get(machine_type).map(Need::offered);
                 !w.brief && offered.is_some_and(|o| Need::of(w.spec).fits(&o))
             };
             if wants.iter().any(|w| fits(&w)) { market.load.long.mean() } else { 0.0 }
         };
         let since = market.spare_since.map_or(0, |at| now.since(at));
-        let ordinary = shed(flavors, held, false, lacking(false), &long);
-        let cheap = shed(flavors, held, true, lacking(true), &long);
+        let ordinary = shed(catalog, held, false, lacking(false), &long);
+        let cheap = shed(catalog, held, true, lacking(true), &long);
         spare = !ordinary.is_empty() || !cheap.is_empty();
         if retire.is_empty() && since >= SPARE_MS && !ordinary.is_empty() {
             retire = ordinary;
@@ -372,7 +372,7 @@
 
 /// Room for a gang that waits: where most of it fits already, all in one zone if it wants that.
 fn rent_for_gang(
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     want: &Want<'_>,
     to_be_had: &dyn Fn(&Offer) -> bool,
     bins: &mut Vec<Bin>,
@@ -380,12 +380,12 @@
     per_zone: &dyn Fn(&str) -> usize,
 ) {
     if !want.spec.one_zone {
-        rent_for(flavors, want, to_be_had, bins, rent, per_zone);
+        rent_for(catalog, want, to_be_had, bins, rent, per_zone);
         return;
     }
     let need = Need::of(want.spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-    for zone in flavors.values().flat_map(|f| &f.yards) {
+    for zone in catalog.values().flat_map(|f| &f.zones) {
         zones.entry(zone).or_default();
     }
     for bin in bins.iter().filter(|b| b.takes(want.spec)) {
@@ -401,7 +401,7 @@
             bins.iter().cloned().partition(|b| b.offer.zone == zone);
         let mut rented = rent.clone();
         let here = |o: &Offer| o.zone == zone && to_be_had(o);
-        let left = rent_for(flavors, want, &here, &mut inside, &mut rented, per_zone);
+        let left = rent_for(catalog, want, &here, &mut inside, &mut rented, per_zone);
         if left == 0 {
             inside.extend(outside);
             (*bins, *rent) = (inside, rented);
@@ -413,7 +413,7 @@
 /// Cores for gangs, to be there when they come: for those that may use spot machines, or may not.
 #[allow(clippy::too_many_arguments)]
 fn keep_ready(
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     wants: &[Want<'_>],
     market: &Market,
     loose: bool,
@@ -437,27 +437,27 @@
         let here = Want { tasks: tasks / parts + u32::from(k < tasks % parts), ..model.clone() };
         let (mut inside, outside): (Vec<Bin>, Vec<Bin>) =
             bins.iter().cloned().partition(|b| zone.is_none_or(|z| *z == b.offer.zone));
-        left += rent_for(flavors, &here, &near, &mut inside, rent, per_zone);
+        left += rent_for(catalog, &here, &near, &mut inside, rent, per_zone);
         inside.extend(outside);
         *bins = inside;
     }
     if left > 0 {
-        rent_for(flavors, &Want { tasks: left, ..model.clone() }, to_be_had, bins, rent, per_zone);
+        rent_for(catalog, &Want { tasks: left, ..model.clone() }, to_be_had, bins, rent, per_zone);
     }
 }
 
 /// For each want, the seconds for which the machines that can take it are busy with all that
 /// waits now.
-fn queues(flavors: &Flavors, held: &[Held], wants: &[Want<'_>]) -> Vec<f64> {
+fn queues(catalog: &MachineCatalog, held: &[Held], wants: &[Want<'_>]) -> Vec<f64> {
     let cores = |w: &Want<'_>| Need::of(w.spec).cores.amount();
     let work: f64 = wants.iter().map(|w| f64::from(w.tasks) * cores(w) * w.run_s).sum();
     let mut of_type: BTreeMap<&str, f64> = BTreeMap::new();
     for h in held.iter().filter(|h| !h.leaving) {
-        let offered = flavors.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
+        let offered = catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
         *of_type.entry(h.offer.machine_type.as_str()).or_default() += offered;
     }
     let takes = |w: &Want<'_>, machine_type: &str| {
-        let offered = flavors.get(machine_type).map(Need::offered);
+        let offered = catalog.get(machine_type).map(Need::offered);
         offered.is_some_and(|o| Need::of(w.spec).fits(&o))
     };
     wants
@@ -471,7 +471,7 @@
 
 /// Fills what is free with the wanted tasks and rents for the rest; says how many are left.
 fn rent_for(
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     want: &Want<'_>,
     to_be_had: &dyn Fn(&Offer) -> bool,
     bins: &mut Vec<Bin>,
@@ -488,7 +488,7 @@
     }
     while left > 0 {
         let open = |o: &Offer| to_be_had(o) && allowed(want.spec, &o.machine_type, &o.zone, o.spot);
-        let Some((offer, offered)) = cheapest(flavors, &need, left, &open, rent, per_zone) else {
+        let Some((offer, offered)) = cheapest(catalog, &need, left, &open, rent, per_zone) else {
             return left;
         };
         let fit = slots(&need, &offered).clamp(1, left);
@@ -506,7 +506,7 @@
 /// The offer with the lowest price per task that it would hold of those that are left; among
 /// equals the zone with fewer machines.
 fn cheapest(
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     need: &Need,
     left: u32,
     open: &dyn Fn(&Offer) -> bool,
@@ -514,18 +514,18 @@
     per_zone: &dyn Fn(&str) -> usize,
 ) -> Option<(Offer, Need)> {
     let mut best: Option<(f64, usize, Offer, Need)> = None;
-    for f in flavors.values() {
+    for f in catalog.values() {
         let offered = Need::offered(f);
         let fit = slots(need, &offered);
         if fit == 0 {
             continue;
         }
-        for (zone, spot) in f.yards.iter().flat_map(|z| [(z, true), (z, false)]) {
-            let offer = Offer { machine_type: f.sku.clone(), zone: zone.clone(), spot };
+        for (zone, spot) in f.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
+            let offer = Offer { machine_type: f.name.clone(), zone: zone.clone(), spot };
             if !open(&offer) {
                 continue;
             }
-            let price = if spot { f.market_price * SPOT_RISK } else { f.hourly };
+            let price = if spot { f.spot_hourly_price * SPOT_RISK } else { f.hourly_price };
             let per_task = price / f64::from(fit.min(left.max(1)));
             let crowd = per_zone(zone) + rent.get(&offer).copied().unwrap_or(0) as usize;
             let better = best.as_ref().is_none_or(|(p, c, o, _)| {
@@ -543,19 +543,19 @@
 /// first and a few at a time: they take nothing new, and go when they are empty. What long work
 /// used lately is counted as if it still did.
 fn shed(
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     held: &[Held],
     spot: bool,
     lacking: f64,
     long: &dyn Fn(&str) -> f64,
 ) -> Vec<MachineId> {
     let up = || held.iter().filter(|h| !h.leaving && !h.booting);
-    let cores = |h: &Held| flavors.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
+    let cores = |h: &Held| catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
     let used = |h: &Held| cores(h) - h.free.cores.amount();
     // In a small fleet one job is much of the load, and what is spare now is wanted again soon.
     let most = up().count() / SHED_PART;
     let mut out = Vec::new();
-    for machine_type in flavors.keys() {
+    for machine_type in catalog.keys() {
         let of_type = || up().filter(|h| h.offer.machine_type == *machine_type);
         let in_use = of_type().map(used).sum::<f64>().max(long(machine_type)) * (1.0 + SPARE_PART);
         let mut spare = of_type().map(cores).sum::<f64>() - in_use - lacking;
@@ -576,11 +576,11 @@
 
 /// Machines that have been idle for long, dearest first, as long as what stays holds the
 /// brief work that is to be expected.
-fn retire(flavors: &Flavors, held: &[Held], market: &Market, in_use: f64) -> Vec<MachineId> {
+fn retire(catalog: &MachineCatalog, held: &[Held], market: &Market, in_use: f64) -> Vec<MachineId> {
     let price = |o: &Offer| {
-        flavors
-            .get(&o.machine_type)
-            .map_or(0.0, |f| (if o.spot { f.market_price } else { f.hourly }) / f.vcpus.max(0.001))
+        catalog.get(&o.machine_type).map_or(0.0, |f| {
+            (if o.spot { f.spot_hourly_price } else { f.hourly_price }) / f.vcpus.max(0.001)
+        })
     };
     let mut room: f64 =
         in_use + held.iter().filter(|h| !h.leaving).map(|h| h.free.cores.amount()).sum::<f64>();
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,11 +1,11 @@
 //! Tables of cases for `capacity`.
 
 use super::*;
-use crate::placement::tests::flavor;
+use crate::placement::tests::machine_type;
 use crate::wire::tests::spec;
 
-fn flavors() -> Flavors {
-    [flavor("small", 8.0, 64.0)].map(|f| (f.sku.clone(), f)).into()
+fn catalog() -> MachineCatalog {
+    [machine_type("small", 8.0, 64.0)].map(|f| (f.name.clone(), f)).into()
 }
 fn offer(zone: &str, spot: bool) -> Offer {
     Offer { machine_type: "small".into(), zone: zone.into(), spot }
@@ -16,7 +16,7 @@
         offer: offer("a", spot),
         booting: false,
         age_s: 100.0,
-        free: Need::offered(&flavor("small", 8.0, 64.0)),
+        free: Need::offered(&machine_type("small", 8.0, 64.0)),
         idle_s,
         kept: false,
         leaving: false,
@@ -34,7 +34,7 @@
 fn what_does_not_fit_is_rented_where_it_is_cheap() {
     let job = spec(1, 4); // 4 cores: two fit on a machine
     let mut market = Market::default();
-    let f = flavors();
+    let f = catalog();
     let now = Steady(1_000);
     let d = decide(now, &f, &[], &[want(&job, 4, false)], &market);
     assert!(d.rent.iter().all(|(o, _)| o.spot));
@@ -52,7 +52,7 @@
 
 #[test]
 fn ordinary_machines_go_when_others_hold_their_work_for_long() {
-    let f = flavors();
+    let f = catalog();
     let job = spec(1, 4);
     let mut market = Market::default();
     let busy = |mut h: Held, used: u64| {
@@ -84,7 +84,7 @@
 
 #[test]
 fn brief_work_has_spot_machines_ready_for_its_peak() {
-    let f = flavors();
+    let f = catalog();
     let job = spec(1, 4);
     let mut market = Market::default();
     market.note(Steady(100), Cores(16_000), Cores(16_000), Cores(0));
@@ -100,7 +100,7 @@
 
 #[test]
 fn idle_machines_go_unless_brief_work_may_need_them() {
-    let f = flavors();
+    let f = catalog();
     let mut market = Market::default();
     let all = [held("n-1", true, 170.0), held("n-2", false, 70.0), held("n-3", true, 10.0)];
     let d = decide(Steady(1_000), &f, &all, &[], &market);
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -10,7 +10,7 @@
 use crate::http::{Answer, CallError, Client};
 use crate::model::MachineId;
 use crate::store_client::Bucket;
-use crate::wire::{self, Flavors, HostList, Hosts, Rental};
+use crate::wire::{self, MachineListPage, MachineNames, MachineTypes, ScaleOutRequest};
 
 /// Why the cloud gave no answer that can be used.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
@@ -67,25 +67,25 @@
     }
 
     /// Machine types with current prices.
-    pub async fn flavors(&self) -> Result<Flavors, CloudError> {
+    pub async fn catalog(&self) -> Result<MachineTypes, CloudError> {
         Self::body(&self.call("GET", "/flavors", &[]).await?)
     }
 
     /// Rents machines. After anything but a definite answer the same request has to be
     /// repeated under the same name.
-    pub async fn rent(&self, rental: &Rental) -> Result<Vec<MachineId>, CloudError> {
+    pub async fn rent(&self, rental: &ScaleOutRequest) -> Result<Vec<MachineId>, CloudError> {
         let answer = self.call("POST", "/machines", &wire::encode(rental)).await?;
-        Ok(Self::body::<Hosts>(&answer)?.hosts)
+        Ok(Self::body::<MachineNames>(&answer)?.machines)
     }
 
     /// Returns machines; once this is `Ok`, they and all on them are gone.
-    pub async fn give_back(&self, hosts: &[MachineId]) -> Result<(), CloudError> {
-        let body = wire::encode(&Hosts { hosts: hosts.to_vec() });
+    pub async fn give_back(&self, machines: &[MachineId]) -> Result<(), CloudError> {
+        let body = wire::encode(&MachineNames { machines: machines.to_vec() });
         self.call("POST", "/machines/return", &body).await.map(|_| ())
     }
 
     /// A page of the list of machines, which is old.
-    pub async fn list(&self, after: Option<&MachineId>) -> Result<HostList, CloudError> {
+    pub async fn list(&self, after: Option<&MachineId>) -> Result<MachineListPage, CloudError> {
         let path = match after {
             Some(id) => format!("/machines?After={id}&Limit=500"),
             None => "/machines?Limit=500".to_string(),
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{NodeInfo, Settings, StateLimits};
 use crate::model::{JobId, Steady, Wall};
-use crate::placement::Flavors;
+use crate::placement::MachineCatalog;
 use crate::replica::Replica;
 use crate::shard::Finished;
 
@@ -21,7 +21,7 @@
     /// Milliseconds for which the store has served this node without a break.
     pub served_for: u64,
     /// Machine types.
-    pub flavors: &'a Flavors,
+    pub catalog: &'a MachineCatalog,
     /// Tasks that completed and are not on record yet.
     pub finished: &'a BTreeMap<JobId, Finished>,
     /// Settings.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
     Incarnation, JobId, Moment, NodeId, Revision, Steady, StoreLease, TaskId, Term, Wall,
 };
 use crate::peer::{Plan, Summary, Tell, Waits};
-use crate::placement::Flavors;
+use crate::placement::MachineCatalog;
 use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
 use crate::shard::{Announcement, HeartbeatOutcome, Shard, Surroundings};
 use crate::standby::Standby;
@@ -60,7 +60,7 @@
     /// Its leadership.
     pub leader: Option<Leader>,
     /// Machine types.
-    pub flavors: Flavors,
+    pub catalog: MachineCatalog,
     /// Whether the replica has been read once.
     pub loaded: bool,
     /// Whether the last request to the store was served.
@@ -84,7 +84,7 @@
             rights: Rights::new(settings.keep_alive_ms()),
             shard: Shard::new(me, life),
             leader: None,
-            flavors: Flavors::new(),
+            catalog: MachineCatalog::new(),
             loaded: false,
             store_ok: false,
             peer_heard: Steady(0),
@@ -124,7 +124,7 @@
             replica: &self.replica,
             synced: self.rights.synced_at().unwrap_or_default(),
             served_for: self.rights.served_for(now.steady),
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             finished: &self.shard.finished,
             settings: &self.settings,
             limits: &self.limits,
@@ -202,10 +202,10 @@
         if replica_changes.progress || replica_changes.jobs {
             self.complete_gangs(now.steady);
         }
-        if self.flavors.is_empty()
-            && let Some(flavors) = self.replica.all_flavors()
+        if self.catalog.is_empty()
+            && let Some(catalog) = self.replica.all_machine_types()
         {
-            self.set_flavors(&flavors);
+            self.set_machine_types(&catalog);
         }
     }
 
@@ -225,8 +225,8 @@
     }
 
     /// Takes machine types.
-    pub fn set_flavors(&mut self, flavors: &wire::Flavors) {
-        self.flavors = flavors.machine_types.iter().map(|f| (f.sku.clone(), f.clone())).collect();
+    pub fn set_machine_types(&mut self, catalog: &wire::MachineTypes) {
+        self.catalog = catalog.machine_types.iter().map(|f| (f.name.clone(), f.clone())).collect();
     }
 
     /// Follows changes of term and leader. A leadership begins only here, when the replica
@@ -384,7 +384,7 @@
             may_start: self.loaded && self.rights.may_start(now),
             proof_ms: self.rights.sync_age(now),
             replica: &self.replica,
-            flavors: &self.flavors,
+            catalog: &self.catalog,
             nodes: &self.nodes,
             alone: self.alone(now),
             lease_ms: self.settings.worker_lease_ms(),
@@ -606,7 +606,7 @@
 pub fn accept_txn<'a>(
     specs: impl Iterator<Item = &'a wire::JobSpec>,
     at: Wall,
-    flavors: &Flavors,
+    catalog: &MachineCatalog,
     bytes: usize,
 ) -> Txn {
     let mut txn = Txn::default();
@@ -616,7 +616,7 @@
             continue;
         }
         txn.guards.push(Guard { path: path.clone(), stamp: Revision(0) });
-        let accepted = replica::Accepted { spec: replica::kept_spec(spec, flavors, bytes), at };
+        let accepted = replica::Accepted { spec: replica::kept_spec(spec, catalog, bytes), at };
         txn.apply.push(Change::Set { path, value: wire::to_value(&accepted), lease: None });
     }
     txn
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::model::{AgentEpoch, Incarnation, MachineId, NodeId, PlanSeq, Steady, TaskId};
 use crate::peer::{MachineView, Summary};
 use crate::placement::Room;
-use crate::wire::{self, HostList, TaskState};
+use crate::wire::{self, MachineListPage, TaskState};
 
 mod lease_expiry;
 mod ownership;
@@ -407,7 +407,7 @@
                     && k.shun_until <= cluster.now;
                 let tasks = v.tasks.iter().map(|t| (t.task, t.state));
                 let what = (&v.id, &v.machine_type, &v.zone, v.spot);
-                Room::of(what, tasks, &v.images, cluster.flavors, cluster.replica, open)
+                Room::of(what, tasks, &v.images, cluster.catalog, cluster.replica, open)
             })
             .collect()
     }
@@ -465,22 +465,22 @@
 
     /// Takes what the cloud's list says of a machine. The list is old: it only adds machines
     /// and tells of failed ones.
-    fn listed(&mut self, cluster: &ClusterView<'_>, host: &wire::ListedHost) {
-        if self.is_gone(cluster, &host.id) {
+    fn listed(&mut self, cluster: &ClusterView<'_>, listed: &wire::ListedMachine) {
+        if self.is_gone(cluster, &listed.id) {
             return;
         }
         let offer = Offer {
-            machine_type: host.machine_type.clone(),
-            zone: host.zone.clone(),
-            spot: host.spot,
+            machine_type: listed.machine_type.clone(),
+            zone: listed.zone.clone(),
+            spot: listed.spot,
         };
-        let age = (host.held_s.max(0.0) * 1000.0) as u64;
-        self.note_machine(cluster.now, &host.id, offer);
-        if let Some(m) = self.machines.get_mut(&host.id) {
+        let age = (listed.age_s.max(0.0) * 1000.0) as u64;
+        self.note_machine(cluster.now, &listed.id, offer);
+        if let Some(m) = self.machines.get_mut(&listed.id) {
             m.since = m.since.min(cluster.now.less(age));
             m.listed.get_or_insert(cluster.now);
             m.missing = false;
-            m.failed |= host.state == wire::HostStage::Failed;
+            m.failed |= listed.state == wire::CloudMachineState::Failed;
         }
     }
 
@@ -492,11 +492,11 @@
         &mut self,
         cluster: &ClusterView<'_>,
         after: Option<&MachineId>,
-        page: &HostList,
+        page: &MachineListPage,
     ) {
-        page.hosts.iter().for_each(|host| self.listed(cluster, host));
-        let names: HashSet<&MachineId> = page.hosts.iter().map(|h| &h.id).collect();
-        let last = page.hosts.last().map(|h| &h.id).filter(|_| page.truncated);
+        page.machines.iter().for_each(|listed| self.listed(cluster, listed));
+        let names: HashSet<&MachineId> = page.machines.iter().map(|h| &h.id).collect();
+        let last = page.machines.last().map(|h| &h.id).filter(|_| page.truncated);
         let sure_ms = (cluster.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_MARGIN_MS;
         for (id, m) in &mut self.machines {
             let covered = after.is_none_or(|a| id > a) && last.is_none_or(|l| id <= l);
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -100,7 +100,7 @@
         let mute = self.machines.iter().filter(|(id, m)| m.up && silent_ms(id) > quick).count();
         let cut_off = mute > (up / MANY_PART).max(MANY_LEAST);
         let over = |id: &MachineId, m: &FleetMachine| {
-            let startup = cluster.flavors.get(&m.offer.machine_type).map_or(60.0, |f| f.startup_s);
+            let startup = cluster.catalog.get(&m.offer.machine_type).map_or(60.0, |f| f.boot_s);
             let silent = silent_ms(id);
             // What ran before it was restarted is over, but nobody can tell its reports from
             // late copies of earlier ones.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -417,7 +417,7 @@
         let bounds = Bounds {
             held: filling.rooms.iter().fold(Cores(filling.extra.0 * 2), |sum, r| {
                 let total = cluster
-                    .flavors
+                    .catalog
                     .get(&*r.machine_type)
                     .map_or(Cores(0), |f| Cores::offer(f.vcpus));
                 Cores(sum.0 + if r.open { total.0 } else { 0 })
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -319,7 +319,7 @@
             }
         }
         let offered = |r: &Room| {
-            cluster.flavors.get(&*r.machine_type).map_or(Cores(0), |f| Cores::offer(f.vcpus))
+            cluster.catalog.get(&*r.machine_type).map_or(Cores(0), |f| Cores::offer(f.vcpus))
         };
         let open = rooms.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
         let speaks = |r: &Room| {
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -52,7 +52,7 @@
         // Machines whose tasks belong to nobody known count in full for every team.
         let offered = |id: &MachineId| {
             let machine_type = &fleet.machines.get(id)?.offer.machine_type;
-            cluster.flavors.get(machine_type).map(Need::offered)
+            cluster.catalog.get(machine_type).map(Need::offered)
         };
         for need in strange.into_iter().filter_map(offered) {
             for u in &mut used {
@@ -77,7 +77,7 @@
         let mut held = Need::default();
         for id in &fleet.unsettled {
             let machine_type = fleet.machines.get(id).map(|m| &m.offer.machine_type);
-            if let Some(f) = machine_type.and_then(|h| cluster.flavors.get(h)) {
+            if let Some(f) = machine_type.and_then(|h| cluster.catalog.get(h)) {
                 let offered = Need::offered(f);
                 held.cores.0 += offered.cores.0;
                 held.accelerators.0 += offered.accelerators.0;
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -53,7 +53,7 @@
                 *r = r.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let brief = autoscaler::is_brief(cluster.flavors, &job.spec, run_s);
+            let brief = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
             let age_ms = waited_ms(cluster, job) as f64;
             let gang = job.spec.kind == JobKind::Gang;
             if gang {
@@ -90,7 +90,7 @@
             .iter()
             .map(|(id, m)| {
                 let offered = cluster
-                    .flavors
+                    .catalog
                     .get(&m.offer.machine_type)
                     .map(Need::offered)
                     .unwrap_or_default();
@@ -109,7 +109,7 @@
                 }
             })
             .collect();
-        self.decision = autoscaler::decide(now, cluster.flavors, &machines, &wants, &self.market);
+        self.decision = autoscaler::decide(now, cluster.catalog, &machines, &wants, &self.market);
         self.market.note_spare(now, self.decision.spare);
     }
 
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -166,7 +166,7 @@
         }
         for (id, offer) in state.rentals.entries() {
             let known = cluster.replica.machines.contains_key(id);
-            if !known && cluster.flavors.contains_key(&offer.machine_type) {
+            if !known && cluster.catalog.contains_key(&offer.machine_type) {
                 self.fleet.rented(cluster.now, std::slice::from_ref(id), &Offer::from(offer));
                 hints += 1;
             }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -51,7 +51,7 @@
         return;
     }
     let slots = |r: &Room| {
-        let offered = cluster.flavors.get(&*r.machine_type).map(Need::offered).unwrap_or_default();
+        let offered = cluster.catalog.get(&*r.machine_type).map(Need::offered).unwrap_or_default();
         let may = r.open && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot);
         if may { placement::slots(need, &offered) as usize } else { 0 }
     };
@@ -147,7 +147,7 @@
                 continue;
             }
             let could = |r: &Room| {
-                let offered = cluster.flavors.get(&*r.machine_type).map(Need::offered);
+                let offered = cluster.catalog.get(&*r.machine_type).map(Need::offered);
                 r.open
                     && offered.is_some_and(|o| need.fits(&o))
                     && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot)
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::model::{AgentEpoch, Incarnation, Moment, Revision, StoreLease, Wall};
 use crate::peer::{MachineView, TaskView};
-use crate::placement::tests::flavor;
+use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, EpochRecord, LeaderRecord, ReplicaChanges, TermRecord};
 use crate::wire::tests::spec;
@@ -24,8 +24,8 @@
 fn leader() -> Controller {
     let settings = Settings::parse(EXAMPLE).unwrap();
     let mut controller = Controller::new(Rc::new(settings), LIFE);
-    let small = flavor("small", 8.0, 64.0);
-    controller.set_flavors(&wire::Flavors { machine_types: vec![small] });
+    let small = machine_type("small", 8.0, 64.0);
+    controller.set_machine_types(&wire::MachineTypes { machine_types: vec![small] });
     let job = JobId(1);
     let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
     let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
@@ -322,14 +322,14 @@
 
 #[test]
 fn a_machine_that_later_lists_lack_is_returned_once_it_is_silent() {
-    let host = |id: &str| wire::ListedHost {
+    let host = |id: &str| wire::ListedMachine {
         id: MachineId::new(id),
         endpoint: None,
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        state: wire::HostStage::Running,
-        held_s: 50.0,
+        state: wire::CloudMachineState::Running,
+        age_s: 50.0,
     };
     // The list lags by 6 s. (when the second list came, its first name, whether it is cut off
     // after n-1, when the answer is wanted, whether n-2 is returned then)
@@ -343,8 +343,10 @@
         let mut controller = leader();
         let list =
             |controller: &mut Controller, ms, names: &[&str], after: Option<&str>, truncated| {
-                let page =
-                    wire::HostList { hosts: names.iter().map(|n| host(n)).collect(), truncated };
+                let page = wire::MachineListPage {
+                    machines: names.iter().map(|n| host(n)).collect(),
+                    truncated,
+                };
                 let after = after.map(MachineId::new);
                 controller.with_leader(at(ms), |l, cluster| {
                     l.fleet.listed_page(cluster, after.as_ref(), &page)
@@ -506,7 +508,9 @@
         text += &format!("\n[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
     }
     let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), LIFE);
-    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_machine_types(&wire::MachineTypes {
+        machine_types: vec![machine_type("small", 8.0, 64.0)],
+    });
     let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let mut items: Vec<(String, wire::Value)> = vec![
         (replica::LEADER_KEY.into(), wire::to_value(&leader)),
@@ -652,7 +656,9 @@
     let recorded = |path: &str| path.starts_with("e/");
     let fresh: Vec<Item> = items.into_values().filter(|i| !recorded(&i.path)).collect();
     let mut controller = Controller::new(earlier.settings.clone(), LIFE);
-    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_machine_types(&wire::MachineTypes {
+        machine_types: vec![machine_type("small", 8.0, 64.0)],
+    });
     controller.load(&fresh, Revision(9));
     controller.rights.lease = Some(StoreLease(1));
     controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -9,10 +9,10 @@
 
 use crate::model::{Cores, MachineId, TaskId};
 use crate::replica::Replica;
-use crate::wire::{Flavor, JobKind, JobSpec, Priority, TaskState};
+use crate::wire::{JobKind, JobSpec, MachineType, Priority, TaskState};
 
 /// Machine types by name, with what their machines offer.
-pub type Flavors = HashMap<String, Flavor>;
+pub type MachineCatalog = HashMap<String, MachineType>;
 
 /// What a task takes. Memory and accelerators are counted in thousandths like cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,11 +35,11 @@
         }
     }
     /// What a machine of a type offers.
-    pub fn offered(flavor: &Flavor) -> Self {
+    pub fn offered(machine_type: &MachineType) -> Self {
         Need {
-            cores: Cores::offer(flavor.vcpus),
-            accelerators: Cores::offer(flavor.accelerators),
-            memory: Cores::offer(flavor.mem_gb),
+            cores: Cores::offer(machine_type.vcpus),
+            accelerators: Cores::offer(machine_type.accelerators),
+            memory: Cores::offer(machine_type.mem_gb),
         }
     }
     /// Whether this fits into what is free.
@@ -160,12 +160,12 @@
         (id, machine_type, zone, spot): (&MachineId, &Rc<str>, &Rc<str>, bool),
         tasks: impl Iterator<Item = (TaskId, TaskState)>,
         images: &[(Rc<str>, f64)],
-        flavors: &Flavors,
+        catalog: &MachineCatalog,
         replica: &Replica,
         open: bool,
     ) -> Option<Self> {
-        let flavor = flavors.get(&**machine_type)?;
-        let mut free = Need::offered(flavor);
+        let properties = catalog.get(&**machine_type)?;
+        let mut free = Need::offered(properties);
         let mut known = true;
         let mut fetching: Vec<Rc<str>> = Vec::new();
         for (task, state) in tasks {
@@ -188,7 +188,7 @@
             images: images.to_vec(),
             fetching,
             delay_s: 0.0,
-            fetch_rate: flavor.fetch_gb_per_s,
+            fetch_rate: properties.fetch_gb_per_s,
             open: open && known && replica.machine_known(id),
             slow: false,
             kept: false,
@@ -342,29 +342,32 @@
 }
 
 /// Whether some machine type could ever hold a task of the job.
-pub fn can_ever_run(spec: &JobSpec, flavors: &Flavors) -> bool {
-    possible(spec, flavors).next().is_some()
+pub fn can_ever_run(spec: &JobSpec, catalog: &MachineCatalog) -> bool {
+    possible(spec, catalog).next().is_some()
 }
 
 /// Machine types that could hold a task of the job, where it may run.
-fn possible<'a>(spec: &'a JobSpec, flavors: &'a Flavors) -> impl Iterator<Item = &'a Flavor> {
+fn possible<'a>(
+    spec: &'a JobSpec,
+    catalog: &'a MachineCatalog,
+) -> impl Iterator<Item = &'a MachineType> {
     let need = Need::of(spec);
-    flavors.values().filter(move |f| {
+    catalog.values().filter(move |f| {
         need.fits(&Need::offered(f))
-            && spec.machine_types.as_ref().is_none_or(|h| h.contains(&f.sku))
-            && spec.zone.as_ref().is_none_or(|y| f.yards.contains(y))
+            && spec.machine_types.as_ref().is_none_or(|h| h.contains(&f.name))
+            && spec.zone.as_ref().is_none_or(|y| f.zones.contains(y))
     })
 }
 
 /// Whether all tasks of the job could ever run at once, as far as zones tell: a gang and a service
 /// need that. At most half of the tasks, rounded up, may be in one zone under `Scatter`, so two tasks
 /// need two zones, and they can't all be in one as `OneZone` wants.
-pub fn zones_allow_all(spec: &JobSpec, flavors: &Flavors) -> bool {
+pub fn zones_allow_all(spec: &JobSpec, catalog: &MachineCatalog) -> bool {
     if !spec.spread_zones || spec.task_count < 2 || spec.kind == JobKind::Array {
         return true;
     }
-    let mut zones: Vec<&String> = possible(spec, flavors)
-        .flat_map(|f| &f.yards)
+    let mut zones: Vec<&String> = possible(spec, catalog)
+        .flat_map(|f| &f.zones)
         .filter(|z| spec.zone.as_ref().is_none_or(|y| y == *z))
         .collect();
     zones.sort();
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -4,18 +4,18 @@
 use crate::wire::tests::spec;
 
 /// A machine type for tests.
-pub(crate) fn flavor(name: &str, vcpus: f64, mem_gb: f64) -> Flavor {
-    Flavor {
-        sku: name.into(),
+pub(crate) fn machine_type(name: &str, vcpus: f64, mem_gb: f64) -> MachineType {
+    MachineType {
+        name: name.into(),
         vcpus,
         accelerators: 0.0,
         mem_gb,
-        local_gb: 50.0,
+        image_cache_gb: 50.0,
         fetch_gb_per_s: 0.5,
-        hourly: vcpus * 0.1,
-        market_price: vcpus * 0.03,
-        startup_s: 30.0,
-        yards: vec!["a".into(), "b".into()],
+        hourly_price: vcpus * 0.1,
+        spot_hourly_price: vcpus * 0.03,
+        boot_s: 30.0,
+        zones: vec!["a".into(), "b".into()],
     }
 }
 
@@ -136,15 +136,17 @@
     for (machine_type, zone, spot, want) in cases {
         assert_eq!(allowed(&job, machine_type, zone, spot), want, "{machine_type} {zone} {spot}");
     }
-    let flavors: Flavors =
-        [flavor("small", 8.0, 64.0), flavor("big", 64.0, 256.0)].map(|f| (f.sku.clone(), f)).into();
-    assert!(can_ever_run(&job, &flavors));
+    let catalog: MachineCatalog =
+        [machine_type("small", 8.0, 64.0), machine_type("big", 64.0, 256.0)]
+            .map(|f| (f.name.clone(), f))
+            .into();
+    assert!(can_ever_run(&job, &catalog));
     job.vcpus = 32.0;
-    assert!(!can_ever_run(&job, &flavors), "the allowed type is too small");
+    assert!(!can_ever_run(&job, &catalog), "the allowed type is too small");
     job.machine_types = None;
-    assert!(can_ever_run(&job, &flavors));
+    assert!(can_ever_run(&job, &catalog));
     job.zone = Some("c".into());
-    assert!(!can_ever_run(&job, &flavors));
+    assert!(!can_ever_run(&job, &catalog));
 }
 
 #[test]
@@ -216,11 +218,11 @@
     for (kind, task_count, one_zone, spread_zones, zone, zones, can) in cases {
         let zone = zone.map(String::from);
         let job = JobSpec { kind, one_zone, spread_zones, zone, ..spec(1, task_count) };
-        let mut small = flavor("small", 8.0, 64.0);
-        small.yards.truncate(zones);
-        let flavors = Flavors::from([("small".to_string(), small)]);
-        assert!(can_ever_run(&job, &flavors));
+        let mut small = machine_type("small", 8.0, 64.0);
+        small.zones.truncate(zones);
+        let catalog = MachineCatalog::from([("small".to_string(), small)]);
+        assert!(can_ever_run(&job, &catalog));
         let what = format!("{kind:?} {task_count} {one_zone} {spread_zones} {zones}");
-        assert_eq!(zones_allow_all(&job, &flavors), can, "{what}");
+        assert_eq!(zones_allow_all(&job, &catalog), can, "{what}");
     }
 }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -3,7 +3,7 @@
 //! Keys: `j/<job>` the job as accepted (never changed), `d/<job>` its finished ranges and its
 //! end (cancelled or done), `leader` and `n/<node>` (on leases), `term`, `m/<group>` every
 //! machine that may be given tasks, `e/<n>` the task ranges that the last epochs granted,
-//! `flavors` the machine types, `load` what brief work would use,
+//! `catalog` the machine types, `load` what brief work would use,
 //! `x/<to>/<from>/<n>` messages between controllers that cannot reach each other.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -14,7 +14,7 @@
 
 use crate::autoscaler::Load;
 use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, Wall};
-use crate::placement::{Flavors, Need};
+use crate::placement::{MachineCatalog, Need};
 use crate::wire::{self, Changes, Guard, Item, JobSpec, JobState, Value};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
@@ -242,9 +242,9 @@
     /// What the load was, as the last leader wrote it.
     pub load: Option<(Load, Revision)>,
     /// Machine types, as the last leader that asked the cloud wrote them.
-    pub flavors: Option<(wire::Flavors, Revision)>,
+    pub catalog: Option<(wire::MachineTypes, Revision)>,
     /// Those that did not fit into the first value.
-    more_flavors: BTreeMap<u32, wire::Flavors>,
+    further_machine_types: BTreeMap<u32, wire::MachineTypes>,
     /// Messages for this node, by sender and part.
     pub relay: BTreeMap<(u8, u32), (String, Revision)>,
 }
@@ -283,7 +283,7 @@
 /// The leader's key.
 pub const LEADER_KEY: &str = "lead";
 /// The key of the machine types.
-pub const FLAVORS_KEY: &str = "flavors";
+pub const MACHINE_TYPES_KEY: &str = "flavors";
 /// The key of what the load was.
 pub const LOAD_KEY: &str = "load";
 /// The term's key.
@@ -292,23 +292,24 @@
 /// Prefixes that together cover all keys, each once. Keys of a kind have values of about the same size, so they are
 /// read kind by kind: a page that is right for many small ones would hold too much of the next kind.
 pub const KEY_PREFIXES: [&str; 9] =
-    ["d/", "e/", FLAVORS_KEY, "j/", "l", "m/", "n/", TERM_KEY, "x/"];
+    ["d/", "e/", MACHINE_TYPES_KEY, "j/", "l", "m/", "n/", TERM_KEY, "x/"];
 
 /// Machine types as values of up to so many bytes; the first key is the one that all versions read.
-pub fn flavor_pieces(flavors: &wire::Flavors, bytes: usize) -> Vec<wire::Change> {
-    let mut pieces: Vec<wire::Flavors> = vec![wire::Flavors { machine_types: Vec::new() }];
-    for flavor in &flavors.machine_types {
+pub fn machine_type_changes(catalog: &wire::MachineTypes, bytes: usize) -> Vec<wire::Change> {
+    let mut pieces: Vec<wire::MachineTypes> =
+        vec![wire::MachineTypes { machine_types: Vec::new() }];
+    for machine_type in &catalog.machine_types {
         if let Some(last) = pieces.last_mut() {
-            last.machine_types.push(flavor.clone());
+            last.machine_types.push(machine_type.clone());
             if last.machine_types.len() > 1 && wire::stored_bytes(last) > bytes {
                 let next = last.machine_types.pop();
-                pieces.push(wire::Flavors { machine_types: next.into_iter().collect() });
+                pieces.push(wire::MachineTypes { machine_types: next.into_iter().collect() });
             }
         }
     }
     let key = |n: usize| match n {
-        0 => FLAVORS_KEY.to_string(),
-        _ => format!("{FLAVORS_KEY}/{n:04}"),
+        0 => MACHINE_TYPES_KEY.to_string(),
+        _ => format!("{MACHINE_TYPES_KEY}/{n:04}"),
     };
     let set =
         |(n, piece)| wire::Change::Set { path: key(n), value: wire::to_value(&piece), lease: None };
@@ -317,12 +318,12 @@
 
 /// A job's description as it is kept: if it is too large for a value, without the machine types that
 /// there are none of. They are the only part without a bound, and the job is none the wider.
-pub fn kept_spec(spec: &JobSpec, flavors: &Flavors, bytes: usize) -> JobSpec {
+pub fn kept_spec(spec: &JobSpec, catalog: &MachineCatalog, bytes: usize) -> JobSpec {
     let mut kept = spec.clone();
     if wire::stored_bytes(&Accepted { spec: kept.clone(), at: Wall(u64::MAX) }) > bytes
         && let Some(machine_types) = &mut kept.machine_types
     {
-        machine_types.retain(|h| flavors.contains_key(h));
+        machine_types.retain(|h| catalog.contains_key(h));
         machine_types.sort();
         machine_types.dedup();
     }
@@ -416,9 +417,9 @@
             }
             return;
         }
-        if key == FLAVORS_KEY {
-            if self.flavors.as_ref().is_none_or(|f| f.1 < stamp) {
-                self.flavors = wire::from_value(value).map(|f| (f, stamp));
+        if key == MACHINE_TYPES_KEY {
+            if self.catalog.as_ref().is_none_or(|f| f.1 < stamp) {
+                self.catalog = wire::from_value(value).map(|f| (f, stamp));
             }
             return;
         }
@@ -457,7 +458,7 @@
             }
             "flavors" => {
                 if let (Ok(n), Some(f)) = (rest.parse(), wire::from_value(value)) {
-                    self.more_flavors.insert(n, f);
+                    self.further_machine_types.insert(n, f);
                 }
             }
             "x" => {
@@ -640,10 +641,10 @@
     }
 
     /// All machine types on record.
-    pub fn all_flavors(&self) -> Option<wire::Flavors> {
-        let (first, _) = self.flavors.as_ref()?;
-        let more = self.more_flavors.values().flat_map(|f| &f.machine_types);
-        Some(wire::Flavors {
+    pub fn all_machine_types(&self) -> Option<wire::MachineTypes> {
+        let (first, _) = self.catalog.as_ref()?;
+        let more = self.further_machine_types.values().flat_map(|f| &f.machine_types);
+        Some(wire::MachineTypes {
             machine_types: first.machine_types.iter().chain(more).cloned().collect(),
         })
     }
@@ -704,7 +705,7 @@
         let number = |kind: &str| path.strip_prefix(kind).and_then(|n| n.parse::<u32>().ok());
         let stamp = match path {
             LOAD_KEY => self.load.as_ref().map(|l| l.1),
-            FLAVORS_KEY => self.flavors.as_ref().map(|f| f.1),
+            MACHINE_TYPES_KEY => self.catalog.as_ref().map(|f| f.1),
             _ => number("m/")
                 .and_then(|n| self.groups.get(&n).map(|g| g.1))
                 .or_else(|| number("e/").and_then(|n| self.epochs.get(&n).map(|e| e.1))),
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -179,8 +179,8 @@
         epoch_key(16),
         relay_key(NodeId(0), NodeId(1), 2),
         LEADER_KEY.into(),
-        FLAVORS_KEY.into(),
-        format!("{FLAVORS_KEY}/0001"),
+        MACHINE_TYPES_KEY.into(),
+        format!("{MACHINE_TYPES_KEY}/0001"),
         LOAD_KEY.into(),
         TERM_KEY.into(),
     ];
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -88,7 +88,7 @@
                 let controller = self.controller.borrow();
                 let bytes = controller.limits.value_bytes();
                 let specs = batch.iter().map(|(spec, _)| spec);
-                accept_txn(specs, self.wall(), &controller.flavors, bytes)
+                accept_txn(specs, self.wall(), &controller.catalog, bytes)
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
                 Ok(Committed::Yes(stamp)) => {
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -13,7 +13,7 @@
 use crate::leader::Leader;
 use crate::model::{Steady, Term};
 use crate::replica;
-use crate::wire::{Rental, Txn};
+use crate::wire::{ScaleOutRequest, Txn};
 
 /// Most machines in one rental, as the cloud has it.
 const MOST_RENTED: u32 = 50;
@@ -22,7 +22,7 @@
     pub(super) async fn rent_and_return(self: Rc<Self>) {
         let mut priced: Option<Steady> = None;
         let mut listed = Steady(0);
-        let mut open: VecDeque<(Rental, Offer)> = VecDeque::new();
+        let mut open: VecDeque<(ScaleOutRequest, Offer)> = VecDeque::new();
         let mut unknown: HashSet<String> = HashSet::new();
         let mut counter = 0u32;
         loop {
@@ -35,10 +35,10 @@
                     .filter(|_| controller.rights.may_lead(self.now()))
                     .map(|l| l.term)
             };
-            let known = !self.controller.borrow().flavors.is_empty();
+            let known = !self.controller.borrow().catalog.is_empty();
             let due = priced.is_none_or(|at| self.now().since(at) > 30_000);
             if !known || (leading.is_some() && due) {
-                if self.read_flavors(leading.is_some()).await {
+                if self.read_machine_types(leading.is_some()).await {
                     priced = Some(self.now());
                 } else {
                     sleep(Duration::from_millis(600)).await;
@@ -80,23 +80,23 @@
         }
     }
 
-    async fn read_flavors(&self, leading: bool) -> bool {
-        let Ok(got) = self.cloud.flavors().await else {
+    async fn read_machine_types(&self, leading: bool) -> bool {
+        let Ok(got) = self.cloud.catalog().await else {
             return false;
         };
         // The types are kept in the store for controllers that start while the cloud is down.
         let guard = {
             let mut controller = self.controller.borrow_mut();
-            controller.set_flavors(&got);
+            controller.set_machine_types(&got);
             controller
                 .replica
                 .leader_condition()
-                .filter(|_| leading && controller.replica.flavors.is_none())
+                .filter(|_| leading && controller.replica.catalog.is_none())
         };
         if let Some(guard) = guard {
-            let unchanged = self.controller.borrow().replica.unchanged(replica::FLAVORS_KEY);
+            let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
             let limits = &self.settings.params.state;
-            let mut pieces = replica::flavor_pieces(&got, limits.value_bytes());
+            let mut pieces = replica::machine_type_changes(&got, limits.value_bytes());
             if pieces.len() > limits.txn_ops {
                 warn!(pieces = pieces.len(), "not all machine types fit into a transaction");
                 pieces.truncate(limits.txn_ops);
@@ -107,22 +107,22 @@
         true
     }
 
-    fn next_rentals(&self, term: Term, counter: &mut u32) -> VecDeque<(Rental, Offer)> {
+    fn next_rentals(&self, term: Term, counter: &mut u32) -> VecDeque<(ScaleOutRequest, Offer)> {
         let mut controller = self.controller.borrow_mut();
         let life = controller.life;
         let wanted = controller.leader.as_mut().map(Leader::to_rent).unwrap_or_default();
         let mut out = VecDeque::new();
         for (offer, mut left) in wanted {
             while left > 0 {
-                let number = left.min(MOST_RENTED);
-                left -= number;
+                let count = left.min(MOST_RENTED);
+                left -= count;
                 *counter += 1;
-                let rental = Rental {
+                let rental = ScaleOutRequest {
                     idempotency_key: format!("r-{term}-{life}-{counter}"),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
-                    number,
+                    count,
                 };
                 out.push_back((rental, offer.clone()));
             }
@@ -136,7 +136,7 @@
     }
 
     /// Makes a rental; true once its outcome is known.
-    async fn rent(&self, rental: &Rental, offer: &Offer) -> bool {
+    async fn rent(&self, rental: &ScaleOutRequest, offer: &Offer) -> bool {
         if !self.still_leads().await {
             return false;
         }
@@ -148,8 +148,8 @@
         };
         match result {
             Ok(ids) => {
-                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = rental.number, got = ids.len(), "rented");
-                if (ids.len() as u32) < rental.number {
+                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = rental.count, got = ids.len(), "rented");
+                if (ids.len() as u32) < rental.count {
                     leader.market.refused(offer, now);
                 }
                 leader.fleet.rented(now, &ids, offer);
@@ -196,7 +196,7 @@
             self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
                 leader.fleet.listed_page(cluster, after.as_ref(), &page);
             });
-            after = page.hosts.last().map(|h| h.id.clone());
+            after = page.machines.last().map(|h| h.id.clone());
             if !page.truncated || after.is_none() {
                 return;
             }
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -13,7 +13,7 @@
     Term,
 };
 use crate::peer::{OwnerNews, Plan, Standing};
-use crate::placement::Flavors;
+use crate::placement::MachineCatalog;
 use crate::replica::Replica;
 use crate::wire::{
     ExitReason, Heartbeat, HeartbeatResponse, JobKind, JobState, TaskState, TaskStatus,
@@ -110,7 +110,7 @@
     /// The replica.
     pub replica: &'a Replica,
     /// Machine types.
-    pub flavors: &'a Flavors,
+    pub catalog: &'a MachineCatalog,
     /// All controllers.
     pub nodes: &'a [NodeInfo],
     /// Whether this node has reached neither the store nor another controller for a while.
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -70,8 +70,9 @@
     }
 
     /// Forgets the images that no longer fit into the machine's cache.
-    pub(super) fn trim_images(&mut self, local_gb: f64) {
-        while self.images.len() > 1 && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > local_gb
+    pub(super) fn trim_images(&mut self, image_cache_gb: f64) {
+        while self.images.len() > 1
+            && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > image_cache_gb
         {
             self.images.remove(0);
         }
@@ -104,7 +105,7 @@
             what,
             tasks,
             &self.images,
-            env.flavors,
+            env.catalog,
             env.replica,
             open && self.usable(term, env.now, &env.pace),
         )
@@ -149,8 +150,8 @@
                 self.remember_image(&job.spec);
             }
         }
-        if let Some(f) = env.flavors.get(&*self.machine_type) {
-            self.trim_images(f.local_gb);
+        if let Some(f) = env.catalog.get(&*self.machine_type) {
+            self.trim_images(f.image_cache_gb);
         }
         (true, others, left)
     }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::model::{Moment, Revision, StoreLease, Wall};
 use crate::peer::{Grant, OwnerNews, PlanBody, Stop, Waits};
-use crate::placement::tests::flavor;
+use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
@@ -22,7 +22,9 @@
 /// A node in a term of another leader, which owns n-1 of two machines and may start a task.
 fn node(owner: u8) -> Controller {
     let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), LIFE);
-    controller.set_flavors(&wire::Flavors { machine_types: vec![flavor("small", 8.0, 64.0)] });
+    controller.set_machine_types(&wire::MachineTypes {
+        machine_types: vec![machine_type("small", 8.0, 64.0)],
+    });
     let leader = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
     let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -435,9 +435,10 @@
 /// A machine type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Flavor {
+pub struct MachineType {
     /// Its name.
-    pub sku: String,
+    #[serde(rename = "Sku")]
+    pub name: String,
     /// Cores.
     #[serde(deserialize_with = "amount")]
     pub vcpus: f64,
@@ -449,37 +450,42 @@
     pub mem_gb: f64,
     /// Room for images.
     #[serde(deserialize_with = "amount", default)]
-    pub local_gb: f64,
+    #[serde(rename = "LocalGb")]
+    pub image_cache_gb: f64,
     /// Rate of image fetches.
     #[serde(deserialize_with = "amount", default)]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
     #[serde(deserialize_with = "amount", default)]
-    pub hourly: f64,
+    #[serde(rename = "Hourly")]
+    pub hourly_price: f64,
     /// Current price per hour as a spot machine.
     #[serde(deserialize_with = "amount", default)]
-    pub market_price: f64,
+    #[serde(rename = "MarketPrice")]
+    pub spot_hourly_price: f64,
     /// Usual boot time.
     #[serde(deserialize_with = "amount", default)]
-    pub startup_s: f64,
+    #[serde(rename = "StartupS")]
+    pub boot_s: f64,
     /// Zones that have it.
     #[serde(default)]
-    pub yards: Vec<String>,
+    #[serde(rename = "Yards")]
+    pub zones: Vec<String>,
 }
 
 /// All machine types.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Flavors {
+pub struct MachineTypes {
     /// The types.
     #[serde(rename = "Hulls")]
-    pub machine_types: Vec<Flavor>,
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A rental request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Rental {
+pub struct ScaleOutRequest {
     /// The idempotency key, never reused.
     #[serde(rename = "Hire")]
     pub idempotency_key: String,
@@ -493,22 +499,24 @@
     #[serde(rename = "Loaners")]
     pub spot: bool,
     /// How many.
-    pub number: u32,
+    #[serde(rename = "Number")]
+    pub count: u32,
 }
 
 /// Names of machines, in requests and answers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Hosts {
+pub struct MachineNames {
     /// The machines.
     #[serde(default)]
-    pub hosts: Vec<MachineId>,
+    #[serde(rename = "Hosts")]
+    pub machines: Vec<MachineId>,
 }
 
 /// A machine's state in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum HostStage {
+pub enum CloudMachineState {
     /// Boots.
     Starting,
     /// Up.
@@ -523,7 +531,7 @@
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct ListedHost {
+pub struct ListedMachine {
     /// Its name.
     #[serde(rename = "Ref")]
     pub id: MachineId,
@@ -541,18 +549,20 @@
     pub spot: bool,
     /// State.
     #[serde(rename = "Stage")]
-    pub state: HostStage,
+    pub state: CloudMachineState,
     /// Age since the rental request.
     #[serde(deserialize_with = "amount", default)]
-    pub held_s: f64,
+    #[serde(rename = "HeldS")]
+    pub age_s: f64,
 }
 
 /// A page of the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HostList {
+pub struct MachineListPage {
     /// The machines.
-    pub hosts: Vec<ListedHost>,
+    #[serde(rename = "Hosts")]
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more.
     #[serde(default)]
     pub truncated: bool,
--- a/tests/loopback/cloud_server.rs
+++ b/tests/loopback/cloud_server.rs
@@ -7,10 +7,10 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use willowshore::http::{self, Request, Response, ServerLimits};
-use willowshore::wire::{self, HostList, Hosts, Rental};
+use willowshore::wire::{self, MachineListPage, MachineNames, ScaleOutRequest};
 
 use crate::machines::Machines;
-use crate::site::flavors;
+use crate::site::catalog;
 
 /// Most machines that are rented in all.
 const MOST_MACHINES: usize = 80;
@@ -29,37 +29,37 @@
 async fn answer(machines: &Rc<Machines>, request: &Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     match (request.method.as_str(), path) {
-        ("GET", "/flavors") => Response::new(200, wire::encode(&flavors())),
+        ("GET", "/flavors") => Response::new(200, wire::encode(&catalog())),
         ("GET", "/machines") => {
             let after = request.path.split('&').find_map(|f| f.split_once("After=")).map(|f| f.1);
-            let hosts = machines.listed(after.unwrap_or(""));
-            Response::new(200, wire::encode(&HostList { hosts, truncated: false }))
+            let machines = machines.listed(after.unwrap_or(""));
+            Response::new(200, wire::encode(&MachineListPage { machines, truncated: false }))
         }
-        ("POST", "/machines") => rent(machines, &request.body).await,
+        ("POST", "/machines") => scale_out(machines, &request.body).await,
         ("POST", "/machines/return") => {
-            let Ok(returned) = wire::decode::<Hosts>(&request.body) else {
+            let Ok(returned) = wire::decode::<MachineNames>(&request.body) else {
                 return Response::empty(400);
             };
-            returned.hosts.iter().for_each(|id| machines.vanish(id));
+            returned.machines.iter().for_each(|id| machines.vanish(id));
             Response::new(200, wire::encode(&HashMap::<String, u8>::new()))
         }
         _ => Response::empty(400),
     }
 }
 
-async fn rent(machines: &Rc<Machines>, body: &[u8]) -> Response {
-    let Ok(rental) = wire::decode::<Rental>(body) else { return Response::empty(400) };
-    if let Some(hosts) = machines.rented_as(&rental.idempotency_key) {
-        return Response::new(200, wire::encode(&Hosts { hosts }));
+async fn scale_out(machines: &Rc<Machines>, body: &[u8]) -> Response {
+    let Ok(request) = wire::decode::<ScaleOutRequest>(body) else { return Response::empty(400) };
+    if let Some(provisioned) = machines.provisioned_by(&request.idempotency_key) {
+        return Response::new(200, wire::encode(&MachineNames { machines: provisioned }));
     }
     let room = MOST_MACHINES.saturating_sub(machines.count());
     if room == 0 {
         return Response::new(503, wire::encode(&HashMap::from([("error", "no capacity")])));
     }
-    let mut hosts = Vec::new();
-    for _ in 0..room.min(rental.number as usize) {
-        hosts.push(machines.add_in(&rental.zone, rental.spot).await);
+    let mut provisioned = Vec::new();
+    for _ in 0..room.min(request.count as usize) {
+        provisioned.push(machines.add_in(&request.zone, request.spot).await);
     }
-    machines.note_rental(&rental.idempotency_key, &hosts);
-    Response::new(200, wire::encode(&Hosts { hosts }))
+    machines.note_request(&request.idempotency_key, &provisioned);
+    Response::new(200, wire::encode(&MachineNames { machines: provisioned }))
 }
--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -12,7 +12,7 @@
 use willowshore::http::{self, Client, Request, Response, ServerLimits};
 use willowshore::model::MachineId;
 use willowshore::wire::{
-    self, DirectCommand, Heartbeat, HeartbeatResponse, HostStage, ListedHost, Redirect,
+    self, CloudMachineState, DirectCommand, Heartbeat, HeartbeatResponse, ListedMachine, Redirect,
 };
 
 use crate::check::Event;
@@ -35,7 +35,7 @@
     rhythm: Rhythm,
     controllers: RefCell<Vec<SocketAddr>>,
     workers: RefCell<Vec<(Rc<RefCell<Worker>>, bool)>>,
-    rentals: RefCell<HashMap<String, Vec<MachineId>>>,
+    provisioned: RefCell<HashMap<String, Vec<MachineId>>>,
     next: Cell<usize>,
 }
 
@@ -46,7 +46,7 @@
             rhythm,
             controllers: RefCell::default(),
             workers: RefCell::default(),
-            rentals: RefCell::default(),
+            provisioned: RefCell::default(),
             next: Cell::new(1),
         }
     }
@@ -62,32 +62,32 @@
     }
 
     /// What the cloud lists after that name.
-    pub fn listed(&self, after: &str) -> Vec<ListedHost> {
+    pub fn listed(&self, after: &str) -> Vec<ListedMachine> {
         let workers = self.workers.borrow();
         let there = workers.iter().filter(|(w, _)| !w.borrow().gone);
         let listed = there.map(|(w, spot)| {
             let w = w.borrow();
-            ListedHost {
+            ListedMachine {
                 id: w.name(),
                 endpoint: Some(w.endpoint.clone()),
                 machine_type: "small".into(),
                 zone: w.zone.into(),
                 spot: *spot,
-                state: HostStage::Running,
-                held_s: 60.0,
+                state: CloudMachineState::Running,
+                age_s: 60.0,
             }
         });
-        listed.filter(|host| *host.id.0 > *after).collect()
+        listed.filter(|listed| *listed.id.0 > *after).collect()
     }
 
     /// The machines of a rental that was carried out under that name.
-    pub fn rented_as(&self, key: &str) -> Option<Vec<MachineId>> {
-        self.rentals.borrow().get(key).cloned()
+    pub fn provisioned_by(&self, key: &str) -> Option<Vec<MachineId>> {
+        self.provisioned.borrow().get(key).cloned()
     }
 
     /// A rental was carried out under that name.
-    pub fn note_rental(&self, key: &str, hosts: &[MachineId]) {
-        self.rentals.borrow_mut().insert(key.into(), hosts.to_vec());
+    pub fn note_request(&self, key: &str, machines: &[MachineId]) {
+        self.provisioned.borrow_mut().insert(key.into(), machines.to_vec());
     }
 
     /// A machine and all on it are gone.
--- a/tests/sim/site.rs
+++ b/tests/sim/site.rs
@@ -1,7 +1,7 @@
 //! The site that is played: its rhythm, its jobs and its machine types.
 
 use willowshore::model::JobId;
-use willowshore::wire::{Flavor, Flavors, JobKind, JobSpec, Priority};
+use willowshore::wire::{JobKind, JobSpec, MachineType, MachineTypes, Priority};
 
 /// The zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
@@ -62,19 +62,19 @@
 }
 
 /// The machine types.
-pub fn flavors() -> Flavors {
-    Flavors {
-        machine_types: vec![Flavor {
-            sku: "small".into(),
+pub fn catalog() -> MachineTypes {
+    MachineTypes {
+        machine_types: vec![MachineType {
+            name: "small".into(),
             vcpus: 8.0,
             accelerators: 0.0,
             mem_gb: 64.0,
-            local_gb: 50.0,
+            image_cache_gb: 50.0,
             fetch_gb_per_s: 0.5,
-            hourly: 1.0,
-            market_price: 0.3,
-            startup_s: 30.0,
-            yards: ZONES.map(String::from).to_vec(),
+            hourly_price: 1.0,
+            spot_hourly_price: 0.3,
+            boot_s: 30.0,
+            zones: ZONES.map(String::from).to_vec(),
         }],
     }
 }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -21,7 +21,7 @@
 
 use crate::check::{Checker, Event};
 use crate::failover::{Observed, TakeoverTrace};
-use crate::site::{BRISK, Rhythm, SLOW, ZONES, flavors, spec};
+use crate::site::{BRISK, Rhythm, SLOW, ZONES, catalog, spec};
 use crate::store::Store;
 use crate::worker::{Answer, Change, Worker};
 
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -42,7 +42,7 @@
             let settings = Rc::new(Settings::parse(&text).unwrap());
             let mut controller = Controller::new(settings, Incarnation(self.lives));
             assert_eq!(controller.me, NodeId(n as u8));
-            controller.set_flavors(&flavors());
+            controller.set_machine_types(&catalog());
             if let Some(standby) = self.standby.clone().filter(|_| !self.old[n]) {
                 controller.enable_standby(standby);
             }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -107,7 +107,7 @@
             let txn = accept_txn(
                 [&self.jobs[&id]].into_iter(),
                 Wall(1_000_000 + now),
-                &node.controller.flavors,
+                &node.controller.catalog,
                 node.controller.settings.params.state.value_bytes(),
             );
             self.commit(n, &txn);
@@ -157,7 +157,7 @@
             let bytes = node.controller.settings.params.state.value_bytes();
             let wall = Wall(1_000_000 + self.now);
             let txn =
-                accept_txn([&self.jobs[&id]].into_iter(), wall, &node.controller.flavors, bytes);
+                accept_txn([&self.jobs[&id]].into_iter(), wall, &node.controller.catalog, bytes);
             match self.commit(n, &txn)? {
                 Committed::Yes(stamp) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
