--- a/src/controller.rs
+++ b/src/controller.rs
@@ -18,7 +18,7 @@
 use crate::shard::{Announcement, HeartbeatOutcome, Shard, Surroundings};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
-use crate::wire::{self, Change, Changes, Guard, Heartbeat, Item, Txn};
+use crate::wire::{self, Change, Condition, Heartbeat, KeyValue, Txn, WatchResponse};
 
 mod failover;
 
@@ -146,7 +146,7 @@
 
     /// Takes the whole store as it was read, `revision` being that of the first page: pages
     /// read later may hold newer items, and versions tell which changes are old.
-    pub fn load(&mut self, items: &[Item], revision: Revision) {
+    pub fn load(&mut self, items: &[KeyValue], revision: Revision) {
         let mut replica = Replica::new(self.me);
         items.iter().for_each(|item| replica.load(item, &mut ReplicaChanges::default()));
         self.take_replica(replica, revision);
@@ -168,7 +168,7 @@
 
     /// Takes a watch's answer to a request sent at `sent`; `None` if the replica has to be
     /// read anew.
-    pub fn apply(&mut self, changes: &Changes, sent: Steady) -> Option<ReplicaChanges> {
+    pub fn apply(&mut self, changes: &WatchResponse, sent: Steady) -> Option<ReplicaChanges> {
         if !self.loaded {
             return None;
         }
@@ -177,11 +177,11 @@
     }
 
     /// Takes over what a transaction of this node made durable at that revision.
-    pub fn apply_own(&mut self, txn: &Txn, stamp: Revision) -> ReplicaChanges {
+    pub fn apply_own(&mut self, txn: &Txn, version: Revision) -> ReplicaChanges {
         let mut replica_changes = ReplicaChanges::default();
-        for change in &txn.apply {
-            if let Change::Set { path, value, .. } = change {
-                let item = Item { path: path.clone(), v: value.clone(), stamp };
+        for change in &txn.changes {
+            if let Change::Put { key, value, .. } = change {
+                let item = KeyValue { key: key.clone(), value: value.clone(), version };
                 self.replica.load(&item, &mut replica_changes);
             }
         }
@@ -317,16 +317,16 @@
 
     /// The transaction that makes this process known; it replaces its predecessor at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
-        let path = replica::member_key(self.me);
-        let stamp = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
+        let key = replica::member_key(self.me);
+        let version = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
         let value = wire::to_value(&MemberRecord {
             life: self.life,
             version: env!("CARGO_PKG_VERSION").into(),
             speaks: replica::SPEAKS,
         });
         Txn {
-            guards: vec![Guard { path: path.clone(), stamp }],
-            apply: vec![Change::Set { path, value, lease: Some(lease) }],
+            conditions: vec![Condition { key: key.clone(), version }],
+            changes: vec![Change::Put { key, value, lease: Some(lease) }],
         }
     }
 
@@ -349,15 +349,15 @@
         let lease = self.rights.lease?;
         let term = Term(self.replica.term.0 + 1);
         let leader = LeaderRecord { node: self.me, life: self.life, term };
-        let stamp = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
-        let guard = |path: &str, stamp| Guard { path: path.into(), stamp };
-        let set = |path: &str, value, lease| Change::Set { path: path.into(), value, lease };
+        let version = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
+        let condition = |key: &str, version| Condition { key: key.into(), version };
+        let set = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
         Some(Txn {
-            guards: vec![
-                guard(replica::LEADER_KEY, stamp),
-                guard(replica::TERM_KEY, self.replica.term_stamp),
+            conditions: vec![
+                condition(replica::LEADER_KEY, version),
+                condition(replica::TERM_KEY, self.replica.term_version),
             ],
-            apply: vec![
+            changes: vec![
                 set(replica::LEADER_KEY, wire::to_value(&leader), Some(lease)),
                 set(replica::TERM_KEY, wire::to_value(&TermRecord { term }), None),
             ],
@@ -414,12 +414,15 @@
         &mut self,
         job: JobId,
         progress: &replica::Progress,
-        stamp: Revision,
+        version: Revision,
     ) -> ReplicaChanges {
         let mut replica_changes = ReplicaChanges::default();
         if self.loaded && progress.end.is_some() {
-            let item =
-                Item { path: replica::progress_key(job), v: wire::to_value(progress), stamp };
+            let item = KeyValue {
+                key: replica::progress_key(job),
+                value: wire::to_value(progress),
+                version,
+            };
             self.replica.load(&item, &mut replica_changes);
         }
         replica_changes
@@ -481,7 +484,7 @@
     }
 
     /// A node's plan, for messages through the store, with the condition that it still leads.
-    pub fn plan_for(&self, node: NodeId, now: Steady) -> Option<(Plan, Guard)> {
+    pub fn plan_for(&self, node: NodeId, now: Steady) -> Option<(Plan, Condition)> {
         let plan = self.leader.as_ref()?.plan_for(node, now)?;
         Some((plan, self.replica.leader_condition()?))
     }
@@ -505,11 +508,11 @@
             };
             f.since = now;
             let Some(progress) = Replica::with_done(job, f.tasks.iter(), bytes) else { continue };
-            let path = replica::progress_key(id);
-            txn.guards.push(Guard { path: path.clone(), stamp: job.progress_stamp });
-            txn.apply.push(Change::Set { path, value: wire::to_value(&progress), lease: None });
+            let key = replica::progress_key(id);
+            txn.conditions.push(Condition { key: key.clone(), version: job.progress_version });
+            txn.changes.push(Change::Put { key, value: wire::to_value(&progress), lease: None });
         }
-        (!txn.apply.is_empty()).then_some(txn)
+        (!txn.changes.is_empty()).then_some(txn)
     }
 
     /// Jobs whose completions are to be written now: all that end, and some of those that go on,
@@ -577,10 +580,10 @@
             done: job.progress.done.fitting(self.limits.value_bytes()),
             gang: None,
         };
-        let path = replica::progress_key(id);
+        let key = replica::progress_key(id);
         let txn = Txn {
-            guards: vec![Guard { path: path.clone(), stamp: job.progress_stamp }],
-            apply: vec![Change::Set { path, value: wire::to_value(&progress), lease: None }],
+            conditions: vec![Condition { key: key.clone(), version: job.progress_version }],
+            changes: vec![Change::Put { key, value: wire::to_value(&progress), lease: None }],
         };
         Some((txn, progress))
     }
@@ -611,13 +614,13 @@
 ) -> Txn {
     let mut txn = Txn::default();
     for spec in specs {
-        let path = replica::job_key(spec.id);
-        if txn.guards.iter().any(|g| g.path == path) {
+        let key = replica::job_key(spec.id);
+        if txn.conditions.iter().any(|g| g.key == key) {
             continue;
         }
-        txn.guards.push(Guard { path: path.clone(), stamp: Revision(0) });
+        txn.conditions.push(Condition { key: key.clone(), version: Revision(0) });
         let accepted = replica::Accepted { spec: replica::kept_spec(spec, catalog, bytes), at };
-        txn.apply.push(Change::Set { path, value: wire::to_value(&accepted), lease: None });
+        txn.changes.push(Change::Put { key, value: wire::to_value(&accepted), lease: None });
     }
     txn
 }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -126,8 +126,8 @@
     /// it knows.
     pub fn leadership_check(&self) -> Option<Txn> {
         self.leader.as_ref()?;
-        let guard = self.replica.leader_condition()?;
-        Some(Txn { guards: vec![guard], apply: Vec::new() })
+        let condition = self.replica.leader_condition()?;
+        Some(Txn { conditions: vec![condition], changes: Vec::new() })
     }
 
     /// The replica shows that another process leads.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::config::tests::EXAMPLE;
 use crate::model::Ranges;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use crate::wire::tests::spec;
 
 #[test]
@@ -20,7 +20,7 @@
     ];
     let record =
         |node, term| LeaderRecord { node: NodeId(node), life: Incarnation(5), term: Term(term) };
-    let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
+    let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let items = |node, term| {
         [
             item(replica::LEADER_KEY, wire::to_value(&record(node, term))),
@@ -54,7 +54,7 @@
     const JOBS: u64 = 80;
     const SECONDS: u64 = 30;
     let record = LeaderRecord { node: NodeId(0), life: Incarnation(5), term: Term(5) };
-    let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
+    let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let mut items = vec![
         item(replica::LEADER_KEY, wire::to_value(&record)),
         item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
@@ -85,9 +85,9 @@
         }
         controller.shard.take_finished(now, &controller.replica, &finished);
         let Some(txn) = controller.finished_txn(now) else { continue };
-        changes += txn.apply.len();
-        most = most.max(txn.apply.len());
-        written.extend(txn.apply.iter().map(|c| c.path().to_string()));
+        changes += txn.changes.len();
+        most = most.max(txn.changes.len());
+        written.extend(txn.changes.iter().map(|c| c.key().to_string()));
         revision += 1;
         controller.apply_own(&txn, Revision(revision));
     }
@@ -107,7 +107,7 @@
         let mut controller =
             Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
         let record = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: Term(5) };
-        let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
+        let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
         let accepted = replica::Accepted { spec: spec(1, 20), at: Wall(1) };
         let done = Ranges::span(0, recorded);
         let progress = replica::Progress { end: None, done, gang: None };
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -6,7 +6,7 @@
 use super::{ClusterView, Epoch, Leader};
 use crate::model::MachineId;
 use crate::replica::{self, MachineGroup, MachineRecord};
-use crate::wire::{self, Change, Guard, Txn};
+use crate::wire::{self, Change, Condition, Txn};
 
 /// Most keys of machines that an epoch writes.
 const MACHINE_KEYS: usize = 4;
@@ -25,35 +25,36 @@
     /// Writes the transaction that has to be carried out before the epoch holds.
     pub(super) fn compose(&mut self, cluster: &ClusterView<'_>, epoch: &mut Epoch) {
         let ops = cluster.limits.txn_ops;
-        let mut apply = Vec::new();
+        let mut changes = Vec::new();
         let due =
             cluster.now.since(self.machines_written) >= MACHINES_MS || !epoch.grants.is_empty();
         if due {
             // Nothing starts on a machine that is not on record, so grants leave room for some.
-            self.machine_changes(cluster, MACHINE_KEYS.min(ops / 2).max(1), &mut apply);
-            if !apply.is_empty() {
+            self.machine_changes(cluster, MACHINE_KEYS.min(ops / 2).max(1), &mut changes);
+            if !changes.is_empty() {
                 self.machines_written = cluster.now;
             }
         }
-        self.record_grants(cluster, epoch, ops - apply.len(), &mut apply);
-        if cluster.now.since(self.load_written) >= LOAD_MS && apply.len() < ops {
+        self.record_grants(cluster, epoch, ops - changes.len(), &mut changes);
+        if cluster.now.since(self.load_written) >= LOAD_MS && changes.len() < ops {
             self.load_written = cluster.now;
-            apply.push(Change::Set {
-                path: replica::LOAD_KEY.into(),
+            changes.push(Change::Put {
+                key: replica::LOAD_KEY.into(),
                 value: wire::to_value(&self.market.load),
                 lease: None,
             });
         }
-        if !apply.is_empty() {
-            let mut guards: Vec<Guard> = cluster.replica.leader_condition().into_iter().collect();
-            guards.extend(apply.iter().map(|c| cluster.replica.unchanged(c.path())));
-            epoch.txn = Some(Txn { guards, apply });
+        if !changes.is_empty() {
+            let mut conditions: Vec<Condition> =
+                cluster.replica.leader_condition().into_iter().collect();
+            conditions.extend(changes.iter().map(|c| cluster.replica.unchanged(c.key())));
+            epoch.txn = Some(Txn { conditions, changes });
         }
     }
 
     /// Machines become durable before anything can start on them, and stay as tombstones for
     /// a while once they are gone. They are written in groups.
-    fn machine_changes(&self, cluster: &ClusterView<'_>, most: usize, apply: &mut Vec<Change>) {
+    fn machine_changes(&self, cluster: &ClusterView<'_>, most: usize, changes: &mut Vec<Change>) {
         let replica = cluster.replica;
         let known = &replica.machines;
         let limit = cluster.limits.value_bytes();
@@ -130,10 +131,10 @@
                 break; // With the next epoch.
             }
             // An empty group stays: the version of its key tells late writes from new ones.
-            apply.push(group_change(group, machines));
+            changes.push(group_change(group, machines));
             written += 1;
         }
-        apply.extend(further.into_iter().map(|(group, machines)| group_change(group, machines)));
+        changes.extend(further.into_iter().map(|(group, machines)| group_change(group, machines)));
     }
 }
 
@@ -150,7 +151,7 @@
 
 fn group_change(group: u32, machines: Vec<(MachineId, MachineRecord)>) -> Change {
     let value = wire::to_value(&MachineGroup { machines });
-    Change::Set { path: replica::machine_key(group), value, lease: None }
+    Change::Put { key: replica::machine_key(group), value, lease: None }
 }
 
 /// Bytes that a group takes as a value.
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -111,8 +111,8 @@
         let change = |key: u32| {
             let granted = self.contents.remove(&key).unwrap_or_default().into_iter().collect();
             let record = EpochRecord { term, granted };
-            Change::Set {
-                path: replica::epoch_key(key),
+            Change::Put {
+                key: replica::epoch_key(key),
                 value: wire::to_value(&record),
                 lease: None,
             }
@@ -129,7 +129,7 @@
         cluster: &ClusterView<'_>,
         epoch: &mut Epoch,
         most: usize,
-        apply: &mut Vec<Change>,
+        changes: &mut Vec<Change>,
     ) {
         let wider = self.wider_ranges(cluster, epoch);
         if wider.is_empty() {
@@ -145,7 +145,7 @@
                 refused.insert(*job);
             }
         }
-        apply.extend(keys.changes(self.term));
+        changes.extend(keys.changes(self.term));
         if !refused.is_empty() {
             tracing::info!(jobs = refused.len(), "grants wait for room in the record");
             self.withdraw_unrecorded(epoch, &refused);
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -12,7 +12,7 @@
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, EpochRecord, LeaderRecord, ReplicaChanges, TermRecord};
 use crate::wire::tests::spec;
-use crate::wire::{self, Change, Item, Priority, TaskState};
+use crate::wire::{self, Change, KeyValue, Priority, TaskState};
 
 const LIFE: Incarnation = Incarnation(5);
 
@@ -30,7 +30,7 @@
     let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
     let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
-    let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
+    let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let accepted = Accepted { spec: spec(1, 1), at: Wall(1) };
     controller.load(
         &[
@@ -393,7 +393,7 @@
 fn what_is_on_record_ahead_is_unresolved_for_others_only() {
     let mut controller = leader();
     let accepted = Accepted { spec: spec(2, 20), at: Wall(1) };
-    let item = |path: String, v| Item { path, v, stamp: Revision(10) };
+    let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
     let mut replica_changes = ReplicaChanges::default();
     let job = item(replica::job_key(JobId(2)), wire::to_value(&accepted));
     controller.replica.load(&job, &mut replica_changes);
@@ -499,7 +499,7 @@
 fn leader_under(
     now: (f64, usize),
     next: Option<(f64, usize)>,
-) -> (Controller, BTreeMap<String, Item>) {
+) -> (Controller, BTreeMap<String, KeyValue>) {
     let mut text = EXAMPLE
         .replacen("value_kb = 8.0", &format!("value_kb = {:.1}", now.0), 1)
         .replacen("txn_ops = 12", &format!("txn_ops = {}", now.1), 1)
@@ -543,11 +543,11 @@
         m.endpoint = "10.255.255.255:65535".into();
     }
     items.push((replica::machine_key(1), wire::to_value(&machines)));
-    let items: BTreeMap<String, Item> = items
+    let items: BTreeMap<String, KeyValue> = items
         .into_iter()
-        .map(|(path, v)| (path.clone(), Item { path, v, stamp: Revision(9) }))
+        .map(|(key, v)| (key.clone(), KeyValue { key, value: v, version: Revision(9) }))
         .collect();
-    let all: Vec<Item> = items.values().cloned().collect();
+    let all: Vec<KeyValue> = items.values().cloned().collect();
     controller.load(&all, Revision(9));
     controller.rights.lease = Some(StoreLease(1));
     controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
@@ -602,24 +602,28 @@
             controller.take_summary(Steady(ms), told);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
-                assert!(txn.apply.len() <= ops, "{now:?} {next:?}: {} changes", txn.apply.len());
-                assert!(txn.guards.len() <= 4 * ops);
+                assert!(
+                    txn.changes.len() <= ops,
+                    "{now:?} {next:?}: {} changes",
+                    txn.changes.len()
+                );
+                assert!(txn.conditions.len() <= 4 * ops);
                 revision += 1;
-                let guards: BTreeMap<&str, Revision> =
-                    txn.guards.iter().map(|g| (g.path.as_str(), g.stamp)).collect();
-                assert!(guards.contains_key(replica::LEADER_KEY));
-                for change in &txn.apply {
-                    let wire::Change::Set { path, value, .. } = change else { continue };
+                let conditions: BTreeMap<&str, Revision> =
+                    txn.conditions.iter().map(|g| (g.key.as_str(), g.version)).collect();
+                assert!(conditions.contains_key(replica::LEADER_KEY));
+                for change in &txn.changes {
+                    let wire::Change::Put { key, value, .. } = change else { continue };
                     // Carried out late, or once more, it puts nothing older back: without this, a
                     // machine and grants that a later write had added were lost (random day 1144
                     // of the simulation as it was then).
-                    let before = store.get(path).map_or(Revision(0), |i| i.stamp);
-                    assert_eq!(guards.get(path.as_str()), Some(&before), "{path}");
+                    let before = store.get(key).map_or(Revision(0), |i| i.version);
+                    assert_eq!(conditions.get(key.as_str()), Some(&before), "{key}");
                     let bytes = wire::stored_bytes(value);
-                    assert!(bytes as f64 <= kb * 1024.0, "{now:?} {next:?}: {path} has {bytes}");
-                    let stamp = Revision(revision);
-                    let item = Item { path: path.clone(), v: value.clone(), stamp };
-                    store.insert(path.clone(), item);
+                    assert!(bytes as f64 <= kb * 1024.0, "{now:?} {next:?}: {key} has {bytes}");
+                    let version = Revision(revision);
+                    let item = KeyValue { key: key.clone(), value: value.clone(), version };
+                    store.insert(key.clone(), item);
                 }
                 controller.apply_own(&txn, Revision(revision));
             }
@@ -628,7 +632,7 @@
             // Whoever leads next knows every machine and every task that may run.
             if step % 40 == 39 {
                 let mut other = Controller::new(controller.settings.clone(), Incarnation(6));
-                let all: Vec<Item> = store.values().cloned().collect();
+                let all: Vec<KeyValue> = store.values().cloned().collect();
                 other.load(&all, Revision(revision));
                 let known = other.replica.granted_before();
                 assert!(
@@ -653,8 +657,8 @@
     // by the jobs' numbers, and each epoch waited a second until it could write them.
     const CHANGES: usize = 2;
     let (earlier, items) = leader_under((8.0, 24), None);
-    let recorded = |path: &str| path.starts_with("e/");
-    let fresh: Vec<Item> = items.into_values().filter(|i| !recorded(&i.path)).collect();
+    let recorded = |key: &str| key.starts_with("e/");
+    let fresh: Vec<KeyValue> = items.into_values().filter(|i| !recorded(&i.key)).collect();
     let mut controller = Controller::new(earlier.settings.clone(), LIFE);
     controller.set_machine_types(&wire::MachineTypes {
         machine_types: vec![machine_type("small", 8.0, 64.0)],
@@ -679,8 +683,8 @@
         controller.take_summary(Steady(ms), told);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
-        let changes = epoch.txn.iter().flat_map(|t| &t.apply);
-        let paths: Vec<&str> = changes.map(Change::path).filter(|p| recorded(p)).collect();
+        let changes = epoch.txn.iter().flat_map(|t| &t.changes);
+        let paths: Vec<&str> = changes.map(Change::key).filter(|p| recorded(p)).collect();
         assert!(paths.len() <= CHANGES, "{} jobs in {paths:?}", jobs.len());
         granted += jobs.len();
         if let Some(txn) = epoch.txn.clone() {
@@ -696,7 +700,7 @@
     let mut controller = leader();
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
-    let item = |path: String, v| Item { path, v, stamp: Revision(10) };
+    let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
     let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
     let mut replica_changes = ReplicaChanges::default();
     let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
@@ -864,7 +868,7 @@
         let mut controller =
             leader_with_gang(64, |s| (s.allows_spot, s.image) = (false, "gang".into()), 1);
         controller.replica.jobs.remove(&JobId(1));
-        let item = |path: String, v| Item { path, v, stamp: Revision(11) };
+        let item = |key: String, v| KeyValue { key, value: v, version: Revision(11) };
         let mut replica_changes = ReplicaChanges::default();
         let array = Accepted { spec: spec(8, 1), at: Wall(1_001_000 - age_s * 1_000) };
         controller
@@ -918,10 +922,11 @@
     };
     for (what, urgent, speaks, expected) in cases {
         let mut controller = leader();
-        let mut put = |path: String, v| {
-            controller
-                .replica
-                .load(&Item { path, v, stamp: Revision(10) }, &mut ReplicaChanges::default());
+        let mut put = |key: String, v| {
+            controller.replica.load(
+                &KeyValue { key, value: v, version: Revision(10) },
+                &mut ReplicaChanges::default(),
+            );
         };
         let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
@@ -976,10 +981,10 @@
             ..spec(8, tasks)
         };
         let accepted = Accepted { spec, at: accepted };
-        let item = Item {
-            path: replica::job_key(JobId(8)),
-            v: wire::to_value(&accepted),
-            stamp: Revision(10),
+        let item = KeyValue {
+            key: replica::job_key(JobId(8)),
+            value: wire::to_value(&accepted),
+            version: Revision(10),
         };
         controller.replica.jobs.remove(&JobId(8));
         controller.replica.load(&item, &mut ReplicaChanges::default());
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -15,7 +15,7 @@
 use crate::autoscaler::Load;
 use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, Wall};
 use crate::placement::{MachineCatalog, Need};
-use crate::wire::{self, Changes, Guard, Item, JobSpec, JobState, Value};
+use crate::wire::{self, Condition, JobSpec, JobState, KeyValue, Value, WatchResponse};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
 const ENDED_KEPT: usize = 100_000;
@@ -171,7 +171,7 @@
     /// Its progress.
     pub progress: Progress,
     /// Version of its progress; 0 if there is none yet.
-    pub progress_stamp: Revision,
+    pub progress_version: Revision,
 }
 
 impl Job {
@@ -225,7 +225,7 @@
     /// The highest term, and the version of its key.
     pub term: Term,
     /// Version of the term's key.
-    pub term_stamp: Revision,
+    pub term_version: Revision,
     /// Machines that tasks may be on, and those lately gone.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     groups: BTreeMap<u32, (MachineGroup, Revision)>,
@@ -312,7 +312,7 @@
         _ => format!("{MACHINE_TYPES_KEY}/{n:04}"),
     };
     let set =
-        |(n, piece)| wire::Change::Set { path: key(n), value: wire::to_value(&piece), lease: None };
+        |(n, piece)| wire::Change::Put { key: key(n), value: wire::to_value(&piece), lease: None };
     pieces.into_iter().enumerate().map(set).collect()
 }
 
@@ -369,27 +369,27 @@
     }
 
     /// Takes an item that was read.
-    pub fn load(&mut self, item: &Item, replica_changes: &mut ReplicaChanges) {
-        self.put(&item.path, &item.v, item.stamp, replica_changes);
+    pub fn load(&mut self, item: &KeyValue, replica_changes: &mut ReplicaChanges) {
+        self.put(&item.key, &item.value, item.version, replica_changes);
     }
 
     /// Takes a watch's answer. Answers that cover nothing new are ignored, so the order in
     /// which overlapping watches come back does not matter.
-    pub fn apply(&mut self, changes: &Changes) -> ReplicaChanges {
+    pub fn apply(&mut self, changes: &WatchResponse) -> ReplicaChanges {
         let mut replica_changes = ReplicaChanges::default();
-        for news in &changes.news {
-            if news.stamp <= self.revision {
+        for news in &changes.events {
+            if news.version <= self.revision {
                 continue;
             }
-            match (&news.set, &news.drop, &news.v) {
+            match (&news.put_key, &news.deleted_key, &news.value) {
                 (Some(key), _, Some(value)) => {
-                    self.put(key, value, news.stamp, &mut replica_changes)
+                    self.put(key, value, news.version, &mut replica_changes)
                 }
-                (_, Some(key), _) => self.delete(key, news.stamp, &mut replica_changes),
+                (_, Some(key), _) => self.delete(key, news.version, &mut replica_changes),
                 _ => {}
             }
         }
-        self.revision = self.revision.max(changes.epoch);
+        self.revision = self.revision.max(changes.revision);
         replica_changes
     }
 
@@ -397,35 +397,35 @@
         &mut self,
         key: &str,
         value: &Value,
-        stamp: Revision,
+        version: Revision,
         replica_changes: &mut ReplicaChanges,
     ) {
         if key == LEADER_KEY {
-            if self.leader.as_ref().is_none_or(|l| l.1 < stamp) {
-                self.leader = wire::from_value(value).map(|r| (r, stamp));
+            if self.leader.as_ref().is_none_or(|l| l.1 < version) {
+                self.leader = wire::from_value(value).map(|r| (r, version));
                 replica_changes.leader = true;
             }
             return;
         }
         if key == TERM_KEY {
             if let Some(r) = wire::from_value::<TermRecord>(value)
-                && self.term_stamp < stamp
+                && self.term_version < version
             {
                 self.term = r.term;
-                self.term_stamp = stamp;
+                self.term_version = version;
                 replica_changes.leader = true;
             }
             return;
         }
         if key == MACHINE_TYPES_KEY {
-            if self.catalog.as_ref().is_none_or(|f| f.1 < stamp) {
-                self.catalog = wire::from_value(value).map(|f| (f, stamp));
+            if self.catalog.as_ref().is_none_or(|f| f.1 < version) {
+                self.catalog = wire::from_value(value).map(|f| (f, version));
             }
             return;
         }
         if key == LOAD_KEY {
-            if self.load.as_ref().is_none_or(|l| l.1 < stamp) {
-                self.load = wire::from_value(value).map(|l| (l, stamp));
+            if self.load.as_ref().is_none_or(|l| l.1 < version) {
+                self.load = wire::from_value(value).map(|l| (l, version));
             }
             return;
         }
@@ -434,26 +434,26 @@
         };
         match kind {
             "j" => self.put_job(rest, value, replica_changes),
-            "d" => self.put_progress(rest, value, stamp, replica_changes),
+            "d" => self.put_progress(rest, value, version, replica_changes),
             "m" => {
                 if let (Ok(group), Some(r)) = (rest.parse(), wire::from_value(value)) {
-                    self.put_group(group, r, stamp);
+                    self.put_group(group, r, version);
                 }
             }
             "n" => {
                 if let (Ok(n), Some(r)) = (rest.parse(), wire::from_value::<MemberRecord>(value))
-                    && self.members.get(&NodeId(n)).is_none_or(|m| m.1 < stamp)
+                    && self.members.get(&NodeId(n)).is_none_or(|m| m.1 < version)
                 {
                     self.spoke.insert(NodeId(n), r.speaks);
-                    self.members.insert(NodeId(n), (r, stamp));
+                    self.members.insert(NodeId(n), (r, version));
                     *self.member_moves.entry(NodeId(n)).or_default() += 1;
                 }
             }
             "e" => {
                 if let (Ok(n), Some(r)) = (rest.parse(), wire::from_value(value))
-                    && self.epochs.get(&n).is_none_or(|e| e.1 < stamp)
+                    && self.epochs.get(&n).is_none_or(|e| e.1 < version)
                 {
-                    self.epochs.insert(n, (r, stamp));
+                    self.epochs.insert(n, (r, version));
                 }
             }
             "flavors" => {
@@ -465,7 +465,7 @@
                 if let Some((from, chunk)) = self.parse_chunk_key(rest)
                     && let Some(text) = value.as_text()
                 {
-                    self.relay.insert((from, chunk), (text.to_string(), stamp));
+                    self.relay.insert((from, chunk), (text.to_string(), version));
                     replica_changes.relay = true;
                 }
             }
@@ -474,8 +474,8 @@
     }
 
     /// Takes a group of machines in place of what it held before.
-    fn put_group(&mut self, group: u32, record: MachineGroup, stamp: Revision) {
-        if self.groups.get(&group).is_some_and(|g| g.1 >= stamp) {
+    fn put_group(&mut self, group: u32, record: MachineGroup, version: Revision) {
+        if self.groups.get(&group).is_some_and(|g| g.1 >= version) {
             return;
         }
         let mut ids: Vec<MachineId> = record.machines.iter().map(|(id, _)| id.clone()).collect();
@@ -485,7 +485,7 @@
                 homes.push(group);
             }
         }
-        if let Some((old, _)) = self.groups.insert(group, (record, stamp)) {
+        if let Some((old, _)) = self.groups.insert(group, (record, version)) {
             for (id, _) in old.machines {
                 if !ids.contains(&id)
                     && let Some(homes) = self.homes.get_mut(&id)
@@ -560,13 +560,19 @@
             self.remember_withdrawn(id, Withdrawn::of(&accepted.spec, done));
             return;
         }
-        let (progress, progress_stamp) = self.orphaned.remove(&id).unwrap_or_default();
+        let (progress, progress_version) = self.orphaned.remove(&id).unwrap_or_default();
         self.jobs
-            .insert(id, Job { spec: accepted.spec, at: accepted.at, progress, progress_stamp });
+            .insert(id, Job { spec: accepted.spec, at: accepted.at, progress, progress_version });
         replica_changes.jobs = true;
     }
 
-    fn put_progress(&mut self, rest: &str, value: &Value, stamp: Revision, b: &mut ReplicaChanges) {
+    fn put_progress(
+        &mut self,
+        rest: &str,
+        value: &Value,
+        version: Revision,
+        b: &mut ReplicaChanges,
+    ) {
         let Some(id) = JobId::parse(rest) else { return };
         let Some(progress) = wire::from_value::<Progress>(value) else {
             return;
@@ -590,18 +596,18 @@
                 b.withdrawn.push(id);
             }
         } else if let Some(job) = self.jobs.get_mut(&id) {
-            if job.progress_stamp < stamp {
+            if job.progress_version < version {
                 job.progress = progress;
-                job.progress_stamp = stamp;
+                job.progress_version = version;
             }
         } else if !self.ended.contains_key(&id) {
-            self.orphaned.insert(id, (progress, stamp));
+            self.orphaned.insert(id, (progress, version));
         }
     }
 
-    fn delete(&mut self, key: &str, stamp: Revision, replica_changes: &mut ReplicaChanges) {
+    fn delete(&mut self, key: &str, version: Revision, replica_changes: &mut ReplicaChanges) {
         if key == LEADER_KEY {
-            if self.leader.as_ref().is_some_and(|l| l.1 < stamp) {
+            if self.leader.as_ref().is_some_and(|l| l.1 < version) {
                 self.leader = None;
                 replica_changes.leader = true;
             }
@@ -613,12 +619,12 @@
         match kind {
             "m" => {
                 if let Ok(group) = rest.parse() {
-                    self.put_group(group, MachineGroup::default(), stamp);
+                    self.put_group(group, MachineGroup::default(), version);
                 }
             }
             "n" => {
                 if let Ok(n) = rest.parse().map(NodeId)
-                    && self.members.get(&n).is_some_and(|m| m.1 < stamp)
+                    && self.members.get(&n).is_some_and(|m| m.1 < version)
                 {
                     self.members.remove(&n);
                     *self.member_moves.entry(n).or_default() += 1;
@@ -626,7 +632,7 @@
             }
             "e" => {
                 if let Ok(n) = rest.parse::<u32>()
-                    && self.epochs.get(&n).is_some_and(|e| e.1 < stamp)
+                    && self.epochs.get(&n).is_some_and(|e| e.1 < version)
                 {
                     self.epochs.remove(&n);
                 }
@@ -694,23 +700,23 @@
     }
 
     /// The condition that a node still leads as it did.
-    pub fn leader_condition(&self) -> Option<Guard> {
-        let (_, stamp) = self.leader.as_ref()?;
-        Some(Guard { path: LEADER_KEY.into(), stamp: *stamp })
+    pub fn leader_condition(&self) -> Option<Condition> {
+        let (_, version) = self.leader.as_ref()?;
+        Some(Condition { key: LEADER_KEY.into(), version: *version })
     }
 
     /// The condition that a key which the leader writes is as it is known here: so a transaction
     /// that is carried out late, or once more, never puts an older value back.
-    pub fn unchanged(&self, path: &str) -> Guard {
-        let number = |kind: &str| path.strip_prefix(kind).and_then(|n| n.parse::<u32>().ok());
-        let stamp = match path {
+    pub fn unchanged(&self, key: &str) -> Condition {
+        let number = |kind: &str| key.strip_prefix(kind).and_then(|n| n.parse::<u32>().ok());
+        let version = match key {
             LOAD_KEY => self.load.as_ref().map(|l| l.1),
             MACHINE_TYPES_KEY => self.catalog.as_ref().map(|f| f.1),
             _ => number("m/")
                 .and_then(|n| self.groups.get(&n).map(|g| g.1))
                 .or_else(|| number("e/").and_then(|n| self.epochs.get(&n).map(|e| e.1))),
         };
-        Guard { path: path.into(), stamp: stamp.unwrap_or_default() }
+        Condition { key: key.into(), version: version.unwrap_or_default() }
     }
 
     /// Tasks that any earlier epoch granted and that are not done: they may be running.
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,7 +1,7 @@
 //! Tables of cases for `replica`.
 
 use super::*;
-use crate::wire::News;
+use crate::wire::WatchEvent;
 use crate::wire::tests::spec;
 
 /// Machines of type `small` in zone `a` that are up.
@@ -18,14 +18,19 @@
     MachineGroup { machines: machines.collect() }
 }
 
-fn set<T: Serialize>(key: String, value: &T, stamp: u64) -> News {
-    News { set: Some(key), drop: None, v: Some(wire::to_value(value)), stamp: Revision(stamp) }
+fn set<T: Serialize>(key: String, value: &T, version: u64) -> WatchEvent {
+    WatchEvent {
+        put_key: Some(key),
+        deleted_key: None,
+        value: Some(wire::to_value(value)),
+        version: Revision(version),
+    }
 }
-fn dropped(key: String, stamp: u64) -> News {
-    News { set: None, drop: Some(key), v: None, stamp: Revision(stamp) }
+fn dropped(key: String, version: u64) -> WatchEvent {
+    WatchEvent { put_key: None, deleted_key: Some(key), value: None, version: Revision(version) }
 }
-fn changes(epoch: u64, news: Vec<News>) -> Changes {
-    Changes { epoch: Revision(epoch), news }
+fn changes(revision: u64, events: Vec<WatchEvent>) -> WatchResponse {
+    WatchResponse { revision: Revision(revision), events }
 }
 
 #[test]
@@ -50,13 +55,13 @@
     let mut l = Replica::new(NodeId(0));
     let mut b = ReplicaChanges::default();
     let done = Progress { done: Ranges::span(0, 1), ..Progress::default() };
-    let item = |path: String, v, stamp| Item { path, v, stamp: Revision(stamp) };
+    let item = |key: String, v, version| KeyValue { key, value: v, version: Revision(version) };
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
     let accepted = Accepted { spec: spec(7, 2), at: Wall(1) };
     l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
     let job = &l.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
-    assert_eq!(job.progress_stamp, Revision(5));
+    assert_eq!(job.progress_version, Revision(5));
     let end = Replica::with_done(job, [1, 1, 99], 2_048).unwrap();
     assert_eq!(end.end, Some(JobState::Done));
     assert!(Replica::with_done(job, [0], 2_048).is_none());
@@ -98,7 +103,7 @@
             spec: JobSpec { kind, ..spec(7, 3) },
             at: Wall(1),
             progress: Progress::default(),
-            progress_stamp: Revision(0),
+            progress_version: Revision(0),
         };
         let end = Replica::with_done(&job, 0..3, 2_048).unwrap();
         let mut replica_changes = ReplicaChanges::default();
@@ -115,7 +120,7 @@
         spec: spec(7, 4_000),
         at: Wall(1),
         progress: Progress::default(),
-        progress_stamp: Revision(0),
+        progress_version: Revision(0),
     };
     let apart = (0..4_000).filter(|i| i % 2 == 0);
     let some = Replica::with_done(&job, apart.clone(), 2_048).unwrap();
@@ -160,7 +165,11 @@
     let moves = l.member_moves[&NodeId(1)];
     let mut read = Replica::new(NodeId(0));
     let mut b = ReplicaChanges::default();
-    let other = Item { path: progress_key(JobId(8)), v: wire::to_value(&done), stamp: Revision(9) };
+    let other = KeyValue {
+        key: progress_key(JobId(8)),
+        value: wire::to_value(&done),
+        version: Revision(9),
+    };
     read.load(&other, &mut b);
     l.replace(read);
     // It came and went while nobody followed; whom the store refuses is told of cancellations.
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -71,7 +71,7 @@
         }
         if let Some(txn) = &epoch.txn {
             match self.store.commit(txn).await {
-                Ok(Committed::Yes(stamp)) => self.apply_own(txn, stamp),
+                Ok(Committed::Yes(version)) => self.apply_own(txn, version),
                 Ok(Committed::No(failed)) => {
                     debug!(?failed, "epoch not written");
                     let _ = self.pull(Duration::ZERO).await;
@@ -102,8 +102,8 @@
     }
 
     /// Takes over what a transaction of this node just made durable.
-    pub(super) fn apply_own(&self, txn: &Txn, stamp: Revision) {
-        let replica_changes = self.controller.borrow_mut().apply_own(txn, stamp);
+    pub(super) fn apply_own(&self, txn: &Txn, version: Revision) {
+        let replica_changes = self.controller.borrow_mut().apply_own(txn, version);
         self.note(&replica_changes);
     }
 }
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -32,8 +32,8 @@
             // Jobs that somebody else wrote meanwhile come next time, the others go now.
             for _ in 0..3 {
                 match self.store.commit(&txn).await {
-                    Ok(Committed::Yes(stamp)) => {
-                        self.apply_own(&txn, stamp);
+                    Ok(Committed::Yes(version)) => {
+                        self.apply_own(&txn, version);
                         break;
                     }
                     Ok(Committed::No(failed)) => txn.leave_out(&failed),
@@ -44,7 +44,7 @@
                         break;
                     }
                 }
-                if txn.apply.is_empty() {
+                if txn.changes.is_empty() {
                     break;
                 }
             }
@@ -91,8 +91,8 @@
                 accept_txn(specs, self.wall(), &controller.catalog, bytes)
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
-                Ok(Committed::Yes(stamp)) => {
-                    self.apply_own(&txn, stamp);
+                Ok(Committed::Yes(version)) => {
+                    self.apply_own(&txn, version);
                     for (spec, tx) in batch {
                         debug!(job = %spec.id, class = %spec.class, tasks = spec.task_count, "accepted");
                         let _ = tx.send(Accepting::New);
@@ -128,9 +128,9 @@
             return Ok(false);
         };
         match self.store.commit_hedged(&txn, Duration::from_millis(150)).await? {
-            Committed::Yes(stamp) => {
-                self.apply_own(&txn, stamp);
-                self.tell_ended(id, progress, stamp);
+            Committed::Yes(version) => {
+                self.apply_own(&txn, version);
+                self.tell_ended(id, progress, version);
                 Ok(true)
             }
             Committed::No(_) => Ok(false),
@@ -139,8 +139,8 @@
 
     /// Tells the other controllers of a cancellation, as the store may refuse one of them alone: it
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
-    fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, stamp: Revision) {
-        let ask = Rc::new(Ask::Ended(id, progress, stamp));
+    fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, version: Revision) {
+        let ask = Rc::new(Ask::Ended(id, progress, version));
         for node in self.others().filter(|n| self.controller.borrow().replica.hears_ends(*n)) {
             let (s, ask) = (self.clone(), ask.clone());
             spawn_local(async move { s.ask(node, &ask, 500).await });
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -200,9 +200,9 @@
             Ask::Submit(spec) => self.handed(self.submit(spec, false).await),
             Ask::Query(job) => self.handed(self.query(job, false).await),
             Ask::Abort(job) => self.handed(self.abort(job, false).await),
-            Ask::Ended(job, progress, stamp) => {
+            Ask::Ended(job, progress, version) => {
                 let replica_changes =
-                    self.controller.borrow_mut().hear_ended(job, &progress, stamp);
+                    self.controller.borrow_mut().hear_ended(job, &progress, version);
                 self.note(&replica_changes);
                 Tell::Reach(self.controller.borrow().store_ok)
             }
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -85,7 +85,7 @@
             return false;
         };
         // The types are kept in the store for controllers that start while the cloud is down.
-        let guard = {
+        let condition = {
             let mut controller = self.controller.borrow_mut();
             controller.set_machine_types(&got);
             controller
@@ -93,7 +93,7 @@
                 .leader_condition()
                 .filter(|_| leading && controller.replica.catalog.is_none())
         };
-        if let Some(guard) = guard {
+        if let Some(condition) = condition {
             let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
             let limits = &self.settings.params.state;
             let mut pieces = replica::machine_type_changes(&got, limits.value_bytes());
@@ -101,7 +101,7 @@
                 warn!(pieces = pieces.len(), "not all machine types fit into a transaction");
                 pieces.truncate(limits.txn_ops);
             }
-            let txn = Txn { guards: vec![guard, unchanged], apply: pieces };
+            let txn = Txn { conditions: vec![condition, unchanged], changes: pieces };
             let _ = self.store.commit(&txn).await;
         }
         true
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -8,43 +8,43 @@
 use crate::peer::{self, Relayed, Summary, Tell};
 use crate::replica;
 use crate::store_client::Committed;
-use crate::wire::{self, Change, Guard, Txn};
+use crate::wire::{self, Change, Condition, Txn};
 
 impl Service {
     pub(super) async fn relay_summary(&self, leader: NodeId, summary: &Summary) {
-        let guard = {
+        let condition = {
             let controller = self.controller.borrow();
             controller
                 .replica
                 .members
                 .get(&self.me)
-                .map(|m| Guard { path: replica::member_key(self.me), stamp: m.1 })
+                .map(|m| Condition { key: replica::member_key(self.me), version: m.1 })
         };
-        let Some(guard) = guard else { return };
-        self.relay(leader, guard, &peer::encode(&Relayed::Summary(Box::new(summary.clone()))))
+        let Some(condition) = condition else { return };
+        self.relay(leader, condition, &peer::encode(&Relayed::Summary(Box::new(summary.clone()))))
             .await;
     }
 
-    async fn relay(&self, to: NodeId, guard: Guard, message: &[u8]) {
+    async fn relay(&self, to: NodeId, condition: Condition, message: &[u8]) {
         let limits = &self.settings.params.state;
         let chunks = message_chunks::split(message, relay_value(limits));
         if chunks.len() > RELAY_TXNS * limits.txn_ops {
             warn!(chunks = chunks.len(), "message too large for the store");
             return;
         }
-        let mut changes = chunks.into_iter().enumerate().map(|(i, text)| Change::Set {
-            path: replica::relay_key(to, self.me, i as u32),
+        let mut puts = chunks.into_iter().enumerate().map(|(i, text)| Change::Put {
+            key: replica::relay_key(to, self.me, i as u32),
             value: wire::Value::Text(text),
             lease: None,
         });
         // What does not fit into one transaction follows in others. The receiver takes the message
         // once it has all its parts; while some are of another one, it waits.
         loop {
-            let apply: Vec<Change> = changes.by_ref().take(limits.txn_ops).collect();
-            if apply.is_empty() {
+            let changes: Vec<Change> = puts.by_ref().take(limits.txn_ops).collect();
+            if changes.is_empty() {
                 return;
             }
-            let txn = Txn { guards: vec![guard.clone()], apply };
+            let txn = Txn { conditions: vec![condition.clone()], changes };
             match self.store.commit(&txn).await {
                 Ok(Committed::Yes(_)) => {}
                 Ok(Committed::No(_)) => return,
@@ -96,9 +96,9 @@
         };
         for (node, whole) in to {
             let message = self.controller.borrow().plan_for(node, now);
-            if let Some((plan, guard)) = message {
+            if let Some((plan, condition)) = message {
                 let tell = if whole { Tell::SendWhole } else { Tell::Plan(Box::new(plan)) };
-                self.relay(node, guard, &peer::encode(&Relayed::Tell(tell))).await;
+                self.relay(node, condition, &peer::encode(&Relayed::Tell(tell))).await;
             }
         }
     }
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -55,8 +55,8 @@
             loop {
                 let (page, next) = self.store.page(prefix, after.as_deref(), size).await?;
                 size = next;
-                first.get_or_insert(page.epoch);
-                after = page.items.last().map(|i| i.path.clone());
+                first.get_or_insert(page.revision);
+                after = page.items.last().map(|i| i.key.clone());
                 items += page.items.len();
                 page.items
                     .iter()
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -13,7 +13,7 @@
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
-use crate::wire::{self, Item, Priority};
+use crate::wire::{self, KeyValue, Priority};
 
 const LIFE: Incarnation = Incarnation(5);
 const TERM: Term = Term(3);
@@ -27,7 +27,7 @@
     });
     let leader = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
-    let item = |path: &str, v| Item { path: path.into(), v, stamp: Revision(9) };
+    let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let accepted = Accepted { spec: spec(1, 2), at: Wall(1) };
     controller.load(
         &[
@@ -436,11 +436,12 @@
     for (what, urgent, image, starts) in cases {
         let mut controller = node(0);
         let mut put = |spec: wire::JobSpec| {
-            let path = replica::job_key(spec.id);
+            let key = replica::job_key(spec.id);
             let v = wire::to_value(&Accepted { spec, at: Wall(1) });
-            controller
-                .replica
-                .load(&Item { path, v, stamp: Revision(10) }, &mut ReplicaChanges::default());
+            controller.replica.load(
+                &KeyValue { key, value: v, version: Revision(10) },
+                &mut ReplicaChanges::default(),
+            );
         };
         put(wire::JobSpec { vcpus: 8.0, image: image.into(), ..spec(2, 1) });
         if let Some(edit) = urgent {
@@ -507,8 +508,8 @@
         (replica::LEADER_KEY, wire::to_value(&leader)),
         (replica::TERM_KEY, wire::to_value(&replica::TermRecord { term: NEXT_TERM })),
     ];
-    for (path, v) in records {
-        let item = Item { path: path.into(), v, stamp: Revision(20) };
+    for (key, v) in records {
+        let item = KeyValue { key: key.into(), value: v, version: Revision(20) };
         controller.replica.load(&item, &mut replica_changes);
     }
     controller.follow(Moment { steady: Steady(1_000), wall: Wall(1_000) }, &replica_changes);
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -11,7 +11,9 @@
 use crate::config::StateLimits;
 use crate::http::{Answer, CallError, Client};
 use crate::model::{Revision, StoreLease};
-use crate::wire::{self, Changes, Item, Items, LeaseName, LeaseTime, Txn, TxnAnswer};
+use crate::wire::{
+    self, KeyValue, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse, WatchResponse,
+};
 
 /// Why the state service gave no answer that can be used.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
@@ -200,7 +202,7 @@
     }
 
     /// Reads one key; `None` if it does not exist.
-    pub async fn get(&self, key: &str) -> Result<Option<Item>, StateError> {
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
         let answer = self.call("GET", &format!("/keys/{key}"), &[]).await?;
         if answer.status == 404 {
             return Ok(None);
@@ -214,9 +216,9 @@
         prefix: &str,
         after: Option<&str>,
         size: PageSize,
-    ) -> Result<(Items, PageSize), StateError> {
+    ) -> Result<(KeyValuePage, PageSize), StateError> {
         let answer = self.call("GET", &page_path(prefix, after, size), &[]).await?;
-        let page: Items = Self::body(&answer)?;
+        let page: KeyValuePage = Self::body(&answer)?;
         let next = size.after(page.items.len(), answer.body.len());
         Ok((page, next))
     }
@@ -224,16 +226,16 @@
     /// Carries out a transaction. Every caller guards it, so that a late or second
     /// execution changes nothing.
     pub async fn commit(&self, txn: &Txn) -> Result<Committed, StateError> {
-        self.pace(txn.apply.len()).await;
+        self.pace(txn.changes.len()).await;
         self.send(txn).await
     }
 
     async fn send(&self, txn: &Txn) -> Result<Committed, StateError> {
         let body = wire::encode(txn);
         let answer = Self::checked(self.http.call("POST", "/multi", &body, self.limit).await)?;
-        let told: TxnAnswer = Self::body(&answer)?;
+        let told: TxnResponse = Self::body(&answer)?;
         Ok(if answer.status == 200 {
-            Committed::Yes(told.epoch)
+            Committed::Yes(told.revision)
         } else {
             Committed::No(told.failed)
         })
@@ -246,13 +248,13 @@
     pub async fn commit_hedged(&self, txn: &Txn, after: Duration) -> Result<Committed, StateError> {
         // What users wait for goes before bulk: it takes from the budgets without queueing behind
         // them, and what comes after makes up for it.
-        self.charge(txn.apply.len());
+        self.charge(txn.changes.len());
         let first = self.send(txn);
         tokio::pin!(first);
         if let Ok(done) = tokio::time::timeout(after, &mut first).await {
             return done;
         }
-        self.charge(txn.apply.len());
+        self.charge(txn.changes.len());
         let second = self.send(txn);
         tokio::pin!(second);
         tokio::select! {
@@ -262,7 +264,11 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn changes(&self, after: Revision, wait: Duration) -> Result<Changes, StateError> {
+    pub async fn changes(
+        &self,
+        after: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse, StateError> {
         self.pace(0).await;
         let path = format!("/changes?Starts=&After={after}&WaitMs={}", wait.as_millis());
         let limit = wait + self.limit;
@@ -272,9 +278,9 @@
 
     /// Takes a new lease.
     pub async fn grant(&self, ttl_ms: u64) -> Result<StoreLease, StateError> {
-        let body = wire::encode(&LeaseTime { ttl_ms });
+        let body = wire::encode(&LeaseRequest { ttl_ms });
         let answer = self.call("POST", "/leases", &body).await?;
-        Ok(Self::body::<LeaseName>(&answer)?.tenancy)
+        Ok(Self::body::<LeaseGrant>(&answer)?.lease)
     }
 
     /// Renews a lease.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -574,36 +574,42 @@
 /// An item of the state service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
-    pub path: String,
+    #[serde(rename = "Path")]
+    pub key: String,
     /// Value.
-    pub v: Value,
+    #[serde(rename = "V")]
+    pub value: Value,
     /// Revision of its last change.
-    pub stamp: Revision,
+    #[serde(rename = "Stamp")]
+    pub version: Revision,
 }
 
 /// A page of items.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Items {
+pub struct KeyValuePage {
     /// The items.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether there are more.
     #[serde(default)]
     pub truncated: bool,
     /// The store's revision.
-    pub epoch: Revision,
+    #[serde(rename = "Epoch")]
+    pub revision: Revision,
 }
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Guard {
+pub struct Condition {
     /// Key.
-    pub path: String,
+    #[serde(rename = "Path")]
+    pub key: String,
     /// The version it must have; 0: it must not exist.
-    pub stamp: Revision,
+    #[serde(rename = "Stamp")]
+    pub version: Revision,
 }
 
 /// A change in a transaction.
@@ -611,10 +617,11 @@
 #[serde(untagged)]
 pub enum Change {
     /// Puts a value.
-    Set {
+    #[serde(rename = "Set")]
+    Put {
         /// Key.
         #[serde(rename = "Set")]
-        path: String,
+        key: String,
         /// Value.
         #[serde(rename = "V")]
         value: Value,
@@ -623,18 +630,19 @@
         lease: Option<StoreLease>,
     },
     /// Deletes a key.
-    Drop {
+    #[serde(rename = "Drop")]
+    Delete {
         /// Key.
         #[serde(rename = "Drop")]
-        path: String,
+        key: String,
     },
 }
 
 impl Change {
     /// The key that it changes.
-    pub fn path(&self) -> &str {
+    pub fn key(&self) -> &str {
         match self {
-            Change::Set { path, .. } | Change::Drop { path } => path,
+            Change::Put { key, .. } | Change::Delete { key } => key,
         }
     }
 }
@@ -644,25 +652,27 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Txn {
     /// Conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "Guards")]
+    pub conditions: Vec<Condition>,
     /// Changes.
-    pub apply: Vec<Change>,
+    #[serde(rename = "Apply")]
+    pub changes: Vec<Change>,
 }
 
 impl Txn {
     /// Leaves out the changes of these keys, with their conditions.
     pub fn leave_out(&mut self, keys: &[String]) {
-        self.guards.retain(|g| !keys.contains(&g.path));
-        self.apply.retain(|c| !keys.iter().any(|k| k == c.path()));
+        self.conditions.retain(|g| !keys.contains(&g.key));
+        self.changes.retain(|c| !keys.iter().any(|k| k == c.key()));
     }
 }
 
 /// The answer to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TxnResponse {
     /// The store's revision.
     #[serde(rename = "Epoch", default)]
-    pub epoch: Revision,
+    pub revision: Revision,
     /// Keys whose condition failed.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -671,35 +681,41 @@
 /// One change in a watch's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct News {
+pub struct WatchEvent {
     /// The key that was put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub set: Option<String>,
+    #[serde(rename = "Set")]
+    pub put_key: Option<String>,
     /// The key that was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub drop: Option<String>,
+    #[serde(rename = "Drop")]
+    pub deleted_key: Option<String>,
     /// The value put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub v: Option<Value>,
+    #[serde(rename = "V")]
+    pub value: Option<Value>,
     /// Revision of the change.
-    pub stamp: Revision,
+    #[serde(rename = "Stamp")]
+    pub version: Revision,
 }
 
 /// A watch's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Changes {
+pub struct WatchResponse {
     /// The store's revision.
-    pub epoch: Revision,
+    #[serde(rename = "Epoch")]
+    pub revision: Revision,
     /// The changes.
     #[serde(default)]
-    pub news: Vec<News>,
+    #[serde(rename = "News")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// A lease's time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct LeaseTime {
+pub struct LeaseRequest {
     /// Milliseconds.
     pub ttl_ms: u64,
 }
@@ -707,9 +723,10 @@
 /// A lease's name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct LeaseName {
+pub struct LeaseGrant {
     /// The lease.
-    pub tenancy: StoreLease,
+    #[serde(rename = "Tenancy")]
+    pub lease: StoreLease,
 }
 
 /// Whether a body is one well-formed CBOR map, whatever is in it.
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -122,6 +122,6 @@
     };
     let want = cbor!({"Verb" => "kill", "Piece" => "wk-000377/1", "Try" => 1, "LeewayS" => 10.0});
     assert_eq!(to_value(&order), want.unwrap());
-    let set = Change::Set { path: "a".into(), value: 1.into(), lease: None };
+    let set = Change::Put { key: "a".into(), value: 1.into(), lease: None };
     assert_eq!(to_value(&set), cbor!({"Set" => "a", "V" => 1}).unwrap());
 }
--- a/tests/loopback/store_server.rs
+++ b/tests/loopback/store_server.rs
@@ -12,7 +12,7 @@
 use willowshore::http::{self, Request, Response, ServerLimits};
 use willowshore::model::{Revision, StoreLease};
 use willowshore::store_client::Committed;
-use willowshore::wire::{self, Items, LeaseName, LeaseTime, Txn, TxnAnswer, Value};
+use willowshore::wire::{self, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse, Value};
 
 use crate::store::Store;
 
@@ -69,11 +69,10 @@
         let prefix = query.get("Starts").copied().unwrap_or("");
         let after = query.get("After").copied().unwrap_or("");
         let limit = query.get("Limit").and_then(|l| l.parse().ok()).unwrap_or(1_000);
-        let (items, epoch) = self.store.borrow().all();
-        let mut found =
-            items.into_iter().filter(|i| i.path.starts_with(prefix) && *i.path > *after);
+        let (items, revision) = self.store.borrow().all();
+        let mut found = items.into_iter().filter(|i| i.key.starts_with(prefix) && *i.key > *after);
         let items = found.by_ref().take(limit).collect();
-        let page = Items { items, truncated: found.next().is_some(), epoch };
+        let page = KeyValuePage { items, truncated: found.next().is_some(), revision };
         Response::new(200, wire::encode(&page))
     }
 
@@ -85,7 +84,7 @@
             let now = self.began.elapsed().as_millis() as u64;
             self.store.borrow_mut().tick(now);
             let changes = self.store.borrow().changes(after);
-            if !changes.news.is_empty() || Instant::now() >= until {
+            if !changes.events.is_empty() || Instant::now() >= until {
                 return Response::new(200, wire::encode(&changes));
             }
             sleep(LOOK).await;
@@ -95,20 +94,20 @@
     fn commit(&self, body: &[u8]) -> Response {
         let Ok(txn) = wire::decode::<Txn>(body) else { return refusal(400, "malformed") };
         match self.store.borrow_mut().commit(&txn) {
-            Some(Committed::Yes(epoch)) => {
-                Response::new(200, wire::encode(&TxnAnswer { epoch, failed: Vec::new() }))
+            Some(Committed::Yes(revision)) => {
+                Response::new(200, wire::encode(&TxnResponse { revision, failed: Vec::new() }))
             }
             Some(Committed::No(failed)) => {
-                Response::new(409, wire::encode(&TxnAnswer { epoch: Revision(0), failed }))
+                Response::new(409, wire::encode(&TxnResponse { revision: Revision(0), failed }))
             }
             None => refusal(400, "no such lease"),
         }
     }
 
     fn grant(&self, now: u64, body: &[u8]) -> Response {
-        let Ok(time) = wire::decode::<LeaseTime>(body) else { return refusal(400, "malformed") };
-        let tenancy = self.store.borrow_mut().grant(now, time.ttl_ms);
-        Response::new(200, wire::encode(&LeaseName { tenancy }))
+        let Ok(time) = wire::decode::<LeaseRequest>(body) else { return refusal(400, "malformed") };
+        let lease = self.store.borrow_mut().grant(now, time.ttl_ms);
+        Response::new(200, wire::encode(&LeaseGrant { lease }))
     }
 
     fn renew(&self, now: u64, path: &str) -> Response {
@@ -122,7 +121,7 @@
 
     fn get(&self, key: &str) -> Response {
         let (items, epoch) = self.store.borrow().all();
-        match items.into_iter().find(|i| i.path == key) {
+        match items.into_iter().find(|i| i.key == key) {
             Some(item) => Response::new(200, wire::encode(&item)),
             None => Response::new(404, wire::encode(&HashMap::from([("Epoch", epoch)]))),
         }
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -5,12 +5,12 @@
 use willowshore::model::{Revision, StoreLease};
 use willowshore::replica::TermRecord;
 use willowshore::store_client::Committed;
-use willowshore::wire::{Change, Changes, Item, News, Txn, Value};
+use willowshore::wire::{Change, KeyValue, Txn, Value, WatchEvent, WatchResponse};
 
 #[derive(Default)]
 pub struct Store {
     items: BTreeMap<String, (Value, u64, Option<u64>)>,
-    log: Vec<News>,
+    log: Vec<WatchEvent>,
     leases: BTreeMap<u64, (u64, u64)>, // ttl, end
     revision: u64,
     next_lease: u64,
@@ -60,8 +60,13 @@
 
     fn drop_key(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
-            let stamp = Revision(self.revision);
-            self.log.push(News { set: None, drop: Some(key.into()), v: None, stamp });
+            let version = Revision(self.revision);
+            self.log.push(WatchEvent {
+                put_key: None,
+                deleted_key: Some(key.into()),
+                value: None,
+                version,
+            });
         }
     }
 
@@ -84,48 +89,48 @@
     /// `None` for a lease that has ended.
     pub fn commit(&mut self, txn: &Txn) -> Option<Committed> {
         let ended = |c: &Change| match c {
-            Change::Set { lease: Some(l), .. } => !self.leases.contains_key(&l.0),
+            Change::Put { lease: Some(l), .. } => !self.leases.contains_key(&l.0),
             _ => false,
         };
-        if txn.apply.iter().any(ended) {
+        if txn.changes.iter().any(ended) {
             return None;
         }
         if let Some((bytes, ops)) = self.limits {
             let size = |c: &Change| match c {
-                Change::Set { value, .. } => serde_json::to_vec(value).map_or(0, |json| json.len()),
-                Change::Drop { .. } => 0,
+                Change::Put { value, .. } => serde_json::to_vec(value).map_or(0, |json| json.len()),
+                Change::Delete { .. } => 0,
             };
-            let large = txn.apply.iter().find(|c| size(c) > bytes);
-            if large.is_some() || txn.apply.len() > ops || txn.guards.len() > 4 * ops {
-                let what = large.map_or("a transaction", |c| c.path());
+            let large = txn.changes.iter().find(|c| size(c) > bytes);
+            if large.is_some() || txn.changes.len() > ops || txn.conditions.len() > 4 * ops {
+                let what = large.map_or("a transaction", |c| c.key());
                 self.too_large.push(what.to_string());
                 return None;
             }
         }
-        let stamp = |key: &str| self.items.get(key).map_or(0, |i| i.1);
+        let version = |key: &str| self.items.get(key).map_or(0, |i| i.1);
         let failed: Vec<String> = txn
-            .guards
+            .conditions
             .iter()
-            .filter(|g| stamp(&g.path) != g.stamp.0)
-            .map(|g| g.path.clone())
+            .filter(|g| version(&g.key) != g.version.0)
+            .map(|g| g.key.clone())
             .collect();
         if !failed.is_empty() {
             return Some(Committed::No(failed));
         }
         self.revision += 1;
-        for change in &txn.apply {
+        for change in &txn.changes {
             match change {
-                Change::Set { path, value, lease } => {
+                Change::Put { key, value, lease } => {
                     let item = (value.clone(), self.revision, lease.map(|l| l.0));
-                    self.items.insert(path.clone(), item);
-                    self.log.push(News {
-                        set: Some(path.clone()),
-                        drop: None,
-                        v: Some(value.clone()),
-                        stamp: Revision(self.revision),
+                    self.items.insert(key.clone(), item);
+                    self.log.push(WatchEvent {
+                        put_key: Some(key.clone()),
+                        deleted_key: None,
+                        value: Some(value.clone()),
+                        version: Revision(self.revision),
                     });
                 }
-                Change::Drop { path } => self.drop_key(path),
+                Change::Delete { key } => self.drop_key(key),
             }
         }
         Some(Committed::Yes(Revision(self.revision)))
@@ -147,16 +152,16 @@
         self.items.contains_key(key)
     }
 
-    pub fn changes(&self, after: Revision) -> Changes {
-        let first = self.log.partition_point(|n| n.stamp <= after);
-        Changes { epoch: Revision(self.revision), news: self.log[first..].to_vec() }
+    pub fn changes(&self, after: Revision) -> WatchResponse {
+        let first = self.log.partition_point(|n| n.version <= after);
+        WatchResponse { revision: Revision(self.revision), events: self.log[first..].to_vec() }
     }
 
-    pub fn all(&self) -> (Vec<Item>, Revision) {
-        let items = self.items.iter().map(|(path, (v, stamp, _))| Item {
-            path: path.clone(),
-            v: v.clone(),
-            stamp: Revision(*stamp),
+    pub fn all(&self) -> (Vec<KeyValue>, Revision) {
+        let items = self.items.iter().map(|(key, (v, version, _))| KeyValue {
+            key: key.clone(),
+            value: v.clone(),
+            version: Revision(*version),
         });
         (items.collect(), Revision(self.revision))
     }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -219,7 +219,7 @@
 
 /// A member of the version before gangs does not say what it understands.
 fn forget_what_is_new(change: &mut willowshore::wire::Change) {
-    if let willowshore::wire::Change::Set { value: willowshore::wire::Value::Map(fields), .. } =
+    if let willowshore::wire::Change::Put { value: willowshore::wire::Value::Map(fields), .. } =
         change
     {
         fields.retain(|(name, _)| name.as_text() == Some("life"));
@@ -664,12 +664,12 @@
                 );
             }
             Message::Ended(to, ask) => {
-                let (Ok(node), Ask::Ended(job, progress, stamp)) = (&mut self.nodes[to], ask)
+                let (Ok(node), Ask::Ended(job, progress, version)) = (&mut self.nodes[to], ask)
                 else {
                     return;
                 };
                 let moment = node.moment(now);
-                let replica_changes = node.controller.hear_ended(job, &progress, stamp);
+                let replica_changes = node.controller.hear_ended(job, &progress, version);
                 node.controller.follow(moment, &replica_changes);
             }
             Message::Probed(n, outcome) => {
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -127,7 +127,7 @@
 
     /// Commits for a node: `None` if it learns nothing of the outcome.
     pub(super) fn commit(&mut self, n: usize, txn: &Txn) -> Option<Committed> {
-        self.writes += txn.apply.len();
+        self.writes += txn.changes.len();
         if !self.reaches_store(n) {
             return None;
         }
@@ -178,7 +178,7 @@
         let lease = self.store.grant(now, LEASE_MS);
         let mut txn = node.controller.member_txn(lease);
         if self.old[n] {
-            txn.apply.iter_mut().for_each(forget_what_is_new);
+            txn.changes.iter_mut().for_each(forget_what_is_new);
         }
         let done = self.commit(n, &txn);
         if let (Some(Committed::Yes(_)), Ok(node)) = (done, &mut self.nodes[n]) {
@@ -312,7 +312,7 @@
         }
         let durable = match &epoch.txn {
             Some(txn) => match self.commit(n, &txn.clone()) {
-                Some(Committed::Yes(stamp)) => Some((txn.clone(), stamp)),
+                Some(Committed::Yes(version)) => Some((txn.clone(), version)),
                 _ => return self.pull(n),
             },
             None => None,
@@ -321,8 +321,8 @@
             return self.crash(n, BACK_MS);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        if let Some((txn, stamp)) = durable {
-            let replica_changes = node.controller.apply_own(&txn, stamp);
+        if let Some((txn, version)) = durable {
+            let replica_changes = node.controller.apply_own(&txn, version);
             node.controller.follow(moment, &replica_changes);
         }
         let began = Instant::now();
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -159,10 +159,10 @@
             let txn =
                 accept_txn([&self.jobs[&id]].into_iter(), wall, &node.controller.catalog, bytes);
             match self.commit(n, &txn)? {
-                Committed::Yes(stamp) => {
+                Committed::Yes(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
-                    let replica_changes = controller.apply_own(&txn, stamp);
+                    let replica_changes = controller.apply_own(&txn, version);
                     controller.follow(moment, &replica_changes);
                     let answer = controller.final_answer(job);
                     return Some(answer.map_or(Told::Open, |a| told(a.state)));
@@ -188,16 +188,16 @@
                 }
             };
             match self.commit(n, &txn)? {
-                Committed::Yes(stamp) => {
+                Committed::Yes(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
-                    let replica_changes = controller.apply_own(&txn, stamp);
+                    let replica_changes = controller.apply_own(&txn, version);
                     controller.follow(moment, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
                         if self.old[to] || !self.tells_ends {
                             continue;
                         }
-                        let ask = Ask::Ended(job, progress.clone(), stamp);
+                        let ask = Ask::Ended(job, progress.clone(), version);
                         self.send(
                             super::Place::Node(n),
                             super::Place::Node(to),
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -18,7 +18,7 @@
     Accepted, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord, Progress,
     Replica, ReplicaChanges, SPEAKS, TermRecord,
 };
-use willowshore::wire::{self, Item, JobKind, JobSpec, JobState, Priority, TaskState};
+use willowshore::wire::{self, JobKind, JobSpec, JobState, KeyValue, Priority, TaskState};
 use willowshore_standby::decision_log::{DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
 use willowshore_standby::settings::StandbySettings;
@@ -289,7 +289,8 @@
     for (speaks, told) in [(0, false), (1, false), (2, true), (3, true)] {
         let mut replica = Replica::new(NodeId(0));
         let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
-        let item = Item { path: "n/1".into(), v: wire::to_value(&member), stamp: Revision(3) };
+        let item =
+            KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
         assert_eq!(replica.hears_ends(NodeId(1)), told, "{speaks}");
     }
@@ -306,7 +307,8 @@
     for (speaks, asked) in [(0, false), (3, false), (4, true)] {
         let mut replica = Replica::new(NodeId(0));
         let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
-        let item = Item { path: "n/1".into(), v: wire::to_value(&member), stamp: Revision(3) };
+        let item =
+            KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
         assert_eq!(replica.knows_standby(NodeId(1)), asked, "{speaks}");
     }
