--- a/src/api.rs
+++ b/src/api.rs
@@ -9,9 +9,9 @@
 
 use crate::http::{Request, Response};
 use crate::model::{JobId, NodeId};
-use crate::peer::{Ask, Tell};
+use crate::peer::{PeerRequest, PeerResponse};
 use crate::placement;
-use crate::service::{Accepting, Service};
+use crate::service::{Service, SubmissionOutcome};
 use crate::wire::{self, JobAnswer, JobKind, JobSpec, JobState};
 
 /// Most user requests served at a time; more are told to come back.
@@ -103,7 +103,9 @@
     /// Another controller that reaches the store.
     async fn reaching_peer(&self) -> Option<NodeId> {
         for node in self.others() {
-            if let Some(Tell::Reach(true)) = self.ask(node, &Ask::Reach, 300).await {
+            if let Some(PeerResponse::Reach(true)) =
+                self.call_peer(node, &PeerRequest::Reach, 300).await
+            {
                 return Some(node);
             }
         }
@@ -117,11 +119,11 @@
 
     /// Hands a request over to controllers that may reach the store; the first useful answer
     /// counts. If there is none, the user is told at once to come back.
-    async fn hand_over(&self, ask: Ask) -> Response {
+    async fn hand_over(&self, request: PeerRequest) -> Response {
         let deadline = Instant::now() + Duration::from_millis(900);
         for node in self.others() {
-            let told = timeout_at(deadline, self.ask(node, &ask, 450)).await;
-            if let Ok(Some(Tell::Answer(status, body))) = told
+            let told = timeout_at(deadline, self.call_peer(node, &request, 450)).await;
+            if let Ok(Some(PeerResponse::Answer(status, body))) = told
                 && status != 503
             {
                 debug!(node = node.0, status, "handed over");
@@ -157,7 +159,7 @@
             return answer;
         }
         if !self.store_ok() {
-            return self.or_hand_over(may_hand_over, Ask::Submit(spec)).await;
+            return self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await;
         }
         let known = self.controller.borrow().replica.jobs.contains_key(&id);
         if !known {
@@ -174,7 +176,7 @@
                 Fitness::Fits => {}
             }
             match self.accept(spec.clone()).await {
-                Accepting::New => {
+                SubmissionOutcome::New => {
                     // While the store's answer was on its way, others may have read the job, told of it
                     // and cancelled it.
                     if let Some(answer) = self.final_answer(id) {
@@ -189,20 +191,20 @@
                     };
                     return Response::new(201, wire::encode(&answer));
                 }
-                Accepting::Known => {}
-                Accepting::Failed => {
-                    return self.or_hand_over(may_hand_over, Ask::Submit(spec)).await;
+                SubmissionOutcome::Known => {}
+                SubmissionOutcome::Failed => {
+                    return self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await;
                 }
             }
         }
         match self.lookup(id).await {
             Some(answer) if answer.status == 200 => answer,
-            _ => self.or_hand_over(may_hand_over, Ask::Submit(spec)).await,
+            _ => self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await,
         }
     }
 
-    async fn or_hand_over(&self, may: bool, ask: Ask) -> Response {
-        if may { self.hand_over(ask).await } else { Response::later(1) }
+    async fn or_hand_over(&self, may: bool, request: PeerRequest) -> Response {
+        if may { self.hand_over(request).await } else { Response::later(1) }
     }
 
     fn fitness(&self, spec: &JobSpec) -> Fitness {
@@ -283,7 +285,7 @@
         {
             return answer;
         }
-        self.or_hand_over(may_hand_over, Ask::Query(id)).await
+        self.or_hand_over(may_hand_over, PeerRequest::Query(id)).await
     }
 
     /// Cancels a job.
@@ -318,7 +320,7 @@
         }
         match self.final_answer(id) {
             Some(answer) => answer,
-            None => self.or_hand_over(may_hand_over, Ask::Abort(id)).await,
+            None => self.or_hand_over(may_hand_over, PeerRequest::Abort(id)).await,
         }
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -405,7 +405,7 @@
     pub unused_ms: u64,
     /// A machine that reports to a controller other than its owner counts as being there for that
     /// long after a report.
-    pub stray_ms: u64,
+    pub out_of_reach_ms: u64,
     /// A machine that was well and has not reported for that long has stopped, if its owner
     /// hears others.
     pub quick_ms: u64,
@@ -425,7 +425,7 @@
             gap_ms,
             silent_ms: (gap_ms + 2_000).max(4_000),
             unused_ms: (gap_ms + 2_500).max(4_500),
-            stray_ms: (gap_ms + 1_000).max(3_000),
+            out_of_reach_ms: (gap_ms + 1_000).max(3_000),
             quick_ms: (report_ms * 4).clamp(5_000, lease_ms.max(5_000)),
             answers_ms: (lease_ms * 3).max(120_000),
         }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -22,9 +22,9 @@
             gang_wait_s: 30.0,
             gang_peer_s: 5.0,
         });
-        let got = (p.silent_ms, p.unused_ms, p.stray_ms, p.quick_ms);
+        let got = (p.silent_ms, p.unused_ms, p.out_of_reach_ms, p.quick_ms);
         assert_eq!(got, (silent, unused, stray, quick), "{report_s} {lease_s}");
-        assert!(p.gap_ms + 1_000 <= p.stray_ms && p.gap_ms < p.silent_ms);
+        assert!(p.gap_ms + 1_000 <= p.out_of_reach_ms && p.gap_ms < p.silent_ms);
         assert!(p.answers_ms as f64 >= 2_000.0 * lease_s);
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -12,7 +12,7 @@
 use crate::model::{
     Incarnation, JobId, Moment, NodeId, Revision, Steady, StoreLease, TaskId, Term, Wall,
 };
-use crate::peer::{Plan, Summary, Tell, Waits};
+use crate::peer::{PeerResponse, Plan, Summary, WaitReason};
 use crate::placement::MachineCatalog;
 use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
 use crate::shard::{Announcement, HeartbeatOutcome, Shard, Surroundings};
@@ -50,7 +50,7 @@
     /// This one's place among them.
     pub me: NodeId,
     /// This process's life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The replica of the store.
     pub replica: Replica,
     /// What this node may do.
@@ -77,12 +77,12 @@
 
 impl Controller {
     /// A controller that knows nothing yet.
-    pub fn new(settings: Rc<Settings>, life: Incarnation) -> Self {
+    pub fn new(settings: Rc<Settings>, incarnation: Incarnation) -> Self {
         let (nodes, me) = settings.all_nodes();
         Controller {
             replica: Replica::new(me),
             rights: Rights::new(settings.keep_alive_ms()),
-            shard: Shard::new(me, life),
+            shard: Shard::new(me, incarnation),
             leader: None,
             catalog: MachineCatalog::new(),
             loaded: false,
@@ -94,7 +94,7 @@
             settings,
             nodes,
             me,
-            life,
+            incarnation,
         }
     }
 
@@ -241,10 +241,9 @@
         if self.leader_from_peer.is_some() {
             return; // What the replica tells is of an earlier term.
         }
-        let mine =
-            self.replica.leader.as_ref().map(|(r, _)| r).filter(|r| {
-                r.node == self.me && r.life == self.life && r.term == self.replica.term
-            });
+        let mine = self.replica.leader.as_ref().map(|(r, _)| r).filter(|r| {
+            r.node == self.me && r.incarnation == self.incarnation && r.term == self.replica.term
+        });
         match (mine, &self.leader) {
             (Some(r), Some(leader)) if leader.term == r.term => {}
             (Some(r), _) => {
@@ -320,7 +319,7 @@
         let key = replica::member_key(self.me);
         let version = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
         let value = wire::to_value(&MemberRecord {
-            life: self.life,
+            incarnation: self.incarnation,
             version: env!("CARGO_PKG_VERSION").into(),
             speaks: replica::SPEAKS,
         });
@@ -338,7 +337,7 @@
         }
         match &self.replica.leader {
             None => Some(false),
-            Some((r, _)) if r.node == self.me && r.life != self.life => Some(true),
+            Some((r, _)) if r.node == self.me && r.incarnation != self.incarnation => Some(true),
             Some(_) => None,
         }
     }
@@ -348,7 +347,7 @@
     pub fn election_txn(&self) -> Option<Txn> {
         let lease = self.rights.lease?;
         let term = Term(self.replica.term.0 + 1);
-        let leader = LeaderRecord { node: self.me, life: self.life, term };
+        let leader = LeaderRecord { node: self.me, incarnation: self.incarnation, term };
         let version = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
         let condition = |key: &str, version| Condition { key: key.into(), version };
         let set = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
@@ -435,29 +434,29 @@
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
     /// should look at it soon.
-    pub fn take_summary(&mut self, now: Steady, summary: Summary) -> (Tell, bool) {
+    pub fn take_summary(&mut self, now: Steady, summary: Summary) -> (PeerResponse, bool) {
         let term = self.replica.term;
         let Some(leader) = &mut self.leader else {
-            return (Tell::NotLeading(term), false);
+            return (PeerResponse::NotLeading(term), false);
         };
         if summary.node != self.me {
             self.shard.take_finished(now, &self.replica, &summary.finished);
         }
         let (follow, term) = (summary.follow, leader.term);
-        let (mut tell, changed) = leader.on_summary(now, summary);
-        if let (Tell::Plan(plan), Some(request), Some(standby)) =
-            (&mut tell, &follow, &mut self.standby)
+        let (mut response, changed) = leader.on_summary(now, summary);
+        if let (PeerResponse::Plan(plan), Some(request), Some(standby)) =
+            (&mut response, &follow, &mut self.standby)
         {
             plan.decisions = standby.batch_for(term, request);
         }
-        (tell, changed)
+        (response, changed)
     }
 
     /// Follows the leader's answer to a summary; says whether it brought a new plan.
-    pub fn take_answer(&mut self, tell: Tell) -> bool {
-        match tell {
-            Tell::Plan(plan) => self.shard.follow(*plan),
-            Tell::SendWhole => {
+    pub fn take_answer(&mut self, response: PeerResponse) -> bool {
+        match response {
+            PeerResponse::Plan(plan) => self.shard.follow(*plan),
+            PeerResponse::SendWhole => {
                 self.shard.send_whole();
                 false
             }
@@ -560,15 +559,15 @@
     /// What a user is told of a job that has not ended, as the replica has it.
     pub fn open_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
         let job = self.replica.jobs.get(&id)?;
-        let standing = self.shard.standing(id);
+        let job_status = self.shard.job_status(id);
         // A job is done when the store says so; the count may be ahead of what is on record.
         let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.task_count);
-        let running = standing.map_or(0, |s| s.running).min(job.spec.task_count - done);
+        let running = job_status.map_or(0, |s| s.running).min(job.spec.task_count - done);
         let state = match running {
             0 => wire::JobState::Pending,
             _ => wire::JobState::Running,
         };
-        let reason = standing.and_then(|s| why_it_waits(s.waits, job.spec.kind, running));
+        let reason = job_status.and_then(|s| why_it_waits(s.wait_reason, job.spec.kind, running));
         Some(wire::JobAnswer { job: id, state, done, running, reason: reason.map(str::to_string) })
     }
 
@@ -589,24 +588,32 @@
     }
 }
 
-fn why_it_waits(waits: Waits, kind: wire::JobKind, running: u32) -> Option<&'static str> {
+fn why_it_waits(
+    wait_reason: WaitReason,
+    kind: wire::JobKind,
+    running: u32,
+) -> Option<&'static str> {
     let gang = kind == wire::JobKind::Gang && running == 0;
-    match waits {
-        Waits::No if gang => Some("waits: its tasks begin once all of them can"),
-        Waits::No => None,
-        Waits::ForMachines if gang => Some(
+    match wait_reason {
+        WaitReason::No if gang => Some("waits: its tasks begin once all of them can"),
+        WaitReason::No => None,
+        WaitReason::ForMachines if gang => Some(
             "waits: machines that hold all its tasks at once are not free, or are being rented",
         ),
-        Waits::BelowWaterline => Some("waits: more urgent jobs need the machines"),
-        Waits::TeamLimit => Some("waits: its team's limit is used up"),
-        Waits::ForMachines => Some("waits: machines are full, more are being rented"),
-        Waits::Failing => Some("its tasks fail on every machine; it is tried again after pauses"),
-        Waits::Unproven => Some("waits: a machine was lost and its tasks may still be running"),
+        WaitReason::BelowWaterline => Some("waits: more urgent jobs need the machines"),
+        WaitReason::TeamLimit => Some("waits: its team's limit is used up"),
+        WaitReason::ForMachines => Some("waits: machines are full, more are being rented"),
+        WaitReason::Failing => {
+            Some("its tasks fail on every machine; it is tried again after pauses")
+        }
+        WaitReason::Unproven => {
+            Some("waits: a machine was lost and its tasks may still be running")
+        }
     }
 }
 
 /// The transaction that accepts jobs which are not known yet.
-pub fn accept_txn<'a>(
+pub fn submission_txn<'a>(
     specs: impl Iterator<Item = &'a wire::JobSpec>,
     at: Wall,
     catalog: &MachineCatalog,
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -9,9 +9,9 @@
 
 use super::Controller;
 use crate::model::{Moment, NodeId, Steady, Term};
-use crate::peer::Tell;
+use crate::peer::PeerResponse;
 use crate::replica::LeaderRecord;
-use crate::standby::{Followed, Standby};
+use crate::standby::{FollowedLeader, Standby};
 use crate::store_client::Committed;
 use crate::wire::Txn;
 
@@ -27,19 +27,21 @@
 
     /// Whether the process of that record is this one.
     pub(super) fn is_me(&self, record: &LeaderRecord) -> bool {
-        record.node == self.me && record.life == self.life
+        record.node == self.me && record.incarnation == self.incarnation
     }
 
     /// The leader answered a request that was sent then.
-    pub fn heard_leader(&mut self, sent: Steady, tell: &Tell) {
+    pub fn heard_leader(&mut self, sent: Steady, response: &PeerResponse) {
         let Some(standby) = &mut self.standby else { return };
-        match tell {
-            Tell::Plan(plan) => standby.heard_plan(sent, plan.term, plan.decisions.as_ref()),
+        match response {
+            PeerResponse::Plan(plan) => {
+                standby.heard_plan(sent, plan.term, plan.decisions.as_ref())
+            }
             // A leader that has no plan yet, or misses a summary, says so and is alive.
-            Tell::NotLeading(term) => {
+            PeerResponse::NotLeading(term) => {
                 standby.heard_leader(sent, *term);
             }
-            Tell::SendWhole => {
+            PeerResponse::SendWhole => {
                 standby.heard_leader(sent, self.replica.term);
             }
             _ => {}
@@ -92,8 +94,8 @@
 
     /// A plan of the leader came through the store. It was alive when it wrote that; what it had decided is not told
     /// this way.
-    pub fn heard_leader_through_store(&mut self, now: Steady, tell: &Tell) {
-        if let (Some(standby), Tell::Plan(plan)) = (&mut self.standby, tell) {
+    pub fn heard_leader_through_store(&mut self, now: Steady, response: &PeerResponse) {
+        if let (Some(standby), PeerResponse::Plan(plan)) = (&mut self.standby, response) {
             standby.heard_leader(now, plan.term);
         }
     }
@@ -134,7 +136,7 @@
     pub(super) fn follow_other_leader(&mut self, now: Steady) {
         let known = self.replica.leader.as_ref().map(|(record, _)| record);
         let leader = known.filter(|r| r.term == self.replica.term && !self.is_me(r));
-        let leader = leader.map(|r| Followed { node: r.node, term: r.term });
+        let leader = leader.map(|r| FollowedLeader { node: r.node, term: r.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
             standby.follow(now, leader);
         }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -18,8 +18,11 @@
         (2, 5, 6, 1),
         (2, 8, 8, 2),
     ];
-    let record =
-        |node, term| LeaderRecord { node: NodeId(node), life: Incarnation(5), term: Term(term) };
+    let record = |node, term| LeaderRecord {
+        node: NodeId(node),
+        incarnation: Incarnation(5),
+        term: Term(term),
+    };
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let items = |node, term| {
         [
@@ -53,7 +56,7 @@
     // so that epochs and the ends of jobs waited for a second and more.
     const JOBS: u64 = 80;
     const SECONDS: u64 = 30;
-    let record = LeaderRecord { node: NodeId(0), life: Incarnation(5), term: Term(5) };
+    let record = LeaderRecord { node: NodeId(0), incarnation: Incarnation(5), term: Term(5) };
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let mut items = vec![
         item(replica::LEADER_KEY, wire::to_value(&record)),
@@ -106,7 +109,7 @@
     for (told, recorded, shown) in cases {
         let mut controller =
             Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
-        let record = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: Term(5) };
+        let record = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(5) };
         let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
         let accepted = replica::Accepted { spec: spec(1, 20), at: Wall(1) };
         let done = Ranges::span(0, recorded);
@@ -127,11 +130,11 @@
         let completed = told.map(|count| (1, count)).into_iter().collect();
         assert!(controller.shard.follow(Plan {
             term: Term(5),
-            life: Incarnation(5),
+            incarnation: Incarnation(5),
             seq: crate::model::PlanSeq(1),
             clock_ms: 1,
             heard: 0,
-            owners: crate::peer::OwnerNews::default(),
+            owners: crate::peer::OwnershipChanges::default(),
             body: Some(crate::peer::PlanBody { completed, ..Default::default() }),
             decisions: None,
         }));
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -40,7 +40,7 @@
 /// What a controller told last.
 pub struct NodeState {
     /// The life of its process.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Its last summary's number.
     pub number: u64,
     /// The plan that it follows.
@@ -59,7 +59,7 @@
     first: Steady,
     /// Jobs that fail wherever it tries them.
     pub failing: Vec<u64>,
-    strays: Vec<crate::peer::Stray>,
+    foreign_machines: Vec<crate::peer::ForeignMachine>,
     restarted: Vec<MachineId>,
     /// When the cloud takes machines of its part.
     notices: BTreeMap<MachineId, Steady>,
@@ -141,7 +141,7 @@
     /// It adds to one that is not known.
     Gap,
     /// It comes from a new life of a controller that was counted with.
-    NewLife,
+    NewIncarnation,
 }
 
 /// The machines in one term.
@@ -217,14 +217,14 @@
     pub fn on_summary(&mut self, now: Steady, s: Summary) -> Taken {
         match self.nodes.get(&s.node) {
             // Its predecessor may have started tasks that nobody knows of.
-            Some(known) if known.life != s.life => return Taken::NewLife,
+            Some(known) if known.incarnation != s.incarnation => return Taken::NewIncarnation,
             Some(known) if s.number <= known.number => return Taken::Late,
             Some(known) if s.base > known.number => return Taken::Gap,
             None if s.base > 0 => return Taken::Gap,
             _ => {}
         }
         let state = self.nodes.entry(s.node).or_insert_with(|| NodeState {
-            life: s.life,
+            incarnation: s.incarnation,
             number: 0,
             followed: PlanSeq(0),
             echo_ms: 0,
@@ -234,13 +234,14 @@
             at: now,
             first: now,
             failing: Vec::new(),
-            strays: Vec::new(),
+            foreign_machines: Vec::new(),
             restarted: Vec::new(),
             notices: BTreeMap::new(),
             machines: BTreeMap::new(),
             pending: None,
         });
-        let mut changed = state.strays.len() != s.strays.len() || !s.machines.is_empty();
+        let mut changed =
+            state.foreign_machines.len() != s.foreign_machines.len() || !s.machines.is_empty();
         changed |= state.followed != s.followed;
         state.number = s.number;
         state.up_ms = s.up_ms;
@@ -248,7 +249,7 @@
         state.heard_ms = s.heard_ms;
         state.at = now;
         state.failing = s.failing;
-        state.strays = s.strays;
+        state.foreign_machines = s.foreign_machines;
         state.restarted = s.restarted;
         state.notices = s.notices.into_iter().map(|(id, ms)| (id, now.plus(ms))).collect();
         let answered = s.answered.into_iter().map(|(id, age)| (id, now.less(age)));
@@ -316,7 +317,7 @@
     /// Notes controllers that hear none of their machines while others hear theirs: all their
     /// machines have to move at once. Found one by one, they would move a few in every term.
     pub fn note_unheard(&mut self, now: Steady, pace: &Pace) {
-        let limit = pace.stray_ms + 1_000;
+        let limit = pace.out_of_reach_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -88,9 +88,11 @@
             && now.since(self.began) > pace.gap_ms + FEW_WAIT_MS;
         let restarted: HashSet<&MachineId> =
             self.nodes.values().flat_map(|n| &n.restarted).collect();
-        let all_strays = self.nodes.values().flat_map(|n| &n.strays);
-        let strays: HashSet<&MachineId> =
-            all_strays.filter(|s| s.silent_ms < pace.stray_ms).map(|s| &s.id).collect();
+        let all_foreign_machines = self.nodes.values().flat_map(|n| &n.foreign_machines);
+        let foreign_machines: HashSet<&MachineId> = all_foreign_machines
+            .filter(|s| s.silent_ms < pace.out_of_reach_ms)
+            .map(|s| &s.id)
+            .collect();
         let well: Vec<NodeId> =
             self.nodes.keys().copied().filter(|node| self.hears_well(cluster, *node)).collect();
         let silent_ms =
@@ -107,7 +109,9 @@
             if restarted.contains(id) || (m.missing && silent > pace.gap_ms) {
                 return true;
             }
-            if m.failed || (self.unsettled.contains(id) && (deaf || few && !strays.contains(id))) {
+            if m.failed
+                || (self.unsettled.contains(id) && (deaf || few && !foreign_machines.contains(id)))
+            {
                 return true;
             }
             match views.get(id) {
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -7,12 +7,12 @@
 use crate::cluster_view::ClusterView;
 use crate::config::Pace;
 use crate::model::{MachineId, NodeId, PlanSeq, Steady};
-use crate::peer::OwnerNews;
+use crate::peer::OwnershipChanges;
 
 /// How long a stray must have been unable to reach its owner before it is moved.
-const STRAY_MS: u64 = 2_500;
+const OUT_OF_REACH_MS: u64 = 2_500;
 /// The same when it is one of a few, which may be at fault themselves: moving it costs a term.
-const FEW_STRAYS_MS: u64 = 12_000;
+const FEW_OUT_OF_REACH_MS: u64 = 12_000;
 /// How long a machine that could not reach its owner is given to the controller that heard it.
 const REASSIGNED_MS: u64 = 60_000;
 
@@ -49,15 +49,15 @@
         let mut long = false;
         for node in live {
             let Some(state) = self.nodes.get(node) else { continue };
-            for s in &state.strays {
-                if s.since_ms > STRAY_MS
-                    && s.silent_ms < pace.stray_ms
+            for s in &state.foreign_machines {
+                if s.since_ms > OUT_OF_REACH_MS
+                    && s.silent_ms < pace.out_of_reach_ms
                     && self.owners.get(&s.id).is_some_and(|(owner, _)| owner != node)
                     && !self.owner_hears(now, &s.id, s.silent_ms)
                     && !restarted.contains(&&s.id)
                 {
                     found.push((s.id.clone(), *node));
-                    long |= s.since_ms > FEW_STRAYS_MS;
+                    long |= s.since_ms > FEW_OUT_OF_REACH_MS;
                 }
             }
         }
@@ -81,7 +81,7 @@
     fn owner_hears(&self, now: Steady, id: &MachineId, silent_ms: u64) -> bool {
         let owner = self.owners.get(id).and_then(|(owner, _)| self.nodes.get(owner));
         let known = owner.and_then(|n| n.machines.get(id));
-        known.is_some_and(|k| now.since(k.heard) < silent_ms.max(STRAY_MS))
+        known.is_some_and(|k| now.since(k.heard) < silent_ms.max(OUT_OF_REACH_MS))
     }
 
     fn zone_of<'a>(&'a self, cluster: &'a ClusterView<'_>, id: &MachineId) -> Option<&'a str> {
@@ -121,19 +121,19 @@
         if live.is_empty() || (live.len() < expected && now.since(self.began) < 1_000) {
             return;
         }
-        let heard_ms = cluster.settings.pace().stray_ms + 2_000;
-        let mut strays: HashMap<MachineId, NodeId> = HashMap::new();
+        let heard_ms = cluster.settings.pace().out_of_reach_ms + 2_000;
+        let mut foreign_machines: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, Offer)> = Vec::new();
         for (node, n) in self.nodes.iter().filter(|(id, _)| live.contains(id)) {
-            for s in n.strays.iter().filter(|s| s.silent_ms < heard_ms) {
+            for s in n.foreign_machines.iter().filter(|s| s.silent_ms < heard_ms) {
                 let offer = Offer {
                     machine_type: s.machine_type.clone(),
                     zone: s.zone.clone(),
                     spot: s.spot,
                 };
                 found.push((s.id.clone(), offer));
-                if s.since_ms > STRAY_MS {
-                    strays.insert(s.id.clone(), *node);
+                if s.since_ms > OUT_OF_REACH_MS {
+                    foreign_machines.insert(s.id.clone(), *node);
                 }
             }
         }
@@ -164,7 +164,8 @@
             .cloned()
             .collect();
         for id in open {
-            let owner = strays.get(&id).copied().or_else(|| self.owner_for(cluster, &id, &live));
+            let owner =
+                foreign_machines.get(&id).copied().or_else(|| self.owner_for(cluster, &id, &live));
             if let Some(owner) = owner {
                 self.owners.insert(id, (owner, next));
             }
@@ -172,11 +173,11 @@
     }
 
     /// Owners as a part has to be told that follows that plan.
-    pub fn owner_news(&self, followed: PlanSeq) -> OwnerNews {
+    pub fn ownership_changes(&self, followed: PlanSeq) -> OwnershipChanges {
         let lost =
             self.removed.first().is_some_and(|r| r.1 > followed) && self.removed.len() >= GONE_TOLD;
         let base = if lost { PlanSeq(0) } else { followed };
-        OwnerNews {
+        OwnershipChanges {
             base,
             set: self
                 .owners
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -20,7 +20,7 @@
     Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
     Term,
 };
-use crate::peer::{PlanBody, Summary, Tell, Waits};
+use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::{JobKind, Txn};
 
 /// Least time between two new terms that only balance the parts.
@@ -96,13 +96,13 @@
     /// Tasks on record that were never granted: this leader put them there ahead of time.
     ahead: FxHashSet<TaskId>,
     bodies: BTreeMap<NodeId, PlanBody>,
-    told_standings: Steady,
+    job_statuses_sent: Steady,
     /// Set when a new term is needed, with the reason.
     pub renew_term: Option<&'static str>,
     rebalanced: Steady,
     /// What is remembered of the market.
     pub market: Market,
-    waits: HashMap<JobId, Waits>,
+    wait_reasons: HashMap<JobId, WaitReason>,
     /// Shares of the last epoch.
     shares: BTreeMap<JobId, u32>,
     runs: HashMap<String, (f64, f64)>,
@@ -160,11 +160,11 @@
             doubled: FxHashSet::default(),
             ahead: FxHashSet::default(),
             bodies: BTreeMap::new(),
-            told_standings: Steady(0),
+            job_statuses_sent: Steady(0),
             renew_term: None,
             rebalanced: Steady(0),
             market: Market::default(),
-            waits: HashMap::new(),
+            wait_reasons: HashMap::new(),
             shares: BTreeMap::new(),
             runs: HashMap::new(),
             seen_running: FxHashMap::default(),
@@ -206,25 +206,27 @@
 
     /// Takes a summary and returns the answer, and whether the summary tells anything that an
     /// epoch should look at soon.
-    pub fn on_summary(&mut self, now: Steady, s: Summary) -> (Tell, bool) {
+    pub fn on_summary(&mut self, now: Steady, s: Summary) -> (PeerResponse, bool) {
         if s.term != self.term {
-            return (Tell::NotLeading(self.term), false);
+            return (PeerResponse::NotLeading(self.term), false);
         }
         let (node, followed) = (s.node, if s.more { PlanSeq(0) } else { s.followed });
         match self.fleet.on_summary(now, s) {
-            Taken::NewLife => {
+            Taken::NewIncarnation => {
                 self.renew_term.get_or_insert("a controller restarted");
-                (Tell::NotLeading(self.term), true)
+                (PeerResponse::NotLeading(self.term), true)
             }
-            Taken::Late => (Tell::NotLeading(self.term), false),
-            Taken::Gap => (Tell::SendWhole, false),
+            Taken::Late => (PeerResponse::NotLeading(self.term), false),
+            Taken::Gap => (PeerResponse::SendWhole, false),
             Taken::Yes(changed) => {
                 if !self.revoked.is_empty() {
                     self.free_revoked(node, followed);
                 }
                 let plan = self.plan_for(node, now);
-                let tell = plan.map_or(Tell::NotLeading(self.term), |p| Tell::Plan(Box::new(p)));
-                (tell, changed)
+                let response = plan.map_or(PeerResponse::NotLeading(self.term), |p| {
+                    PeerResponse::Plan(Box::new(p))
+                });
+                (response, changed)
             }
         }
     }
@@ -425,9 +427,9 @@
             teams: cluster.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
         };
         let admission = admission::admit(&demands, &bounds);
-        self.waits.clear();
+        self.wait_reasons.clear();
         for job in &admission.waiting {
-            self.waits.insert(*job, Waits::BelowWaterline);
+            self.wait_reasons.insert(*job, WaitReason::BelowWaterline);
         }
         let mut order: Vec<&Demand> =
             demands.iter().filter(|d| admission.shares.contains_key(&d.job)).collect();
@@ -445,14 +447,14 @@
                 continue;
             };
             if unresolved > 0 {
-                self.waits.insert(d.job, Waits::Unproven);
+                self.wait_reasons.insert(d.job, WaitReason::Unproven);
             }
             if failing.contains(&d.job) {
-                self.waits.insert(d.job, Waits::Failing);
+                self.wait_reasons.insert(d.job, WaitReason::Failing);
             }
             let more = share.saturating_sub(held) as usize;
             if share < d.max {
-                self.waits.entry(d.job).or_insert(Waits::ForMachines);
+                self.wait_reasons.entry(d.job).or_insert(WaitReason::ForMachines);
             }
             if job.spec.kind == JobKind::Gang {
                 self.grant_gang(cluster, fleet, on, job, d.team, more, held, &mut filling);
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -11,7 +11,7 @@
 use super::{ClusterView, Granted, Leader};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
-use crate::peer::Waits;
+use crate::peer::WaitReason;
 use crate::placement::{Need, Room};
 use crate::replica::Job;
 use crate::{placement, wire};
@@ -207,7 +207,7 @@
         }
         let fits = self.within_limit(cluster, team, &need, filling);
         if fits < more {
-            self.waits.insert(id, Waits::TeamLimit);
+            self.wait_reasons.insert(id, WaitReason::TeamLimit);
         }
         let mut zones = ZoneRule::of(&job.spec);
         if zones.binds() {
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -13,7 +13,7 @@
 use super::{ClusterView, Granted, Leader, Revoked};
 use crate::fleet::{Fleet, OnMachines};
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId};
-use crate::peer::{Stop, Waits};
+use crate::peer::{Stop, WaitReason};
 use crate::placement::{self, Need, Room};
 use crate::replica::Job;
 use crate::wire::{JobKind, TaskState};
@@ -231,7 +231,7 @@
         }
         let need = Need::of(&job.spec);
         if self.within_limit(cluster, team, &need, filling) < more {
-            self.waits.insert(id, Waits::TeamLimit);
+            self.wait_reasons.insert(id, WaitReason::TeamLimit);
             return;
         }
         let free: Vec<TaskId> = (0..job.spec.task_count)
@@ -250,7 +250,7 @@
             .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n)))
             .collect();
         let Some(chosen) = choose(cluster, job, &need, &filling.rooms, &speaks, zones, more) else {
-            self.waits.entry(id).or_insert(Waits::ForMachines);
+            self.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
             return;
         };
         let attempt = match self.gangs.get(&id).filter(|_| held > 0) {
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -6,11 +6,11 @@
 
 use super::{ClusterView, Epoch, Granted, Leader};
 use crate::model::{Attempt, JobId, NodeId, PlanSeq, Ranges, Steady};
-use crate::peer::{Grant, Plan, PlanBody, Standing, Waits};
+use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
 /// Longest time for which parts are not told how jobs stand.
-const STANDINGS_MS: u64 = 1_000;
+const JOB_STATUS_PERIOD_MS: u64 = 1_000;
 
 /// What a controller is granted.
 #[derive(Default)]
@@ -31,12 +31,12 @@
             }
             self.granted.insert(task, Granted { at: cluster.now, ..g });
         }
-        let mut bodies = self.bodies_without_standings();
+        let mut bodies = self.bodies_without_job_statuses();
         let same = |id: &NodeId, body: &PlanBody| {
             self.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
         };
         // A plan that tells nothing new would only be sent around.
-        let due = cluster.now.since(self.told_standings) >= STANDINGS_MS;
+        let due = cluster.now.since(self.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
         let news = self.seq == PlanSeq(0)
             || self.fleet.newest() > self.seq
             || self.revoked.values().any(|r| r.seq > self.seq)
@@ -44,14 +44,14 @@
         if !news && !due {
             return;
         }
-        let (standings, completed) = (self.standings(cluster), completed(cluster));
-        let told = |b: &PlanBody| b.standings == standings && b.completed == completed;
+        let (job_statuses, completed) = (self.job_statuses(cluster), completed(cluster));
+        let told = |b: &PlanBody| b.job_statuses == job_statuses && b.completed == completed;
         if !news && self.bodies.values().all(told) {
             return;
         }
-        self.told_standings = cluster.now;
+        self.job_statuses_sent = cluster.now;
         for body in bodies.values_mut() {
-            body.standings = standings.clone();
+            body.job_statuses = job_statuses.clone();
             body.completed = completed.clone();
         }
         self.bodies = bodies;
@@ -59,7 +59,7 @@
     }
 
     /// What each controller may do now, without how jobs stand.
-    fn bodies_without_standings(&self) -> BTreeMap<NodeId, PlanBody> {
+    fn bodies_without_job_statuses(&self) -> BTreeMap<NodeId, PlanBody> {
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
         let slow = self.speeds.iter().filter(|(_, s)| s.is_slow());
@@ -108,7 +108,7 @@
         by_node
     }
 
-    fn standings(&self, cluster: &ClusterView<'_>) -> Vec<Standing> {
+    fn job_statuses(&self, cluster: &ClusterView<'_>) -> Vec<JobStatus> {
         let on = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         // What still fetches its image or waits for its gang does not run.
@@ -120,10 +120,10 @@
             .replica
             .jobs
             .keys()
-            .map(|job| Standing {
+            .map(|job| JobStatus {
                 job: job.0,
                 running: running.get(job).copied().unwrap_or(0),
-                waits: self.waits.get(job).copied().unwrap_or(Waits::No),
+                wait_reason: self.wait_reasons.get(job).copied().unwrap_or(WaitReason::No),
             })
             .collect()
     }
@@ -134,11 +134,11 @@
         let body = self.bodies.get(&node)?;
         Some(Plan {
             term: self.term,
-            life: state.life,
+            incarnation: state.incarnation,
             seq: self.seq,
             clock_ms: now.0,
             heard: state.number,
-            owners: self.fleet.owner_news(state.followed),
+            owners: self.fleet.ownership_changes(state.followed),
             body: (state.followed != self.seq).then(|| body.clone()),
             decisions: None,
         })
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -14,7 +14,7 @@
 use crate::wire::tests::spec;
 use crate::wire::{self, Change, KeyValue, Priority, TaskState};
 
-const LIFE: Incarnation = Incarnation(5);
+const INCARNATION: Incarnation = Incarnation(5);
 
 fn at(ms: u64) -> Moment {
     Moment { steady: Steady(ms), wall: Wall(1_000_000 + ms) }
@@ -23,12 +23,12 @@
 /// A leader of term 3 with a job of one task that term 2 granted, and two machines.
 fn leader() -> Controller {
     let settings = Settings::parse(EXAMPLE).unwrap();
-    let mut controller = Controller::new(Rc::new(settings), LIFE);
+    let mut controller = Controller::new(Rc::new(settings), INCARNATION);
     let small = machine_type("small", 8.0, 64.0);
     controller.set_machine_types(&wire::MachineTypes { machine_types: vec![small] });
     let job = JobId(1);
     let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
-    let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
+    let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let accepted = Accepted { spec: spec(1, 1), at: Wall(1) };
@@ -76,7 +76,7 @@
 fn tell(controller: &mut Controller, ms: u64, followed: u64, machines: Vec<MachineView>) -> bool {
     let summary = Summary {
         node: NodeId(0),
-        life: LIFE,
+        incarnation: INCARNATION,
         number: ms,
         base: 0,
         more: false,
@@ -88,7 +88,7 @@
         heard_ms: 0,
         answered: machines.iter().map(|m| (m.id.clone(), 0)).collect(),
         machines,
-        strays: vec![],
+        foreign_machines: vec![],
         failing: vec![],
         restarted: vec![],
         finished: vec![],
@@ -152,10 +152,10 @@
     assert_eq!(proof, "node 0: 2 by plan 1; leases ended: 0; gone: 0");
 }
 
-fn summary(number: u64, base: u64, life: Incarnation) -> Summary {
+fn summary(number: u64, base: u64, incarnation: Incarnation) -> Summary {
     Summary {
         node: NodeId(1),
-        life,
+        incarnation,
         number,
         base,
         more: false,
@@ -167,7 +167,7 @@
         heard_ms: 0,
         answered: vec![],
         machines: vec![view("n-1", true, &[])],
-        strays: vec![],
+        foreign_machines: vec![],
         failing: vec![],
         restarted: vec![],
         finished: vec![],
@@ -209,7 +209,7 @@
             echo_ms: ms,
             up_ms: ms,
             machines: vec![n1, view("n-2", true, &[])],
-            ..summary(ms, 0, LIFE)
+            ..summary(ms, 0, INCARNATION)
         };
         s.answered = vec![(MachineId::new("n-2"), 0)];
         if alive {
@@ -273,7 +273,7 @@
             more,
             machines,
             followed: PlanSeq(1),
-            ..summary(1, 0, LIFE)
+            ..summary(1, 0, INCARNATION)
         };
         controller.take_summary(Steady(number), piece);
         let (epoch, _) = controller.epoch(at(number)).unwrap();
@@ -308,7 +308,7 @@
                 up_ms: if node == 2 { up_ms } else { 200_000 },
                 answered: age.into_iter().collect(),
                 machines: vec![],
-                ..summary(1, 0, LIFE)
+                ..summary(1, 0, INCARNATION)
             };
             controller.take_summary(now, told);
             let leader = controller.leader.as_ref().unwrap();
@@ -373,11 +373,17 @@
     let other = Incarnation(8);
     let mut controller = leader();
     let mut take = |s| controller.take_summary(Steady(1_000), s).0;
-    assert!(matches!(take(summary(4, 3, LIFE)), Tell::SendWhole), "nothing is known yet");
-    assert!(!matches!(take(summary(5, 0, LIFE)), Tell::SendWhole));
-    assert!(!matches!(take(summary(6, 5, LIFE)), Tell::SendWhole));
-    assert!(matches!(take(summary(9, 8, LIFE)), Tell::SendWhole), "7 and 8 are missing");
-    let late = Summary { machines: vec![], ..summary(5, 0, LIFE) };
+    assert!(
+        matches!(take(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
+        "nothing is known yet"
+    );
+    assert!(!matches!(take(summary(5, 0, INCARNATION)), PeerResponse::SendWhole));
+    assert!(!matches!(take(summary(6, 5, INCARNATION)), PeerResponse::SendWhole));
+    assert!(
+        matches!(take(summary(9, 8, INCARNATION)), PeerResponse::SendWhole),
+        "7 and 8 are missing"
+    );
+    let late = Summary { machines: vec![], ..summary(5, 0, INCARNATION) };
     take(late);
     let told = |controller: &Controller| {
         controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
@@ -411,7 +417,11 @@
         item(replica::epoch_key(2), wire::to_value(&record)),
         item(
             replica::LEADER_KEY.into(),
-            wire::to_value(&LeaderRecord { node: NodeId(0), life: LIFE, term: Term(4) }),
+            wire::to_value(&LeaderRecord {
+                node: NodeId(0),
+                incarnation: INCARNATION,
+                term: Term(4),
+            }),
         ),
         item(replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
     ];
@@ -507,18 +517,18 @@
     if let Some((kb, ops)) = next {
         text += &format!("\n[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
     }
-    let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), LIFE);
+    let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), INCARNATION);
     controller.set_machine_types(&wire::MachineTypes {
         machine_types: vec![machine_type("small", 8.0, 64.0)],
     });
-    let leader = LeaderRecord { node: NodeId(0), life: LIFE, term: Term(3) };
+    let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
     let mut items: Vec<(String, wire::Value)> = vec![
         (replica::LEADER_KEY.into(), wire::to_value(&leader)),
         (replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(3) })),
         (
             replica::member_key(NodeId(0)),
             wire::to_value(&replica::MemberRecord {
-                life: LIFE,
+                incarnation: INCARNATION,
                 version: String::new(),
                 speaks: replica::SPEAKS,
             }),
@@ -597,7 +607,7 @@
                 followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
                 machines: free(24..72),
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
-                ..summary(1, 0, LIFE)
+                ..summary(1, 0, INCARNATION)
             };
             controller.take_summary(Steady(ms), told);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
@@ -659,7 +669,7 @@
     let (earlier, items) = leader_under((8.0, 24), None);
     let recorded = |key: &str| key.starts_with("e/");
     let fresh: Vec<KeyValue> = items.into_values().filter(|i| !recorded(&i.key)).collect();
-    let mut controller = Controller::new(earlier.settings.clone(), LIFE);
+    let mut controller = Controller::new(earlier.settings.clone(), INCARNATION);
     controller.set_machine_types(&wire::MachineTypes {
         machine_types: vec![machine_type("small", 8.0, 64.0)],
     });
@@ -678,7 +688,7 @@
             followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
             machines: free(24..48),
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
-            ..summary(1, 0, LIFE)
+            ..summary(1, 0, INCARNATION)
         };
         controller.take_summary(Steady(ms), told);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
@@ -701,7 +711,7 @@
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
     let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
-    let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
+    let member = replica::MemberRecord { incarnation: INCARNATION, version: String::new(), speaks };
     let mut replica_changes = ReplicaChanges::default();
     let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
     controller
@@ -846,7 +856,7 @@
             machines: vec![shows("n-1", &[(0, runs), (1, runs)]), shows("n-2", &[(2, runs)])],
             answered: vec![(MachineId::new("n-1"), 0), (MachineId::new("n-2"), 0)],
             notices: vec![(MachineId::new("n-2"), ms)],
-            ..summary(1, 0, LIFE)
+            ..summary(1, 0, INCARNATION)
         };
         controller.take_summary(Steady(1_300), told);
         controller.epoch(at(1_300)).unwrap();
@@ -928,7 +938,8 @@
                 &mut ReplicaChanges::default(),
             );
         };
-        let member = replica::MemberRecord { life: LIFE, version: String::new(), speaks };
+        let member =
+            replica::MemberRecord { incarnation: INCARNATION, version: String::new(), speaks };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
         let brief = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
         put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -3,7 +3,7 @@
 //!
 //! Controllers of two versions understand each other by one rule: messages are maps by field
 //! name, so what a reader does not know it ignores, and a field that came later has a default.
-//! What comes in numbers ([`MachineView`], [`Stray`], [`Grant`], [`Standing`], [`TaskView`]) is
+//! What comes in numbers ([`MachineView`], [`ForeignMachine`], [`Grant`], [`JobStatus`], [`TaskView`]) is
 //! written as a list of its first fields and never grows; what is to be told besides gets a field in
 //! the message around it. No enum gets a variant that a version without it has to read. The
 //! version before this rule wrote lists throughout, which are read as well.
@@ -58,9 +58,9 @@
     };
 }
 as_list!(MachineView, 11: id, machine_type, zone, spot, endpoint, settled, agent_epoch, leaving, shun_ms, tasks, images);
-as_list!(Stray, 6: id, machine_type, zone, spot, silent_ms, since_ms);
+as_list!(ForeignMachine, 6: id, machine_type, zone, spot, silent_ms, since_ms);
 as_list!(Grant, 4: job, tasks, zone, attempt);
-as_list!(Standing, 3: job, running, waits);
+as_list!(JobStatus, 3: job, running, wait_reason);
 
 impl From<TaskView> for (u64, u32, u8) {
     fn from(t: TaskView) -> Self {
@@ -109,7 +109,7 @@
 
 /// A machine that reports to a node that does not own it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Stray {
+pub struct ForeignMachine {
     /// The machine.
     pub id: MachineId,
     /// Type.
@@ -132,7 +132,8 @@
     /// Sender.
     pub node: NodeId,
     /// Life of its process.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Counts its summaries; late ones are dropped.
     pub number: u64,
     /// The summary that this one adds to; 0 if it is whole.
@@ -156,7 +157,8 @@
     /// For every machine it answered since the base: milliseconds since the last answer.
     pub answered: Vec<(MachineId, u64)>,
     /// Machines that report to it without being of its part.
-    pub strays: Vec<Stray>,
+    #[serde(rename = "strays")]
+    pub foreign_machines: Vec<ForeignMachine>,
     /// Machines that were restarted and count their reports from the start again.
     #[serde(rename = "reborn")]
     pub restarted: Vec<MachineId>,
@@ -194,7 +196,7 @@
 
 /// Why a job does not run as wide as it could.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Waits {
+pub enum WaitReason {
     /// Nothing holds it back.
     No,
     /// Its rank is below the waterline.
@@ -211,18 +213,19 @@
 
 /// How a job stands, for answers to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct Standing {
+pub struct JobStatus {
     /// The job's number.
     pub job: u64,
     /// Tasks running.
     pub running: u32,
     /// What holds it back.
-    pub waits: Waits,
+    #[serde(rename = "waits")]
+    pub wait_reason: WaitReason,
 }
 
 /// What changed about owners of machines since an earlier plan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct OwnerNews {
+pub struct OwnershipChanges {
     /// The plan that this adds to; 0 if it is whole.
     pub base: PlanSeq,
     /// Owners of machines.
@@ -237,7 +240,8 @@
     /// The term.
     pub term: Term,
     /// The life that it is meant for.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Its number in the term.
     pub seq: PlanSeq,
     /// The leader's clock when it was sent, to be echoed.
@@ -245,7 +249,7 @@
     /// The last summary that the leader took from the receiver.
     pub heard: u64,
     /// Owners of machines.
-    pub owners: OwnerNews,
+    pub owners: OwnershipChanges,
     /// The rest; `None` if it is as in the plan that the receiver follows already.
     pub body: Option<PlanBody>,
     /// Decisions of the leader that the receiver asked for. Never in messages through the store.
@@ -265,7 +269,8 @@
     /// Machines whose lease has run out, and the session that ended with it.
     pub lapsed: Vec<(MachineId, AgentEpoch)>,
     /// How jobs stand.
-    pub standings: Vec<Standing>,
+    #[serde(rename = "standings")]
+    pub job_statuses: Vec<JobStatus>,
     /// Gangs that are to be stopped wherever their tasks are.
     #[serde(default)]
     pub stops: Vec<Stop>,
@@ -308,7 +313,7 @@
 
 /// A request between controllers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// A part's summary to the leader.
     Summary(Summary),
     /// Whether the asked node reaches the store.
@@ -331,7 +336,7 @@
 
 /// An answer between controllers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Tell {
+pub enum PeerResponse {
     /// The leader's plan.
     Plan(Box<Plan>),
     /// The asked node does not lead; this is the term it knows.
@@ -351,11 +356,12 @@
 
 /// A message through the store, for controllers that cannot reach each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Relayed {
+pub enum StoreMessage {
     /// A part's summary to the leader.
     Summary(Box<Summary>),
     /// The leader's answer.
-    Tell(Tell),
+    #[serde(rename = "Tell")]
+    PeerResponse(PeerResponse),
 }
 
 /// Encodes a message.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn peer_messages_of_the_wrong_shape_are_refused() {
-    let good = encode(&Ask::Query(JobId(3)));
-    assert!(matches!(decode::<Ask>(&good), Some(Ask::Query(JobId(3)))));
+    let good = encode(&PeerRequest::Query(JobId(3)));
+    assert!(matches!(decode::<PeerRequest>(&good), Some(PeerRequest::Query(JobId(3)))));
     let cases: [&[u8]; 5] = [b"", b"\xc1", b"GET / HTTP/1.1", b"\x93\x01\x02", &[0xdf; 9]];
     for bytes in cases {
-        assert!(decode::<Ask>(bytes).is_none(), "{bytes:?}");
+        assert!(decode::<PeerRequest>(bytes).is_none(), "{bytes:?}");
     }
 }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -54,7 +54,8 @@
     /// The leader.
     pub node: NodeId,
     /// The life of its process.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Its term.
     pub term: Term,
 }
@@ -63,7 +64,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The life of its process.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Its program's version; empty for those before 0.2.
     #[serde(default)]
     pub version: String,
@@ -75,11 +77,11 @@
 /// What a controller understands that knows gangs: [`crate::peer::Stop`], waiting tasks, and that a
 /// gang is done as a whole.
 pub const SPEAKS_GANGS: u32 = 1;
-/// What a controller understands that is told of cancellations directly, [`crate::peer::Ask::Ended`].
+/// What a controller understands that is told of cancellations directly, [`crate::peer::PeerRequest::Ended`].
 pub const SPEAKS_ENDED: u32 = 2;
 /// What one understands that starts tasks granted ahead, [`crate::peer::PlanBody::ahead`].
 pub const SPEAKS_AHEAD: u32 = 3;
-/// What one understands that is asked when it heard the leader, [`crate::peer::Ask::LeaderSilence`].
+/// What one understands that is asked when it heard the leader, [`crate::peer::PeerRequest::LeaderSilence`].
 pub const SPEAKS_STANDBY: u32 = 4;
 /// What this version understands.
 pub const SPEAKS: u32 = SPEAKS_STANDBY;
@@ -197,7 +199,7 @@
     /// The leader changed.
     pub leader: bool,
     /// A message for this node came.
-    pub relay: bool,
+    pub peer_messages: bool,
 }
 
 /// The replica.
@@ -246,7 +248,7 @@
     /// Those that did not fit into the first value.
     further_machine_types: BTreeMap<u32, wire::MachineTypes>,
     /// Messages for this node, by sender and part.
-    pub relay: BTreeMap<(u8, u32), (String, Revision)>,
+    pub peer_messages: BTreeMap<(u8, u32), (String, Revision)>,
 }
 
 /// The key of an accepted job.
@@ -277,7 +279,7 @@
     format!("e/{n:04}")
 }
 /// The key of a part of a relayed message.
-pub fn relay_key(to: NodeId, from: NodeId, chunk: u32) -> String {
+pub fn peer_message_key(to: NodeId, from: NodeId, chunk: u32) -> String {
     format!("x/{}/{}/{chunk}", to.0, from.0)
 }
 /// The leader's key.
@@ -465,8 +467,8 @@
                 if let Some((from, chunk)) = self.parse_chunk_key(rest)
                     && let Some(text) = value.as_text()
                 {
-                    self.relay.insert((from, chunk), (text.to_string(), version));
-                    replica_changes.relay = true;
+                    self.peer_messages.insert((from, chunk), (text.to_string(), version));
+                    replica_changes.peer_messages = true;
                 }
             }
             _ => {}
@@ -639,7 +641,7 @@
             }
             "x" => {
                 if let Some(at) = self.parse_chunk_key(rest) {
-                    self.relay.remove(&at);
+                    self.peer_messages.remove(&at);
                 }
             }
             _ => {}
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -37,7 +37,8 @@
 fn overlapping_and_late_watches_change_nothing() {
     let id = JobId(7);
     let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: Wall(1) }, 3);
-    let leader = |term| LeaderRecord { node: NodeId(1), life: Incarnation(9), term: Term(term) };
+    let leader =
+        |term| LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(term) };
     let mut l = Replica::new(NodeId(0));
     assert!(l.apply(&changes(4, vec![job.clone()])).jobs);
     l.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
@@ -156,7 +157,8 @@
 
 #[test]
 fn a_replica_that_is_read_anew_keeps_what_cannot_change() {
-    let member = |speaks| MemberRecord { life: Incarnation(9), version: String::new(), speaks };
+    let member =
+        |speaks| MemberRecord { incarnation: Incarnation(9), version: String::new(), speaks };
     let done = Progress { end: Some(JobState::Done), ..Progress::default() };
     let mut l = Replica::new(NodeId(0));
     l.apply(&changes(4, vec![set(member_key(NodeId(1)), &member(SPEAKS_ENDED), 3)]));
@@ -186,7 +188,7 @@
         machine_key(3),
         member_key(NodeId(1)),
         epoch_key(16),
-        relay_key(NodeId(0), NodeId(1), 2),
+        peer_message_key(NodeId(0), NodeId(1), 2),
         LEADER_KEY.into(),
         MACHINE_TYPES_KEY.into(),
         format!("{MACHINE_TYPES_KEY}/0001"),
--- a/src/service.rs
+++ b/src/service.rs
@@ -19,7 +19,7 @@
 use crate::http::{self, Client, Kind, ServerLimits};
 use crate::metrics::LatencyMetrics;
 use crate::model::{Incarnation, Moment, NodeId, Steady, Wall};
-use crate::peer::Tell;
+use crate::peer::PeerResponse;
 use crate::store_client::StateClient;
 use crate::wire::JobSpec;
 
@@ -35,10 +35,10 @@
 mod store_watch;
 
 /// Time between two messages through the store.
-const RELAY: Duration = Duration::from_millis(350);
+const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
 /// Most transactions that a message through the store takes, and how many a summary fills.
-const RELAY_TXNS: usize = 16;
-const RELAY_SUMMARY_TXNS: usize = 2;
+const MAX_TXNS_PER_MESSAGE: usize = 16;
+const TXNS_PER_SUMMARY: usize = 2;
 /// Most bytes of a message between controllers, and about how many of them a summary fills.
 const PEER_BYTES: usize = 1 << 20;
 const DIRECT_BYTES: usize = PEER_BYTES * 3 / 4;
@@ -46,11 +46,11 @@
 type Waiter = oneshot::Sender<bool>;
 
 /// A submission that waits for the next group commit, and where its outcome goes.
-pub(crate) type Submission = (JobSpec, oneshot::Sender<Accepting>);
+pub(crate) type Submission = (JobSpec, oneshot::Sender<SubmissionOutcome>);
 
 /// What became of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Accepting {
+pub(crate) enum SubmissionOutcome {
     /// It is durable, and was not there before.
     New,
     /// The job was known already.
@@ -65,7 +65,7 @@
 }
 
 /// Bytes of a message through the store that go into one value.
-fn relay_value(limits: &StateLimits) -> usize {
+fn message_chunk_bytes(limits: &StateLimits) -> usize {
     (limits.value_kb * 900.0) as usize
 }
 
@@ -105,7 +105,7 @@
     wake_confirm: Notify,
     confirms: RefCell<Vec<Waiter>>,
     accepts: RefCell<Vec<Submission>>,
-    relaying: RefCell<HashMap<NodeId, (Steady, Tell)>>,
+    responses_through_store: RefCell<HashMap<NodeId, (Steady, PeerResponse)>>,
     /// User requests being served.
     pub(crate) serving: Cell<usize>,
     announcing: Cell<usize>,
@@ -122,9 +122,9 @@
     /// A controller with these settings and what is enabled besides.
     pub fn new(settings: Settings, feature_flags: FeatureFlags) -> Self {
         // Kept below 2^53 so that every reader of numbers takes it.
-        let life = Incarnation(rand::rng().random_range(1..(1 << 53)));
+        let incarnation = Incarnation(rand::rng().random_range(1..(1 << 53)));
         let settings = Rc::new(settings);
-        let mut controller = Controller::new(settings.clone(), life);
+        let mut controller = Controller::new(settings.clone(), incarnation);
         if let Some(standby) = feature_flags.standby {
             controller.enable_standby(standby);
         }
@@ -150,7 +150,7 @@
             wake_confirm: Notify::new(),
             confirms: RefCell::default(),
             accepts: RefCell::default(),
-            relaying: RefCell::default(),
+            responses_through_store: RefCell::default(),
             serving: Cell::new(0),
             announcing: Cell::new(0),
             told_unread: Cell::new(None),
@@ -179,9 +179,9 @@
     pub async fn run(self: Rc<Self>) -> std::io::Result<()> {
         let api = TcpListener::bind(self.settings.api_addr).await?;
         let back = TcpListener::bind(self.settings.back).await?;
-        let life = self.controller.borrow().life;
+        let incarnation = self.controller.borrow().incarnation;
         let version = env!("CARGO_PKG_VERSION");
-        info!(node = %self.settings.node_name, %life, version, "serving");
+        info!(node = %self.settings.node_name, %incarnation, version, "serving");
         let sockets = self.settings.params.limits.sockets;
         let s = self.clone();
         spawn_local(http::serve(
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use super::{RELAY, Service};
+use super::{STORE_MESSAGE_PERIOD, Service};
 use crate::metrics::Operation;
 use crate::model::Revision;
 use crate::store_client::{Committed, StateError};
@@ -21,14 +21,14 @@
 
 impl Service {
     pub(super) async fn run_epochs(self: Rc<Self>) {
-        let mut relayed = self.now();
+        let mut sent_through_store = self.now();
         loop {
             let _ = timeout(EPOCH, self.wake_epoch.notified()).await;
             self.run_epoch().await;
             let now = self.now();
-            if now.since(relayed) >= RELAY.as_millis() as u64 {
-                relayed = now;
-                self.relay_plans().await;
+            if now.since(sent_through_store) >= STORE_MESSAGE_PERIOD.as_millis() as u64 {
+                sent_through_store = now;
+                self.send_plans_through_store().await;
             }
             // The leader always has time for its workers and users: an epoch that costs much
             // makes the next one wait.
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -11,7 +11,7 @@
 use super::Service;
 use crate::http::{CallError, Response};
 use crate::model::{NodeId, Term};
-use crate::peer::{self, Ask, Tell};
+use crate::peer::{self, PeerRequest, PeerResponse};
 use crate::store_client::Committed;
 
 /// Time between two looks at the leader.
@@ -53,11 +53,11 @@
         let call = client.clone();
         let service = self.clone();
         spawn_local(async move {
-            let body = peer::encode(&Ask::LeaderSilence(term));
+            let body = peer::encode(&PeerRequest::LeaderSilence(term));
             let answer = call.call("POST", "/peer", &body, PROBE_LIMIT).await;
-            let outcome = match answer.map(|answer| peer::decode::<Tell>(&answer.body)) {
+            let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
                 // The process there is another one than the leader's.
-                Ok(Some(Tell::LeaderSilence(None))) => ProbeOutcome::Refused,
+                Ok(Some(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
                 // Whatever it says: a version that does not know the question is there as well.
                 Ok(_) => ProbeOutcome::Answered,
                 Err(CallError::Connect) => ProbeOutcome::Refused,
@@ -75,8 +75,9 @@
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
             let service = self.clone();
             spawn_local(async move {
-                let tell = service.ask(node, &Ask::LeaderSilence(term), ASK_LIMIT_MS).await;
-                let Some(Tell::LeaderSilence(silence_ms)) = tell else { return };
+                let response =
+                    service.call_peer(node, &PeerRequest::LeaderSilence(term), ASK_LIMIT_MS).await;
+                let Some(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
                 let answer = PeerAnswer { node, silence_ms };
                 let command = service.controller.borrow_mut().peer_answered(service.now(), answer);
                 service.carry_out(command).await;
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -8,10 +8,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::debug;
 
-use super::{Accepting, Service, Submission};
-use crate::controller::accept_txn;
+use super::{Service, Submission, SubmissionOutcome};
+use crate::controller::submission_txn;
 use crate::model::{JobId, Revision};
-use crate::peer::Ask;
+use crate::peer::PeerRequest;
 use crate::replica;
 use crate::store_client::{Committed, StateError};
 use crate::wire::JobSpec;
@@ -52,11 +52,11 @@
     }
 
     /// Queues a submission for the next group commit and waits for what becomes of it.
-    pub(crate) async fn accept(&self, spec: JobSpec) -> Accepting {
+    pub(crate) async fn accept(&self, spec: JobSpec) -> SubmissionOutcome {
         let (tx, rx) = oneshot::channel();
         self.accepts.borrow_mut().push((spec, tx));
         self.wake_accept.notify_one();
-        rx.await.unwrap_or(Accepting::Failed)
+        rx.await.unwrap_or(SubmissionOutcome::Failed)
     }
 
     pub(super) async fn write_accepted(self: Rc<Self>) {
@@ -88,14 +88,14 @@
                 let controller = self.controller.borrow();
                 let bytes = controller.limits.value_bytes();
                 let specs = batch.iter().map(|(spec, _)| spec);
-                accept_txn(specs, self.wall(), &controller.catalog, bytes)
+                submission_txn(specs, self.wall(), &controller.catalog, bytes)
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
                 Ok(Committed::Yes(version)) => {
                     self.apply_own(&txn, version);
                     for (spec, tx) in batch {
                         debug!(job = %spec.id, class = %spec.class, tasks = spec.task_count, "accepted");
-                        let _ = tx.send(Accepting::New);
+                        let _ = tx.send(SubmissionOutcome::New);
                     }
                     return;
                 }
@@ -106,7 +106,7 @@
                     batch = rest;
                     let known: Vec<Submission> = known;
                     for (_, tx) in known {
-                        let _ = tx.send(Accepting::Known);
+                        let _ = tx.send(SubmissionOutcome::Known);
                     }
                 }
                 Err(e) => {
@@ -117,7 +117,7 @@
             }
         }
         for (_, tx) in batch {
-            let _ = tx.send(Accepting::Failed);
+            let _ = tx.send(SubmissionOutcome::Failed);
         }
     }
 
@@ -140,10 +140,10 @@
     /// Tells the other controllers of a cancellation, as the store may refuse one of them alone: it
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
     fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, version: Revision) {
-        let ask = Rc::new(Ask::Ended(id, progress, version));
+        let request = Rc::new(PeerRequest::Ended(id, progress, version));
         for node in self.others().filter(|n| self.controller.borrow().replica.hears_ends(*n)) {
-            let (s, ask) = (self.clone(), ask.clone());
-            spawn_local(async move { s.ask(node, &ask, 500).await });
+            let (s, request) = (self.clone(), request.clone());
+            spawn_local(async move { s.call_peer(node, &request, 500).await });
         }
     }
 }
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -10,7 +10,7 @@
 use super::Service;
 use super::failover::FENCE_AGAIN;
 use crate::lease::LEASE_MS;
-use crate::peer::{Ask, Tell};
+use crate::peer::{PeerRequest, PeerResponse};
 use crate::store_client::{Committed, StateError};
 
 impl Service {
@@ -97,7 +97,9 @@
                 continue;
             }
             for node in self.others() {
-                if let Some(Tell::Leader(Some(leader))) = self.ask(node, &Ask::Leader, 300).await {
+                if let Some(PeerResponse::Leader(Some(leader))) =
+                    self.call_peer(node, &PeerRequest::Leader, 300).await
+                {
                     self.controller.borrow_mut().learn_leader_from_peer(leader);
                     self.wake_shard_report.notify_one();
                     break;
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -8,12 +8,15 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-use super::{DIRECT_BYTES, RELAY, RELAY_SUMMARY_TXNS, Service, announcements, relay_value};
+use super::{
+    DIRECT_BYTES, STORE_MESSAGE_PERIOD, Service, TXNS_PER_SUMMARY, announcements,
+    message_chunk_bytes,
+};
 use crate::http::{Client, Response};
 use crate::message_chunks;
 use crate::metrics::Operation;
 use crate::model::{NodeId, Steady};
-use crate::peer::{self, Ask, Summary, Tell};
+use crate::peer::{self, PeerRequest, PeerResponse, Summary};
 use crate::shard::{Announcement, HeartbeatOutcome};
 use crate::wire::{self, DirectCommand};
 
@@ -52,28 +55,30 @@
                 Some(self.take_summary(self.summary(usize::MAX)))
             } else if failures < DIRECT_FAILURES || now.since(tried) >= DIRECT_AGAIN_MS {
                 tried = now;
-                let told = self.ask(leader, &Ask::Summary(self.summary(DIRECT_BYTES)), 600).await;
-                if let Some(tell) = &told {
-                    self.controller.borrow_mut().heard_leader(now, tell);
+                let told = self
+                    .call_peer(leader, &PeerRequest::Summary(self.summary(DIRECT_BYTES)), 600)
+                    .await;
+                if let Some(response) = &told {
+                    self.controller.borrow_mut().heard_leader(now, response);
                 }
                 failures = if told.is_some() { 0 } else { failures + 1 };
                 told
             } else {
-                if now.since(relayed) >= RELAY.as_millis() as u64 {
+                if now.since(relayed) >= STORE_MESSAGE_PERIOD.as_millis() as u64 {
                     relayed = now;
                     let limits = &self.settings.params.state;
                     let room = message_chunks::capacity(
-                        relay_value(limits),
-                        limits.txn_ops * RELAY_SUMMARY_TXNS,
+                        message_chunk_bytes(limits),
+                        limits.txn_ops * TXNS_PER_SUMMARY,
                     );
                     let summary = self.summary(room);
-                    self.relay_summary(leader, &summary).await;
+                    self.send_summary_through_store(leader, &summary).await;
                 }
                 None
             };
-            if let Some(tell) = told {
+            if let Some(response) = told {
                 let mut controller = self.controller.borrow_mut();
-                self.metrics.time(Operation::Plan, || controller.take_answer(tell));
+                self.metrics.time(Operation::Plan, || controller.take_answer(response));
             }
             sleep(SUMMARY_LEAST).await;
         }
@@ -128,10 +133,10 @@
     }
 
     /// As the leader, takes a summary and answers with the plan.
-    pub(super) fn take_summary(&self, summary: Summary) -> Tell {
+    pub(super) fn take_summary(&self, summary: Summary) -> PeerResponse {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
-        let (tell, changed) =
+        let (response, changed) =
             self.metrics.time(Operation::Taken, || controller.take_summary(now, summary));
         drop(controller);
         if changed {
@@ -140,23 +145,28 @@
         if !self.controller.borrow().shard.finished.is_empty() {
             self.wake_finish.notify_one();
         }
-        tell
+        response
     }
 
     /// Asks another controller.
-    pub(crate) async fn ask(&self, node: NodeId, ask: &Ask, limit_ms: u64) -> Option<Tell> {
+    pub(crate) async fn call_peer(
+        &self,
+        node: NodeId,
+        request: &PeerRequest,
+        limit_ms: u64,
+    ) -> Option<PeerResponse> {
         let client = self.peers.get(usize::from(node.0))?;
-        let body = peer::encode(ask);
+        let body = peer::encode(request);
         let answer = client.call("POST", "/peer", &body, Duration::from_millis(limit_ms)).await;
         let told = answer.ok().filter(|a| a.status == 200);
-        let tell = told.as_ref().and_then(|a| peer::decode(&a.body));
-        if told.is_some() && tell.is_none() {
+        let response = told.as_ref().and_then(|a| peer::decode(&a.body));
+        if told.is_some() && response.is_none() {
             self.unread(self.name_of(node));
         }
-        if tell.is_some() {
+        if response.is_some() {
             self.controller.borrow_mut().peer_heard = self.now();
         }
-        tell
+        response
     }
 
     pub(super) fn name_of(&self, node: NodeId) -> &str {
@@ -179,39 +189,41 @@
         if path != "/peer" {
             return Response::empty(404);
         }
-        let Some(ask) = peer::decode::<Ask>(body) else {
+        let Some(request) = peer::decode::<PeerRequest>(body) else {
             self.unread("a controller that does not say its name");
             return Response { close: true, ..Response::empty(400) };
         };
         self.controller.borrow_mut().peer_heard = self.now();
-        let tell = match ask {
-            Ask::Summary(s) => {
+        let response = match request {
+            PeerRequest::Summary(s) => {
                 if usize::from(s.node.0) >= self.nodes || s.node == self.me {
                     return Response::empty(400);
                 }
-                self.relaying.borrow_mut().remove(&s.node);
+                self.responses_through_store.borrow_mut().remove(&s.node);
                 self.take_summary(s)
             }
-            Ask::Reach => Tell::Reach(self.controller.borrow().store_ok),
-            Ask::LeaderSilence(term) => {
-                Tell::LeaderSilence(self.controller.borrow().leader_silence_ms(self.now(), term))
+            PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
+            PeerRequest::LeaderSilence(term) => PeerResponse::LeaderSilence(
+                self.controller.borrow().leader_silence_ms(self.now(), term),
+            ),
+            PeerRequest::Leader => {
+                PeerResponse::Leader(self.controller.borrow().leader_for_peer(self.now()))
             }
-            Ask::Leader => Tell::Leader(self.controller.borrow().leader_for_peer(self.now())),
-            Ask::Submit(spec) => self.handed(self.submit(spec, false).await),
-            Ask::Query(job) => self.handed(self.query(job, false).await),
-            Ask::Abort(job) => self.handed(self.abort(job, false).await),
-            Ask::Ended(job, progress, version) => {
+            PeerRequest::Submit(spec) => self.handed(self.submit(spec, false).await),
+            PeerRequest::Query(job) => self.handed(self.query(job, false).await),
+            PeerRequest::Abort(job) => self.handed(self.abort(job, false).await),
+            PeerRequest::Ended(job, progress, version) => {
                 let replica_changes =
                     self.controller.borrow_mut().hear_ended(job, &progress, version);
                 self.note(&replica_changes);
-                Tell::Reach(self.controller.borrow().store_ok)
+                PeerResponse::Reach(self.controller.borrow().store_ok)
             }
         };
-        Response::new(200, peer::encode(&tell))
+        Response::new(200, peer::encode(&response))
     }
 
-    fn handed(&self, response: Response) -> Tell {
-        Tell::Answer(response.status, response.body)
+    fn handed(&self, response: Response) -> PeerResponse {
+        PeerResponse::Answer(response.status, response.body)
     }
 
     /// Answers a worker's report.
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -109,7 +109,7 @@
 
     fn next_rentals(&self, term: Term, counter: &mut u32) -> VecDeque<(ScaleOutRequest, Offer)> {
         let mut controller = self.controller.borrow_mut();
-        let life = controller.life;
+        let incarnation = controller.incarnation;
         let wanted = controller.leader.as_mut().map(Leader::to_rent).unwrap_or_default();
         let mut out = VecDeque::new();
         for (offer, mut left) in wanted {
@@ -118,7 +118,7 @@
                 left -= count;
                 *counter += 1;
                 let rental = ScaleOutRequest {
-                    idempotency_key: format!("r-{term}-{life}-{counter}"),
+                    idempotency_key: format!("r-{term}-{incarnation}-{counter}"),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -2,16 +2,16 @@
 
 use tracing::{debug, warn};
 
-use super::{RELAY_TXNS, Service, relay_value};
+use super::{MAX_TXNS_PER_MESSAGE, Service, message_chunk_bytes};
 use crate::message_chunks;
 use crate::model::NodeId;
-use crate::peer::{self, Relayed, Summary, Tell};
+use crate::peer::{self, PeerResponse, StoreMessage, Summary};
 use crate::replica;
 use crate::store_client::Committed;
 use crate::wire::{self, Change, Condition, Txn};
 
 impl Service {
-    pub(super) async fn relay_summary(&self, leader: NodeId, summary: &Summary) {
+    pub(super) async fn send_summary_through_store(&self, leader: NodeId, summary: &Summary) {
         let condition = {
             let controller = self.controller.borrow();
             controller
@@ -21,19 +21,23 @@
                 .map(|m| Condition { key: replica::member_key(self.me), version: m.1 })
         };
         let Some(condition) = condition else { return };
-        self.relay(leader, condition, &peer::encode(&Relayed::Summary(Box::new(summary.clone()))))
-            .await;
+        self.send_through_store(
+            leader,
+            condition,
+            &peer::encode(&StoreMessage::Summary(Box::new(summary.clone()))),
+        )
+        .await;
     }
 
-    async fn relay(&self, to: NodeId, condition: Condition, message: &[u8]) {
+    async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
         let limits = &self.settings.params.state;
-        let chunks = message_chunks::split(message, relay_value(limits));
-        if chunks.len() > RELAY_TXNS * limits.txn_ops {
+        let chunks = message_chunks::split(message, message_chunk_bytes(limits));
+        if chunks.len() > MAX_TXNS_PER_MESSAGE * limits.txn_ops {
             warn!(chunks = chunks.len(), "message too large for the store");
             return;
         }
         let mut puts = chunks.into_iter().enumerate().map(|(i, text)| Change::Put {
-            key: replica::relay_key(to, self.me, i as u32),
+            key: replica::peer_message_key(to, self.me, i as u32),
             value: wire::Value::Text(text),
             lease: None,
         });
@@ -57,28 +61,30 @@
     }
 
     /// Takes messages that came through the store.
-    pub(super) fn take_relayed(&self) {
+    pub(super) fn receive_store_messages(&self) {
         let mut senders: Vec<u8> =
-            self.controller.borrow().replica.relay.keys().map(|(from, _)| *from).collect();
+            self.controller.borrow().replica.peer_messages.keys().map(|(from, _)| *from).collect();
         senders.dedup();
         for from in senders {
             let message = {
                 let controller = self.controller.borrow();
-                let chunks = controller.replica.relay.range((from, 0)..=(from, u32::MAX));
+                let chunks = controller.replica.peer_messages.range((from, 0)..=(from, u32::MAX));
                 message_chunks::join(chunks.map(|(_, (text, _))| text.as_str()))
             };
             let Some(message) = message else { continue };
-            match peer::decode::<Relayed>(&message) {
-                Some(Relayed::Summary(summary))
+            match peer::decode::<StoreMessage>(&message) {
+                Some(StoreMessage::Summary(summary))
                     if summary.node == NodeId(from)
                         && self.controller.borrow().leader.is_some() =>
                 {
-                    let tell = self.take_summary(*summary);
-                    self.relaying.borrow_mut().insert(NodeId(from), (self.now(), tell));
+                    let response = self.take_summary(*summary);
+                    self.responses_through_store
+                        .borrow_mut()
+                        .insert(NodeId(from), (self.now(), response));
                 }
-                Some(Relayed::Tell(tell)) => {
-                    self.controller.borrow_mut().heard_leader_through_store(self.now(), &tell);
-                    self.controller.borrow_mut().take_answer(tell);
+                Some(StoreMessage::PeerResponse(response)) => {
+                    self.controller.borrow_mut().heard_leader_through_store(self.now(), &response);
+                    self.controller.borrow_mut().take_answer(response);
                 }
                 None => self.unread(self.name_of(NodeId(from))),
                 _ => {}
@@ -87,18 +93,30 @@
     }
 
     /// As the leader, sends plans through the store to those that sent their summaries so.
-    pub(super) async fn relay_plans(&self) {
+    pub(super) async fn send_plans_through_store(&self) {
         let now = self.now();
         let to: Vec<(NodeId, bool)> = {
-            let mut relaying = self.relaying.borrow_mut();
-            relaying.retain(|_, (at, _)| now.since(*at) < 5_000);
-            relaying.iter().map(|(n, (_, t))| (*n, matches!(t, Tell::SendWhole))).collect()
+            let mut responses_through_store = self.responses_through_store.borrow_mut();
+            responses_through_store.retain(|_, (at, _)| now.since(*at) < 5_000);
+            responses_through_store
+                .iter()
+                .map(|(n, (_, t))| (*n, matches!(t, PeerResponse::SendWhole)))
+                .collect()
         };
         for (node, whole) in to {
             let message = self.controller.borrow().plan_for(node, now);
             if let Some((plan, condition)) = message {
-                let tell = if whole { Tell::SendWhole } else { Tell::Plan(Box::new(plan)) };
-                self.relay(node, condition, &peer::encode(&Relayed::Tell(tell))).await;
+                let response = if whole {
+                    PeerResponse::SendWhole
+                } else {
+                    PeerResponse::Plan(Box::new(plan))
+                };
+                self.send_through_store(
+                    node,
+                    condition,
+                    &peer::encode(&StoreMessage::PeerResponse(response)),
+                )
+                .await;
             }
         }
     }
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -73,7 +73,7 @@
             jobs: true,
             progress: true,
             leader: true,
-            relay: true,
+            peer_messages: true,
             ..ReplicaChanges::default()
         };
         self.note(&all);
@@ -107,8 +107,8 @@
         if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
             self.wake_epoch.notify_one();
         }
-        if replica_changes.relay {
-            self.take_relayed();
+        if replica_changes.peer_messages {
+            self.receive_store_messages();
         }
     }
 
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -12,7 +12,7 @@
     AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
     Term,
 };
-use crate::peer::{OwnerNews, Plan, Standing};
+use crate::peer::{JobStatus, OwnershipChanges, Plan};
 use crate::placement::MachineCatalog;
 use crate::replica::Replica;
 use crate::wire::{
@@ -125,7 +125,7 @@
 /// are true forever, and the number of running tasks is of that time.
 #[derive(Debug, Default)]
 struct ToldProgress {
-    standings: Vec<Standing>,
+    job_statuses: Vec<JobStatus>,
     /// Jobs and how many of their tasks have completed, where not all of that is on record.
     completed: Vec<(u64, u32)>,
 }
@@ -137,7 +137,7 @@
 #[derive(Debug)]
 pub struct Shard {
     me: NodeId,
-    life: Incarnation,
+    incarnation: Incarnation,
     followed: FollowedTerm,
     told_progress: ToldProgress,
     machines: BTreeMap<MachineId, Machine>,
@@ -169,10 +169,10 @@
 
 impl Shard {
     /// A part without machines.
-    pub fn new(me: NodeId, life: Incarnation) -> Self {
+    pub fn new(me: NodeId, incarnation: Incarnation) -> Self {
         Shard {
             me,
-            life,
+            incarnation,
             followed: FollowedTerm::begin(Term(0), me),
             told_progress: ToldProgress::default(),
             machines: BTreeMap::new(),
@@ -216,7 +216,7 @@
 
     /// Follows a plan, unless it is of another term or life, or older than the last.
     pub fn follow(&mut self, plan: Plan) -> bool {
-        if plan.term != self.followed.term || plan.life != self.life {
+        if plan.term != self.followed.term || plan.incarnation != self.incarnation {
             return false;
         }
         if let Some(sent) = self.sent.iter().find(|s| s.0 == plan.heard) {
@@ -234,7 +234,7 @@
         self.follow_owners(plan.owners);
         self.end_expired_agent_epochs(&body.lapsed);
         self.told_progress = ToldProgress {
-            standings: std::mem::take(&mut body.standings),
+            job_statuses: std::mem::take(&mut body.job_statuses),
             completed: std::mem::take(&mut body.completed),
         };
         let next = FollowedPlan::new(plan.term, plan.seq, body);
@@ -250,7 +250,7 @@
     }
 
     /// Follows what a plan says of owners, and forgets what is no longer this part's to tell.
-    fn follow_owners(&mut self, news: OwnerNews) {
+    fn follow_owners(&mut self, news: OwnershipChanges) {
         let followed = &mut self.followed;
         if news.base == PlanSeq(0) {
             let owners: BTreeMap<MachineId, NodeId> = news.set.into_iter().collect();
@@ -267,7 +267,7 @@
         // Whatever was on a machine that this part no longer has is its new owner's to tell,
         // or is gone with the machine.
         self.machines.retain(|id, _| owners.get(id) == Some(&me));
-        followed.strays.retain(|id, _| owners.get(id) != Some(&me));
+        followed.foreign_machines.retain(|id, _| owners.get(id) != Some(&me));
         self.restarted.retain(|id| owners.contains_key(id));
     }
 
@@ -296,8 +296,8 @@
     }
 
     /// How a job stands as the leader last told.
-    pub fn standing(&self, job: JobId) -> Option<crate::peer::Standing> {
-        self.told_progress.standings.iter().find(|s| s.job == job.0).copied()
+    pub fn job_status(&self, job: JobId) -> Option<crate::peer::JobStatus> {
+        self.told_progress.job_statuses.iter().find(|s| s.job == job.0).copied()
     }
 
     /// How many tasks of a job have completed as the leader last told, if not all of that is on record.
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct StrayRecord {
+pub(super) struct ForeignMachineRecord {
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
@@ -122,9 +122,11 @@
     /// late, the owner cannot be reached. If it comes back at once, the owner refuses, as one
     /// does that has just started, so after an answer here it is sent there again.
     pub(super) fn route(&mut self, now: Steady, pace: &Pace, id: &MachineId) -> Route {
-        let again_ms = pace.stray_ms + 5_000;
-        let stray = self.followed.strays.get(id);
-        if stray.is_some_and(|s| s.back.is_some() && now.since(s.last) < pace.stray_ms + 2_000) {
+        let again_ms = pace.out_of_reach_ms + 5_000;
+        let stray = self.followed.foreign_machines.get(id);
+        if stray
+            .is_some_and(|s| s.back.is_some() && now.since(s.last) < pace.out_of_reach_ms + 2_000)
+        {
             return Route::Cut;
         }
         let Some(r) = self.followed.redirected.get_mut(id).filter(|r| now.since(r.at) < again_ms)
@@ -155,13 +157,15 @@
         let now = env.now;
         let hears = heartbeat.token == self.followed.term;
         let record =
-            self.followed.strays.entry(heartbeat.machine.clone()).or_insert_with(|| StrayRecord {
-                machine_type: heartbeat.machine_type.clone(),
-                zone: heartbeat.zone.clone(),
-                spot: heartbeat.spot,
-                back: None,
-                last: now,
-                hears: false,
+            self.followed.foreign_machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
+                ForeignMachineRecord {
+                    machine_type: heartbeat.machine_type.clone(),
+                    zone: heartbeat.zone.clone(),
+                    spot: heartbeat.spot,
+                    back: None,
+                    last: now,
+                    hears: false,
+                }
             });
         record.last = now;
         if cut {
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -5,7 +5,7 @@
 use super::redirect::RELEASED_MS;
 use crate::config::Pace;
 use crate::model::{MachineId, Steady, Term};
-use crate::peer::{MachineView, Stray, Summary, TaskView};
+use crate::peer::{ForeignMachine, MachineView, Summary, TaskView};
 
 /// About how many bytes a summary takes, and each machine, task, image, answer and stray in it.
 const SUMMARY_BYTES: usize = 1_024;
@@ -18,7 +18,7 @@
 
 const ANSWER_BYTES: usize = 16;
 
-const STRAY_BYTES: usize = 64;
+const FOREIGN_MACHINE_BYTES: usize = 64;
 
 pub(super) fn view(id: &MachineId, m: &Machine, term: Term, now: Steady) -> MachineView {
     MachineView {
@@ -41,8 +41,8 @@
     /// the leader takes none of it before all is there.
     pub fn summary(&mut self, now: Steady, pace: &Pace, room: usize) -> Summary {
         self.number += 1;
-        let kept_ms = pace.stray_ms + 7_000;
-        self.followed.strays.retain(|_, s| now.since(s.last) < kept_ms);
+        let kept_ms = pace.out_of_reach_ms + 7_000;
+        self.followed.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
         self.followed.redirected.retain(|_, r| now.since(r.at) < kept_ms);
         self.released_workers.retain(|_, at| now.since(*at) < RELEASED_MS);
         self.answered.retain(|_, at| now.since(*at) < pace.answers_ms);
@@ -57,13 +57,13 @@
             .filter(|(_, at)| base == 0 || **at >= since)
             .map(|(id, at)| (id.clone(), now.since(*at)))
             .collect();
-        let strays: Vec<Stray> = self
+        let foreign_machines: Vec<ForeignMachine> = self
             .followed
-            .strays
+            .foreign_machines
             .iter()
             .filter(|(_, s)| s.hears)
-            .take(room / 2 / STRAY_BYTES)
-            .map(|(id, s)| Stray {
+            .take(room / 2 / FOREIGN_MACHINE_BYTES)
+            .map(|(id, s)| ForeignMachine {
                 id: id.clone(),
                 machine_type: s.machine_type.clone(),
                 zone: s.zone.clone(),
@@ -72,7 +72,9 @@
                 since_ms: s.back.map_or(0, |at| now.since(at)),
             })
             .collect();
-        let mut used = SUMMARY_BYTES + answered.len() * ANSWER_BYTES + strays.len() * STRAY_BYTES;
+        let mut used = SUMMARY_BYTES
+            + answered.len() * ANSWER_BYTES
+            + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
         let mut machines = Vec::new();
         let mut whole = true;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| base == 0 || m.changed > base) {
@@ -86,7 +88,7 @@
         }
         Summary {
             node: self.me,
-            life: self.life,
+            incarnation: self.incarnation,
             number: self.number,
             base,
             term: self.followed.term,
@@ -98,7 +100,7 @@
             heard_ms: now.since(self.heard),
             machines,
             answered,
-            strays,
+            foreign_machines,
             finished: self.finished.iter().map(|(j, f)| (j.0, f.tasks.clone())).collect(),
             restarted: self.restarted.iter().cloned().collect(),
             notices: self
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use super::redirect::{Redirected, StrayRecord, Unacknowledged};
+use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
 use super::task_start::{GrantedStart, MachineKind};
 use crate::lease::Attempts;
 use crate::model::{Attempt, MachineId, NodeId, PlanSeq, Steady, TaskId, Term};
@@ -161,7 +161,7 @@
     /// Machines that were sent to their owners.
     pub(super) redirected: HashMap<MachineId, Redirected>,
     /// Machines of other parts that report here.
-    pub(super) strays: BTreeMap<MachineId, StrayRecord>,
+    pub(super) foreign_machines: BTreeMap<MachineId, ForeignMachineRecord>,
 }
 
 impl FollowedTerm {
@@ -185,7 +185,7 @@
             announcing: false,
             unacknowledged: HashMap::new(),
             redirected: HashMap::new(),
-            strays: BTreeMap::new(),
+            foreign_machines: BTreeMap::new(),
         }
     }
 
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -1,6 +1,6 @@
 //! Tables of cases for what a part answers and tells.
 
-use super::redirect::{Redirected, StrayRecord, Unacknowledged};
+use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
 use super::task_start::GrantedStart;
 use super::term_state::{Announced, GrantKind};
 use super::*;
@@ -8,24 +8,24 @@
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{Moment, Revision, StoreLease, Wall};
-use crate::peer::{Grant, OwnerNews, PlanBody, Stop, Waits};
+use crate::peer::{Grant, OwnershipChanges, PlanBody, Stop, WaitReason};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
 use crate::wire::{self, KeyValue, Priority};
 
-const LIFE: Incarnation = Incarnation(5);
+const INCARNATION: Incarnation = Incarnation(5);
 const TERM: Term = Term(3);
 const TASK: TaskId = TaskId { job: JobId(1), index: 0 };
 
 /// A node in a term of another leader, which owns n-1 of two machines and may start a task.
 fn node(owner: u8) -> Controller {
-    let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), LIFE);
+    let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), INCARNATION);
     controller.set_machine_types(&wire::MachineTypes {
         machine_types: vec![machine_type("small", 8.0, 64.0)],
     });
-    let leader = LeaderRecord { node: NodeId(1), life: Incarnation(9), term: TERM };
+    let leader = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
     let accepted = Accepted { spec: spec(1, 2), at: Wall(1) };
@@ -44,13 +44,13 @@
     let grant = Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt: None };
     controller.shard.follow(Plan {
         term: TERM,
-        life: LIFE,
+        incarnation: INCARNATION,
         seq: PlanSeq(1),
         clock_ms: 1,
         heard: 0,
-        owners: OwnerNews {
+        owners: OwnershipChanges {
             set: vec![(MachineId::new("n-1"), NodeId(owner))],
-            ..OwnerNews::default()
+            ..OwnershipChanges::default()
         },
         body: Some(PlanBody { grants: vec![grant], ..PlanBody::default() }),
         decisions: None,
@@ -270,7 +270,7 @@
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
         hear(&mut controller, ms, &heartbeat(1, sequence, token, None));
-        assert_eq!(controller.summary(Steady(ms), 900_000).strays.len(), told, "{ms}");
+        assert_eq!(controller.summary(Steady(ms), 900_000).foreign_machines.len(), told, "{ms}");
     }
 }
 
@@ -287,8 +287,9 @@
         for (n, (ms, kept, told)) in case.iter().enumerate() {
             let got = hear(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
             assert_eq!(got, *kept, "{ms}");
-            let strays = controller.summary(Steady(*ms + 3_000), 900_000).strays;
-            assert_eq!(strays.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
+            let foreign_machines =
+                controller.summary(Steady(*ms + 3_000), 900_000).foreign_machines;
+            assert_eq!(foreign_machines.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
         }
     }
 }
@@ -300,11 +301,11 @@
     let with = |controller: &mut Controller, seq, stops| {
         controller.shard.follow(Plan {
             term: TERM,
-            life: LIFE,
+            incarnation: INCARNATION,
             seq,
             clock_ms: 2,
             heard: 0,
-            owners: OwnerNews { base: PlanSeq(1), ..OwnerNews::default() },
+            owners: OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() },
             body: Some(PlanBody { stops, ..PlanBody::default() }),
             decisions: None,
         })
@@ -450,11 +451,11 @@
             put(other);
         }
         let grant = Grant { job: 1, tasks: Ranges::span(1, 2), zone: None, attempt: None };
-        let owners = OwnerNews { base: PlanSeq(1), ..OwnerNews::default() };
+        let owners = OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() };
         let body = PlanBody { ahead: vec![grant], ..PlanBody::default() };
         let plan = Plan {
             term: TERM,
-            life: LIFE,
+            incarnation: INCARNATION,
             seq: PlanSeq(2),
             clock_ms: 2,
             heard: 0,
@@ -496,12 +497,12 @@
 
 /// Begins the next term in that way.
 fn begin_next_term(controller: &mut Controller, way: Way) {
-    let leader = |node, life| LeaderRecord { node, life, term: NEXT_TERM };
+    let leader = |node, incarnation| LeaderRecord { node, incarnation, term: NEXT_TERM };
     let other = leader(NodeId(2), Incarnation(11));
     let leader = match way {
         Way::Peer => return controller.learn_leader_from_peer(other),
         Way::Watch => other,
-        Way::OwnElection => leader(controller.me, LIFE),
+        Way::OwnElection => leader(controller.me, INCARNATION),
     };
     let mut replica_changes = ReplicaChanges::default();
     let records = [
@@ -525,10 +526,10 @@
     for way in WAYS {
         for (kind, body) in [("with room", &with_room), ("ahead", &ahead)] {
             let mut controller = node(0);
-            let owners = OwnerNews { base: PlanSeq(1), ..OwnerNews::default() };
+            let owners = OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() };
             assert!(controller.shard.follow(Plan {
                 term: TERM,
-                life: LIFE,
+                incarnation: INCARNATION,
                 seq: PlanSeq(2),
                 clock_ms: 2,
                 heard: 0,
@@ -590,7 +591,7 @@
     followed.unacknowledged.insert(machine(), unacknowledged);
     let redirected = Redirected { at: Steady(5), tries: 1, seen: false };
     followed.redirected.insert(machine(), redirected);
-    let stray = StrayRecord {
+    let stray = ForeignMachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
@@ -598,8 +599,12 @@
         last: Steady(5),
         hears: true,
     };
-    followed.strays.insert(MachineId::new("n-2"), stray);
-    shard.told_progress.standings.push(Standing { job: 1, running: 1, waits: Waits::No });
+    followed.foreign_machines.insert(MachineId::new("n-2"), stray);
+    shard.told_progress.job_statuses.push(JobStatus {
+        job: 1,
+        running: 1,
+        wait_reason: WaitReason::No,
+    });
     shard.told_progress.completed.push((1, 1));
     shard.machines.insert(machine(), Machine::new(&shown, Steady(5)));
     shard.is_newest(&shown);
@@ -644,7 +649,7 @@
             announcing,
             unacknowledged,
             redirected,
-            strays,
+            foreign_machines,
         } = &controller.shard.followed;
         assert_eq!(*term, TERM);
         assert_ne!(format!("{attempts:?}"), format!("{:?}", fresh.attempts));
@@ -659,13 +664,15 @@
         assert!(!backlog.is_empty() && !highest_priority.is_empty() && *reassign && *unplaced);
         assert!(acknowledged.is_some() && !announced.is_empty() && *announcing);
         assert!(*clock_ms > 0 && *assigned > Steady(0));
-        assert!(!unacknowledged.is_empty() && !redirected.is_empty() && !strays.is_empty());
+        assert!(
+            !unacknowledged.is_empty() && !redirected.is_empty() && !foreign_machines.is_empty()
+        );
 
         begin_next_term(&mut controller, way);
         let me = controller.me;
         let Shard {
             me: _,
-            life,
+            incarnation,
             followed,
             told_progress,
             machines,
@@ -686,9 +693,9 @@
         } = controller.shard;
         let void = FollowedTerm::begin(NEXT_TERM, me);
         assert_eq!(format!("{followed:?}"), format!("{void:?}"), "{way:?}: all of it is void");
-        assert_eq!(life, LIFE);
+        assert_eq!(incarnation, INCARNATION);
         // Told to users only, and grants nothing.
-        assert_eq!((told_progress.standings.len(), told_progress.completed.len()), (1, 1));
+        assert_eq!((told_progress.job_statuses.len(), told_progress.completed.len()), (1, 1));
         // Seen here: where tasks are, which reports are late copies, who counts from the start again.
         assert_eq!((machines.len(), latest.len(), restarted.len()), (1, 1, 1), "{way:?}");
         assert!(machines.values().all(|m| !m.is_settled(NEXT_TERM)), "{way:?}");
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -17,7 +17,7 @@
 
 /// The leader that a controller follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Followed {
+pub struct FollowedLeader {
     /// The controller.
     pub node: NodeId,
     /// Its term.
@@ -32,7 +32,7 @@
     mirror: Mirror,
     log: Option<DecisionLog>,
     recorded: Option<Steady>,
-    followed: Option<Followed>,
+    followed: Option<FollowedLeader>,
     verification: VerificationCounts,
     refused_actions: u64,
 }
@@ -68,7 +68,7 @@
     }
 
     /// The leader that it follows.
-    pub fn followed(&self) -> Option<Followed> {
+    pub fn followed(&self) -> Option<FollowedLeader> {
         self.followed
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// The replica shows another leader than this process.
-    pub fn follow(&mut self, now: Steady, leader: Followed) {
+    pub fn follow(&mut self, now: Steady, leader: FollowedLeader) {
         if self.followed.replace(leader) == Some(leader) {
             return;
         }
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -497,7 +497,7 @@
         assert!(open.is_empty(), "{name}: not finished: {open:?}");
         let [direct, relayed] = world.largest;
         assert!(direct <= world::DIRECT_BYTES, "{name}: {direct} bytes to a controller");
-        assert!(relayed <= world::RELAY_BYTES, "{name}: {relayed} bytes through the store");
+        assert!(relayed <= world::STORE_MESSAGE_BYTES, "{name}: {relayed} bytes through the store");
         // 5,400 tasks of 60 jobs on 1,800 machines: far fewer writes than things that happen.
         assert!(world.writes < 4_000, "{name}: {} writes", world.writes);
     }
@@ -533,7 +533,7 @@
     assert!(open.is_empty(), "not finished: {open:?}");
     let [direct, relayed] = world.largest;
     assert!(direct <= world::DIRECT_BYTES, "{direct} bytes to a controller");
-    assert!(relayed <= world::RELAY_BYTES, "{relayed} bytes through the store");
+    assert!(relayed <= world::STORE_MESSAGE_BYTES, "{relayed} bytes through the store");
     assert!(world.writes < 8_000, "{} writes", world.writes);
     // All but a few machines show the next token within two reports.
     let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
@@ -647,7 +647,7 @@
     let known = (0, Event::Submitted { job: 1 });
     let asked_to = |at| (at, Event::AskedToCancel { job: 1 });
     let could = |from: u64, to: u64, could| -> Vec<(u64, Event)> {
-        (from..to).step_by(1_000).map(|at| (at, Event::Waits { job: 1, could })).collect()
+        (from..to).step_by(1_000).map(|at| (at, Event::WaitReason { job: 1, could })).collect()
     };
     let gone_on = |at| vec![(at, start((1, 0), 0))];
     let closely: Vec<Case> = vec![
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -11,7 +11,7 @@
 use willowshore::controller::Controller;
 use willowshore::lease::LEASE_MS;
 use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
-use willowshore::peer::{self, Ask, Summary, Tell};
+use willowshore::peer::{self, PeerRequest, PeerResponse, Summary};
 use willowshore::shard::{Announcement, HeartbeatOutcome};
 use willowshore::store_client::Committed;
 use willowshore::wire::{Heartbeat, JobKind, JobSpec, Priority, TaskState, Txn};
@@ -37,7 +37,7 @@
 const BACK_MS: u64 = 3_000;
 /// Most bytes of a summary to another controller, directly and through the store of the settings.
 pub const DIRECT_BYTES: usize = 700_000;
-pub const RELAY_BYTES: usize = 60_000;
+pub const STORE_MESSAGE_BYTES: usize = 60_000;
 /// How long a replaced machine boots.
 const BOOT_MS: u64 = 12_000;
 /// How long the leader has to answer once it is suspected.
@@ -53,7 +53,7 @@
     controller: Controller,
     started: u64,
     next: [u64; 4], // lease, sync, summary, epoch
-    relaying: u64,
+    responses_through_store: u64,
     /// Until when its process is stopped, and what reached it meanwhile.
     frozen: Option<u64>,
     held: Vec<Message>,
@@ -87,9 +87,9 @@
     /// A summary, and when it was sent by the sender's clock.
     Summary(usize, usize, Box<Summary>, Steady),
     /// The answer; when the summary was sent, if it came directly.
-    Tell(usize, Tell, Option<Steady>),
+    PeerResponse(usize, PeerResponse, Option<Steady>),
     /// A node tells another one of a cancellation.
-    Ended(usize, Ask),
+    Ended(usize, PeerRequest),
     /// What became of a node's question to the leader.
     Probed(usize, ProbeOutcome),
 }
@@ -102,7 +102,7 @@
             | Message::Copy(n, _)
             | Message::Announced(n, ..)
             | Message::Summary(_, n, ..)
-            | Message::Tell(n, ..)
+            | Message::PeerResponse(n, ..)
             | Message::Ended(n, _)
             | Message::Probed(n, _) => Some(*n),
             Message::Reply(..) | Message::Announce(..) => None,
@@ -174,7 +174,7 @@
     late: Vec<(u64, Txn)>,
     messages: BTreeMap<(u64, u64), Message>,
     sent: u64,
-    lives: u64,
+    incarnations: u64,
     jobs: BTreeMap<u64, JobSpec>,
     completed: BTreeSet<TaskId>,
     told: BTreeSet<u64>,
@@ -227,8 +227,8 @@
 }
 
 /// What the version before gangs reads of a plan.
-fn read_by_old(tell: &mut Tell) {
-    if let Tell::Plan(plan) = tell
+fn read_by_old(tell: &mut PeerResponse) {
+    if let PeerResponse::Plan(plan) = tell
         && let Some(body) = &mut plan.body
     {
         body.stops.clear();
@@ -275,7 +275,7 @@
             late: Vec::new(),
             messages: BTreeMap::new(),
             sent: 0,
-            lives: 0,
+            incarnations: 0,
             jobs: (1..9).map(|id| (id, spec(id, 3 + id as u32 % 4, 8.0))).collect(),
             completed: BTreeSet::new(),
             told: BTreeSet::new(),
@@ -521,7 +521,7 @@
             });
             // A gang needs more than room for one task.
             let could = could && accepted && open && free && job.kind != JobKind::Gang;
-            self.checker.see(now, Event::Waits { job: id, could });
+            self.checker.see(now, Event::WaitReason { job: id, could });
         }
     }
 
@@ -648,7 +648,7 @@
                 let steady = node.moment(now).steady;
                 node.controller.peer_heard = steady;
                 let (mut tell, _) = node.controller.take_summary(steady, *summary);
-                if let Tell::Plan(plan) = &mut tell
+                if let PeerResponse::Plan(plan) = &mut tell
                     && now < self.log_lags_until
                 {
                     plan.decisions = None;
@@ -660,11 +660,12 @@
                 self.send(
                     Place::Node(to),
                     Place::Node(from),
-                    Message::Tell(from, tell, Some(sent)),
+                    Message::PeerResponse(from, tell, Some(sent)),
                 );
             }
             Message::Ended(to, ask) => {
-                let (Ok(node), Ask::Ended(job, progress, version)) = (&mut self.nodes[to], ask)
+                let (Ok(node), PeerRequest::Ended(job, progress, version)) =
+                    (&mut self.nodes[to], ask)
                 else {
                     return;
                 };
@@ -679,7 +680,7 @@
                     self.replace_leader(n);
                 }
             }
-            Message::Tell(to, tell, sent) => {
+            Message::PeerResponse(to, tell, sent) => {
                 if let Ok(node) = &mut self.nodes[to] {
                     match sent {
                         Some(sent) => node.controller.heard_leader(sent, &tell),
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -21,7 +21,7 @@
             if now < back {
                 return;
             }
-            self.lives += 1;
+            self.incarnations += 1;
             let mut text = self.rhythm.settings(self.team_limit);
             if n > 0 {
                 // Each node sees itself first; the addresses do not matter here.
@@ -40,7 +40,7 @@
                 text += &next;
             }
             let settings = Rc::new(Settings::parse(&text).unwrap());
-            let mut controller = Controller::new(settings, Incarnation(self.lives));
+            let mut controller = Controller::new(settings, Incarnation(self.incarnations));
             assert_eq!(controller.me, NodeId(n as u8));
             controller.set_machine_types(&catalog());
             if let Some(standby) = self.standby.clone().filter(|_| !self.old[n]) {
@@ -50,7 +50,7 @@
                 controller,
                 started: now,
                 next: [now; 4],
-                relaying: 0,
+                responses_through_store: 0,
                 frozen: None,
                 held: Vec::new(),
             });
@@ -257,7 +257,7 @@
         // Peers that cannot reach each other go through the store, which takes longer.
         let arrives = self.arrival(Place::Node(n), Place::Node(leader));
         let direct = arrives.is_some_and(|at| at < now + 500);
-        let room = if direct { DIRECT_BYTES } else { RELAY_BYTES };
+        let room = if direct { DIRECT_BYTES } else { STORE_MESSAGE_BYTES };
         let Ok(node) = &mut self.nodes[n] else { return };
         let summary = node.controller.summary(steady, room);
         let size = &mut self.largest[usize::from(!direct)];
@@ -266,26 +266,26 @@
             let message = Message::Summary(n, leader, Box::new(summary), steady);
             self.send(Place::Node(n), Place::Node(leader), message);
         } else {
-            self.relay(n, leader, summary);
+            self.send_through_store(n, leader, summary);
         }
     }
 
-    pub(super) fn relay(&mut self, n: usize, leader: usize, summary: Summary) {
+    pub(super) fn send_through_store(&mut self, n: usize, leader: usize, summary: Summary) {
         if !self.reaches_store(n) || !self.reaches_store(leader) || self.awake(leader).is_none() {
             return;
         }
         let now = self.now;
         if let Ok(node) = &mut self.nodes[n] {
-            if now < node.relaying {
+            if now < node.responses_through_store {
                 return;
             }
-            node.relaying = now + 600;
+            node.responses_through_store = now + 600;
         }
         let Ok(leader) = &mut self.nodes[leader] else { return };
         let steady = leader.moment(now).steady;
         let (tell, _) = leader.controller.take_summary(steady, summary);
         self.sent += 1;
-        self.messages.insert((now + 600, self.sent), Message::Tell(n, tell, None));
+        self.messages.insert((now + 600, self.sent), Message::PeerResponse(n, tell, None));
     }
 
     pub(super) fn run_epoch(&mut self, n: usize) {
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/succession.rs
@@ -100,7 +100,8 @@
         let leader = self.nodes.iter().flatten().filter(|node| node.frozen.is_none());
         let leader = leader.filter(|node| node.controller.leader.is_some());
         let leader = leader.max_by_key(|node| node.controller.leader.as_ref().map(|l| l.term));
-        let led = leader.map(|node| (usize::from(node.controller.me.0), node.controller.life.0));
+        let led =
+            leader.map(|node| (usize::from(node.controller.me.0), node.controller.incarnation.0));
         if led.is_some() && led != self.last_led {
             self.changes_of_leader += 1;
             self.last_led = led;
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -3,9 +3,9 @@
 //! question, else it hands the request over, else it refuses.
 
 use rand::Rng;
-use willowshore::controller::accept_txn;
+use willowshore::controller::submission_txn;
 use willowshore::model::{JobId, TaskId, Wall};
-use willowshore::peer::Ask;
+use willowshore::peer::PeerRequest;
 use willowshore::replica;
 use willowshore::store_client::Committed;
 use willowshore::wire::{JobKind, JobState};
@@ -104,7 +104,7 @@
         if !node.controller.replica.jobs.contains_key(&JobId(id)) {
             // A repeat at another node, or while the first is still out, changes nothing.
             self.checker.see(now, Event::Submitted { job: id });
-            let txn = accept_txn(
+            let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
                 Wall(1_000_000 + now),
                 &node.controller.catalog,
@@ -156,8 +156,12 @@
         if !node.controller.replica.jobs.contains_key(&job) {
             let bytes = node.controller.settings.params.state.value_bytes();
             let wall = Wall(1_000_000 + self.now);
-            let txn =
-                accept_txn([&self.jobs[&id]].into_iter(), wall, &node.controller.catalog, bytes);
+            let txn = submission_txn(
+                [&self.jobs[&id]].into_iter(),
+                wall,
+                &node.controller.catalog,
+                bytes,
+            );
             match self.commit(n, &txn)? {
                 Committed::Yes(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
@@ -197,7 +201,7 @@
                         if self.old[to] || !self.tells_ends {
                             continue;
                         }
-                        let ask = Ask::Ended(job, progress.clone(), version);
+                        let ask = PeerRequest::Ended(job, progress.clone(), version);
                         self.send(
                             super::Place::Node(n),
                             super::Place::Node(to),
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -11,8 +11,8 @@
     Term, Wall,
 };
 use willowshore::peer::{
-    self, Ask, Grant, MachineView, OwnerNews, Plan, PlanBody, Relayed, Standing, Stop, Stray,
-    Summary, TaskView, Tell, Waits,
+    self, ForeignMachine, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
+    PeerResponse, Plan, PlanBody, Stop, StoreMessage, Summary, TaskView, WaitReason,
 };
 use willowshore::replica::{
     Accepted, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord, Progress,
@@ -58,7 +58,7 @@
         tasks: vec![task(412, 3, TaskState::Running), task(412, 4, TaskState::Unknown)],
         images: vec![("img-07".into(), 6.25)],
     };
-    let stray = Stray {
+    let stray = ForeignMachine {
         id: machine("n-000002"),
         machine_type: "kleine".into(),
         zone: "b".into(),
@@ -68,7 +68,7 @@
     };
     Summary {
         node: NodeId(1),
-        life: Incarnation(77),
+        incarnation: Incarnation(77),
         number: 9,
         base: 8,
         more: false,
@@ -80,7 +80,7 @@
         heard_ms: 30,
         machines: vec![view],
         answered: vec![(machine("n-000001"), 15)],
-        strays: vec![stray],
+        foreign_machines: vec![stray],
         restarted: vec![machine("n-000002")],
         failing: vec![398],
         finished: vec![(412, Ranges::span(0, 3))],
@@ -99,11 +99,11 @@
     };
     Plan {
         term: Term(41),
-        life: Incarnation(77),
+        incarnation: Incarnation(77),
         seq: PlanSeq(6),
         clock_ms: 4321,
         heard: 9,
-        owners: OwnerNews {
+        owners: OwnershipChanges {
             base: PlanSeq(5),
             set: vec![(machine("n-000001"), NodeId(1))],
             gone: vec![machine("n-000002")],
@@ -116,7 +116,11 @@
             drain: vec![machine("n-000001")],
             slow: vec![machine("n-000002")],
             lapsed: vec![(machine("n-000002"), AgentEpoch(3))],
-            standings: vec![Standing { job: 412, running: 3, waits: Waits::ForMachines }],
+            job_statuses: vec![JobStatus {
+                job: 412,
+                running: 3,
+                wait_reason: WaitReason::ForMachines,
+            }],
             stops: vec![],
             kept: vec![],
             ahead: vec![],
@@ -154,20 +158,25 @@
 #[test]
 fn messages_of_the_version_before_are_read() {
     let f = fixtures();
-    let ask = |name: &str| peer::decode::<Ask>(&f[name]);
-    let tell = |name: &str| peer::decode::<Tell>(&f[name]);
-    assert!(matches!(ask("ask-summary"), Some(Ask::Summary(s)) if s == summary()));
-    assert!(matches!(ask("ask-submit"), Some(Ask::Submit(s)) if s == spec()));
-    assert!(matches!(ask("ask-lead"), Some(Ask::Leader)));
-    assert!(matches!(ask("ask-query"), Some(Ask::Query(JobId(412)))));
-    assert!(matches!(tell("tell-plan"), Some(Tell::Plan(p)) if *p == plan()));
-    assert!(matches!(tell("tell-send-whole"), Some(Tell::SendWhole)));
-    assert!(matches!(tell("tell-lead"), Some(Tell::Leader(Some(l))) if l.term == Term(41)));
-    assert!(matches!(tell("tell-answer"), Some(Tell::Answer(200, b)) if b == [1, 2]));
-    let relayed = |name: &str| peer::decode::<Relayed>(&f[name]);
-    assert!(matches!(relayed("relayed-summary"), Some(Relayed::Summary(s)) if *s == summary()));
+    let ask = |name: &str| peer::decode::<PeerRequest>(&f[name]);
+    let tell = |name: &str| peer::decode::<PeerResponse>(&f[name]);
+    assert!(matches!(ask("ask-summary"), Some(PeerRequest::Summary(s)) if s == summary()));
+    assert!(matches!(ask("ask-submit"), Some(PeerRequest::Submit(s)) if s == spec()));
+    assert!(matches!(ask("ask-lead"), Some(PeerRequest::Leader)));
+    assert!(matches!(ask("ask-query"), Some(PeerRequest::Query(JobId(412)))));
+    assert!(matches!(tell("tell-plan"), Some(PeerResponse::Plan(p)) if *p == plan()));
+    assert!(matches!(tell("tell-send-whole"), Some(PeerResponse::SendWhole)));
+    assert!(matches!(tell("tell-lead"), Some(PeerResponse::Leader(Some(l))) if l.term == Term(41)));
+    assert!(matches!(tell("tell-answer"), Some(PeerResponse::Answer(200, b)) if b == [1, 2]));
+    let relayed = |name: &str| peer::decode::<StoreMessage>(&f[name]);
+    assert!(
+        matches!(relayed("relayed-summary"), Some(StoreMessage::Summary(s)) if *s == summary())
+    );
     let not_leading = relayed("relayed-tell");
-    assert!(matches!(not_leading, Some(Relayed::Tell(Tell::NotLeading(Term(40))))));
+    assert!(matches!(
+        not_leading,
+        Some(StoreMessage::PeerResponse(PeerResponse::NotLeading(Term(40))))
+    ));
 }
 
 #[test]
@@ -181,7 +190,7 @@
     assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobState::Done));
     assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
-    assert_eq!((member.life, member.speaks), (Incarnation(77), 0), "it does not know gangs");
+    assert_eq!((member.incarnation, member.speaks), (Incarnation(77), 0), "it does not know gangs");
     assert!(member.speaks < SPEAKS);
     assert_eq!(value::<TermRecord>(&f["term"]).term, Term(41));
     let group: MachineGroup = value(&f["m"]);
@@ -199,7 +208,7 @@
     told.notices = vec![(machine("n-000001"), 9_000)];
     told.follow = Some(FollowRequest::default());
     let frozen::Ask::Summary(s) =
-        rmp_serde::from_slice(&peer::encode(&Ask::Summary(told))).unwrap()
+        rmp_serde::from_slice(&peer::encode(&PeerRequest::Summary(told))).unwrap()
     else {
         panic!("not a summary");
     };
@@ -220,7 +229,7 @@
     sent.decisions = log.batch_for(&FollowRequest::default());
     assert!(sent.decisions.is_some());
     let frozen::Tell::Plan(p) =
-        rmp_serde::from_slice(&peer::encode(&Tell::Plan(Box::new(sent)))).unwrap()
+        rmp_serde::from_slice(&peer::encode(&PeerResponse::Plan(Box::new(sent)))).unwrap()
     else {
         panic!("not a plan");
     };
@@ -229,10 +238,10 @@
     assert_eq!((body.grants[0].job, body.grants[0].attempt, body.grants.len()), (412, Some(5), 2));
     assert_eq!((body.lapsed[0].1, body.standings[0].running), (3, 3));
 
-    let submit = peer::encode(&Ask::Submit(spec()));
+    let submit = peer::encode(&PeerRequest::Submit(spec()));
     assert!(matches!(rmp_serde::from_slice(&submit), Ok(frozen::Ask::Submit(s)) if s == spec()));
-    let leader = LeaderRecord { node: NodeId(2), life: Incarnation(78), term: Term(41) };
-    let bytes = peer::encode(&Tell::Leader(Some(leader)));
+    let leader = LeaderRecord { node: NodeId(2), incarnation: Incarnation(78), term: Term(41) };
+    let bytes = peer::encode(&PeerResponse::Leader(Some(leader)));
     assert!(
         matches!(rmp_serde::from_slice(&bytes), Ok(frozen::Tell::Lead(Some(l))) if l.term == 41)
     );
@@ -240,7 +249,8 @@
 
 #[test]
 fn the_version_before_reads_the_values_that_this_one_writes() {
-    let member = MemberRecord { life: Incarnation(77), version: "0.2.0".into(), speaks: SPEAKS };
+    let member =
+        MemberRecord { incarnation: Incarnation(77), version: "0.2.0".into(), speaks: SPEAKS };
     let old: frozen::MemberRecord = wire::from_value(&wire::to_value(&member)).unwrap();
     assert_eq!(old.life, 77);
     let up = MachineRecord {
@@ -288,16 +298,16 @@
     // (what a member says that it understands, whether it is told)
     for (speaks, told) in [(0, false), (1, false), (2, true), (3, true)] {
         let mut replica = Replica::new(NodeId(0));
-        let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
+        let member = MemberRecord { incarnation: Incarnation(77), version: String::new(), speaks };
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
         assert_eq!(replica.hears_ends(NodeId(1)), told, "{speaks}");
     }
     let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
-    let sent = peer::encode(&Ask::Ended(JobId(412), gone.clone(), Revision(9)));
-    let read = peer::decode::<Ask>(&sent);
-    assert!(matches!(read, Some(Ask::Ended(JobId(412), p, Revision(9))) if p == gone));
+    let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
+    let read = peer::decode::<PeerRequest>(&sent);
+    assert!(matches!(read, Some(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == gone));
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
 
@@ -306,13 +316,16 @@
     // (what a member says that it understands, whether it is asked)
     for (speaks, asked) in [(0, false), (3, false), (4, true)] {
         let mut replica = Replica::new(NodeId(0));
-        let member = MemberRecord { life: Incarnation(77), version: String::new(), speaks };
+        let member = MemberRecord { incarnation: Incarnation(77), version: String::new(), speaks };
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
         assert_eq!(replica.knows_standby(NodeId(1)), asked, "{speaks}");
     }
-    let sent = peer::encode(&Ask::LeaderSilence(Term(41)));
-    assert!(matches!(peer::decode::<Ask>(&sent), Some(Ask::LeaderSilence(Term(41)))));
+    let sent = peer::encode(&PeerRequest::LeaderSilence(Term(41)));
+    assert!(matches!(
+        peer::decode::<PeerRequest>(&sent),
+        Some(PeerRequest::LeaderSilence(Term(41)))
+    ));
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
