--- a/crates/standby/src/decisions.rs
+++ b/crates/standby/src/decisions.rs
@@ -115,7 +115,8 @@
     /// A job has had no task anywhere since then, by the time of day.
     Waiting(JobNumber, Option<Wall>),
     /// A machine is kept for gangs.
-    Kept(MachineId, Option<Mark>),
+    #[serde(rename = "Kept")]
+    Reserved(MachineId, Option<Mark>),
 }
 
 /// A table of decisions of one kind, with a digest that follows each change.
@@ -187,7 +188,7 @@
     /// Jobs without a task anywhere.
     pub waiting: BTreeMap<JobNumber, Wall>,
     /// Machines kept for gangs.
-    pub kept: BTreeSet<MachineId>,
+    pub reserved: BTreeSet<MachineId>,
 }
 
 /// The state that decisions add up to.
@@ -212,7 +213,7 @@
     /// Jobs without a task anywhere.
     pub waiting: Table<JobNumber, Wall>,
     /// Machines kept for gangs.
-    pub kept: Table<MachineId, Mark>,
+    pub reserved: Table<MachineId, Mark>,
 }
 
 impl DecisionState {
@@ -228,7 +229,7 @@
             Decision::Speed(machine, speed) => self.speeds.set(machine, speed),
             Decision::Refused(offer, until) => self.refusals.set(offer, until),
             Decision::Waiting(job, since) => self.waiting.set(job, since),
-            Decision::Kept(machine, set) => self.kept.set(machine, set),
+            Decision::Reserved(machine, set) => self.reserved.set(machine, set),
         }
     }
 
@@ -253,7 +254,7 @@
         changes.extend(of(self.speeds.changes_to(&target.speeds), Decision::Speed));
         changes.extend(of(self.refusals.changes_to(&target.refusals), Decision::Refused));
         changes.extend(of(self.waiting.changes_to(&target.waiting), Decision::Waiting));
-        changes.extend(of(self.kept.changes_to(&set(&target.kept)), Decision::Kept));
+        changes.extend(of(self.reserved.changes_to(&set(&target.reserved)), Decision::Reserved));
         changes
     }
 
@@ -274,7 +275,7 @@
             speeds: self.speeds.entries.clone(),
             refusals: self.refusals.entries.clone(),
             waiting: self.waiting.entries.clone(),
-            kept: self.kept.entries.keys().cloned().collect(),
+            reserved: self.reserved.entries.keys().cloned().collect(),
         }
     }
 
@@ -290,7 +291,7 @@
             self.speeds.digest,
             self.refusals.digest,
             self.waiting.digest,
-            self.kept.digest,
+            self.reserved.digest,
         ];
         let turned = digests.iter().zip((1..).step_by(5));
         turned.fold(0, |sum: u64, (digest, by)| sum ^ digest.rotate_left(by))
@@ -307,7 +308,7 @@
             + self.speeds.entries.len()
             + self.refusals.entries.len()
             + self.waiting.entries.len()
-            + self.kept.entries.len()
+            + self.reserved.entries.len()
     }
 
     /// Whether it holds nothing.
--- a/crates/standby/src/decisions/tests.rs
+++ b/crates/standby/src/decisions/tests.rs
@@ -20,7 +20,7 @@
         speeds: [(machine(n + 2), MachineSpeed { ratio: 1.25, tasks: n as u32 })].into(),
         refusals: [(offer, Wall(n))].into(),
         waiting: [(JobNumber(n), Wall(n))].into(),
-        kept: [machine(n + 3)].into(),
+        reserved: [machine(n + 3)].into(),
     }
 }
 
@@ -61,7 +61,7 @@
             Decision::Speed(k, _) => Decision::Speed(k, None),
             Decision::Refused(k, _) => Decision::Refused(k, None),
             Decision::Waiting(k, _) => Decision::Waiting(k, None),
-            Decision::Kept(k, _) => Decision::Kept(k, None),
+            Decision::Reserved(k, _) => Decision::Reserved(k, None),
         };
         other.apply(removed);
         assert_ne!(other.digest(), state.digest(), "{decision:?}");
--- a/crates/standby/src/mirror/tests.rs
+++ b/crates/standby/src/mirror/tests.rs
@@ -97,7 +97,7 @@
     follow(&mut log, &mut mirror);
     let lost = Decision::Waiting(JobNumber(1), Some(Wall(1)));
     mirror.state.apply(Decision::Waiting(JobNumber(1), None));
-    let more = DecisionTarget { kept: [].into(), ..target(1) };
+    let more = DecisionTarget { reserved: [].into(), ..target(1) };
     log.record(Wall(2), &more);
     let batch = log.batch_for(&mirror.request()).unwrap();
     assert_eq!(mirror.accept(&batch), Err(Rejected::Divergence));
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -35,7 +35,7 @@
     /// Seconds since something ran on it; 0 if something does.
     pub idle_s: f64,
     /// Whether it is kept for gangs.
-    pub kept: bool,
+    pub reserved: bool,
     /// Whether it is about to go: taken by the cloud, being drained, or silent.
     pub leaving: bool,
 }
@@ -283,7 +283,7 @@
         let startup = catalog.get(&h.offer.machine_type).map_or(60.0, |f| f.boot_s);
         // A machine that takes much longer than usual may never come.
         if !h.booting || h.age_s < startup * 2.0 {
-            bins.push(Bin { offer: h.offer.clone(), free: h.free, kept: h.kept });
+            bins.push(Bin { offer: h.offer.clone(), free: h.free, reserved: h.reserved });
         }
     }
     let mut rent: BTreeMap<Offer, u32> = BTreeMap::new();
@@ -360,13 +360,13 @@
 struct Bin {
     offer: Offer,
     free: Need,
-    kept: bool,
+    reserved: bool,
 }
 
 impl Bin {
     fn takes(&self, spec: &JobSpec) -> bool {
         allowed(spec, &self.offer.machine_type, &self.offer.zone, self.offer.spot)
-            && !(self.kept && spec.allows_spot && spec.kind != JobKind::Gang)
+            && !(self.reserved && spec.allows_spot && spec.kind != JobKind::Gang)
     }
 }
 
@@ -497,7 +497,7 @@
             need.take_from(&mut free);
         }
         left -= fit;
-        bins.push(Bin { offer: offer.clone(), free, kept: false });
+        bins.push(Bin { offer: offer.clone(), free, reserved: false });
         *rent.entry(offer).or_default() += 1;
     }
     left
@@ -560,7 +560,7 @@
         let in_use = of_type().map(used).sum::<f64>().max(long(machine_type)) * (1.0 + SPARE_PART);
         let mut spare = of_type().map(cores).sum::<f64>() - in_use - lacking;
         let mut some: Vec<&Held> = of_type()
-            .filter(|h| h.offer.spot == spot && !h.kept && h.age_s >= LEAST_PAID_S)
+            .filter(|h| h.offer.spot == spot && !h.reserved && h.age_s >= LEAST_PAID_S)
             .collect();
         some.sort_by(|a, b| used(a).total_cmp(&used(b)).then_with(|| a.id.cmp(&b.id)));
         for h in some.into_iter().take(most) {
@@ -586,7 +586,7 @@
         in_use + held.iter().filter(|h| !h.leaving).map(|h| h.free.cores.amount()).sum::<f64>();
     let mut idle: Vec<&Held> = held
         .iter()
-        .filter(|h| !h.leaving && !h.booting && !h.kept && h.age_s >= LEAST_PAID_S)
+        .filter(|h| !h.leaving && !h.booting && !h.reserved && h.age_s >= LEAST_PAID_S)
         .filter(|h| h.idle_s >= if h.offer.spot { IDLE_SPOT_S } else { IDLE_ORDINARY_S })
         .collect();
     idle.sort_by(|a, b| price(&b.offer).total_cmp(&price(&a.offer)).then_with(|| a.id.cmp(&b.id)));
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -18,7 +18,7 @@
         age_s: 100.0,
         free: Need::offered(&machine_type("small", 8.0, 64.0)),
         idle_s,
-        kept: false,
+        reserved: false,
         leaving: false,
     }
 }
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -6,7 +6,7 @@
 use crate::model::{JobId, Steady, Wall};
 use crate::placement::MachineCatalog;
 use crate::replica::Replica;
-use crate::shard::Finished;
+use crate::shard::CompletedTasks;
 
 /// What the leader needs to see besides its own state.
 pub struct ClusterView<'a> {
@@ -23,7 +23,7 @@
     /// Machine types.
     pub catalog: &'a MachineCatalog,
     /// Tasks that completed and are not on record yet.
-    pub finished: &'a BTreeMap<JobId, Finished>,
+    pub completed_tasks: &'a BTreeMap<JobId, CompletedTasks>,
     /// Settings.
     pub settings: &'a Settings,
     /// Limits of the state service that writes keep to.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,7 +15,7 @@
 use crate::peer::{PeerResponse, Plan, Summary, WaitReason};
 use crate::placement::MachineCatalog;
 use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
-use crate::shard::{Announcement, HeartbeatOutcome, Shard, Surroundings};
+use crate::shard::{DirectMessage, HeartbeatOutcome, Shard, ShardContext};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
 use crate::wire::{self, Change, Condition, Heartbeat, KeyValue, Txn, WatchResponse};
@@ -125,7 +125,7 @@
             synced: self.rights.synced_at().unwrap_or_default(),
             served_for: self.rights.served_for(now.steady),
             catalog: &self.catalog,
-            finished: &self.shard.finished,
+            completed_tasks: &self.shard.completed_tasks,
             settings: &self.settings,
             limits: &self.limits,
             nodes: &self.nodes,
@@ -196,8 +196,8 @@
         if replica_changes.progress {
             self.shard.tidy(&self.replica);
         }
-        if !replica_changes.withdrawn.is_empty() {
-            self.shard.end_withdrawn(&replica_changes.withdrawn);
+        if !replica_changes.cancelled.is_empty() {
+            self.shard.stop_cancelled(&replica_changes.cancelled);
         }
         if replica_changes.progress || replica_changes.jobs {
             self.complete_gangs(now.steady);
@@ -321,7 +321,7 @@
         let value = wire::to_value(&MemberRecord {
             incarnation: self.incarnation,
             version: env!("CARGO_PKG_VERSION").into(),
-            speaks: replica::SPEAKS,
+            capabilities: replica::CAPABILITIES,
         });
         Txn {
             conditions: vec![Condition { key: key.clone(), version }],
@@ -375,9 +375,9 @@
     fn with_shard<T>(
         &mut self,
         now: Steady,
-        act: impl FnOnce(&mut Shard, &Surroundings<'_>) -> T,
+        act: impl FnOnce(&mut Shard, &ShardContext<'_>) -> T,
     ) -> T {
-        let env = Surroundings {
+        let context = ShardContext {
             now,
             may_answer: self.loaded && self.rights.may_answer(now),
             may_start: self.loaded && self.rights.may_start(now),
@@ -389,22 +389,22 @@
             lease_ms: self.settings.worker_lease_ms(),
             pace: self.settings.pace(),
         };
-        act(&mut self.shard, &env)
+        act(&mut self.shard, &context)
     }
 
     /// Answers a worker's report.
     pub fn on_heartbeat(&mut self, now: Steady, heartbeat: &Heartbeat) -> HeartbeatOutcome {
-        self.with_shard(now, |shard, env| shard.on_heartbeat(env, heartbeat))
+        self.with_shard(now, |shard, context| shard.on_heartbeat(context, heartbeat))
     }
 
     /// Machines that are to be told something straight away, up to `most`. Only a node that may
     /// answer workers tells of its term; any may end what is not wanted any more.
-    pub fn to_announce(&mut self, now: Steady, most: usize) -> Vec<Announcement> {
+    pub fn direct_messages_due(&mut self, now: Steady, most: usize) -> Vec<DirectMessage> {
         if !self.loaded {
             return Vec::new();
         }
         let may_answer = self.rights.may_answer(now);
-        self.shard.to_announce(now, &self.replica, may_answer, most)
+        self.shard.direct_messages_due(now, &self.replica, may_answer, most)
     }
 
     /// Takes a peer's word for a cancellation that is on record. The store may not tell this node, and
@@ -428,8 +428,13 @@
     }
 
     /// Takes a machine's answer to an announcement.
-    pub fn on_announced(&mut self, now: Steady, asked: &Announcement, heartbeat: &Heartbeat) {
-        self.with_shard(now, |shard, env| shard.on_announced(env, asked, heartbeat));
+    pub fn on_direct_response(
+        &mut self,
+        now: Steady,
+        asked: &DirectMessage,
+        heartbeat: &Heartbeat,
+    ) {
+        self.with_shard(now, |shard, context| shard.on_direct_response(context, asked, heartbeat));
     }
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
@@ -440,7 +445,7 @@
             return (PeerResponse::NotLeading(term), false);
         };
         if summary.node != self.me {
-            self.shard.take_finished(now, &self.replica, &summary.finished);
+            self.shard.merge_completions(now, &self.replica, &summary.completed_tasks);
         }
         let (follow, term) = (summary.follow, leader.term);
         let (mut response, changed) = leader.on_summary(now, summary);
@@ -492,7 +497,7 @@
     /// The leader writes for all, so that nodes do not get in each other's way; the others
     /// only do when it takes too long. A job that ends is written at once, others after a
     /// while for all tasks that completed meanwhile.
-    pub fn finished_txn(&mut self, now: Steady) -> Option<Txn> {
+    pub fn completions_txn(&mut self, now: Steady) -> Option<Txn> {
         if !self.loaded {
             return None;
         }
@@ -501,7 +506,7 @@
         let bytes = self.limits.value_bytes();
         for id in self.completions_due(now) {
             let (Some(job), Some(f)) =
-                (self.replica.jobs.get(&id), self.shard.finished.get_mut(&id))
+                (self.replica.jobs.get(&id), self.shard.completed_tasks.get_mut(&id))
             else {
                 continue;
             };
@@ -520,7 +525,7 @@
         let leads = self.leader.is_some();
         let gather_ms = self.gather_ms();
         let (mut ending, mut going_on) = (Vec::new(), Vec::new());
-        for (id, f) in &self.shard.finished {
+        for (id, f) in &self.shard.completed_tasks {
             let Some(job) = self.replica.jobs.get(id) else { continue };
             let ends = job.remaining() <= f.tasks.len();
             let gathers = if ends { 0 } else { gather_ms };
@@ -541,7 +546,7 @@
     /// Time over which the completions of jobs that go on are gathered: the more such jobs there are, the
     /// longer, so that they take their part of the store's budget and no more.
     fn gather_ms(&self) -> u64 {
-        let jobs = self.shard.finished.len() as f64;
+        let jobs = self.shard.completed_tasks.len() as f64;
         let per_s = leaders_writes_per_s(&self.limits) * PROGRESS_PART;
         ((jobs / per_s * 1_000.0) as u64).clamp(GATHER_MS, LONGEST_GATHER_MS)
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -86,8 +86,8 @@
         if step == SECONDS * 5 - 1 {
             finished.push((last.0, Ranges::span(0, 1)));
         }
-        controller.shard.take_finished(now, &controller.replica, &finished);
-        let Some(txn) = controller.finished_txn(now) else { continue };
+        controller.shard.merge_completions(now, &controller.replica, &finished);
+        let Some(txn) = controller.completions_txn(now) else { continue };
         changes += txn.changes.len();
         most = most.max(txn.changes.len());
         written.extend(txn.changes.iter().map(|c| c.key().to_string()));
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -38,13 +38,13 @@
 const GONE_TOLD: usize = 400;
 
 /// What a controller told last.
-pub struct NodeState {
+pub struct ControllerState {
     /// The life of its process.
     pub incarnation: Incarnation,
     /// Its last summary's number.
     pub number: u64,
     /// The plan that it follows.
-    pub followed: PlanSeq,
+    pub applied_plan: PlanSeq,
     /// The leader's clock that it echoed.
     pub echo_ms: u64,
     /// How long its process had been up.
@@ -63,14 +63,14 @@
     restarted: Vec<MachineId>,
     /// When the cloud takes machines of its part.
     notices: BTreeMap<MachineId, Steady>,
-    machines: BTreeMap<MachineId, Known>,
+    machines: BTreeMap<MachineId, OwnedMachine>,
     /// What the first pieces of a summary told whose last one has not come.
-    pending: Option<Pending>,
+    pending: Option<PartialSummary>,
 }
 
 /// Pieces of a summary.
 #[derive(Default)]
-struct Pending {
+struct PartialSummary {
     /// Whether all that was known before is replaced.
     whole: bool,
     views: Vec<MachineView>,
@@ -78,9 +78,9 @@
 }
 
 /// A machine as its owner told of it.
-struct Known {
+struct OwnedMachine {
     view: MachineView,
-    shun_until: Steady,
+    quarantined_until: Steady,
     /// When it last reported to its owner.
     heard: Steady,
 }
@@ -121,7 +121,7 @@
 
 /// A task that is on a machine.
 #[derive(Clone, Copy)]
-pub struct Seen<'a> {
+pub struct ObservedTask<'a> {
     /// The machine.
     pub machine: &'a MachineView,
     /// Its state there.
@@ -129,11 +129,11 @@
 }
 
 /// Tasks on settled machines.
-pub type OnMachines<'a> = FxHashMap<TaskId, Seen<'a>>;
+pub type TasksOnMachines<'a> = FxHashMap<TaskId, ObservedTask<'a>>;
 
 /// What became of a summary.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum SummaryOutcome {
     /// It was taken; whether it tells anything that an epoch should look at.
     Yes(bool),
     /// It is late.
@@ -148,25 +148,25 @@
 pub struct Fleet {
     began: Steady,
     /// What controllers told in this term.
-    pub nodes: BTreeMap<NodeId, NodeState>,
+    pub nodes: BTreeMap<NodeId, ControllerState>,
     /// Owner of each machine, and the first plan that names it.
     pub owners: BTreeMap<MachineId, (NodeId, PlanSeq)>,
     removed: Vec<(MachineId, PlanSeq)>,
     /// Machines that may still take or run what earlier terms ordered.
-    pub unsettled: BTreeSet<MachineId>,
+    pub unreconciled: BTreeSet<MachineId>,
     /// Machines that the cloud confirmed to be gone.
     pub gone: HashSet<MachineId>,
     heard: HashMap<MachineId, Steady>,
     /// Machines whose lease has run out, and the session that ended with it: what their owner
     /// still remembers of that session is over.
-    pub lapsed: BTreeMap<MachineId, AgentEpoch>,
+    pub expired_leases: BTreeMap<MachineId, AgentEpoch>,
     absent: HashMap<NodeId, (u64, Steady)>,
     /// Controllers that hear no workers, and until when they get no part for that.
     unheard: HashMap<NodeId, Steady>,
     /// Machines that could not reach their owner.
     reassigned: HashMap<MachineId, Reassigned>,
     /// Whether tasks wait for the proof that they are not on an unsettled machine.
-    pub awaited: bool,
+    pub reconciliation_awaited: bool,
     /// The leader that was replaced as a majority did not hear it: its summary is not waited for.
     pub replaced: Option<NodeId>,
     /// All machines that are held.
@@ -181,14 +181,14 @@
             nodes: BTreeMap::new(),
             owners: BTreeMap::new(),
             removed: Vec::new(),
-            unsettled: BTreeSet::new(),
+            unreconciled: BTreeSet::new(),
             gone: HashSet::new(),
             heard: HashMap::new(),
-            lapsed: BTreeMap::new(),
+            expired_leases: BTreeMap::new(),
             absent: HashMap::new(),
             unheard: HashMap::new(),
             reassigned: HashMap::new(),
-            awaited: false,
+            reconciliation_awaited: false,
             replaced: None,
             machines: BTreeMap::new(),
         };
@@ -209,24 +209,26 @@
             .machines
             .iter()
             .filter(|(id, m)| m.up && m.gone.is_none() && !fleet.gone.contains(*id));
-        fleet.unsettled = may_hold.map(|(id, _)| id.clone()).collect();
+        fleet.unreconciled = may_hold.map(|(id, _)| id.clone()).collect();
         fleet
     }
 
     /// Takes a summary.
-    pub fn on_summary(&mut self, now: Steady, s: Summary) -> Taken {
+    pub fn on_summary(&mut self, now: Steady, s: Summary) -> SummaryOutcome {
         match self.nodes.get(&s.node) {
             // Its predecessor may have started tasks that nobody knows of.
-            Some(known) if known.incarnation != s.incarnation => return Taken::NewIncarnation,
-            Some(known) if s.number <= known.number => return Taken::Late,
-            Some(known) if s.base > known.number => return Taken::Gap,
-            None if s.base > 0 => return Taken::Gap,
+            Some(known) if known.incarnation != s.incarnation => {
+                return SummaryOutcome::NewIncarnation;
+            }
+            Some(known) if s.number <= known.number => return SummaryOutcome::Late,
+            Some(known) if s.base > known.number => return SummaryOutcome::Gap,
+            None if s.base > 0 => return SummaryOutcome::Gap,
             _ => {}
         }
-        let state = self.nodes.entry(s.node).or_insert_with(|| NodeState {
+        let state = self.nodes.entry(s.node).or_insert_with(|| ControllerState {
             incarnation: s.incarnation,
             number: 0,
-            followed: PlanSeq(0),
+            applied_plan: PlanSeq(0),
             echo_ms: 0,
             up_ms: 0,
             served_ms: 0,
@@ -242,7 +244,7 @@
         });
         let mut changed =
             state.foreign_machines.len() != s.foreign_machines.len() || !s.machines.is_empty();
-        changed |= state.followed != s.followed;
+        changed |= state.applied_plan != s.applied_plan;
         state.number = s.number;
         state.up_ms = s.up_ms;
         state.served_ms = s.served_ms;
@@ -265,19 +267,19 @@
             // What was known stays until all is there: a task that is missing for a while
             // would be taken for one that is nowhere.
             state.pending = Some(pieces);
-            return Taken::Yes(false);
+            return SummaryOutcome::Yes(false);
         }
-        state.followed = s.followed;
+        state.applied_plan = s.applied_plan;
         state.echo_ms = s.echo_ms;
         let mut before = match pieces.whole {
             true => std::mem::take(&mut state.machines),
             false => BTreeMap::new(),
         };
         for view in pieces.views {
-            let shun_until = now.plus(view.shun_ms);
+            let quarantined_until = now.plus(view.quarantine_ms);
             let old = before.remove(&view.id).or_else(|| state.machines.remove(&view.id));
             let heard = old.map_or(Steady(0), |k| k.heard);
-            state.machines.insert(view.id.clone(), Known { view, shun_until, heard });
+            state.machines.insert(view.id.clone(), OwnedMachine { view, quarantined_until, heard });
         }
         for (id, at) in pieces.answered {
             if let Some(known) = state.machines.get_mut(&id) {
@@ -285,22 +287,22 @@
             }
         }
         let state = &self.nodes[&s.node];
-        if !self.unsettled.is_empty() {
-            let settled: Vec<MachineId> = state
+        if !self.unreconciled.is_empty() {
+            let reconciled: Vec<MachineId> = state
                 .machines
                 .values()
-                .filter(|k| k.view.settled && self.tells(s.node, state, &k.view.id))
+                .filter(|k| k.view.reconciled && self.speaks_for(s.node, state, &k.view.id))
                 .map(|k| k.view.id.clone())
                 .collect();
-            for id in settled {
-                self.unsettled.remove(&id);
+            for id in reconciled {
+                self.unreconciled.remove(&id);
             }
         }
-        Taken::Yes(changed)
+        SummaryOutcome::Yes(changed)
     }
 
     /// Controllers that are heard.
-    pub fn live(&self, now: Steady) -> Vec<NodeId> {
+    pub fn live_controllers(&self, now: Steady) -> Vec<NodeId> {
         let heard = self.nodes.iter().filter(|(_, n)| now.since(n.at) < NODE_LOST_MS);
         heard.map(|(id, _)| *id).collect()
     }
@@ -308,22 +310,22 @@
     /// Controllers that may own machines: they are heard, the store serves them, and workers reach
     /// them. One that the store refuses knows neither new jobs nor cancellations, and its right to
     /// answer ends soon.
-    pub fn able(&self, now: Steady) -> Vec<NodeId> {
+    pub fn eligible_owners(&self, now: Steady) -> Vec<NodeId> {
         let served = |id: &NodeId| self.nodes.get(id).is_some_and(|n| n.served_ms < UNSERVED_MS);
         let heard = |id: &NodeId| self.unheard.get(id).is_none_or(|until| *until <= now);
-        self.live(now).into_iter().filter(|id| served(id) && heard(id)).collect()
+        self.live_controllers(now).into_iter().filter(|id| served(id) && heard(id)).collect()
     }
 
     /// Notes controllers that hear none of their machines while others hear theirs: all their
     /// machines have to move at once. Found one by one, they would move a few in every term.
-    pub fn note_unheard(&mut self, now: Steady, pace: &Pace) {
+    pub fn note_controllers_without_heartbeats(&mut self, now: Steady, pace: &Pace) {
         let limit = pace.out_of_reach_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
-        let able = self.able(now);
+        let eligible_owners = self.eligible_owners(now);
         let hears = |id: &NodeId| self.nodes.get(id).is_some_and(|n| n.heard_ms < HEARS_MS);
-        if !able.iter().any(hears) {
+        if !eligible_owners.iter().any(hears) {
             return;
         }
         let mut owned: HashMap<NodeId, usize> = HashMap::new();
@@ -332,7 +334,7 @@
                 *owned.entry(*owner).or_default() += 1;
             }
         }
-        for id in able {
+        for id in eligible_owners {
             let silent = self.nodes.get(&id).is_some_and(|n| n.heard_ms > limit);
             if silent && owned.get(&id).is_some_and(|n| *n >= MANY_LEAST) {
                 tracing::warn!(node = id.0, "hears none of its machines");
@@ -344,17 +346,20 @@
     /// Whether a controller speaks for a machine: it owns it and follows a plan of this term
     /// that says so. What it remembers from an earlier term may be missing in its next
     /// summary without having ended.
-    fn tells(&self, node: NodeId, state: &NodeState, id: &MachineId) -> bool {
-        self.owners.get(id).is_some_and(|(owner, since)| *owner == node && state.followed >= *since)
+    fn speaks_for(&self, node: NodeId, state: &ControllerState, id: &MachineId) -> bool {
+        self.owners
+            .get(id)
+            .is_some_and(|(owner, since)| *owner == node && state.applied_plan >= *since)
             && !self.gone.contains(id)
     }
 
-    fn known(&self) -> impl Iterator<Item = (&Known, NodeId, &NodeState)> {
+    fn known(&self) -> impl Iterator<Item = (&OwnedMachine, NodeId, &ControllerState)> {
         self.nodes.iter().flat_map(move |(node, n)| {
             let told = n.machines.values();
-            let over =
-                |k: &&Known| self.lapsed.get(&k.view.id).is_some_and(|s| k.view.agent_epoch <= *s);
-            told.filter(move |k| self.tells(*node, n, &k.view.id) && !over(k))
+            let over = |k: &&OwnedMachine| {
+                self.expired_leases.get(&k.view.id).is_some_and(|s| k.view.agent_epoch <= *s)
+            };
+            told.filter(move |k| self.speaks_for(*node, n, &k.view.id) && !over(k))
                 .map(move |k| (k, *node, n))
         })
     }
@@ -366,17 +371,17 @@
 
     /// Where tasks are. Only a machine that reported with this term's token tells that: what
     /// is known of others may have ended and been started elsewhere since.
-    pub fn on_machines(&self) -> OnMachines<'_> {
-        let mut on = OnMachines::default();
-        for (k, _, _) in self.known().filter(|(k, _, _)| k.view.settled) {
+    pub fn on_machines(&self) -> TasksOnMachines<'_> {
+        let mut on = TasksOnMachines::default();
+        for (k, _, _) in self.known().filter(|(k, _, _)| k.view.reconciled) {
             for t in &k.view.tasks {
-                on.insert(t.task, Seen { machine: &k.view, state: t.state });
+                on.insert(t.task, ObservedTask { machine: &k.view, state: t.state });
             }
         }
         on
     }
 
-    fn owner_state(&self, id: &MachineId) -> Option<&NodeState> {
+    fn owner_state(&self, id: &MachineId) -> Option<&ControllerState> {
         self.nodes.get(&self.owners.get(id)?.0)
     }
 
@@ -403,9 +408,9 @@
                     && n.served_ms < UNSERVED_MS / 2
                     && cluster.now.since(k.heard) < pace.silent_ms
                     && m.draining.is_none()
-                    && v.settled
+                    && v.reconciled
                     && !v.leaving
-                    && k.shun_until <= cluster.now;
+                    && k.quarantined_until <= cluster.now;
                 let tasks = v.tasks.iter().map(|t| (t.task, t.state));
                 let what = (&v.id, &v.machine_type, &v.zone, v.spot);
                 Room::of(what, tasks, &v.images, cluster.catalog, cluster.replica, open)
@@ -420,7 +425,7 @@
             if cluster.replica.members.contains_key(&id) {
                 self.absent.remove(&id);
             } else {
-                let moves = cluster.replica.member_moves.get(&id).copied().unwrap_or(0);
+                let moves = cluster.replica.membership_changes.get(&id).copied().unwrap_or(0);
                 let absent = self.absent.entry(id).or_insert((moves, cluster.now));
                 // It came and went unseen: its last renewal may be that much younger.
                 if absent.0 != moves {
@@ -517,10 +522,10 @@
             if self.removed.len() > GONE_TOLD {
                 self.removed.remove(0);
             }
-            self.unsettled.remove(id);
+            self.unreconciled.remove(id);
             self.machines.remove(id);
             self.heard.remove(id);
-            self.lapsed.remove(id);
+            self.expired_leases.remove(id);
         }
     }
 
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{Fleet, FleetMachine, HEARS_MS, Known, MANY_LEAST, NodeState};
+use super::{ControllerState, Fleet, FleetMachine, HEARS_MS, MANY_LEAST, OwnedMachine};
 use crate::cluster_view::ClusterView;
 use crate::lease::{last_right, plus_drift};
 use crate::model::{AgentEpoch, MachineId, NodeId, Steady};
@@ -21,7 +21,7 @@
 impl Fleet {
     /// Declares machines empty whose lease has certainly run out: every controller says, as of
     /// a moment a whole lease after the last answer anyone gave, that it gave no later one.
-    pub fn silent_verdicts(&mut self, cluster: &ClusterView<'_>) {
+    pub fn expire_leases(&mut self, cluster: &ClusterView<'_>) {
         let lease = plus_drift(cluster.settings.worker_lease_ms()) + 500;
         let mut told_until = Steady(u64::MAX);
         // Nobody tells of answers before that moment; each could be one to any machine.
@@ -49,29 +49,30 @@
             let last = self.heard.get(id).copied().unwrap_or_default().max(last_other);
             last.plus(lease) < told_until
         };
-        let lapsed: Vec<(MachineId, AgentEpoch)> = self
+        let expired_leases: Vec<(MachineId, AgentEpoch)> = self
             .known()
-            .filter(|(k, _, _)| k.view.settled && over(&k.view.id))
+            .filter(|(k, _, _)| k.view.reconciled && over(&k.view.id))
             .map(|(k, _, _)| (k.view.id.clone(), k.view.agent_epoch))
             .collect();
-        let silent: Vec<MachineId> = self.unsettled.iter().filter(|id| over(id)).cloned().collect();
-        for (id, agent_epoch) in lapsed {
+        let silent: Vec<MachineId> =
+            self.unreconciled.iter().filter(|id| over(id)).cloned().collect();
+        for (id, agent_epoch) in expired_leases {
             tracing::warn!(machine = %id, "lease has run out at every controller");
-            self.lapsed.insert(id, agent_epoch);
+            self.expired_leases.insert(id, agent_epoch);
         }
         for id in silent {
             tracing::warn!(machine = %id, "lease has run out at every controller");
             // Its session is over, so nothing of earlier terms runs there; should it come
             // back, it reports a newer session.
-            self.unsettled.remove(&id);
+            self.unreconciled.remove(&id);
         }
     }
 
     /// Machines that may be returned now: drained and empty, failed, silent beyond any lease,
     /// deaf, or never come up. What is on them dies with them, and the cloud's answer proves it.
-    pub fn to_return(&self, cluster: &ClusterView<'_>) -> Vec<MachineId> {
+    pub fn machines_to_scale_in(&self, cluster: &ClusterView<'_>) -> Vec<MachineId> {
         let now = cluster.now;
-        let views: HashMap<&MachineId, (&Known, NodeId, &NodeState)> =
+        let views: HashMap<&MachineId, (&OwnedMachine, NodeId, &ControllerState)> =
             self.known().map(|(k, id, n)| (&k.view.id, (k, id, n))).collect();
         let lease = plus_drift(cluster.settings.worker_lease_ms()) + 1_000;
         // Whoever is up has had a whole lease to report to this term's controllers.
@@ -83,8 +84,8 @@
         // The last few that do not show the token have mostly stopped, and what they may still run
         // keeps tasks of many jobs waiting for a whole lease.
         let up = self.machines.values().filter(|m| m.up).count();
-        let few = self.awaited
-            && are_few(self.unsettled.len(), up)
+        let few = self.reconciliation_awaited
+            && are_few(self.unreconciled.len(), up)
             && now.since(self.began) > pace.gap_ms + FEW_WAIT_MS;
         let restarted: HashSet<&MachineId> =
             self.nodes.values().flat_map(|n| &n.restarted).collect();
@@ -110,16 +111,17 @@
                 return true;
             }
             if m.failed
-                || (self.unsettled.contains(id) && (deaf || few && !foreign_machines.contains(id)))
+                || (self.unreconciled.contains(id)
+                    && (deaf || few && !foreign_machines.contains(id)))
             {
                 return true;
             }
             match views.get(id) {
                 Some((k, node, n)) => {
-                    let drained = m.draining.is_some_and(|s| n.followed >= s)
+                    let drained = m.draining.is_some_and(|s| n.applied_plan >= s)
                         && k.view.tasks.is_empty()
-                        && k.view.settled
-                        && !self.unsettled.contains(id);
+                        && k.view.reconciled
+                        && !self.unreconciled.contains(id);
                     let limit = match (cut_off, well.contains(node)) {
                         (true, _) => lease.max(CUT_OFF_MS),
                         (false, true) => quick,
@@ -150,9 +152,12 @@
     /// them restarted lately, and its owner hears others. A machine that is merely cut off
     /// for longer would lose its tasks with its lease anyway.
     fn hears_well(&self, cluster: &ClusterView<'_>, owner: NodeId) -> bool {
-        let settled_ms = plus_drift(cluster.settings.worker_lease_ms()) + 5_000;
+        let reconciled_ms = plus_drift(cluster.settings.worker_lease_ms()) + 5_000;
         self.nodes.len() == cluster.nodes.len()
-            && self.nodes.values().all(|n| cluster.now.since(n.at) < 1_000 && n.up_ms > settled_ms)
+            && self
+                .nodes
+                .values()
+                .all(|n| cluster.now.since(n.at) < 1_000 && n.up_ms > reconciled_ms)
             && self.known().any(|(k, node, _)| node == owner && cluster.now.since(k.heard) < 2_000)
     }
 }
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -27,27 +27,36 @@
         if now.since(self.began) < NODE_LOST_MS {
             return None;
         }
-        let live = self.live(now);
-        if self.owners.values().any(|(o, _)| !live.contains(o)) {
+        let live_controllers = self.live_controllers(now);
+        if self.owners.values().any(|(o, _)| !live_controllers.contains(o)) {
             return Some("the owner of machines is not heard");
         }
-        let able = self.able(now);
+        let eligible_owners = self.eligible_owners(now);
         // After an outage for all, the others' last word is still of that time.
         let calm = served_for > UNSERVED_MS + 2_000;
-        if calm && !able.is_empty() && self.owners.values().any(|(o, _)| !able.contains(o)) {
+        if calm
+            && !eligible_owners.is_empty()
+            && self.owners.values().any(|(o, _)| !eligible_owners.contains(o))
+        {
             return Some("the store or the workers do not reach the owner of machines");
         }
-        self.reassign_out_of_reach(now, &live, pace).then_some("machines cannot reach their owner")
+        self.reassign_out_of_reach(now, &live_controllers, pace)
+            .then_some("machines cannot reach their owner")
     }
 
     /// Notes which machines cannot reach their owner and which controller hears them instead, so that it gets them in
     /// the next term. Says whether they are enough, or have waited long enough, to take one for them.
-    fn reassign_out_of_reach(&mut self, now: Steady, live: &[NodeId], pace: &Pace) -> bool {
+    fn reassign_out_of_reach(
+        &mut self,
+        now: Steady,
+        live_controllers: &[NodeId],
+        pace: &Pace,
+    ) -> bool {
         // They go back to the cloud; no owner would take them.
         let restarted: Vec<&MachineId> = self.nodes.values().flat_map(|n| &n.restarted).collect();
         let mut found: Vec<(MachineId, NodeId)> = Vec::new();
         let mut long = false;
-        for node in live {
+        for node in live_controllers {
             let Some(state) = self.nodes.get(node) else { continue };
             for s in &state.foreign_machines {
                 if s.since_ms > OUT_OF_REACH_MS
@@ -71,9 +80,14 @@
     }
 
     /// The controller that hears a machine which could not reach its owner.
-    fn reassigned_to(&self, now: Steady, id: &MachineId, live: &[NodeId]) -> Option<NodeId> {
+    fn reassigned_to(
+        &self,
+        now: Steady,
+        id: &MachineId,
+        live_controllers: &[NodeId],
+    ) -> Option<NodeId> {
         let reassigned = self.reassigned.get(id).filter(|r| r.until > now)?;
-        live.contains(&reassigned.node).then_some(reassigned.node)
+        live_controllers.contains(&reassigned.node).then_some(reassigned.node)
     }
 
     /// Whether a machine's owner has heard it lately, or later than the controller that heard it
@@ -95,36 +109,39 @@
         &self,
         cluster: &ClusterView<'_>,
         id: &MachineId,
-        live: &[NodeId],
+        live_controllers: &[NodeId],
     ) -> Option<NodeId> {
-        if let Some(node) = self.reassigned_to(cluster.now, id, live) {
+        if let Some(node) = self.reassigned_to(cluster.now, id, live_controllers) {
             return Some(node);
         }
         let zone = self.zone_of(cluster, id);
-        let near: Vec<NodeId> = live
+        let near: Vec<NodeId> = live_controllers
             .iter()
             .copied()
             .filter(|n| zone == cluster.nodes.get(usize::from(n.0)).map(|n| n.zone.as_str()))
             .collect();
-        let pool = if near.is_empty() { live } else { &near };
+        let pool = if near.is_empty() { live_controllers } else { &near };
         pool.iter().copied().max_by_key(|n| rendezvous(id, *n))
     }
 
     /// Gives every machine without an owner one; `next` is the plan that will say so.
     pub fn assign(&mut self, cluster: &ClusterView<'_>, next: PlanSeq) {
         let now = cluster.now;
-        let mut live = self.able(now);
-        live.retain(|id| self.nodes[id].served_ms < UNSERVED_MS * 2 / 5);
-        let replaced = self.replaced.filter(|id| !live.contains(id));
-        let awaited = cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
-        let expected = awaited.count().min(cluster.nodes.len());
-        if live.is_empty() || (live.len() < expected && now.since(self.began) < 1_000) {
+        let mut live_controllers = self.eligible_owners(now);
+        live_controllers.retain(|id| self.nodes[id].served_ms < UNSERVED_MS * 2 / 5);
+        let replaced = self.replaced.filter(|id| !live_controllers.contains(id));
+        let reconciliation_awaited =
+            cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
+        let expected = reconciliation_awaited.count().min(cluster.nodes.len());
+        if live_controllers.is_empty()
+            || (live_controllers.len() < expected && now.since(self.began) < 1_000)
+        {
             return;
         }
         let heard_ms = cluster.settings.pace().out_of_reach_ms + 2_000;
         let mut foreign_machines: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, Offer)> = Vec::new();
-        for (node, n) in self.nodes.iter().filter(|(id, _)| live.contains(id)) {
+        for (node, n) in self.nodes.iter().filter(|(id, _)| live_controllers.contains(id)) {
             for s in n.foreign_machines.iter().filter(|s| s.silent_ms < heard_ms) {
                 let offer = Offer {
                     machine_type: s.machine_type.clone(),
@@ -164,8 +181,10 @@
             .cloned()
             .collect();
         for id in open {
-            let owner =
-                foreign_machines.get(&id).copied().or_else(|| self.owner_for(cluster, &id, &live));
+            let owner = foreign_machines
+                .get(&id)
+                .copied()
+                .or_else(|| self.owner_for(cluster, &id, &live_controllers));
             if let Some(owner) = owner {
                 self.owners.insert(id, (owner, next));
             }
@@ -173,10 +192,10 @@
     }
 
     /// Owners as a part has to be told that follows that plan.
-    pub fn ownership_changes(&self, followed: PlanSeq) -> OwnershipChanges {
-        let lost =
-            self.removed.first().is_some_and(|r| r.1 > followed) && self.removed.len() >= GONE_TOLD;
-        let base = if lost { PlanSeq(0) } else { followed };
+    pub fn ownership_changes(&self, applied_plan: PlanSeq) -> OwnershipChanges {
+        let lost = self.removed.first().is_some_and(|r| r.1 > applied_plan)
+            && self.removed.len() >= GONE_TOLD;
+        let base = if lost { PlanSeq(0) } else { applied_plan };
         OwnershipChanges {
             base,
             set: self
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -5,34 +5,34 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Fleet, OnMachines};
+use super::{Fleet, TasksOnMachines};
 use crate::model::{MachineId, NodeId, PlanSeq, TaskId};
 
 /// Machines that showed the term's token to one controller.
-struct OwnerProof {
+struct OwnerEvidence {
     plan: PlanSeq,
     machines: usize,
 }
 
 /// Why no machine holds what an earlier term had started and none shows: every machine that was up showed the term's
 /// token to its owner, or is gone.
-pub struct SettledProof {
-    owners: BTreeMap<NodeId, OwnerProof>,
-    lapsed: usize,
+pub struct ReconciliationEvidence {
+    owners: BTreeMap<NodeId, OwnerEvidence>,
+    expired_leases: usize,
     gone: usize,
 }
 
-impl fmt::Display for SettledProof {
+impl fmt::Display for ReconciliationEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (node, proof) in &self.owners {
-            write!(f, "node {}: {} by plan {}; ", node.0, proof.machines, proof.plan.0)?;
+        for (node, evidence) in &self.owners {
+            write!(f, "node {}: {} by plan {}; ", node.0, evidence.machines, evidence.plan.0)?;
         }
-        write!(f, "leases ended: {}; gone: {}", self.lapsed, self.gone)
+        write!(f, "leases ended: {}; gone: {}", self.expired_leases, self.gone)
     }
 }
 
 /// A task that two settled machines show.
-pub struct DoubledTask {
+pub struct DuplicatedTask {
     /// The task.
     pub task: TaskId,
     /// The machines.
@@ -41,28 +41,34 @@
 
 impl Fleet {
     /// What shows that all machines have settled.
-    pub fn proof(&self) -> SettledProof {
-        let mut owners: BTreeMap<NodeId, OwnerProof> = BTreeMap::new();
-        for (_, node, state) in self.known().filter(|(k, _, _)| k.view.settled) {
-            let proof = owners.entry(node);
-            proof.or_insert(OwnerProof { plan: state.followed, machines: 0 }).machines += 1;
+    pub fn evidence(&self) -> ReconciliationEvidence {
+        let mut owners: BTreeMap<NodeId, OwnerEvidence> = BTreeMap::new();
+        for (_, node, state) in self.known().filter(|(k, _, _)| k.view.reconciled) {
+            let evidence = owners.entry(node);
+            evidence.or_insert(OwnerEvidence { plan: state.applied_plan, machines: 0 }).machines +=
+                1;
+        }
+        ReconciliationEvidence {
+            owners,
+            expired_leases: self.expired_leases.len(),
+            gone: self.gone.len(),
         }
-        SettledProof { owners, lapsed: self.lapsed.len(), gone: self.gone.len() }
     }
 
-    /// Tasks that more than one settled machine shows; `on` is where tasks are.
-    pub fn doubled(&self, on: &OnMachines<'_>) -> Vec<DoubledTask> {
-        let settled = || self.known().map(|(k, _, _)| &k.view).filter(|view| view.settled);
-        if settled().map(|view| view.tasks.len()).sum::<usize>() == on.len() {
+    /// Tasks that more than one settled machine shows; `on_machines` is where tasks are.
+    pub fn duplicated(&self, on_machines: &TasksOnMachines<'_>) -> Vec<DuplicatedTask> {
+        let reconciled = || self.known().map(|(k, _, _)| &k.view).filter(|view| view.reconciled);
+        if reconciled().map(|view| view.tasks.len()).sum::<usize>() == on_machines.len() {
             return Vec::new();
         }
         let mut first: FxHashMap<TaskId, &MachineId> = FxHashMap::default();
-        let mut doubled = Vec::new();
-        for (view, held) in settled().flat_map(|view| view.tasks.iter().map(move |t| (view, t))) {
+        let mut duplicated = Vec::new();
+        for (view, held) in reconciled().flat_map(|view| view.tasks.iter().map(move |t| (view, t)))
+        {
             match first.get(&held.task) {
                 Some(other) if **other != view.id => {
                     let machines = [(*other).clone(), view.id.clone()];
-                    doubled.push(DoubledTask { task: held.task, machines });
+                    duplicated.push(DuplicatedTask { task: held.task, machines });
                 }
                 Some(_) => {}
                 None => {
@@ -70,6 +76,6 @@
                 }
             }
         }
-        doubled
+        duplicated
     }
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -14,7 +14,7 @@
 use crate::admission::{self, Bounds, Demand};
 use crate::autoscaler::{self, Market};
 use crate::cluster_view::ClusterView;
-use crate::fleet::{Fleet, OnMachines, Taken};
+use crate::fleet::{Fleet, SummaryOutcome, TasksOnMachines};
 use crate::lease::Attempts;
 use crate::model::{
     Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
@@ -48,7 +48,7 @@
 use starvation::STARVED_WEIGHT;
 
 #[derive(Clone)]
-struct Granted {
+struct TaskGrant {
     node: NodeId,
     attempt: Option<Attempt>,
     at: Steady,
@@ -59,7 +59,7 @@
     ahead: bool,
 }
 
-struct Revoked {
+struct RevokedGrant {
     node: NodeId,
     seq: PlanSeq,
     zone: Option<String>,
@@ -70,7 +70,7 @@
 pub struct Epoch {
     /// The transaction, unless nothing durable changes.
     pub txn: Option<Txn>,
-    grants: Vec<(TaskId, Granted)>,
+    grants: Vec<(TaskId, TaskGrant)>,
     /// What is on record of jobs' grants once the transaction is carried out, by key.
     recorded: Vec<(JobId, Ranges)>,
     /// Tasks that this adds to the record without granting them.
@@ -85,14 +85,14 @@
     seq: PlanSeq,
     /// The machines.
     pub fleet: Fleet,
-    granted: BTreeMap<TaskId, Granted>,
-    revoked: FxHashMap<TaskId, Revoked>,
+    granted: BTreeMap<TaskId, TaskGrant>,
+    revoked: FxHashMap<TaskId, RevokedGrant>,
     attempts: Attempts,
     unresolved: FxHashSet<TaskId>,
     /// Grants on record, in the store.
     recorded: FxHashMap<JobId, Ranges>,
     /// Tasks that two machines show.
-    doubled: FxHashSet<TaskId>,
+    duplicated: FxHashSet<TaskId>,
     /// Tasks on record that were never granted: this leader put them there ahead of time.
     ahead: FxHashSet<TaskId>,
     bodies: BTreeMap<NodeId, PlanBody>,
@@ -118,9 +118,9 @@
     idle: FxHashMap<JobId, Steady>,
     /// Gangs granted in this term, and those that are being stopped.
     gangs: FxHashMap<JobId, gang_scheduling::Gang>,
-    halts: BTreeMap<JobId, gang_scheduling::Halt>,
+    pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
     /// Machines that are kept for gangs.
-    kept: Vec<MachineId>,
+    reserved: Vec<MachineId>,
     /// Images of gangs, and when one that needs it was last open.
     gang_images: FxHashMap<Rc<str>, Steady>,
     /// When a gang that has to be spread over zones was last open.
@@ -157,7 +157,7 @@
             attempts: Attempts::new(term, LEADERS_ATTEMPTS),
             unresolved: replica.granted_before(),
             recorded,
-            doubled: FxHashSet::default(),
+            duplicated: FxHashSet::default(),
             ahead: FxHashSet::default(),
             bodies: BTreeMap::new(),
             job_statuses_sent: Steady(0),
@@ -176,8 +176,8 @@
             load_written: cluster.now,
             idle: FxHashMap::default(),
             gangs: FxHashMap::default(),
-            halts: BTreeMap::new(),
-            kept: Vec::new(),
+            pending_stops: BTreeMap::new(),
+            reserved: Vec::new(),
             gang_images: FxHashMap::default(),
             spread_gangs: None,
         };
@@ -210,17 +210,17 @@
         if s.term != self.term {
             return (PeerResponse::NotLeading(self.term), false);
         }
-        let (node, followed) = (s.node, if s.more { PlanSeq(0) } else { s.followed });
+        let (node, applied_plan) = (s.node, if s.more { PlanSeq(0) } else { s.applied_plan });
         match self.fleet.on_summary(now, s) {
-            Taken::NewIncarnation => {
+            SummaryOutcome::NewIncarnation => {
                 self.renew_term.get_or_insert("a controller restarted");
                 (PeerResponse::NotLeading(self.term), true)
             }
-            Taken::Late => (PeerResponse::NotLeading(self.term), false),
-            Taken::Gap => (PeerResponse::SendWhole, false),
-            Taken::Yes(changed) => {
+            SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
+            SummaryOutcome::Gap => (PeerResponse::SendWhole, false),
+            SummaryOutcome::Yes(changed) => {
                 if !self.revoked.is_empty() {
-                    self.free_revoked(node, followed);
+                    self.free_revoked(node, applied_plan);
                 }
                 let plan = self.plan_for(node, now);
                 let response = plan.map_or(PeerResponse::NotLeading(self.term), |p| {
@@ -233,54 +233,54 @@
 
     /// Frees grants that were taken back, once their part follows a plan without them and
     /// does not hold the task.
-    fn free_revoked(&mut self, node: NodeId, followed: PlanSeq) {
+    fn free_revoked(&mut self, node: NodeId, applied_plan: PlanSeq) {
         let fleet = &self.fleet;
         let held: FxHashSet<TaskId> = fleet
             .views()
             .filter(|m| fleet.owners.get(&m.id).is_some_and(|o| o.0 == node))
             .flat_map(|m| m.tasks.iter().map(|t| t.task))
             .collect();
-        self.revoked.retain(|t, r| r.node != node || followed < r.seq || held.contains(t));
+        self.revoked.retain(|t, r| r.node != node || applied_plan < r.seq || held.contains(t));
     }
 
     /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
         self.fleet.follow_members(cluster);
-        self.fleet.note_unheard(cluster.now, &cluster.settings.pace());
+        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.pace());
         self.check_nodes(cluster);
         self.fleet.assign(cluster, PlanSeq(self.seq.0 + 1));
         self.fleet.learn(cluster.now);
-        self.fleet.silent_verdicts(cluster);
+        self.fleet.expire_leases(cluster);
         // What is on machines borrows the fleet, which nothing below changes.
         let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
-        let on = fleet.on_machines();
-        self.learn(cluster, &on);
-        self.note_doubled(&fleet, &on);
-        self.settle(cluster, &fleet, &on);
-        self.supervise_gangs(cluster, &fleet, &on);
+        let on_machines = fleet.on_machines();
+        self.learn(cluster, &on_machines);
+        self.log_duplicated_tasks(&fleet, &on_machines);
+        self.reconcile(cluster, &fleet, &on_machines);
+        self.supervise_gangs(cluster, &fleet, &on_machines);
         let mut rooms = self.rooms(cluster, &fleet);
-        let mut turnover = self.turnover(cluster, &fleet, &on, &rooms);
+        let mut turnover = self.turnover(cluster, &fleet, &on_machines, &rooms);
         let extra = turnover.iter().fold(Cores(0), |sum, t| Cores(sum.0 + t.free_cores().0));
-        self.place_under_way(cluster, &fleet, &on, &mut rooms, &mut turnover);
-        self.keep_for_gangs(cluster, &fleet, &on, &mut rooms);
+        self.place_under_way(cluster, &fleet, &on_machines, &mut rooms, &mut turnover);
+        self.reserve_for_gangs(cluster, &fleet, &on_machines, &mut rooms);
         let filling = Filling {
-            used: self.team_use(cluster, &fleet, &on),
+            used: self.team_use(cluster, &fleet, &on_machines),
             rooms,
             turnover,
             extra,
             grants: Vec::new(),
-            counts: self.counts(&on),
+            counts: self.counts(&on_machines),
         };
-        let filling = self.grant(cluster, &fleet, &on, filling);
+        let filling = self.grant(cluster, &fleet, &on_machines, filling);
         let mut epoch = Epoch { grants: filling.grants, ..Epoch::default() };
         let due = self.decided.is_none_or(|at| cluster.now.since(at) >= CAPACITY_MS);
         if due {
             self.decided = Some(cluster.now);
-            self.decide_capacity(cluster, &fleet, &on, &filling.rooms, &epoch);
+            self.decide_capacity(cluster, &fleet, &on_machines, &filling.rooms, &epoch);
         }
-        drop(on);
+        drop(on_machines);
         self.fleet = fleet;
-        self.fleet.awaited = !self.unresolved.is_empty();
+        self.fleet.reconciliation_awaited = !self.unresolved.is_empty();
         if due {
             self.drain_retired();
         }
@@ -298,8 +298,8 @@
         self.renew_term =
             self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.pace());
         let calm = now.since(self.rebalanced.max(self.began)) > REBALANCE_MS;
-        if self.renew_term.is_none() && calm && self.fleet.unsettled.is_empty() {
-            let live = self.fleet.able(now);
+        if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
+            let live = self.fleet.eligible_owners(now);
             let owners = &self.fleet.owners;
             let idle = live.iter().any(|id| {
                 owners.len() >= 2 * live.len()
@@ -325,13 +325,18 @@
     }
 
     /// Frees what is proven not to run, and takes back grants that were not used.
-    fn settle(&mut self, cluster: &ClusterView<'_>, fleet: &Fleet, on: &OnMachines<'_>) {
+    fn reconcile(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        fleet: &Fleet,
+        on_machines: &TasksOnMachines<'_>,
+    ) {
         let now = cluster.now;
         let replica = cluster.replica;
-        self.unresolved.retain(|t| replica.may_run(*t) && !on.contains_key(t));
-        if fleet.unsettled.is_empty() && !self.unresolved.is_empty() {
-            let (term, tasks, proof) = (self.term, self.unresolved.len(), fleet.proof());
-            tracing::info!(%term, tasks, %proof, "proven not to run");
+        self.unresolved.retain(|t| replica.may_run(*t) && !on_machines.contains_key(t));
+        if fleet.unreconciled.is_empty() && !self.unresolved.is_empty() {
+            let (term, tasks, evidence) = (self.term, self.unresolved.len(), fleet.evidence());
+            tracing::info!(%term, tasks, %evidence, "proven not to run");
             for task in self.unresolved.drain() {
                 tracing::debug!(%task, %term, "proven not to run");
             }
@@ -345,7 +350,7 @@
         let unused_ms = cluster.settings.pace().unused_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (t, g) in &mut self.granted {
-            if on.contains_key(t) {
+            if on_machines.contains_key(t) {
                 g.at = now;
             } else if now.since(g.at) > unused_ms {
                 unused.push(*t);
@@ -353,18 +358,18 @@
         }
         for t in unused {
             if let Some(g) = self.granted.remove(&t) {
-                let r = Revoked { node: g.node, seq: next, zone: g.zone };
+                let r = RevokedGrant { node: g.node, seq: next, zone: g.zone };
                 self.revoked.insert(t, r);
             }
         }
     }
 
     /// Logs tasks that two machines show, once each: a rule is about to break, or has.
-    fn note_doubled(&mut self, fleet: &Fleet, on: &OnMachines<'_>) {
-        let doubled = fleet.doubled(on);
-        self.doubled.retain(|task| doubled.iter().any(|d| d.task == *task));
-        for d in doubled {
-            if self.doubled.insert(d.task) {
+    fn log_duplicated_tasks(&mut self, fleet: &Fleet, on_machines: &TasksOnMachines<'_>) {
+        let duplicated = fleet.duplicated(on_machines);
+        self.duplicated.retain(|task| duplicated.iter().any(|d| d.task == *task));
+        for d in duplicated {
+            if self.duplicated.insert(d.task) {
                 let [first, second] = d.machines;
                 tracing::error!(task = %d.task, %first, %second, term = %self.term, "on two machines");
             }
@@ -372,23 +377,28 @@
     }
 
     /// Whether a task may be granted: it is proven to be nowhere.
-    fn is_free(&self, cluster: &ClusterView<'_>, on: &OnMachines<'_>, t: TaskId) -> bool {
+    fn is_free(
+        &self,
+        cluster: &ClusterView<'_>,
+        on_machines: &TasksOnMachines<'_>,
+        t: TaskId,
+    ) -> bool {
         cluster.replica.may_run(t)
-            && !cluster.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index))
-            && !on.contains_key(&t)
+            && !cluster.completed_tasks.get(&t.job).is_some_and(|f| f.tasks.contains(t.index))
+            && !on_machines.contains_key(&t)
             && !self.granted.contains_key(&t)
             && !self.revoked.contains_key(&t)
             && !self.unresolved.contains(&t)
     }
 
     /// Tasks of each job that are on machines or granted, and those that may be anywhere.
-    fn counts(&self, on: &OnMachines<'_>) -> FxHashMap<JobId, (u32, u32)> {
+    fn counts(&self, on_machines: &TasksOnMachines<'_>) -> FxHashMap<JobId, (u32, u32)> {
         let mut counts: FxHashMap<JobId, (u32, u32)> = FxHashMap::default();
-        for t in on.keys() {
+        for t in on_machines.keys() {
             counts.entry(t.job).or_default().0 += 1;
         }
         let others = self.granted.keys().chain(self.revoked.keys());
-        for t in others.filter(|t| !on.contains_key(t)) {
+        for t in others.filter(|t| !on_machines.contains_key(t)) {
             counts.entry(t.job).or_default().0 += 1;
         }
         for t in &self.unresolved {
@@ -401,7 +411,7 @@
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         mut filling: Filling,
     ) -> Filling {
         let counts = std::mem::take(&mut filling.counts);
@@ -457,11 +467,11 @@
                 self.wait_reasons.entry(d.job).or_insert(WaitReason::ForMachines);
             }
             if job.spec.kind == JobKind::Gang {
-                self.grant_gang(cluster, fleet, on, job, d.team, more, held, &mut filling);
+                self.grant_gang(cluster, fleet, on_machines, job, d.team, more, held, &mut filling);
             } else {
                 // What has waited long needs a machine, as small places may never hold it.
                 let ahead = d.weight < STARVED_WEIGHT;
-                self.grant_job(cluster, fleet, on, job, d.team, more, ahead, &mut filling);
+                self.grant_job(cluster, fleet, on_machines, job, d.team, more, ahead, &mut filling);
             }
         }
         self.shares = admission.shares;
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -8,8 +8,8 @@
 
 use super::expected_releases::{Turnover, take_places};
 use super::machine_speed::Speed;
-use super::{ClusterView, Granted, Leader};
-use crate::fleet::{Fleet, OnMachines};
+use super::{ClusterView, Leader, TaskGrant};
+use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
 use crate::peer::WaitReason;
 use crate::placement::{Need, Room};
@@ -24,7 +24,7 @@
     /// Places that tasks are about to leave, and their cores, granted ones included.
     pub(super) turnover: Vec<Turnover>,
     pub(super) extra: Cores,
-    pub(super) grants: Vec<(TaskId, Granted)>,
+    pub(super) grants: Vec<(TaskId, TaskGrant)>,
     /// How many tasks of each job are held, and how many may be running somewhere.
     pub(super) counts: FxHashMap<JobId, (u32, u32)>,
 }
@@ -157,13 +157,13 @@
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         rooms: &mut [Room],
         turnover: &mut [Turnover],
     ) {
         type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
         let mut under_way: BTreeMap<Alike<'_>, usize> = BTreeMap::new();
-        for (t, g) in self.granted.iter().filter(|(t, _)| !on.contains_key(t)) {
+        for (t, g) in self.granted.iter().filter(|(t, _)| !on_machines.contains_key(t)) {
             let alike = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
             *under_way.entry(alike).or_default() += 1;
         }
@@ -193,7 +193,7 @@
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         job: &Job,
         team: usize,
         more: usize,
@@ -214,11 +214,11 @@
             if self.unresolved.iter().any(|t| t.job == id) {
                 return; // Where the others are is not known.
             }
-            self.count_zones(id, on, &mut zones);
+            self.count_zones(id, on_machines, &mut zones);
         }
         let free: Vec<TaskId> = (0..job.spec.task_count)
             .map(|index| TaskId { job: id, index })
-            .filter(|t| self.is_free(cluster, on, *t))
+            .filter(|t| self.is_free(cluster, on_machines, *t))
             .take(more.min(fits))
             .collect();
         let chosen = filling.choose_places(cluster, fleet, job, zones, free.len(), ahead);
@@ -230,21 +230,26 @@
             let Place { node, zone, ahead } = place;
             filling.grants.push((
                 task,
-                Granted { node, attempt: None, at: cluster.now, zone, seen: false, ahead },
+                TaskGrant { node, attempt: None, at: cluster.now, zone, seen: false, ahead },
             ));
         }
     }
 
     /// Counts where a job's tasks are by zone.
-    pub(super) fn count_zones(&self, id: JobId, on: &OnMachines<'_>, zones: &mut ZoneRule) {
-        for (_, s) in on.iter().filter(|(t, _)| t.job == id) {
+    pub(super) fn count_zones(
+        &self,
+        id: JobId,
+        on_machines: &TasksOnMachines<'_>,
+        zones: &mut ZoneRule,
+    ) {
+        for (_, s) in on_machines.iter().filter(|(t, _)| t.job == id) {
             zones.count(&s.machine.zone);
         }
         let granted = self.granted.iter().map(|(t, g)| (t, &g.zone));
         let revoked = self.revoked.iter().map(|(t, r)| (t, &r.zone));
         for (t, zone) in granted.chain(revoked) {
             if t.job == id
-                && !on.contains_key(t)
+                && !on_machines.contains_key(t)
                 && let Some(z) = zone
             {
                 zones.count(z);
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -19,10 +19,10 @@
 impl Leader {
     /// A line for operators: what is held, granted and open, and what cores do.
     pub fn describe(&self, cluster: &ClusterView<'_>) -> String {
-        let on = self.fleet.on_machines();
+        let on_machines = self.fleet.on_machines();
         let (mut runs, mut fetches, mut free) = (Cores(0), Cores(0), Cores(0));
         let mut waits = Cores(0);
-        for (t, s) in &on {
+        for (t, s) in &on_machines {
             let cores =
                 cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Need::of(&j.spec).cores);
             let sum = match s.state {
@@ -41,10 +41,10 @@
             self.fleet.machines.values().filter(|m| m.up).count(),
             self.fleet.machines.values().filter(|m| m.up && m.offer.spot).count(),
             self.fleet.owners.len(),
-            on.len(),
-            self.granted.keys().filter(|t| !on.contains_key(t)).count(),
+            on_machines.len(),
+            self.granted.keys().filter(|t| !on_machines.contains_key(t)).count(),
             self.unresolved.len(),
-            self.fleet.unsettled.len(),
+            self.fleet.unreconciled.len(),
             cluster.replica.jobs.len(),
             runs.amount(),
             fetches.amount(),
@@ -52,7 +52,7 @@
             free.amount(),
             self.market.ready(false),
             self.market.ready(true),
-            self.kept.len(),
+            self.reserved.len(),
             versions(cluster),
         )
     }
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -68,11 +68,13 @@
         };
         let mut groups: BTreeSet<u32> = BTreeSet::new();
         for (id, _) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-            let homes = replica.homes(id);
-            groups.extend(homes.first().copied().or_else(|| Some(replica::machine_group(id))));
+            let keys_by_machine = replica.keys_by_machine(id);
+            groups.extend(
+                keys_by_machine.first().copied().or_else(|| Some(replica::machine_group(id))),
+            );
         }
         for (id, _) in known.iter().filter(|(id, m)| died(id, m) || over(m)) {
-            groups.extend(replica.homes(id));
+            groups.extend(replica.keys_by_machine(id));
         }
         let mut further: BTreeMap<u32, Vec<(MachineId, MachineRecord)>> = BTreeMap::new();
         let mut written = 0;
@@ -92,7 +94,7 @@
                 }
             }
             for (id, m) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-                let home = replica.homes(id).first().copied();
+                let home = replica.keys_by_machine(id).first().copied();
                 if home.unwrap_or_else(|| replica::machine_group(id)) == group {
                     machines.insert(id.clone(), record_of(m));
                 }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -13,7 +13,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{ClusterView, Leader};
-use crate::fleet::{Fleet, OnMachines};
+use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, MachineId, NodeId};
 use crate::placement::{self, Need, Room};
 use crate::wire::{JobKind, JobSpec, Priority, TaskState};
@@ -95,14 +95,14 @@
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         rooms: &[Room],
     ) -> Vec<Turnover> {
-        let kept = |r: &Room| self.kept.binary_search(&r.id).is_ok();
+        let reserved = |r: &Room| self.reserved.binary_search(&r.id).is_ok();
         let open: FxHashMap<&MachineId, &Room> =
-            rooms.iter().filter(|r| r.open && !kept(r)).map(|r| (&r.id, r)).collect();
+            rooms.iter().filter(|r| r.open && !reserved(r)).map(|r| (&r.id, r)).collect();
         let mut ending: BTreeMap<Alike<'_>, Ending> = BTreeMap::new();
-        for (task, seen) in on.iter().filter(|(_, s)| s.state == TaskState::Running) {
+        for (task, seen) in on_machines.iter().filter(|(_, s)| s.state == TaskState::Running) {
             let Some(room) = open.get(&seen.machine.id) else { continue };
             let owner = fleet.owners.get(&room.id).map(|(owner, _)| *owner);
             let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -10,10 +10,10 @@
 use rustc_hash::FxHashSet;
 
 use super::allocation::{Filling, ZoneRule};
-use super::{ClusterView, Granted, Leader, Revoked};
-use crate::fleet::{Fleet, OnMachines};
+use super::{ClusterView, Leader, RevokedGrant, TaskGrant};
+use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId};
-use crate::peer::{Stop, WaitReason};
+use crate::peer::{GangStop, WaitReason};
 use crate::placement::{self, Need, Room};
 use crate::replica::Job;
 use crate::wire::{JobKind, TaskState};
@@ -26,7 +26,7 @@
 const STOP_AGAIN_MS: u64 = 3_000;
 
 /// Most of all cores that are kept free for gangs.
-const MOST_KEPT: f64 = 0.25;
+const MAX_RESERVED_SHARE: f64 = 0.25;
 
 /// How long the images of gangs count as wanted after the last one.
 const IMAGES_KEPT_MS: u64 = 300_000;
@@ -47,15 +47,15 @@
 
 /// A gang that is being stopped.
 #[derive(Clone, Debug)]
-pub(super) struct Halt {
-    pub(super) stop: Stop,
+pub(super) struct PendingStop {
+    pub(super) stop: GangStop,
     until: Steady,
 }
 
 /// Where a gang's tasks are.
 #[derive(Default)]
 struct Presence {
-    on: u32,
+    on_machines: u32,
     running: u32,
     under_way: u32,
     revoked: u32,
@@ -70,7 +70,7 @@
 
 impl Presence {
     fn is_empty(&self) -> bool {
-        self.on + self.under_way + self.revoked + self.unresolved == 0
+        self.on_machines + self.under_way + self.revoked + self.unresolved == 0
     }
 }
 
@@ -80,7 +80,7 @@
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
     ) {
         let is_gang = |j: &Job| j.spec.kind == JobKind::Gang;
         let mut gangs: BTreeMap<JobId, Presence> = cluster
@@ -91,14 +91,14 @@
             .map(|(id, _)| (*id, Presence { heard: true, ..Presence::default() }))
             .collect();
         self.gangs.retain(|id, _| gangs.contains_key(id));
-        self.halts.retain(|id, _| gangs.contains_key(id));
+        self.pending_stops.retain(|id, _| gangs.contains_key(id));
         if gangs.is_empty() {
             return;
         }
         let silent_ms = cluster.settings.pace().silent_ms;
-        for (t, seen) in on {
+        for (t, seen) in on_machines {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
-            p.on += 1;
+            p.on_machines += 1;
             let runs = matches!(seen.state, TaskState::Running | TaskState::SavingCheckpoint);
             p.running += u32::from(runs);
             p.leaves = match (p.leaves, fleet.leaves(&seen.machine.id)) {
@@ -109,7 +109,7 @@
         }
         for (t, g) in &mut self.granted {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
-            match on.get(t) {
+            match on_machines.get(t) {
                 Some(seen) => g.seen |= seen.state != TaskState::Unknown,
                 None => {
                     p.under_way += 1;
@@ -117,7 +117,7 @@
                 }
             }
         }
-        for t in self.revoked.keys().filter(|t| !on.contains_key(t)) {
+        for t in self.revoked.keys().filter(|t| !on_machines.contains_key(t)) {
             if let Some(p) = gangs.get_mut(&t.job) {
                 p.revoked += 1;
             }
@@ -136,21 +136,24 @@
         let now = cluster.now;
         if p.is_empty() {
             self.gangs.remove(&id);
-            self.halts.remove(&id);
+            self.pending_stops.remove(&id);
             return;
         }
         // If one task is done all are, and what is left of them goes when that is on record.
         let Some(job) = cluster.replica.jobs.get(&id) else { return };
-        if cluster.finished.contains_key(&id) || p.unresolved > 0 || !job.progress.done.is_empty() {
+        if cluster.completed_tasks.contains_key(&id)
+            || p.unresolved > 0
+            || !job.progress.done.is_empty()
+        {
             return;
         }
-        if let Some(halt) = self.halts.get(&id) {
-            if halt.stop.leeway_ms > 0 && now >= halt.until {
-                self.halt(cluster, id, 0, "it does not end");
+        if let Some(stop_gang) = self.pending_stops.get(&id) {
+            if stop_gang.stop.leeway_ms > 0 && now >= stop_gang.until {
+                self.stop_gang(cluster, id, 0, "it does not end");
             }
             return;
         }
-        let whole = p.on + p.under_way == job.spec.task_count && p.revoked == 0 && !p.lost;
+        let whole = p.on_machines + p.under_way == job.spec.task_count && p.revoked == 0 && !p.lost;
         if whole {
             self.stop_in_order(cluster, job, p);
             return;
@@ -166,7 +169,7 @@
             (false, true) => "it is not whole",
             (false, false) => "it did not come together in time",
         };
-        self.halt(cluster, id, 0, why);
+        self.stop_gang(cluster, id, 0, why);
     }
 
     /// Stops a running gang whose machine is about to be taken, if all its machines can be told in
@@ -184,23 +187,23 @@
         if left < save_ms + way_ms / 2 || left > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
         }
-        self.halt(cluster, job.spec.id, save_ms + peer_ms, "its machine is about to be taken");
+        self.stop_gang(cluster, job.spec.id, save_ms + peer_ms, "its machine is about to be taken");
     }
 
     /// Stops a gang wherever its tasks are and takes back what is granted of it.
-    fn halt(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, why: &str) {
+    fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, why: &str) {
         tracing::info!(job = %id, why, leeway_ms, "stopping a gang");
         let next = PlanSeq(self.seq.0 + 1);
         let taken: Vec<TaskId> = self.granted.keys().filter(|t| t.job == id).copied().collect();
         for t in taken {
             if let Some(g) = self.granted.remove(&t) {
-                self.revoked.insert(t, Revoked { node: g.node, seq: next, zone: g.zone });
+                self.revoked.insert(t, RevokedGrant { node: g.node, seq: next, zone: g.zone });
             }
         }
         let before = self.attempts.give();
-        let stop = Stop { job: id.0, before, leeway_ms };
+        let stop = GangStop { job: id.0, before, leeway_ms };
         let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
-        self.halts.insert(id, Halt { stop, until });
+        self.pending_stops.insert(id, PendingStop { stop, until });
         self.gangs.remove(&id);
     }
 
@@ -208,7 +211,9 @@
     pub(super) fn gang_tries(&self, job: &Job, held: u32, unresolved: u32) -> u32 {
         let id = job.spec.id;
         let missing = job.spec.task_count.saturating_sub(held + unresolved);
-        let open = job.progress.done.is_empty() && unresolved == 0 && !self.halts.contains_key(&id);
+        let open = job.progress.done.is_empty()
+            && unresolved == 0
+            && !self.pending_stops.contains_key(&id);
         if open && (held == 0 || self.gangs.contains_key(&id)) { missing } else { 0 }
     }
 
@@ -218,7 +223,7 @@
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         job: &Job,
         team: usize,
         more: usize,
@@ -236,20 +241,21 @@
         }
         let free: Vec<TaskId> = (0..job.spec.task_count)
             .map(|index| TaskId { job: id, index })
-            .filter(|t| self.is_free(cluster, on, *t))
+            .filter(|t| self.is_free(cluster, on_machines, *t))
             .collect();
         if free.len() != more {
             return;
         }
         let mut zones = ZoneRule::of(&job.spec);
-        self.count_zones(id, on, &mut zones);
+        self.count_zones(id, on_machines, &mut zones);
         // A controller that does not know gangs would not look after its part of one.
-        let speaks: Vec<bool> = filling
+        let capabilities: Vec<bool> = filling
             .rooms
             .iter()
             .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n)))
             .collect();
-        let Some(chosen) = choose(cluster, job, &need, &filling.rooms, &speaks, zones, more) else {
+        let Some(chosen) = choose(cluster, job, &need, &filling.rooms, &capabilities, zones, more)
+        else {
             self.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
             return;
         };
@@ -270,7 +276,7 @@
             let attempt = Some(attempt);
             filling.grants.push((
                 task,
-                Granted { node, attempt, at: cluster.now, zone, seen: false, ahead: false },
+                TaskGrant { node, attempt, at: cluster.now, zone, seen: false, ahead: false },
             ));
         }
     }
@@ -284,20 +290,20 @@
     }
 
     /// What parts are to stop.
-    pub(super) fn stops(&self) -> Vec<Stop> {
-        self.halts.values().map(|h| h.stop).collect()
+    pub(super) fn stops(&self) -> Vec<GangStop> {
+        self.pending_stops.values().map(|h| h.stop).collect()
     }
 
     /// Marks the machines that are kept for gangs: so much stays free there, on as few machines as
     /// hold it, in one zone as far as that goes. Work that may go elsewhere takes nothing there.
-    pub(super) fn keep_for_gangs(
+    pub(super) fn reserve_for_gangs(
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         rooms: &mut [Room],
     ) {
-        self.kept.clear();
+        self.reserved.clear();
         for job in cluster.replica.jobs.values().filter(|j| j.spec.kind == JobKind::Gang) {
             self.gang_images.insert(job.spec.image.clone(), cluster.now);
             if job.spec.spread_zones {
@@ -311,7 +317,7 @@
         }
         let mut used = [0u64; 2];
         let mut hosts: FxHashSet<&MachineId> = FxHashSet::default();
-        for (t, seen) in on {
+        for (t, seen) in on_machines {
             let Some(job) = cluster.replica.jobs.get(&t.job) else { continue };
             if job.spec.kind == JobKind::Gang {
                 used[usize::from(job.spec.allows_spot)] += Need::of(&job.spec).cores.0;
@@ -322,14 +328,14 @@
             cluster.catalog.get(&*r.machine_type).map_or(Cores(0), |f| Cores::offer(f.vcpus))
         };
         let open = rooms.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
-        let speaks = |r: &Room| {
+        let capabilities = |r: &Room| {
             fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n))
         };
         for loose in [false, true] {
-            let may = |r: &Room| r.open && !r.kept && (loose || !r.spot) && speaks(r);
+            let may = |r: &Room| r.open && !r.reserved && (loose || !r.spot) && capabilities(r);
             let wanted = self.market.headroom(loose, Cores(used[usize::from(loose)]).amount());
             // In a small fleet others would find nothing.
-            let wanted = wanted.min(open * MOST_KEPT);
+            let wanted = wanted.min(open * MAX_RESERVED_SHARE);
             if wanted <= 0.0 {
                 continue;
             }
@@ -353,18 +359,18 @@
                 let mut here = most.min(lacking);
                 for &i in &order {
                     let r = &mut rooms[i];
-                    if here <= 0.0 || r.kept || zone.is_some_and(|z| z != &*r.zone) {
+                    if here <= 0.0 || r.reserved || zone.is_some_and(|z| z != &*r.zone) {
                         continue;
                     }
                     here -= r.free.cores.amount();
                     lacking -= r.free.cores.amount();
-                    r.kept = true;
-                    self.kept.push(r.id.clone());
+                    r.reserved = true;
+                    self.reserved.push(r.id.clone());
                 }
             }
             self.market.gang_zones = zones;
         }
-        self.kept.sort();
+        self.reserved.sort();
     }
 
     /// The zone where room is kept for gangs: the one with most machines. It stays as long as it is
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -43,20 +43,21 @@
     /// The keys that are written.
     written: BTreeSet<u32>,
     /// The key that holds each job.
-    homes: BTreeMap<JobId, u32>,
+    keys_by_job: BTreeMap<JobId, u32>,
 }
 
 impl<'a> GrantKeys<'a> {
     fn new(cluster: &'a ClusterView<'a>, most: usize) -> Self {
         let stored = cluster.replica.epochs.iter();
-        let homes = stored.flat_map(|(key, (r, _))| r.granted.iter().map(|(job, _)| (*job, *key)));
+        let keys_by_job =
+            stored.flat_map(|(key, (r, _))| r.granted.iter().map(|(job, _)| (*job, *key)));
         GrantKeys {
             cluster,
             fill: cluster.limits.value_bytes() * 4 / 5,
             most,
             contents: BTreeMap::new(),
             written: BTreeSet::new(),
-            homes: homes.collect(),
+            keys_by_job: keys_by_job.collect(),
         }
     }
 
@@ -83,7 +84,7 @@
     /// The key for a job's ranges: the one that holds the job, else one that is written anyway,
     /// else the first with room. `None` if the transaction is full.
     fn key_for(&mut self, job: JobId, ranges: &Ranges) -> Option<u32> {
-        let home = self.homes.get(&job).copied();
+        let home = self.keys_by_job.get(&job).copied();
         if let Some(key) = home.filter(|key| self.takes(*key, job, ranges)) {
             return Some(key);
         }
@@ -139,7 +140,7 @@
         let mut refused: FxHashSet<JobId> = FxHashSet::default();
         // Jobs in keys that hold them come first: others may then stand beside them.
         let (held, new): (Vec<_>, Vec<_>) =
-            wider.iter().partition(|(job, _)| keys.homes.contains_key(job));
+            wider.iter().partition(|(job, _)| keys.keys_by_job.contains_key(job));
         for (job, ranges) in held.into_iter().chain(new) {
             if !keys.put(*job, ranges) {
                 refused.insert(*job);
--- a/src/leader/machine_speed.rs
+++ b/src/leader/machine_speed.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{ClusterView, Leader};
-use crate::fleet::OnMachines;
+use crate::fleet::TasksOnMachines;
 use crate::replica::Job;
 use crate::wire::TaskState;
 
@@ -41,14 +41,15 @@
 
 impl Leader {
     /// Learns how long tasks run compared with their owners' estimates.
-    pub(super) fn learn(&mut self, cluster: &ClusterView<'_>, on: &OnMachines<'_>) {
+    pub(super) fn learn(&mut self, cluster: &ClusterView<'_>, on_machines: &TasksOnMachines<'_>) {
         let now = cluster.now;
         for (t, (began, machine)) in &self.seen_running {
-            if on.get(t).is_some_and(|s| s.state == TaskState::Running) {
+            if on_machines.get(t).is_some_and(|s| s.state == TaskState::Running) {
                 continue;
             }
             // It may have completed without being on record yet.
-            let heard = cluster.finished.get(&t.job).is_some_and(|f| f.tasks.contains(t.index));
+            let heard =
+                cluster.completed_tasks.get(&t.job).is_some_and(|f| f.tasks.contains(t.index));
             let done = |j: &&Job| heard || j.is_done(t.index);
             let Some(job) = cluster.replica.jobs.get(&t.job).filter(done) else {
                 continue;
@@ -69,7 +70,7 @@
             }
         }
         let mut running = FxHashMap::default();
-        for (t, s) in on.iter().filter(|(_, s)| s.state == TaskState::Running) {
+        for (t, s) in on_machines.iter().filter(|(_, s)| s.state == TaskState::Running) {
             let seen = self.seen_running.get(t).filter(|(_, m)| *m == s.machine.id).cloned();
             running.insert(*t, seen.unwrap_or_else(|| (now, s.machine.id.clone())));
         }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{ClusterView, Epoch, Granted, Leader};
+use super::{ClusterView, Epoch, Leader, TaskGrant};
 use crate::model::{Attempt, JobId, NodeId, PlanSeq, Ranges, Steady};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
@@ -29,7 +29,7 @@
             if let Some(attempt) = g.attempt {
                 self.note_gang(cluster.now, task.job, attempt);
             }
-            self.granted.insert(task, Granted { at: cluster.now, ..g });
+            self.granted.insert(task, TaskGrant { at: cluster.now, ..g });
         }
         let mut bodies = self.bodies_without_job_statuses();
         let same = |id: &NodeId, body: &PlanBody| {
@@ -63,13 +63,15 @@
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
         let slow = self.speeds.iter().filter(|(_, s)| s.is_slow());
-        let lapsed = self.fleet.lapsed.iter();
+        let expired_leases = self.fleet.expired_leases.iter();
         let mut common = PlanBody {
             drain: draining.map(|(id, _)| id.clone()).collect(),
             slow: slow.map(|(id, _)| id.clone()).collect(),
-            lapsed: lapsed.map(|(id, agent_epoch)| (id.clone(), *agent_epoch)).collect(),
+            expired_leases: expired_leases
+                .map(|(id, agent_epoch)| (id.clone(), *agent_epoch))
+                .collect(),
             stops: self.stops(),
-            kept: self.kept.clone(),
+            reserved: self.reserved.clone(),
             ..PlanBody::default()
         };
         common.slow.sort();
@@ -109,11 +111,11 @@
     }
 
     fn job_statuses(&self, cluster: &ClusterView<'_>) -> Vec<JobStatus> {
-        let on = self.fleet.on_machines();
+        let on_machines = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         // What still fetches its image or waits for its gang does not run.
         let runs = |s: TaskState| matches!(s, TaskState::Running | TaskState::SavingCheckpoint);
-        for (t, _) in on.iter().filter(|(_, s)| runs(s.state)) {
+        for (t, _) in on_machines.iter().filter(|(_, s)| runs(s.state)) {
             *running.entry(t.job).or_default() += 1;
         }
         cluster
@@ -138,8 +140,8 @@
             seq: self.seq,
             clock_ms: now.0,
             heard: state.number,
-            owners: self.fleet.ownership_changes(state.followed),
-            body: (state.followed != self.seq).then(|| body.clone()),
+            owners: self.fleet.ownership_changes(state.applied_plan),
+            body: (state.applied_plan != self.seq).then(|| body.clone()),
             decisions: None,
         })
     }
@@ -147,10 +149,10 @@
 
 /// Completed tasks of the jobs of which some are not on record yet.
 fn completed(cluster: &ClusterView<'_>) -> Vec<(u64, u32)> {
-    let finished = cluster.finished.iter();
-    let counts = finished.filter_map(|(id, finished)| {
+    let completed_tasks = cluster.completed_tasks.iter();
+    let counts = completed_tasks.filter_map(|(id, completed_tasks)| {
         let job = cluster.replica.jobs.get(id)?;
-        let new = finished.tasks.iter().filter(|index| !job.is_done(*index)).count();
+        let new = completed_tasks.tasks.iter().filter(|index| !job.is_done(*index)).count();
         Some((id.0, job.progress.done.len() + new as u32))
     });
     counts.collect()
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{ClusterView, Filling, Leader};
-use crate::fleet::{Fleet, OnMachines};
+use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId};
 use crate::placement::Need;
 
@@ -15,7 +15,7 @@
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
     ) -> Vec<(Cores, Cores)> {
         let teams = &cluster.settings.params.teams;
         let mut used = vec![(Cores(0), Cores(0)); teams.len()];
@@ -29,23 +29,23 @@
         };
         let mut strange: BTreeSet<&MachineId> = BTreeSet::new();
         let mut by_job: FxHashMap<JobId, u64> = FxHashMap::default();
-        for (t, seen) in on {
+        for (t, seen) in on_machines {
             // Tasks of jobs that have ended still use cores until they are gone.
             if !cluster.replica.jobs.contains_key(&t.job)
-                && !cluster.replica.withdrawn.contains_key(&t.job)
+                && !cluster.replica.residual_usage.contains_key(&t.job)
             {
                 strange.insert(&seen.machine.id);
             }
             *by_job.entry(t.job).or_default() += 1;
         }
         let others = self.granted.keys().chain(self.revoked.keys());
-        for t in others.filter(|t| !on.contains_key(t)) {
+        for t in others.filter(|t| !on_machines.contains_key(t)) {
             *by_job.entry(t.job).or_default() += 1;
         }
         for (job, tasks) in by_job {
             if let Some(j) = cluster.replica.jobs.get(&job) {
                 add(&mut used, &j.spec.team, &Need::of(&j.spec), tasks);
-            } else if let Some(w) = cluster.replica.withdrawn.get(&job) {
+            } else if let Some(w) = cluster.replica.residual_usage.get(&job) {
                 add(&mut used, &w.owner, &w.need, tasks);
             }
         }
@@ -60,14 +60,14 @@
                 u.1.0 += need.accelerators.0;
             }
         }
-        self.add_unsettled(cluster, fleet, &index, &mut used);
+        self.add_unreconciled(cluster, fleet, &index, &mut used);
         used
     }
 
     /// Adds what may be on machines that have not reported in this term: no more than they
     /// hold, and of a team no more than the tasks it may have there, which are the unresolved ones
     /// and those of its cancelled jobs.
-    fn add_unsettled(
+    fn add_unreconciled(
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
@@ -75,7 +75,7 @@
         used: &mut [(Cores, Cores)],
     ) {
         let mut held = Need::default();
-        for id in &fleet.unsettled {
+        for id in &fleet.unreconciled {
             let machine_type = fleet.machines.get(id).map(|m| &m.offer.machine_type);
             if let Some(f) = machine_type.and_then(|h| cluster.catalog.get(h)) {
                 let offered = Need::offered(f);
@@ -102,10 +102,10 @@
                 add(&j.spec.team, &Need::of(&j.spec), tasks);
             }
         }
-        for w in cluster.replica.withdrawn.values() {
+        for w in cluster.replica.residual_usage.values() {
             add(&w.owner, &w.need, u64::from(w.left));
         }
-        let all = cluster.replica.withdrawn_forgotten;
+        let all = cluster.replica.residual_usage_truncated;
         for (u, m) in used.iter_mut().zip(may) {
             u.0.0 += if all { held.cores.0 } else { held.cores.0.min(m.cores.0) };
             u.1.0 +=
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -8,7 +8,7 @@
 use super::{ClusterView, Epoch, Leader};
 use crate::autoscaler;
 use crate::autoscaler::{Held, Offer, Want};
-use crate::fleet::{Fleet, OnMachines};
+use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
 use crate::placement::{Need, Room};
 use crate::replica::Job;
@@ -22,7 +22,7 @@
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
-        on: &OnMachines<'_>,
+        on_machines: &TasksOnMachines<'_>,
         rooms: &[Room],
         epoch: &Epoch,
     ) {
@@ -39,7 +39,7 @@
         }
         let mut held: FxHashMap<JobId, u32> = FxHashMap::default();
         let others = self.granted.keys().chain(granting.iter());
-        for t in on.keys().chain(others.filter(|t| !on.contains_key(t))) {
+        for t in on_machines.keys().chain(others.filter(|t| !on_machines.contains_key(t))) {
             *held.entry(t.job).or_default() += 1;
         }
         let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
@@ -102,7 +102,7 @@
                     age_s: now.since(m.since) as f64 / 1000.0,
                     free: room.map_or(offered, |r| r.free),
                     idle_s: now.since(m.busy) as f64 / 1000.0,
-                    kept: self.kept.binary_search(id).is_ok(),
+                    reserved: self.reserved.binary_search(id).is_ok(),
                     leaving: m.draining.is_some()
                         || m.failed
                         || (m.up && room.is_none_or(|r| !r.open)),
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -41,7 +41,7 @@
 }
 
 /// The time of day of a moment, or the one that is known of it already.
-fn settled(known: Option<Wall>, computed: u64) -> Wall {
+fn reconciled(known: Option<Wall>, computed: u64) -> Wall {
     known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(Wall(computed))
 }
 
@@ -86,7 +86,7 @@
                 .map(|(offer, until)| {
                     let offer = RentalOffer::from(offer);
                     let computed = cluster.wall.0 + until.since(cluster.now);
-                    let until = settled(known.refusals.entries().get(&offer).copied(), computed);
+                    let until = reconciled(known.refusals.entries().get(&offer).copied(), computed);
                     (offer, until)
                 })
                 .collect(),
@@ -96,10 +96,10 @@
                 .map(|(job, since)| {
                     let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
                     let known = known.waiting.entries().get(&(*job).into()).copied();
-                    ((*job).into(), settled(known, computed))
+                    ((*job).into(), reconciled(known, computed))
                 })
                 .collect(),
-            kept: self.kept.iter().cloned().collect::<BTreeSet<MachineId>>(),
+            reserved: self.reserved.iter().cloned().collect::<BTreeSet<MachineId>>(),
         }
     }
 
@@ -139,7 +139,7 @@
                 self.speeds.insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
             }
         }
-        for id in state.returning.entries().keys().chain(state.kept.entries().keys()) {
+        for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
             note(cluster.replica.machine_known(id));
         }
         counts.hints += self.take_unrecorded(cluster, state);
@@ -179,9 +179,9 @@
         let granted =
             self.gangs.iter().map(|(job, gang)| ((*job).into(), GangStep::Granted(gang.attempt())));
         let stopping = self
-            .halts
+            .pending_stops
             .iter()
-            .map(|(job, halt)| ((*job).into(), GangStep::Stopping(halt.stop.before)));
+            .map(|(job, stop_gang)| ((*job).into(), GangStep::Stopping(stop_gang.stop.before)));
         granted.chain(stopping).collect()
     }
 }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -139,8 +139,8 @@
             // What is kept for gangs is not kept from work that has waited long.
             let free = |r: &&mut Room| r.holds(&job.spec, &need, None);
             if let Some(room) = filling.rooms.iter_mut().find(free) {
-                room.kept = false;
-                self.kept.retain(|id| *id != room.id);
+                room.reserved = false;
+                self.reserved.retain(|id| *id != room.id);
                 continue;
             }
             if held >= STARVED_ROOMS {
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -49,7 +49,7 @@
     controller
 }
 
-fn view(id: &str, settled: bool, tasks: &[u32]) -> MachineView {
+fn view(id: &str, reconciled: bool, tasks: &[u32]) -> MachineView {
     MachineView {
         id: MachineId::new(id),
         machine_type: "small".into(),
@@ -57,9 +57,9 @@
         spot: false,
         endpoint: "10.1.0.1:9000".into(),
         agent_epoch: AgentEpoch(1),
-        settled,
+        reconciled,
         leaving: false,
-        shun_ms: 0,
+        quarantine_ms: 0,
         tasks: tasks
             .iter()
             .map(|index| TaskView {
@@ -73,7 +73,12 @@
 
 /// Tells the leader what the only controller knows and plays an epoch; says whether it
 /// grants anything.
-fn tell(controller: &mut Controller, ms: u64, followed: u64, machines: Vec<MachineView>) -> bool {
+fn tell(
+    controller: &mut Controller,
+    ms: u64,
+    applied_plan: u64,
+    machines: Vec<MachineView>,
+) -> bool {
     let summary = Summary {
         node: NodeId(0),
         incarnation: INCARNATION,
@@ -81,7 +86,7 @@
         base: 0,
         more: false,
         term: Term(3),
-        followed: PlanSeq(followed),
+        applied_plan: PlanSeq(applied_plan),
         echo_ms: 0,
         up_ms: ms,
         served_ms: 0,
@@ -91,7 +96,7 @@
         foreign_machines: vec![],
         failing: vec![],
         restarted: vec![],
-        finished: vec![],
+        completed_tasks: vec![],
         notices: vec![],
         follow: None,
     };
@@ -127,19 +132,19 @@
         (&[0, 1], &[1, 2], true, &[1]),
         (&[0], &[0], false, &[]), // what it seems to hold proves nothing
     ];
-    for (first, second, settled, both) in cases {
+    for (first, second, reconciled, both) in cases {
         let mut controller = leader();
         tell(&mut controller, 1_100, 0, vec![]);
         tell(
             &mut controller,
             1_300,
             1,
-            vec![view("n-1", true, first), view("n-2", settled, second)],
+            vec![view("n-1", true, first), view("n-2", reconciled, second)],
         );
         let fleet = &controller.leader.as_ref().unwrap().fleet;
-        let found = fleet.doubled(&fleet.on_machines());
+        let found = fleet.duplicated(&fleet.on_machines());
         let found: Vec<u32> = found.iter().map(|d| d.task.index).collect();
-        assert_eq!(found, both, "{first:?} {second:?} {settled}");
+        assert_eq!(found, both, "{first:?} {second:?} {reconciled}");
     }
 }
 
@@ -148,8 +153,8 @@
     let mut controller = leader();
     tell(&mut controller, 1_100, 0, vec![]);
     tell(&mut controller, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
-    let proof = controller.leader.as_ref().unwrap().fleet.proof().to_string();
-    assert_eq!(proof, "node 0: 2 by plan 1; leases ended: 0; gone: 0");
+    let evidence = controller.leader.as_ref().unwrap().fleet.evidence().to_string();
+    assert_eq!(evidence, "node 0: 2 by plan 1; leases ended: 0; gone: 0");
 }
 
 fn summary(number: u64, base: u64, incarnation: Incarnation) -> Summary {
@@ -160,7 +165,7 @@
         base,
         more: false,
         term: Term(3),
-        followed: PlanSeq(0),
+        applied_plan: PlanSeq(0),
         echo_ms: 0,
         up_ms: 0,
         served_ms: 0,
@@ -170,7 +175,7 @@
         foreign_machines: vec![],
         failing: vec![],
         restarted: vec![],
-        finished: vec![],
+        completed_tasks: vec![],
         notices: vec![],
         follow: None,
     }
@@ -197,7 +202,7 @@
     // Whole zones were returned a moment before their cut ended, though the run-out of
     // their leases had proven all that was needed.
     let mut controller = leader();
-    let tells = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
+    let speaks_for = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
         controller.rights.confirm_renewal(Steady(ms));
         controller.rights.confirm_sync(Steady(ms));
         let mut n1 = view("n-1", true, if agent_epoch == 1 { &[0] } else { &[] });
@@ -205,7 +210,7 @@
         let mut s = Summary {
             node: NodeId(0),
             number: ms,
-            followed: PlanSeq(1),
+            applied_plan: PlanSeq(1),
             echo_ms: ms,
             up_ms: ms,
             machines: vec![n1, view("n-2", true, &[])],
@@ -220,17 +225,17 @@
         controller.publish(at(ms), epoch, term);
         let leader = controller.leader.as_ref().unwrap();
         let task = TaskId { job: JobId(1), index: 0 };
-        (leader.fleet.on_machines().contains_key(&task), leader.fleet.lapsed.len())
+        (leader.fleet.on_machines().contains_key(&task), leader.fleet.expired_leases.len())
     };
-    tells(&mut controller, 1_100, true, 1);
-    assert_eq!(tells(&mut controller, 30_000, true, 1), (true, 0));
-    assert_eq!(tells(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
-    assert_eq!(tells(&mut controller, 42_000, false, 1), (false, 1));
+    speaks_for(&mut controller, 1_100, true, 1);
+    assert_eq!(speaks_for(&mut controller, 30_000, true, 1), (true, 0));
+    assert_eq!(speaks_for(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
+    assert_eq!(speaks_for(&mut controller, 42_000, false, 1), (false, 1));
     let plan = controller.plan_for(NodeId(0), Steady(42_000)).unwrap().0;
-    let told = plan.body.map(|b| b.lapsed);
+    let told = plan.body.map(|b| b.expired_leases);
     assert_eq!(told, Some(vec![(MachineId::new("n-1"), AgentEpoch(1))]), "its part is told");
-    assert_eq!(tells(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
-    tells(&mut controller, 44_000, true, 2);
+    assert_eq!(speaks_for(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
+    speaks_for(&mut controller, 44_000, true, 2);
     assert!(controller.leader.as_ref().unwrap().fleet.views().any(|m| &*m.id.0 == "n-1"), "back");
 }
 
@@ -243,7 +248,9 @@
     let returned = |controller: &mut Controller, ms| {
         controller.rights.confirm_renewal(Steady(ms));
         tell(controller, ms, 1, alive());
-        controller.with_leader(at(ms), |leader, cluster| leader.fleet.to_return(cluster)).unwrap()
+        controller
+            .with_leader(at(ms), |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
+            .unwrap()
     };
     assert!(returned(&mut controller, 1_100).is_empty());
     assert!(returned(&mut controller, 9_000).is_empty(), "its lease may still run");
@@ -272,7 +279,7 @@
             base,
             more,
             machines,
-            followed: PlanSeq(1),
+            applied_plan: PlanSeq(1),
             ..summary(1, 0, INCARNATION)
         };
         controller.take_summary(Steady(number), piece);
@@ -312,10 +319,10 @@
             };
             controller.take_summary(now, told);
             let leader = controller.leader.as_ref().unwrap();
-            assert_eq!(leader.fleet.unsettled.len(), 2, "{what}: not before all have told");
+            assert_eq!(leader.fleet.unreconciled.len(), 2, "{what}: not before all have told");
         }
         controller.epoch(at(now.0)).unwrap();
-        let left = &controller.leader.as_ref().unwrap().fleet.unsettled;
+        let left = &controller.leader.as_ref().unwrap().fleet.unreconciled;
         assert_eq!(left.contains(&MachineId::new("n-1")), !over, "{what}");
     }
 }
@@ -361,7 +368,7 @@
         tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
         let gone = controller.with_leader(at(when), |l, cluster| {
             let n2 = MachineId::new("n-2");
-            l.fleet.machines[&n2].missing && l.fleet.to_return(cluster).contains(&n2)
+            l.fleet.machines[&n2].missing && l.fleet.machines_to_scale_in(cluster).contains(&n2)
         });
         assert_eq!(gone, Some(returned), "{second} {after:?} {truncated}");
     }
@@ -498,7 +505,7 @@
 #[test]
 fn an_unresolved_task_waits_for_every_machine_that_may_have_it() {
     let mut controller = leader();
-    let seen = |settled| vec![view("n-1", settled, &[]), view("n-2", true, &[])];
+    let seen = |reconciled| vec![view("n-1", reconciled, &[]), view("n-2", true, &[])];
     assert!(!tell(&mut controller, 1_100, 0, vec![]));
     assert!(!tell(&mut controller, 1_300, 1, seen(false)), "n-1 may still take older orders");
     assert!(tell(&mut controller, 1_500, 1, seen(true)));
@@ -530,7 +537,7 @@
             wire::to_value(&replica::MemberRecord {
                 incarnation: INCARNATION,
                 version: String::new(),
-                speaks: replica::SPEAKS,
+                capabilities: replica::CAPABILITIES,
             }),
         ),
     ];
@@ -604,7 +611,7 @@
                 node: NodeId(0),
                 number: step + 1,
                 echo_ms: ms,
-                followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
+                applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
                 machines: free(24..72),
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, INCARNATION)
@@ -685,7 +692,7 @@
             node: NodeId(0),
             number: step + 1,
             echo_ms: ms,
-            followed: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
+            applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
             machines: free(24..48),
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, INCARNATION)
@@ -706,12 +713,13 @@
 }
 
 /// A leader that knows two machines of two places each, and a gang besides the job of the others.
-fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), speaks: u32) -> Controller {
+fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), capabilities: u32) -> Controller {
     let mut controller = leader();
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
     edit(&mut gang);
     let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
-    let member = replica::MemberRecord { incarnation: INCARNATION, version: String::new(), speaks };
+    let member =
+        replica::MemberRecord { incarnation: INCARNATION, version: String::new(), capabilities };
     let mut replica_changes = ReplicaChanges::default();
     let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
     controller
@@ -733,7 +741,7 @@
 /// Tasks of the gang that are granted now, and their attempt.
 fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
     let leader = controller.leader.as_ref().unwrap();
-    let of: Vec<&Granted> =
+    let of: Vec<&TaskGrant> =
         leader.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
     assert!(of.iter().all(|g| g.attempt == of[0].attempt), "one attempt for all");
     (of.len(), of.first().and_then(|g| g.attempt))
@@ -758,8 +766,8 @@
         ("beyond the team's limit", 4, |s| s.vcpus = 8.5, 1, 0),
         ("the controller does not know gangs", 3, |_| {}, 0, 0),
     ];
-    for (what, tasks, edit, speaks, want) in cases {
-        let mut controller = leader_with_gang(tasks, edit, speaks);
+    for (what, tasks, edit, capabilities, want) in cases {
+        let mut controller = leader_with_gang(tasks, edit, capabilities);
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
         tell(&mut controller, 1_100, 0, vec![]);
         controller.replica.jobs.remove(&JobId(1));
@@ -852,7 +860,7 @@
         let told = Summary {
             node: NodeId(0),
             number: 1_300,
-            followed: PlanSeq(1),
+            applied_plan: PlanSeq(1),
             machines: vec![shows("n-1", &[(0, runs), (1, runs)]), shows("n-2", &[(2, runs)])],
             answered: vec![(MachineId::new("n-1"), 0), (MachineId::new("n-2"), 0)],
             notices: vec![(MachineId::new("n-2"), ms)],
@@ -874,7 +882,7 @@
     // Seen in the simulation: in a fleet of eight machines all were kept for gangs, and arrays never
     // began. (machines, age of the array in s, machines kept, whether the array begins)
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
-    for (machines, age_s, kept, begins) in cases {
+    for (machines, age_s, reserved, begins) in cases {
         let mut controller =
             leader_with_gang(64, |s| (s.allows_spot, s.image) = (false, "gang".into()), 1);
         controller.replica.jobs.remove(&JobId(1));
@@ -898,7 +906,7 @@
         tell(&mut controller, 1_200, 1, idle());
         tell(&mut controller, 1_400, 1, idle());
         let leader = controller.leader.as_ref().unwrap();
-        assert_eq!(leader.kept.len(), kept, "{machines} {age_s}");
+        assert_eq!(leader.reserved.len(), reserved, "{machines} {age_s}");
         let began = leader.granted.keys().any(|t| t.job == JobId(8));
         assert_eq!(began, begins, "{machines} {age_s}");
     }
@@ -912,16 +920,21 @@
     type Edit = fn(&mut wire::JobSpec);
     // (what, the urgent job, what the controller understands, tasks granted ahead)
     let cases: [(&str, Option<Edit>, u32, usize); 5] = [
-        ("three of four tasks of 2 s end within 1.5 s", None, replica::SPEAKS_AHEAD, 3),
-        ("urgent work may go there", Some(|_| {}), replica::SPEAKS_AHEAD, 0),
+        ("three of four tasks of 2 s end within 1.5 s", None, replica::CAPABILITY_GRANTS_AHEAD, 3),
+        ("urgent work may go there", Some(|_| {}), replica::CAPABILITY_GRANTS_AHEAD, 0),
         (
             "urgent work may not",
             Some(|s| s.machine_types = Some(vec!["large".into()])),
-            replica::SPEAKS_AHEAD,
+            replica::CAPABILITY_GRANTS_AHEAD,
             3,
         ),
-        ("as urgent", Some(|s| s.priority = Priority::Normal), replica::SPEAKS_AHEAD, 3),
-        ("the controller does not read such grants", None, replica::SPEAKS_ENDED, 0),
+        ("as urgent", Some(|s| s.priority = Priority::Normal), replica::CAPABILITY_GRANTS_AHEAD, 3),
+        (
+            "the controller does not read such grants",
+            None,
+            replica::CAPABILITY_CANCELLATION_NOTICE,
+            0,
+        ),
     ];
     let running = |id: &str, tasks: [u32; 2]| {
         let tasks = tasks.map(|index| TaskView {
@@ -930,7 +943,7 @@
         });
         MachineView { tasks: tasks.to_vec(), ..view(id, true, &[]) }
     };
-    for (what, urgent, speaks, expected) in cases {
+    for (what, urgent, capabilities, expected) in cases {
         let mut controller = leader();
         let mut put = |key: String, v| {
             controller.replica.load(
@@ -938,8 +951,11 @@
                 &mut ReplicaChanges::default(),
             );
         };
-        let member =
-            replica::MemberRecord { incarnation: INCARNATION, version: String::new(), speaks };
+        let member = replica::MemberRecord {
+            incarnation: INCARNATION,
+            version: String::new(),
+            capabilities,
+        };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
         let brief = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
         put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
@@ -951,9 +967,9 @@
         }
         tell(&mut controller, 1_100, 0, vec![]);
         for step in 0..4 {
-            let followed = controller.leader.as_ref().unwrap().seq.0;
+            let applied_plan = controller.leader.as_ref().unwrap().seq.0;
             let full = vec![running("n-1", [0, 1]), running("n-2", [2, 3])];
-            tell(&mut controller, 1_300 + step * 100, followed, full);
+            tell(&mut controller, 1_300 + step * 100, applied_plan, full);
         }
         let leader = controller.leader.as_ref().unwrap();
         let normal = |t: &TaskId| t.job != JobId(9) || urgent.is_none();
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -18,7 +18,7 @@
     /// A summary made.
     Summary,
     /// A summary taken.
-    Taken,
+    SummaryOutcome,
     /// A plan followed.
     Plan,
     /// Changes taken from the store.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -57,7 +57,7 @@
         }
     };
 }
-as_list!(MachineView, 11: id, machine_type, zone, spot, endpoint, settled, agent_epoch, leaving, shun_ms, tasks, images);
+as_list!(MachineView, 11: id, machine_type, zone, spot, endpoint, reconciled, agent_epoch, leaving, quarantine_ms, tasks, images);
 as_list!(ForeignMachine, 6: id, machine_type, zone, spot, silent_ms, since_ms);
 as_list!(Grant, 4: job, tasks, zone, attempt);
 as_list!(JobStatus, 3: job, running, wait_reason);
@@ -92,7 +92,8 @@
     pub endpoint: Rc<str>,
     /// Whether its last report carried the sender's term: it refuses orders of older ones,
     /// and its task list is the truth.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub reconciled: bool,
     /// Its session.
     #[serde(rename = "session")]
     pub agent_epoch: AgentEpoch,
@@ -100,7 +101,8 @@
     pub leaving: bool,
     /// Milliseconds for which it takes nothing new: it failed tasks or showed no effect of
     /// orders lately.
-    pub shun_ms: u64,
+    #[serde(rename = "shun_ms")]
+    pub quarantine_ms: u64,
     /// Tasks on it or on their way to it.
     pub tasks: Vec<TaskView>,
     /// Images it has, with their sizes in GB, most recently used last.
@@ -143,7 +145,8 @@
     /// The term it knows.
     pub term: Term,
     /// The last plan of this term that it follows.
-    pub followed: PlanSeq,
+    #[serde(rename = "followed")]
+    pub applied_plan: PlanSeq,
     /// The leader's clock as given in that plan: this summary was made after that.
     pub echo_ms: u64,
     /// Milliseconds since its process started.
@@ -165,7 +168,8 @@
     /// Jobs that fail wherever they are tried.
     pub failing: Vec<u64>,
     /// Tasks that completed and are not known to be on record yet.
-    pub finished: Vec<(u64, Ranges)>,
+    #[serde(rename = "finished")]
+    pub completed_tasks: Vec<(u64, Ranges)>,
     /// Machines of its part that the cloud is about to take, and in how many milliseconds.
     #[serde(default)]
     pub notices: Vec<(MachineId, u64)>,
@@ -267,16 +271,18 @@
     /// Machines that are used last, as they run slow.
     pub slow: Vec<MachineId>,
     /// Machines whose lease has run out, and the session that ended with it.
-    pub lapsed: Vec<(MachineId, AgentEpoch)>,
+    #[serde(rename = "lapsed")]
+    pub expired_leases: Vec<(MachineId, AgentEpoch)>,
     /// How jobs stand.
     #[serde(rename = "standings")]
     pub job_statuses: Vec<JobStatus>,
     /// Gangs that are to be stopped wherever their tasks are.
     #[serde(default)]
-    pub stops: Vec<Stop>,
+    pub stops: Vec<GangStop>,
     /// Machines that are kept for gangs, and for work that may not use spot machines.
     #[serde(default)]
-    pub kept: Vec<MachineId>,
+    #[serde(rename = "kept")]
+    pub reserved: Vec<MachineId>,
     /// What this part may start besides, as soon as other tasks leave room for it, where no work that is
     /// more urgent may go.
     #[serde(default)]
@@ -293,16 +299,16 @@
             && self.ahead == other.ahead
             && self.drain == other.drain
             && self.slow == other.slow
-            && self.lapsed == other.lapsed
+            && self.expired_leases == other.expired_leases
             && self.stops == other.stops
-            && self.kept == other.kept
+            && self.reserved == other.reserved
     }
 }
 
 /// A gang that is to be stopped. It can be told any number of times, and late: what
 /// starts afterwards has another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stop {
+pub struct GangStop {
     /// The job's number.
     pub job: u64,
     /// Attempts below this one are stopped.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -100,13 +100,13 @@
     /// Whether tasks take much longer here than elsewhere.
     pub slow: bool,
     /// Whether it is kept for gangs, and for work that may not use spot machines.
-    pub kept: bool,
+    pub reserved: bool,
 }
 
 impl Room {
     /// Whether a task of the job may start here now.
     pub fn takes(&self, spec: &JobSpec, need: &Need, zone: Option<&str>) -> bool {
-        !(self.kept && spec.allows_spot && spec.kind != JobKind::Gang)
+        !(self.reserved && spec.allows_spot && spec.kind != JobKind::Gang)
             && self.holds(spec, need, zone)
     }
 
@@ -191,7 +191,7 @@
             fetch_rate: properties.fetch_gb_per_s,
             open: open && known && replica.machine_known(id),
             slow: false,
-            kept: false,
+            reserved: false,
         })
     }
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -36,7 +36,7 @@
         fetch_rate: 0.5,
         open: true,
         slow: false,
-        kept: false,
+        reserved: false,
     }
 }
 
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -22,7 +22,7 @@
 /// How many machines share a key.
 const MACHINES_IN_GROUP: u64 = 24;
 /// How many cancelled jobs are remembered for what their tasks may still use.
-const WITHDRAWN_KEPT: usize = 4_096;
+const RESIDUAL_USAGE_KEPT: usize = 4_096;
 
 /// A job as it was accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     /// What a gang that is done may still use. All of its tasks are done once one is, but a machine
     /// that hangs or cannot be reached has its tasks until they are gone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gang: Option<Withdrawn>,
+    pub gang: Option<ResidualUsage>,
 }
 
 /// Who leads.
@@ -69,22 +69,23 @@
     /// Its program's version; empty for those before 0.2.
     #[serde(default)]
     pub version: String,
-    /// What it understands, see [`SPEAKS`]; 0 for the version before gangs.
+    /// What it understands, see [`CAPABILITIES`]; 0 for the version before gangs.
     #[serde(default)]
-    pub speaks: u32,
+    #[serde(rename = "speaks")]
+    pub capabilities: u32,
 }
 
 /// What a controller understands that knows gangs: [`crate::peer::Stop`], waiting tasks, and that a
 /// gang is done as a whole.
-pub const SPEAKS_GANGS: u32 = 1;
+pub const CAPABILITY_GANGS: u32 = 1;
 /// What a controller understands that is told of cancellations directly, [`crate::peer::PeerRequest::Ended`].
-pub const SPEAKS_ENDED: u32 = 2;
+pub const CAPABILITY_CANCELLATION_NOTICE: u32 = 2;
 /// What one understands that starts tasks granted ahead, [`crate::peer::PlanBody::ahead`].
-pub const SPEAKS_AHEAD: u32 = 3;
+pub const CAPABILITY_GRANTS_AHEAD: u32 = 3;
 /// What one understands that is asked when it heard the leader, [`crate::peer::PeerRequest::LeaderSilence`].
-pub const SPEAKS_STANDBY: u32 = 4;
+pub const CAPABILITY_STANDBY: u32 = 4;
 /// What this version understands.
-pub const SPEAKS: u32 = SPEAKS_STANDBY;
+pub const CAPABILITIES: u32 = CAPABILITY_STANDBY;
 
 /// A machine that tasks may be on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -131,7 +132,7 @@
 
 /// What the tasks of a cancelled job, or of a gang that is done, use as long as they are not gone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Withdrawn {
+pub struct ResidualUsage {
     /// Its team.
     pub owner: String,
     /// What each task takes.
@@ -140,10 +141,10 @@
     pub left: u32,
 }
 
-impl Withdrawn {
+impl ResidualUsage {
     fn of(spec: &JobSpec, done: u32) -> Self {
         let left = spec.task_count.saturating_sub(done);
-        Withdrawn { owner: spec.team.clone(), need: Need::of(spec), left }
+        ResidualUsage { owner: spec.team.clone(), need: Need::of(spec), left }
     }
 }
 
@@ -195,7 +196,7 @@
     /// Jobs ended or made progress.
     pub progress: bool,
     /// Jobs that are known to be cancelled from now on.
-    pub withdrawn: Vec<JobId>,
+    pub cancelled: Vec<JobId>,
     /// The leader changed.
     pub leader: bool,
     /// A message for this node came.
@@ -214,14 +215,14 @@
     pub ended: HashMap<JobId, (JobState, u32)>,
     /// The same in the order in which their ends became known.
     ended_order: VecDeque<JobId>,
-    orphaned: HashMap<JobId, (Progress, Revision)>,
+    progress_without_job: HashMap<JobId, (Progress, Revision)>,
     /// Controllers that are up.
     pub members: BTreeMap<NodeId, (MemberRecord, Revision)>,
     /// What each controller said last that it understands, whether it is up or not.
-    spoke: BTreeMap<NodeId, u32>,
+    last_capabilities: BTreeMap<NodeId, u32>,
     /// How often each controller's key came or went, so that no absence is taken for a
     /// longer one than it was.
-    pub member_moves: BTreeMap<NodeId, u64>,
+    pub membership_changes: BTreeMap<NodeId, u64>,
     /// The leader.
     pub leader: Option<(LeaderRecord, Revision)>,
     /// The highest term, and the version of its key.
@@ -233,12 +234,12 @@
     groups: BTreeMap<u32, (MachineGroup, Revision)>,
     /// The keys that name a machine: one, or more where a version of the program with larger values
     /// wrote it again beside a further key.
-    homes: HashMap<MachineId, Vec<u32>>,
+    keys_by_machine: HashMap<MachineId, Vec<u32>>,
     /// Jobs cancelled last.
-    pub withdrawn: BTreeMap<JobId, Withdrawn>,
-    withdrawn_order: VecDeque<JobId>,
+    pub residual_usage: BTreeMap<JobId, ResidualUsage>,
+    residual_usage_order: VecDeque<JobId>,
     /// Whether some of those cancelled lately are not in there.
-    pub withdrawn_forgotten: bool,
+    pub residual_usage_truncated: bool,
     /// Granted ranges by key number.
     pub epochs: BTreeMap<u32, (EpochRecord, Revision)>,
     /// What the load was, as the last leader wrote it.
@@ -347,11 +348,11 @@
             }
         }
         // What came and went while the changes were not followed is not known.
-        for (node, moves) in before.member_moves {
-            *self.member_moves.entry(node).or_default() += moves + 1;
+        for (node, moves) in before.membership_changes {
+            *self.membership_changes.entry(node).or_default() += moves + 1;
         }
-        for (node, speaks) in before.spoke {
-            self.spoke.entry(node).or_insert(speaks);
+        for (node, capabilities) in before.last_capabilities {
+            self.last_capabilities.entry(node).or_insert(capabilities);
         }
     }
 
@@ -446,9 +447,9 @@
                 if let (Ok(n), Some(r)) = (rest.parse(), wire::from_value::<MemberRecord>(value))
                     && self.members.get(&NodeId(n)).is_none_or(|m| m.1 < version)
                 {
-                    self.spoke.insert(NodeId(n), r.speaks);
+                    self.last_capabilities.insert(NodeId(n), r.capabilities);
                     self.members.insert(NodeId(n), (r, version));
-                    *self.member_moves.entry(NodeId(n)).or_default() += 1;
+                    *self.membership_changes.entry(NodeId(n)).or_default() += 1;
                 }
             }
             "e" => {
@@ -482,17 +483,17 @@
         }
         let mut ids: Vec<MachineId> = record.machines.iter().map(|(id, _)| id.clone()).collect();
         for id in &ids {
-            let homes = self.homes.entry(id.clone()).or_default();
-            if !homes.contains(&group) {
-                homes.push(group);
+            let keys_by_machine = self.keys_by_machine.entry(id.clone()).or_default();
+            if !keys_by_machine.contains(&group) {
+                keys_by_machine.push(group);
             }
         }
         if let Some((old, _)) = self.groups.insert(group, (record, version)) {
             for (id, _) in old.machines {
                 if !ids.contains(&id)
-                    && let Some(homes) = self.homes.get_mut(&id)
+                    && let Some(keys_by_machine) = self.keys_by_machine.get_mut(&id)
                 {
-                    homes.retain(|g| *g != group);
+                    keys_by_machine.retain(|g| *g != group);
                     ids.push(id);
                 }
             }
@@ -505,15 +506,15 @@
     /// Takes what all keys tell of a machine. That it is gone stays true; a key that does not know it
     /// yet was written before.
     fn merge_machine(&mut self, id: MachineId) {
-        let homes = self.homes.get(&id).map_or(&[][..], Vec::as_slice);
-        let groups = homes.iter().filter_map(|g| self.groups.get(g));
+        let keys_by_machine = self.keys_by_machine.get(&id).map_or(&[][..], Vec::as_slice);
+        let groups = keys_by_machine.iter().filter_map(|g| self.groups.get(g));
         let told = groups.flat_map(|(g, _)| &g.machines).filter(|(i, _)| *i == id).map(|(_, r)| r);
         match told.max_by_key(|r| (r.gone.is_some(), r.up)).cloned() {
             Some(record) => {
                 self.machines.insert(id, record);
             }
             None => {
-                self.homes.remove(&id);
+                self.keys_by_machine.remove(&id);
                 self.machines.remove(&id);
             }
         }
@@ -525,20 +526,20 @@
     }
 
     /// The groups that name a machine.
-    pub fn homes(&self, id: &MachineId) -> &[u32] {
-        self.homes.get(id).map_or(&[], Vec::as_slice)
+    pub fn keys_by_machine(&self, id: &MachineId) -> &[u32] {
+        self.keys_by_machine.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn remember_withdrawn(&mut self, id: JobId, w: Withdrawn) {
-        if self.withdrawn.insert(id, w).is_none() {
-            self.withdrawn_order.push_back(id);
+    fn remember_residual_usage(&mut self, id: JobId, w: ResidualUsage) {
+        if self.residual_usage.insert(id, w).is_none() {
+            self.residual_usage_order.push_back(id);
         }
-        if self.withdrawn_order.len() > WITHDRAWN_KEPT
-            && let Some(old) = self.withdrawn_order.pop_front()
+        if self.residual_usage_order.len() > RESIDUAL_USAGE_KEPT
+            && let Some(old) = self.residual_usage_order.pop_front()
         {
-            self.withdrawn.remove(&old);
+            self.residual_usage.remove(&old);
             // Its tasks may still be on machines that have not settled: those then count in full.
-            self.withdrawn_forgotten = true;
+            self.residual_usage_truncated = true;
         }
     }
 
@@ -550,7 +551,8 @@
     fn put_job(&mut self, rest: &str, value: &Value, replica_changes: &mut ReplicaChanges) {
         let Some(id) = JobId::parse(rest) else { return };
         let end = self.ended.get(&id).copied();
-        let over = matches!(end, Some((JobState::Done, _))) || self.withdrawn.contains_key(&id);
+        let over =
+            matches!(end, Some((JobState::Done, _))) || self.residual_usage.contains_key(&id);
         if over || self.jobs.contains_key(&id) {
             return;
         }
@@ -559,10 +561,11 @@
             return;
         };
         if let Some((_, done)) = end {
-            self.remember_withdrawn(id, Withdrawn::of(&accepted.spec, done));
+            self.remember_residual_usage(id, ResidualUsage::of(&accepted.spec, done));
             return;
         }
-        let (progress, progress_version) = self.orphaned.remove(&id).unwrap_or_default();
+        let (progress, progress_version) =
+            self.progress_without_job.remove(&id).unwrap_or_default();
         self.jobs
             .insert(id, Job { spec: accepted.spec, at: accepted.at, progress, progress_version });
         replica_changes.jobs = true;
@@ -587,15 +590,15 @@
             let job = self.jobs.remove(&id);
             if end == JobState::Cancelled {
                 if let Some(job) = job {
-                    let left = Withdrawn::of(&job.spec, progress.done.len());
-                    self.remember_withdrawn(id, left);
+                    let left = ResidualUsage::of(&job.spec, progress.done.len());
+                    self.remember_residual_usage(id, left);
                 }
             } else if let Some(left) = progress.gang {
-                self.remember_withdrawn(id, left);
+                self.remember_residual_usage(id, left);
             }
-            self.orphaned.remove(&id);
+            self.progress_without_job.remove(&id);
             if self.remember_end(id, (end, progress.done.len())) && end == JobState::Cancelled {
-                b.withdrawn.push(id);
+                b.cancelled.push(id);
             }
         } else if let Some(job) = self.jobs.get_mut(&id) {
             if job.progress_version < version {
@@ -603,7 +606,7 @@
                 job.progress_version = version;
             }
         } else if !self.ended.contains_key(&id) {
-            self.orphaned.insert(id, (progress, version));
+            self.progress_without_job.insert(id, (progress, version));
         }
     }
 
@@ -629,7 +632,7 @@
                     && self.members.get(&n).is_some_and(|m| m.1 < version)
                 {
                     self.members.remove(&n);
-                    *self.member_moves.entry(n).or_default() += 1;
+                    *self.membership_changes.entry(n).or_default() += 1;
                 }
             }
             "e" => {
@@ -659,23 +662,23 @@
 
     /// Whether a controller that is up knows gangs.
     pub fn knows_gangs(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.speaks >= SPEAKS_GANGS)
+        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GANGS)
     }
 
     /// Whether a controller starts what is granted ahead.
     pub fn starts_ahead(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.speaks >= SPEAKS_AHEAD)
+        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GRANTS_AHEAD)
     }
 
     /// Whether a controller can be told of cancellations directly. One that the store refuses is
     /// no member for a while, and needs it most.
-    pub fn hears_ends(&self, node: NodeId) -> bool {
-        self.spoke.get(&node).is_some_and(|s| *s >= SPEAKS_ENDED)
+    pub fn reads_cancellation_notices(&self, node: NodeId) -> bool {
+        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_CANCELLATION_NOTICE)
     }
 
     /// Whether a controller can be asked when it heard the leader.
     pub fn knows_standby(&self, node: NodeId) -> bool {
-        self.spoke.get(&node).is_some_and(|s| *s >= SPEAKS_STANDBY)
+        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_STANDBY)
     }
 
     /// Whether a task may be started as far as its job is concerned.
@@ -686,7 +689,7 @@
     }
 
     /// Whether a task's outcome no longer matters: its job has ended or it is durably done.
-    pub fn settled(&self, task: TaskId) -> bool {
+    pub fn is_outcome_recorded(&self, task: TaskId) -> bool {
         self.ended.contains_key(&task.job)
             || self.jobs.get(&task.job).is_some_and(|j| j.is_done(task.index))
     }
@@ -766,7 +769,7 @@
         if all && job.spec.kind != wire::JobKind::Service {
             progress.end = Some(JobState::Done);
             if job.spec.kind == wire::JobKind::Gang {
-                progress.gang = Some(Withdrawn::of(&job.spec, 0));
+                progress.gang = Some(ResidualUsage::of(&job.spec, 0));
             }
         }
         Some(progress)
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -78,7 +78,7 @@
 fn what_is_forgotten_of_cancelled_jobs_is_known_to_be() {
     // Their tasks may run on machines of which nothing is heard; a limit must not be passed by
     // forgetting them. (cancelled jobs, kept, whether some are forgotten)
-    let kept = WITHDRAWN_KEPT as u64;
+    let kept = RESIDUAL_USAGE_KEPT as u64;
     for (cancelled, left, forgotten) in [(3, 3, false), (kept, kept, false), (kept + 1, kept, true)]
     {
         let mut l = Replica::new(NodeId(0));
@@ -91,7 +91,7 @@
             ];
             l.apply(&changes(2 * n + 1, news));
         }
-        assert_eq!((l.withdrawn.len() as u64, l.withdrawn_forgotten), (left, forgotten));
+        assert_eq!((l.residual_usage.len() as u64, l.residual_usage_truncated), (left, forgotten));
     }
 }
 
@@ -111,7 +111,7 @@
         // A controller that has never seen the job read its end alone.
         let mut l = Replica::new(NodeId(0));
         l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut replica_changes);
-        assert_eq!(l.withdrawn.get(&JobId(7)).map(|w| w.left), left, "{kind:?}");
+        assert_eq!(l.residual_usage.get(&JobId(7)).map(|w| w.left), left, "{kind:?}");
     }
 }
 
@@ -149,7 +149,7 @@
         // What is told once more counts once.
         l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
     }
-    assert_eq!((l.ended.len(), replica_changes.withdrawn.len() as u64), (ENDED_KEPT, ends));
+    assert_eq!((l.ended.len(), replica_changes.cancelled.len() as u64), (ENDED_KEPT, ends));
     for (id, known) in [(1, false), (3, false), (4, true), (ends - 1, true), (ends, true)] {
         assert_eq!(l.ended.contains_key(&JobId(id)), known, "{id}");
     }
@@ -157,14 +157,20 @@
 
 #[test]
 fn a_replica_that_is_read_anew_keeps_what_cannot_change() {
-    let member =
-        |speaks| MemberRecord { incarnation: Incarnation(9), version: String::new(), speaks };
+    let member = |capabilities| MemberRecord {
+        incarnation: Incarnation(9),
+        version: String::new(),
+        capabilities,
+    };
     let done = Progress { end: Some(JobState::Done), ..Progress::default() };
     let mut l = Replica::new(NodeId(0));
-    l.apply(&changes(4, vec![set(member_key(NodeId(1)), &member(SPEAKS_ENDED), 3)]));
+    l.apply(&changes(
+        4,
+        vec![set(member_key(NodeId(1)), &member(CAPABILITY_CANCELLATION_NOTICE), 3)],
+    ));
     l.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
     l.apply(&changes(8, vec![set(progress_key(JobId(7)), &done, 7)]));
-    let moves = l.member_moves[&NodeId(1)];
+    let moves = l.membership_changes[&NodeId(1)];
     let mut read = Replica::new(NodeId(0));
     let mut b = ReplicaChanges::default();
     let other = KeyValue {
@@ -175,8 +181,12 @@
     read.load(&other, &mut b);
     l.replace(read);
     // It came and went while nobody followed; whom the store refuses is told of cancellations.
-    assert!(l.member_moves[&NodeId(1)] > moves && l.members.is_empty());
-    assert!(l.hears_ends(NodeId(1)) && !l.knows_gangs(NodeId(1)) && !l.hears_ends(NodeId(2)));
+    assert!(l.membership_changes[&NodeId(1)] > moves && l.members.is_empty());
+    assert!(
+        l.reads_cancellation_notices(NodeId(1))
+            && !l.knows_gangs(NodeId(1))
+            && !l.reads_cancellation_notices(NodeId(2))
+    );
     assert_eq!(l.ended.len(), 2);
 }
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -100,7 +100,7 @@
     wake_epoch: Notify,
     wake_shard_report: Notify,
     wake_election: Notify,
-    wake_finish: Notify,
+    wake_completions: Notify,
     wake_accept: Notify,
     wake_confirm: Notify,
     confirms: RefCell<Vec<Waiter>>,
@@ -145,7 +145,7 @@
             wake_epoch: Notify::new(),
             wake_shard_report: Notify::new(),
             wake_election: Notify::new(),
-            wake_finish: Notify::new(),
+            wake_completions: Notify::new(),
             wake_accept: Notify::new(),
             wake_confirm: Notify::new(),
             confirms: RefCell::default(),
@@ -203,7 +203,7 @@
         spawn_local(self.clone().report_shard());
         spawn_local(self.clone().run_epochs());
         spawn_local(self.clone().rent_and_return());
-        spawn_local(self.clone().write_finished());
+        spawn_local(self.clone().write_completions());
         spawn_local(self.clone().write_accepted());
         spawn_local(self.clone().serve_confirms());
         spawn_local(self.clone().describe());
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -21,13 +21,13 @@
 
 impl Service {
     /// Writes finished tasks to the store, many jobs at a time.
-    pub(super) async fn write_finished(self: Rc<Self>) {
+    pub(super) async fn write_completions(self: Rc<Self>) {
         loop {
-            let _ = timeout(Duration::from_millis(500), self.wake_finish.notified()).await;
+            let _ = timeout(Duration::from_millis(500), self.wake_completions.notified()).await;
             sleep(GATHER).await;
             let now = self.now();
             self.store.set_leading(self.controller.borrow().leader.is_some());
-            let next = self.controller.borrow_mut().finished_txn(now);
+            let next = self.controller.borrow_mut().completions_txn(now);
             let Some(mut txn) = next else { continue };
             // Jobs that somebody else wrote meanwhile come next time, the others go now.
             for _ in 0..3 {
@@ -141,7 +141,10 @@
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
     fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, version: Revision) {
         let request = Rc::new(PeerRequest::Ended(id, progress, version));
-        for node in self.others().filter(|n| self.controller.borrow().replica.hears_ends(*n)) {
+        for node in self
+            .others()
+            .filter(|n| self.controller.borrow().replica.reads_cancellation_notices(*n))
+        {
             let (s, request) = (self.clone(), request.clone());
             spawn_local(async move { s.call_peer(node, &request, 500).await });
         }
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -17,7 +17,7 @@
 use crate::metrics::Operation;
 use crate::model::{NodeId, Steady};
 use crate::peer::{self, PeerRequest, PeerResponse, Summary};
-use crate::shard::{Announcement, HeartbeatOutcome};
+use crate::shard::{DirectMessage, HeartbeatOutcome};
 use crate::wire::{self, DirectCommand};
 
 /// Longest wait between two summaries of a part; news bring them sooner.
@@ -98,7 +98,7 @@
         loop {
             sleep(ANNOUNCE).await;
             let room = most.saturating_sub(self.announcing.get());
-            let due = self.controller.borrow_mut().to_announce(self.now(), room);
+            let due = self.controller.borrow_mut().direct_messages_due(self.now(), room);
             for a in due {
                 let s = self.clone();
                 s.announcing.set(s.announcing.get() + 1);
@@ -110,7 +110,7 @@
         }
     }
 
-    async fn announce(&self, a: &Announcement) {
+    async fn announce(&self, a: &DirectMessage) {
         let Ok(addr) = a.endpoint.parse() else { return };
         let body = wire::encode(&DirectCommand {
             token: a.term,
@@ -125,7 +125,8 @@
         if let Ok(heartbeat) = wire::decode::<wire::Heartbeat>(&answer.body) {
             let mut controller = self.controller.borrow_mut();
             let now = self.now();
-            self.metrics.time(Operation::Heartbeat, || controller.on_announced(now, a, &heartbeat));
+            self.metrics
+                .time(Operation::Heartbeat, || controller.on_direct_response(now, a, &heartbeat));
             if controller.shard.news {
                 self.wake_shard_report.notify_one();
             }
@@ -137,13 +138,13 @@
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
         let (response, changed) =
-            self.metrics.time(Operation::Taken, || controller.take_summary(now, summary));
+            self.metrics.time(Operation::SummaryOutcome, || controller.take_summary(now, summary));
         drop(controller);
         if changed {
             self.wake_epoch.notify_one();
         }
-        if !self.controller.borrow().shard.finished.is_empty() {
-            self.wake_finish.notify_one();
+        if !self.controller.borrow().shard.completed_tasks.is_empty() {
+            self.wake_completions.notify_one();
         }
         response
     }
@@ -243,8 +244,8 @@
         if controller.shard.news {
             self.wake_shard_report.notify_one();
         }
-        if !controller.shard.finished.is_empty() {
-            self.wake_finish.notify_one();
+        if !controller.shard.completed_tasks.is_empty() {
+            self.wake_completions.notify_one();
         }
         match answer {
             HeartbeatOutcome::Take(reply) => Response::new(200, wire::encode(&reply)),
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -173,7 +173,9 @@
         let ids = self
             .controller
             .borrow_mut()
-            .with_leader(self.moment(), |leader, cluster| leader.fleet.to_return(cluster))
+            .with_leader(self.moment(), |leader, cluster| {
+                leader.fleet.machines_to_scale_in(cluster)
+            })
             .unwrap_or_default();
         if ids.is_empty() || !self.still_leads().await {
             return;
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -29,14 +29,14 @@
 
 use machine::Machine;
 use redirect::Route;
-use term_state::{FollowedPlan, FollowedTerm};
+use term_state::{ActivePlan, TermState};
 
 /// Most machines of which the newest report is remembered.
 const LATEST_KEPT: usize = 8_192;
 
 /// Completed tasks of a job that are not known to be on record yet.
 #[derive(Clone, Debug, Default)]
-pub struct Finished {
+pub struct CompletedTasks {
     /// The tasks.
     pub tasks: Ranges,
     /// When the first of them was heard of.
@@ -66,14 +66,14 @@
 
 /// The newest report of a machine, and where its worker listens.
 #[derive(Clone, Debug)]
-struct Newest {
+struct NewestHeartbeat {
     order: (AgentEpoch, u64),
     endpoint: Rc<str>,
 }
 
 /// A machine that is to be asked or told something straight away.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Announcement {
+pub struct DirectMessage {
     /// The machine.
     pub machine: MachineId,
     /// Where its worker listens.
@@ -98,7 +98,7 @@
 }
 
 /// What the outside of a part looks like while it handles a report.
-pub struct Surroundings<'a> {
+pub struct ShardContext<'a> {
     /// Now.
     pub now: Steady,
     /// Whether this node may answer with 200.
@@ -138,11 +138,11 @@
 pub struct Shard {
     me: NodeId,
     incarnation: Incarnation,
-    followed: FollowedTerm,
+    term_state: TermState,
     told_progress: ToldProgress,
     machines: BTreeMap<MachineId, Machine>,
     /// Newest report seen of any machine, against late copies.
-    latest: HashMap<MachineId, Newest>,
+    latest: HashMap<MachineId, NewestHeartbeat>,
     /// Machines of which an old report came: when they were asked, and whom to ask still.
     doubted: HashMap<MachineId, Steady>,
     doubts: Vec<(MachineId, AgentEpoch)>,
@@ -155,7 +155,7 @@
     released_workers: HashMap<MachineId, Steady>,
     faults: HashMap<JobId, JobFaults>,
     /// Tasks that completed and whose outcome is not known to be durable yet.
-    pub finished: BTreeMap<JobId, Finished>,
+    pub completed_tasks: BTreeMap<JobId, CompletedTasks>,
     number: u64,
     /// Summaries sent lately, with when they were made.
     sent: VecDeque<(u64, Steady)>,
@@ -173,7 +173,7 @@
         Shard {
             me,
             incarnation,
-            followed: FollowedTerm::begin(Term(0), me),
+            term_state: TermState::begin(Term(0), me),
             told_progress: ToldProgress::default(),
             machines: BTreeMap::new(),
             latest: HashMap::new(),
@@ -184,7 +184,7 @@
             answered: BTreeMap::new(),
             released_workers: HashMap::new(),
             faults: HashMap::new(),
-            finished: BTreeMap::new(),
+            completed_tasks: BTreeMap::new(),
             number: 0,
             sent: VecDeque::new(),
             heard: Steady(0),
@@ -195,7 +195,7 @@
 
     /// The term that this part follows.
     pub fn term(&self) -> Term {
-        self.followed.term
+        self.term_state.term
     }
 
     /// How many starts were refused as another term had granted them. Each one is a defect.
@@ -206,74 +206,74 @@
     /// Begins a term, unless it is not a later one: whatever the part followed in earlier ones is void. Machines and
     /// what is known of their tasks stay, but none counts as settled until it reports with the new token.
     pub fn begin_term(&mut self, term: Term) -> bool {
-        if term <= self.followed.term {
+        if term <= self.term_state.term {
             return false;
         }
-        self.followed = FollowedTerm::begin(term, self.me);
+        self.term_state = TermState::begin(term, self.me);
         self.news = true;
         true
     }
 
     /// Follows a plan, unless it is of another term or life, or older than the last.
     pub fn follow(&mut self, plan: Plan) -> bool {
-        if plan.term != self.followed.term || plan.incarnation != self.incarnation {
+        if plan.term != self.term_state.term || plan.incarnation != self.incarnation {
             return false;
         }
         if let Some(sent) = self.sent.iter().find(|s| s.0 == plan.heard) {
-            self.followed.acknowledged = self.followed.acknowledged.max(Some(*sent));
+            self.term_state.acknowledged = self.term_state.acknowledged.max(Some(*sent));
         }
-        let followed_seq = self.followed.plan.seq;
-        if plan.seq == followed_seq {
-            self.followed.clock_ms = self.followed.clock_ms.max(plan.clock_ms);
+        let active_plan_seq = self.term_state.plan.seq;
+        if plan.seq == active_plan_seq {
+            self.term_state.clock_ms = self.term_state.clock_ms.max(plan.clock_ms);
             return false;
         }
-        let is_next = plan.seq > followed_seq && plan.owners.base <= followed_seq;
+        let is_next = plan.seq > active_plan_seq && plan.owners.base <= active_plan_seq;
         let Some(mut body) = plan.body.filter(|_| is_next) else {
             return false;
         };
         self.follow_owners(plan.owners);
-        self.end_expired_agent_epochs(&body.lapsed);
+        self.end_expired_agent_epochs(&body.expired_leases);
         self.told_progress = ToldProgress {
             job_statuses: std::mem::take(&mut body.job_statuses),
             completed: std::mem::take(&mut body.completed),
         };
-        let next = FollowedPlan::new(plan.term, plan.seq, body);
-        let before = std::mem::replace(&mut self.followed.plan, next);
-        if self.followed.plan.stops_more_than(&before) {
+        let next = ActivePlan::new(plan.term, plan.seq, body);
+        let before = std::mem::replace(&mut self.term_state.plan, next);
+        if self.term_state.plan.stops_more_than(&before) {
             self.note_stopped_gangs();
         }
-        self.followed.clock_ms = plan.clock_ms;
-        self.followed.reassign = true;
-        self.followed.announcing = true;
+        self.term_state.clock_ms = plan.clock_ms;
+        self.term_state.reassign = true;
+        self.term_state.announcing = true;
         tracing::debug!(term = %plan.term, plan = plan.seq.0, "follows a plan");
         true
     }
 
     /// Follows what a plan says of owners, and forgets what is no longer this part's to tell.
     fn follow_owners(&mut self, news: OwnershipChanges) {
-        let followed = &mut self.followed;
+        let term_state = &mut self.term_state;
         if news.base == PlanSeq(0) {
             let owners: BTreeMap<MachineId, NodeId> = news.set.into_iter().collect();
-            let before = std::mem::replace(&mut followed.owners, owners);
-            let owners = &followed.owners;
-            followed.redirected.retain(|id, _| before.get(id) == owners.get(id));
+            let before = std::mem::replace(&mut term_state.owners, owners);
+            let owners = &term_state.owners;
+            term_state.redirected.retain(|id, _| before.get(id) == owners.get(id));
         } else {
-            followed.owners.extend(news.set);
+            term_state.owners.extend(news.set);
             for id in &news.gone {
-                followed.owners.remove(id);
+                term_state.owners.remove(id);
             }
         }
-        let (me, owners) = (self.me, &followed.owners);
+        let (me, owners) = (self.me, &term_state.owners);
         // Whatever was on a machine that this part no longer has is its new owner's to tell,
         // or is gone with the machine.
         self.machines.retain(|id, _| owners.get(id) == Some(&me));
-        followed.foreign_machines.retain(|id, _| owners.get(id) != Some(&me));
+        term_state.foreign_machines.retain(|id, _| owners.get(id) != Some(&me));
         self.restarted.retain(|id| owners.contains_key(id));
     }
 
     /// Forgets the tasks of sessions whose lease has run out.
-    fn end_expired_agent_epochs(&mut self, lapsed: &[(MachineId, AgentEpoch)]) {
-        for (id, agent_epoch) in lapsed {
+    fn end_expired_agent_epochs(&mut self, expired_leases: &[(MachineId, AgentEpoch)]) {
+        for (id, agent_epoch) in expired_leases {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.agent_epoch <= *agent_epoch) {
                 m.tasks.clear();
             }
@@ -283,7 +283,7 @@
     /// Machines with tasks of gangs that are being stopped are told straight away, and in the answers to their
     /// reports.
     fn note_stopped_gangs(&mut self) {
-        let plan = &self.followed.plan;
+        let plan = &self.term_state.plan;
         let has = |m: &Machine| m.tasks.iter().any(|(t, h)| plan.stop_of(*t, h.attempt).is_some());
         let on = self.machines.iter().filter(|(_, m)| has(m)).map(|(id, _)| id.clone());
         self.stopping.extend(on);
@@ -291,7 +291,7 @@
 
     /// Sends all it knows with the next summary.
     pub fn send_whole(&mut self) {
-        self.followed.acknowledged = None;
+        self.term_state.acknowledged = None;
         self.news = true;
     }
 
@@ -308,56 +308,56 @@
     /// Answers a report.
     pub fn on_heartbeat(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        self.heard = env.now;
+        self.heard = context.now;
         // A completed task stays completed whoever reports it and however late.
-        self.note_finished(env.now, env.replica, heartbeat);
-        let term = self.followed.term;
-        if !env.may_answer || term == Term(0) || heartbeat.token > term {
+        self.note_completions(context.now, context.replica, heartbeat);
+        let term = self.term_state.term;
+        if !context.may_answer || term == Term(0) || heartbeat.token > term {
             return HeartbeatOutcome::Refuse;
         }
-        if env.replica.machine_gone(&heartbeat.machine) {
+        if context.replica.machine_gone(&heartbeat.machine) {
             return HeartbeatOutcome::Refuse;
         }
         // A late copy tells of a past that newer reports have overtaken. It settles nothing,
         // and its answer would reach nobody.
         if !self.is_newest(heartbeat) {
-            self.doubt(env.now, heartbeat);
+            self.doubt(context.now, heartbeat);
             return HeartbeatOutcome::Refuse;
         }
-        if !self.accepts_answers(env, heartbeat) {
+        if !self.accepts_answers(context, heartbeat) {
             return HeartbeatOutcome::Refuse;
         }
         match self.responsibility(&heartbeat.machine) {
             Responsibility::Own => {
                 // Whoever still reaches the store may have taken its machines over. A worker
                 // that comes back found nobody, as in an outage, and is kept alive here.
-                if env.alone && self.releases_worker(env.now, &heartbeat.machine) {
-                    let next = (usize::from(self.me.0) + 1) % env.nodes.len().max(1);
-                    return self.go(env, next);
+                if context.alone && self.releases_worker(context.now, &heartbeat.machine) {
+                    let next = (usize::from(self.me.0) + 1) % context.nodes.len().max(1);
+                    return self.go(context, next);
                 }
-                self.on_own_heartbeat(env, heartbeat)
+                self.on_own_heartbeat(context, heartbeat)
             }
             Responsibility::Other(owner) => {
-                match self.route(env.now, &env.pace, &heartbeat.machine) {
-                    Route::Send => self.go(env, usize::from(owner.0)),
-                    Route::Keep => self.on_foreign_heartbeat(env, heartbeat, false),
-                    Route::Cut => self.on_foreign_heartbeat(env, heartbeat, true),
+                match self.route(context.now, &context.pace, &heartbeat.machine) {
+                    Route::Send => self.go(context, usize::from(owner.0)),
+                    Route::Keep => self.on_foreign_heartbeat(context, heartbeat, false),
+                    Route::Cut => self.on_foreign_heartbeat(context, heartbeat, true),
                 }
             }
-            Responsibility::Unknown => self.on_foreign_heartbeat(env, heartbeat, false),
+            Responsibility::Unknown => self.on_foreign_heartbeat(context, heartbeat, false),
         }
     }
 
     /// Whose a machine is. Before the first plan of a term nobody is known to own any: machines that were this part's
     /// are still observed and kept alive, all others are kept alive, and none is sent to an owner of an earlier term.
     fn responsibility(&self, machine: &MachineId) -> Responsibility {
-        match self.followed.owner(machine) {
+        match self.term_state.owner(machine) {
             Some(owner) if owner == self.me => Responsibility::Own,
             Some(owner) => Responsibility::Other(owner),
-            None if !self.followed.has_plan() && self.machines.contains_key(machine) => {
+            None if !self.term_state.has_plan() && self.machines.contains_key(machine) => {
                 Responsibility::Own
             }
             None => Responsibility::Unknown,
@@ -378,11 +378,11 @@
             return true;
         }
         // Before the first plan of a term no machine has an owner, and forgetting them all would let late copies in.
-        if self.latest.len() >= LATEST_KEPT && self.followed.has_plan() {
-            let owners = &self.followed.owners;
+        if self.latest.len() >= LATEST_KEPT && self.term_state.has_plan() {
+            let owners = &self.term_state.owners;
             self.latest.retain(|id, _| owners.contains_key(id));
         }
-        let newest = Newest { order, endpoint: heartbeat.endpoint.as_str().into() };
+        let newest = NewestHeartbeat { order, endpoint: heartbeat.endpoint.as_str().into() };
         self.latest.insert(heartbeat.machine.clone(), newest);
         true
     }
@@ -407,10 +407,10 @@
         task: TaskId,
         attempt: Attempt,
     ) -> Option<WorkerCommand> {
-        let plan = &self.followed.plan;
+        let plan = &self.term_state.plan;
         let (leeway_ms, why) = match plan.stop_of(task, attempt) {
-            _ if is_withdrawn(replica, task.job) => (0, "its job is cancelled"),
-            _ if replica.settled(task) => (0, "it is done"),
+            _ if is_cancelled(replica, task.job) => (0, "its job is cancelled"),
+            _ if replica.is_outcome_recorded(task) => (0, "it is done"),
             Some(stop) => (stop.leeway_ms, "its gang is being stopped"),
             None => return None,
         };
@@ -424,19 +424,19 @@
     /// Logs why a report may be answered with 200.
     fn log_response(
         &self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
         own: bool,
         commands: &[WorkerCommand],
     ) {
         tracing::debug!(
-            machine = %heartbeat.machine, own, term = %self.followed.term, plan = self.followed.plan.seq.0,
-            proof_ms = env.proof_ms, agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
+            machine = %heartbeat.machine, own, term = %self.term_state.term, plan = self.term_state.plan.seq.0,
+            proof_ms = context.proof_ms, agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
             commands = commands.len(), "answers"
         );
     }
 
-    fn note_finished(&mut self, now: Steady, replica: &Replica, heartbeat: &Heartbeat) {
+    fn note_completions(&mut self, now: Steady, replica: &Replica, heartbeat: &Heartbeat) {
         for p in &heartbeat.tasks {
             if p.state == TaskState::Exited && p.exit_reason == Some(ExitReason::Done) {
                 self.note_done(now, replica, p.task);
@@ -452,9 +452,9 @@
             return;
         }
         let f = self
-            .finished
+            .completed_tasks
             .entry(task.job)
-            .or_insert_with(|| Finished { tasks: Ranges::default(), since: now });
+            .or_insert_with(|| CompletedTasks { tasks: Ranges::default(), since: now });
         if !gang {
             self.news |= f.tasks.insert(task.index);
         } else if f.tasks.len() < job.spec.task_count {
@@ -464,8 +464,13 @@
     }
 
     /// Takes completions that another controller heard of.
-    pub fn take_finished(&mut self, now: Steady, replica: &Replica, finished: &[(u64, Ranges)]) {
-        for (job, tasks) in finished {
+    pub fn merge_completions(
+        &mut self,
+        now: Steady,
+        replica: &Replica,
+        completed_tasks: &[(u64, Ranges)],
+    ) {
+        for (job, tasks) in completed_tasks {
             for index in tasks.iter() {
                 self.note_done(now, replica, TaskId { job: JobId(*job), index });
             }
@@ -474,8 +479,8 @@
 
     /// Takes what a report of a machine of this part tells of it; says whether it has more room
     /// than before.
-    fn take_state(&mut self, env: &Surroundings<'_>, heartbeat: &Heartbeat) -> bool {
-        let now = env.now;
+    fn take_state(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) -> bool {
+        let now = context.now;
         let next = self.number + 1;
         let machine = self
             .machines
@@ -483,23 +488,23 @@
             .or_insert_with(|| Machine::new(heartbeat, now));
         let warned = heartbeat.spot_notice_s.is_some();
         machine.leaves = heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
-        let shunned = machine.shun_until;
+        let shunned = machine.quarantined_until;
         let state = (heartbeat.agent_epoch, heartbeat.token, warned);
         let turned = state != (machine.agent_epoch, machine.token, machine.warned);
         (machine.agent_epoch, machine.token, machine.warned) = state;
         machine.heard = now;
         let before = machine.tasks.len();
-        let (changed, others, left) = machine.take_tasks(env, heartbeat);
+        let (changed, others, left) = machine.take_tasks(context, heartbeat);
         let new = machine.changed == 0;
         self.news |= others || turned || new;
         // Stages matter to the leader only in passing, so they are told without haste.
-        if changed || turned || new || machine.shun_until != shunned {
+        if changed || turned || new || machine.quarantined_until != shunned {
             machine.changed = next;
         }
-        let freed = machine.tasks.len() < before || turned || machine.shun_until != shunned;
+        let freed = machine.tasks.len() < before || turned || machine.quarantined_until != shunned;
         // A start that was lost, or a task that failed, has to go somewhere else.
-        self.followed.reassign |= left.iter().any(|t| self.may_start(env.replica, *t));
-        if self.followed.plan.has_gangs() {
+        self.term_state.reassign |= left.iter().any(|t| self.may_start(context.replica, *t));
+        if self.term_state.plan.has_gangs() {
             // A refused start never ran, and may be tried elsewhere.
             let refused = |p: &TaskStatus| {
                 matches!(
@@ -512,32 +517,32 @@
                 )
             };
             let shown = heartbeat.tasks.iter().filter(|p| !refused(p)).map(|p| (p.task, p.attempt));
-            let plan = &self.followed.plan;
-            self.followed.shown_gang_attempts.extend(shown.filter(|p| plan.grants_gang(p.1)));
+            let plan = &self.term_state.plan;
+            self.term_state.shown_gang_attempts.extend(shown.filter(|p| plan.grants_gang(p.1)));
         }
         freed
     }
 
     fn on_own_heartbeat(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        let now = env.now;
-        let freed = self.take_state(env, heartbeat);
-        let mut commands = self.kills(env.replica, &heartbeat.machine, &heartbeat.tasks);
-        self.clear_ended(env, heartbeat, &mut commands);
-        self.start_granted(env, &heartbeat.machine, freed, &mut commands);
+        let now = context.now;
+        let freed = self.take_state(context, heartbeat);
+        let mut commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
+        self.clear_ended(context, heartbeat, &mut commands);
+        self.start_granted(context, &heartbeat.machine, freed, &mut commands);
         self.answered.insert(heartbeat.machine.clone(), now);
-        self.log_response(env, heartbeat, true, &commands);
-        HeartbeatOutcome::Take(HeartbeatResponse { token: self.followed.term, commands })
+        self.log_response(context, heartbeat, true, &commands);
+        HeartbeatOutcome::Take(HeartbeatResponse { token: self.term_state.term, commands })
     }
 
     /// Clears ended tasks whose outcome no longer depends on the worker's memory, and learns
     /// from those that failed.
     fn clear_ended(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
         commands: &mut Vec<WorkerCommand>,
     ) {
@@ -545,13 +550,13 @@
             let done = p.exit_reason == Some(ExitReason::Done);
             // `done` is cleared only once the store has it; should all controllers end before
             // that, the worker still tells the next one.
-            if done && !env.replica.settled(p.task) {
+            if done && !context.replica.is_outcome_recorded(p.task) {
                 continue;
             }
             commands.push(WorkerCommand::Clear { task: p.task, attempt: p.attempt });
             match p.exit_reason {
                 Some(ExitReason::Failed) => {
-                    self.note_error(env.now, p.task.job, &heartbeat.machine)
+                    self.note_error(context.now, p.task.job, &heartbeat.machine)
                 }
                 Some(
                     ExitReason::InsufficientResources
@@ -559,7 +564,7 @@
                     | ExitReason::Unknown,
                 ) => {
                     if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
-                        m.shun_until = m.shun_until.max(env.now.plus(2_000));
+                        m.quarantined_until = m.quarantined_until.max(context.now.plus(2_000));
                         m.changed = self.number + 1;
                     }
                 }
@@ -587,7 +592,7 @@
             m.faults += 1;
             m.changed = self.number + 1;
             if !faulty_job {
-                m.shun_until = now.plus(15_000u64 << m.faults.min(4));
+                m.quarantined_until = now.plus(15_000u64 << m.faults.min(4));
             }
         }
         tracing::info!(job = %job, %machine, faulty_job, "task failed");
@@ -600,7 +605,7 @@
 
     /// Forgets finished tasks that are durable by now and faults of jobs that have ended.
     pub fn tidy(&mut self, replica: &Replica) {
-        self.finished.retain(|job, f| {
+        self.completed_tasks.retain(|job, f| {
             let open = |i: &u32| replica.may_run(TaskId { job: *job, index: *i });
             if !f.tasks.iter().all(|i| open(&i)) {
                 f.tasks = f.tasks.iter().filter(open).collect();
@@ -611,7 +616,7 @@
     }
 }
 
-fn is_withdrawn(replica: &Replica, job: JobId) -> bool {
+fn is_cancelled(replica: &Replica, job: JobId) -> bool {
     matches!(replica.ended.get(&job), Some((JobState::Cancelled, _)))
 }
 
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -1,8 +1,8 @@
 //! What machines are told or asked straight away, besides the answers to their reports.
 
-use super::machine::{Held, Machine};
-use super::term_state::Announced;
-use super::{Announcement, LATEST_KEPT, Shard, Surroundings, is_withdrawn};
+use super::machine::{HeldTask, Machine};
+use super::term_state::TermAnnouncement;
+use super::{DirectMessage, LATEST_KEPT, Shard, ShardContext, is_cancelled};
 use crate::model::{AgentEpoch, JobId, Steady, TaskId};
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
@@ -36,14 +36,14 @@
     /// Machines that are to be asked or told something straight away, up to `most`: those that may
     /// have been restarted, and those of this part that have not shown the term's token, as
     /// nothing starts on them before, and tasks of earlier terms wait for the proof.
-    pub fn to_announce(
+    pub fn direct_messages_due(
         &mut self,
         now: Steady,
         replica: &Replica,
         may_answer: bool,
         most: usize,
-    ) -> Vec<Announcement> {
-        let mut out = self.endings(replica, most);
+    ) -> Vec<DirectMessage> {
+        let mut out = self.stop_messages(replica, most);
         if !may_answer {
             return out;
         }
@@ -52,8 +52,8 @@
         {
             if let Some(newest) = self.latest.get(&machine) {
                 let (endpoint, doubted) = (newest.endpoint.clone(), Some(newest.order));
-                let (term, commands) = (self.followed.term, Vec::new());
-                out.push(Announcement { machine, endpoint, term, agent_epoch, doubted, commands });
+                let (term, commands) = (self.term_state.term, Vec::new());
+                out.push(DirectMessage { machine, endpoint, term, agent_epoch, doubted, commands });
             }
         }
         self.announce_term(now, replica, most, &mut out);
@@ -66,57 +66,57 @@
         now: Steady,
         replica: &Replica,
         most: usize,
-        out: &mut Vec<Announcement>,
+        out: &mut Vec<DirectMessage>,
     ) {
-        let term = self.followed.term;
-        if !self.followed.announcing || !self.followed.has_plan() {
+        let term = self.term_state.term;
+        if !self.term_state.announcing || !self.term_state.has_plan() {
             return;
         }
         let mut open = false;
-        for (id, _) in self.followed.owners.iter().filter(|(_, owner)| **owner == self.me) {
-            if self.machines.get(id).is_some_and(|m| m.is_settled(term)) {
+        for (id, _) in self.term_state.owners.iter().filter(|(_, owner)| **owner == self.me) {
+            if self.machines.get(id).is_some_and(|m| m.is_reconciled(term)) {
                 continue;
             }
             let newest = self.latest.get(id).map(|n| (n.endpoint.clone(), n.order.0));
             let known = || replica.machines.get(id).filter(|m| m.up && m.gone.is_none());
             let on_record = || known().map(|m| (m.endpoint.as_str().into(), AgentEpoch(1)));
             let Some((endpoint, agent_epoch)) = newest.or_else(on_record) else { continue };
-            let Announced { times, at } =
-                self.followed.announced.get(id).copied().unwrap_or_default();
+            let TermAnnouncement { times, at } =
+                self.term_state.announced.get(id).copied().unwrap_or_default();
             if endpoint.is_empty() || times >= ANNOUNCEMENTS {
                 continue;
             }
             open = true;
             let due = times == 0 || now.since(at) >= ANNOUNCE_AGAIN_MS << (times - 1);
             if due && out.len() < most {
-                let announced = Announced { times: times + 1, at: now };
-                self.followed.announced.insert(id.clone(), announced);
+                let announced = TermAnnouncement { times: times + 1, at: now };
+                self.term_state.announced.insert(id.clone(), announced);
                 let (machine, doubted, commands) = (id.clone(), None, Vec::new());
-                out.push(Announcement { machine, endpoint, term, agent_epoch, doubted, commands });
+                out.push(DirectMessage { machine, endpoint, term, agent_epoch, doubted, commands });
             }
         }
-        self.followed.announcing = open;
+        self.term_state.announcing = open;
     }
 
     /// What machines are to end straight away, up to `most` of them: the next answer to their reports would
     /// tell them, but a machine may reach nobody, or this node may not answer any more. A kill that is
     /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
     /// later has a higher attempt.
-    fn endings(&mut self, replica: &Replica, most: usize) -> Vec<Announcement> {
+    fn stop_messages(&mut self, replica: &Replica, most: usize) -> Vec<DirectMessage> {
         let mut out = Vec::new();
         while out.len() < most
             && let Some(machine) = self.stopping.pop_first()
         {
             let Some(m) = self.machines.get(&machine) else { continue };
-            let order = |t: &TaskId, h: &Held| self.stop(replica, &machine, *t, h.attempt);
+            let order = |t: &TaskId, h: &HeldTask| self.stop(replica, &machine, *t, h.attempt);
             let commands: Vec<WorkerCommand> =
                 m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
             if commands.is_empty() {
                 continue;
             }
             let (endpoint, agent_epoch, term) =
-                (m.endpoint.clone(), m.agent_epoch, self.followed.term);
-            out.push(Announcement {
+                (m.endpoint.clone(), m.agent_epoch, self.term_state.term);
+            out.push(DirectMessage {
                 machine,
                 endpoint,
                 term,
@@ -129,7 +129,7 @@
     }
 
     /// Jobs were cancelled: the machines of this part that have tasks of them are told straight away.
-    pub fn end_withdrawn(&mut self, jobs: &[JobId]) {
+    pub fn stop_cancelled(&mut self, jobs: &[JobId]) {
         let has = |m: &Machine| m.tasks.keys().any(|t| jobs.contains(&t.job));
         let on = self.machines.iter().filter(|(_, m)| has(m)).map(|(id, _)| id.clone());
         self.stopping.extend(on);
@@ -138,17 +138,17 @@
     /// Takes a machine's answer to an announcement: it shows the token and the machine's tasks as a
     /// report does. It counts only for a machine that has not settled: none of this term's
     /// starts can be on its way to it then.
-    pub fn on_announced(
+    pub fn on_direct_response(
         &mut self,
-        env: &Surroundings<'_>,
-        asked: &Announcement,
+        context: &ShardContext<'_>,
+        asked: &DirectMessage,
         heartbeat: &Heartbeat,
     ) {
         let id = &heartbeat.machine;
         if *id != asked.machine {
             return;
         }
-        self.note_finished(env.now, env.replica, heartbeat);
+        self.note_completions(context.now, context.replica, heartbeat);
         if asked.doubted.is_some_and(|newest| (heartbeat.agent_epoch, heartbeat.sequence) <= newest)
         {
             tracing::info!(machine = %id, "was restarted");
@@ -156,21 +156,21 @@
             self.news = true;
             return;
         }
-        if env.replica.machine_gone(id)
-            || self.machines.get(id).is_some_and(|m| m.is_settled(self.followed.term))
+        if context.replica.machine_gone(id)
+            || self.machines.get(id).is_some_and(|m| m.is_reconciled(self.term_state.term))
             || !self.is_newest(heartbeat)
         {
             return;
         }
-        if heartbeat.token == self.followed.term && self.followed.owner(id) == Some(self.me) {
-            self.take_state(env, heartbeat);
+        if heartbeat.token == self.term_state.term && self.term_state.owner(id) == Some(self.me) {
+            self.take_state(context, heartbeat);
             // It may report to nobody, and then nobody's answer ends what is not wanted any more.
-            if heartbeat.tasks.iter().any(|p| is_withdrawn(env.replica, p.task.job)) {
+            if heartbeat.tasks.iter().any(|p| is_cancelled(context.replica, p.task.job)) {
                 self.stopping.insert(id.clone());
             }
             // Its session may have begun just now, without any answer: its lease counts from here.
-            self.answered.insert(id.clone(), env.now);
-        } else if let Some(told) = self.followed.announced.get_mut(id) {
+            self.answered.insert(id.clone(), context.now);
+        } else if let Some(told) = self.term_state.announced.get_mut(id) {
             // Its session was not known; now it is.
             told.at = told.at.less(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
         }
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use super::Surroundings;
+use super::ShardContext;
 use crate::config::Pace;
 use crate::model::{AgentEpoch, Attempt, MachineId, Steady, TaskId, Term};
 use crate::placement::Room;
@@ -11,7 +11,7 @@
 
 /// A task on a machine or on its way there.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Held {
+pub(super) struct HeldTask {
     pub(super) attempt: Attempt,
     pub(super) state: TaskState,
 }
@@ -30,10 +30,10 @@
     pub(super) warned: bool,
     /// When the cloud takes it, if it gave notice.
     pub(super) leaves: Option<Steady>,
-    pub(super) tasks: BTreeMap<TaskId, Held>,
+    pub(super) tasks: BTreeMap<TaskId, HeldTask>,
     pub(super) images: Vec<(Rc<str>, f64)>,
     pub(super) faults: u32,
-    pub(super) shun_until: Steady,
+    pub(super) quarantined_until: Steady,
     /// Starts in a row that the next report did not show.
     pub(super) missed: u32,
     /// The first summary that tells of it as it is now.
@@ -55,7 +55,7 @@
             tasks: BTreeMap::new(),
             images: Vec::new(),
             faults: 0,
-            shun_until: Steady(0),
+            quarantined_until: Steady(0),
             missed: 0,
             changed: 0,
         }
@@ -79,15 +79,15 @@
     }
 
     /// Whether it has shown that term's token: it hears its answers, and refuses older orders.
-    pub(super) fn is_settled(&self, term: Term) -> bool {
+    pub(super) fn is_reconciled(&self, term: Term) -> bool {
         self.token == term
     }
 
     /// Whether it may be given tasks in that term, as far as its own state tells.
     pub(super) fn usable(&self, term: Term, now: Steady, pace: &Pace) -> bool {
-        self.is_settled(term)
+        self.is_reconciled(term)
             && !self.warned
-            && self.shun_until <= now
+            && self.quarantined_until <= now
             && now.since(self.heard) < pace.silent_ms
     }
 
@@ -95,7 +95,7 @@
     pub(super) fn room(
         &self,
         id: &MachineId,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         term: Term,
         open: bool,
     ) -> Option<Room> {
@@ -105,9 +105,9 @@
             what,
             tasks,
             &self.images,
-            env.catalog,
-            env.replica,
-            open && self.usable(term, env.now, &env.pace),
+            context.catalog,
+            context.replica,
+            open && self.usable(term, context.now, &context.pace),
         )
     }
 
@@ -115,7 +115,7 @@
     /// the machine than before, and which are no longer.
     pub(super) fn take_tasks(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> (bool, bool, Vec<TaskId>) {
         let on = || heartbeat.tasks.iter().filter(|p| p.state != TaskState::Exited);
@@ -123,34 +123,35 @@
             && on().all(|p| {
                 self.tasks
                     .get(&p.task)
-                    .is_some_and(|h| *h == Held { attempt: p.attempt, state: p.state })
+                    .is_some_and(|h| *h == HeldTask { attempt: p.attempt, state: p.state })
             });
         if same {
             return (false, false, Vec::new());
         }
         // A start that this report does not show was in a response that the worker dropped:
         // it has one report in flight at a time, so replacing the list forgets it rightly.
-        let ordered = |h: &Held| h.state == TaskState::Unknown;
-        let shown = |t: &TaskId, h: &Held| {
+        let ordered = |h: &HeldTask| h.state == TaskState::Unknown;
+        let shown = |t: &TaskId, h: &HeldTask| {
             heartbeat.tasks.iter().any(|p| p.task == *t && p.attempt == h.attempt)
         };
         if self.tasks.iter().any(|(t, h)| ordered(h) && shown(t, h)) {
             self.missed = 0;
         } else if self.tasks.values().any(ordered) {
             self.missed += 1;
-            self.shun_until = self.shun_until.max(env.now.plus(1_000 << self.missed.min(5)));
+            self.quarantined_until =
+                self.quarantined_until.max(context.now.plus(1_000 << self.missed.min(5)));
         }
-        let tasks: BTreeMap<TaskId, Held> =
-            on().map(|p| (p.task, Held { attempt: p.attempt, state: p.state })).collect();
+        let tasks: BTreeMap<TaskId, HeldTask> =
+            on().map(|p| (p.task, HeldTask { attempt: p.attempt, state: p.state })).collect();
         let others = !tasks.keys().eq(self.tasks.keys());
         let left = self.tasks.keys().filter(|t| !tasks.contains_key(t)).copied().collect();
         self.tasks = tasks;
         for p in on() {
-            if let Some(job) = env.replica.jobs.get(&p.task.job) {
+            if let Some(job) = context.replica.jobs.get(&p.task.job) {
                 self.remember_image(&job.spec);
             }
         }
-        if let Some(f) = env.catalog.get(&*self.machine_type) {
+        if let Some(f) = context.catalog.get(&*self.machine_type) {
             self.trim_images(f.image_cache_gb);
         }
         (true, others, left)
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,6 +1,6 @@
 //! Machines of other parts that report here: sent to their owner, or kept alive if they cannot reach it.
 
-use super::{HeartbeatOutcome, Shard, Surroundings};
+use super::{HeartbeatOutcome, Shard, ShardContext};
 use crate::config::Pace;
 use crate::model::{AgentEpoch, MachineId, Steady};
 use crate::wire::{Heartbeat, HeartbeatResponse};
@@ -63,8 +63,8 @@
 }
 
 impl Shard {
-    pub(super) fn go(&self, env: &Surroundings<'_>, node: usize) -> HeartbeatOutcome {
-        let name = env.nodes.get(node).map(|n| n.name.clone());
+    pub(super) fn go(&self, context: &ShardContext<'_>, node: usize) -> HeartbeatOutcome {
+        let name = context.nodes.get(node).map(|n| n.name.clone());
         name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Go)
     }
 
@@ -83,14 +83,14 @@
     /// that its tasks are proven gone and no proof waits for it.
     pub(super) fn accepts_answers(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> bool {
-        if heartbeat.token == self.followed.term {
-            self.followed.unacknowledged.remove(&heartbeat.machine);
+        if heartbeat.token == self.term_state.term {
+            self.term_state.unacknowledged.remove(&heartbeat.machine);
             return true;
         }
-        let now = env.now;
+        let now = context.now;
         let fresh = Unacknowledged {
             first: now,
             agent_epoch: heartbeat.agent_epoch,
@@ -98,7 +98,7 @@
             refuse_until: Steady(0),
         };
         let u = self
-            .followed
+            .term_state
             .unacknowledged
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| fresh.clone());
@@ -110,7 +110,7 @@
         }
         let ignored = u.answers >= DEAF_ANSWERS && now.since(u.first) > DEAF_MS;
         if ignored || (u.answers > 0 && heartbeat.agent_epoch > u.agent_epoch) {
-            u.refuse_until = now.plus(env.lease_ms + 4_000);
+            u.refuse_until = now.plus(context.lease_ms + 4_000);
             tracing::info!(machine = %heartbeat.machine, "does not hear its answers");
             return false;
         }
@@ -123,15 +123,15 @@
     /// does that has just started, so after an answer here it is sent there again.
     pub(super) fn route(&mut self, now: Steady, pace: &Pace, id: &MachineId) -> Route {
         let again_ms = pace.out_of_reach_ms + 5_000;
-        let stray = self.followed.foreign_machines.get(id);
+        let stray = self.term_state.foreign_machines.get(id);
         if stray
             .is_some_and(|s| s.back.is_some() && now.since(s.last) < pace.out_of_reach_ms + 2_000)
         {
             return Route::Cut;
         }
-        let Some(r) = self.followed.redirected.get_mut(id).filter(|r| now.since(r.at) < again_ms)
+        let Some(r) = self.term_state.redirected.get_mut(id).filter(|r| now.since(r.at) < again_ms)
         else {
-            self.followed
+            self.term_state
                 .redirected
                 .insert(id.clone(), Redirected { at: now, tries: 1, seen: false });
             return Route::Send;
@@ -150,23 +150,23 @@
     /// Keeps a worker alive that this node does not own: no starts, but kills and news.
     pub(super) fn on_foreign_heartbeat(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
         cut: bool,
     ) -> HeartbeatOutcome {
-        let now = env.now;
-        let hears = heartbeat.token == self.followed.term;
+        let now = context.now;
+        let hears = heartbeat.token == self.term_state.term;
         let record =
-            self.followed.foreign_machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
-                ForeignMachineRecord {
+            self.term_state.foreign_machines.entry(heartbeat.machine.clone()).or_insert_with(
+                || ForeignMachineRecord {
                     machine_type: heartbeat.machine_type.clone(),
                     zone: heartbeat.zone.clone(),
                     spot: heartbeat.spot,
                     back: None,
                     last: now,
                     hears: false,
-                }
-            });
+                },
+            );
         record.last = now;
         if cut {
             record.back.get_or_insert(now);
@@ -174,8 +174,8 @@
         self.news |= hears && !record.hears;
         record.hears = hears;
         self.answered.insert(heartbeat.machine.clone(), now);
-        let commands = self.kills(env.replica, &heartbeat.machine, &heartbeat.tasks);
-        self.log_response(env, heartbeat, false, &commands);
-        HeartbeatOutcome::Take(HeartbeatResponse { token: self.followed.term, commands })
+        let commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
+        self.log_response(context, heartbeat, false, &commands);
+        HeartbeatOutcome::Take(HeartbeatResponse { token: self.term_state.term, commands })
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -27,10 +27,10 @@
         zone: m.zone.clone(),
         spot: m.spot,
         endpoint: m.endpoint.clone(),
-        settled: m.is_settled(term),
+        reconciled: m.is_reconciled(term),
         agent_epoch: m.agent_epoch,
         leaving: m.warned,
-        shun_ms: m.shun_until.since(now),
+        quarantine_ms: m.quarantined_until.since(now),
         tasks: m.tasks.iter().map(|(task, h)| TaskView { task: *task, state: h.state }).collect(),
         images: m.images.clone(),
     }
@@ -42,15 +42,15 @@
     pub fn summary(&mut self, now: Steady, pace: &Pace, room: usize) -> Summary {
         self.number += 1;
         let kept_ms = pace.out_of_reach_ms + 7_000;
-        self.followed.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
-        self.followed.redirected.retain(|_, r| now.since(r.at) < kept_ms);
+        self.term_state.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
+        self.term_state.redirected.retain(|_, r| now.since(r.at) < kept_ms);
         self.released_workers.retain(|_, at| now.since(*at) < RELEASED_MS);
         self.answered.retain(|_, at| now.since(*at) < pace.answers_ms);
         self.sent.push_back((self.number, now));
         if self.sent.len() > 64 {
             self.sent.pop_front();
         }
-        let (base, since) = self.followed.acknowledged.unwrap_or_default();
+        let (base, since) = self.term_state.acknowledged.unwrap_or_default();
         let answered: Vec<(MachineId, u64)> = self
             .answered
             .iter()
@@ -58,7 +58,7 @@
             .map(|(id, at)| (id.clone(), now.since(*at)))
             .collect();
         let foreign_machines: Vec<ForeignMachine> = self
-            .followed
+            .term_state
             .foreign_machines
             .iter()
             .filter(|(_, s)| s.hears)
@@ -83,7 +83,7 @@
                 m.changed = self.number + 1;
                 whole = false;
             } else {
-                machines.push(view(id, m, self.followed.term, now));
+                machines.push(view(id, m, self.term_state.term, now));
             }
         }
         Summary {
@@ -91,17 +91,21 @@
             incarnation: self.incarnation,
             number: self.number,
             base,
-            term: self.followed.term,
+            term: self.term_state.term,
             more: !whole,
-            followed: self.followed.plan.seq,
-            echo_ms: self.followed.clock_ms,
+            applied_plan: self.term_state.plan.seq,
+            echo_ms: self.term_state.clock_ms,
             up_ms: now.0,
             served_ms: 0,
             heard_ms: now.since(self.heard),
             machines,
             answered,
             foreign_machines,
-            finished: self.finished.iter().map(|(j, f)| (j.0, f.tasks.clone())).collect(),
+            completed_tasks: self
+                .completed_tasks
+                .iter()
+                .map(|(j, f)| (j.0, f.tasks.clone()))
+                .collect(),
             restarted: self.restarted.iter().cloned().collect(),
             notices: self
                 .machines
