--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -5,9 +5,9 @@
 
 use rustc_hash::FxHashSet;
 
-use super::machine::{Held, Machine};
-use super::term_state::{FollowedPlan, GrantKind};
-use super::{Shard, Surroundings};
+use super::machine::{HeldTask, Machine};
+use super::term_state::{ActivePlan, GrantKind};
+use super::{Shard, ShardContext};
 use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId, Term};
 use crate::peer::Grant;
 use crate::placement;
@@ -37,7 +37,7 @@
 }
 
 impl GrantedStart {
-    fn of(plan: &FollowedPlan, task: TaskId, attempt: Option<Attempt>, ahead: bool) -> Self {
+    fn of(plan: &ActivePlan, task: TaskId, attempt: Option<Attempt>, ahead: bool) -> Self {
         let kind = match (attempt, ahead) {
             (Some(_), _) => GrantKind::Gang,
             (None, true) => GrantKind::Ahead,
@@ -74,42 +74,42 @@
     /// to go if anything speaks for that.
     pub(super) fn start_granted(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         id: &MachineId,
         freed: bool,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !env.may_start {
+        if !context.may_start {
             return;
         }
-        if self.is_assignment_due(env.now, freed) {
-            self.assign_granted(env, id);
+        if self.is_assignment_due(context.now, freed) {
+            self.assign_granted(context, id);
         }
-        let queue = self.followed.queues.remove(id).unwrap_or_default();
-        if queue.is_empty() && self.followed.backlog.is_empty() {
+        let queue = self.term_state.queues.remove(id).unwrap_or_default();
+        if queue.is_empty() && self.term_state.backlog.is_empty() {
             return;
         }
-        let (term, plan) = (self.followed.term, &self.followed.plan);
+        let (term, plan) = (self.term_state.term, &self.term_state.plan);
         let open = !plan.is_drained(id);
-        let room = self.machines.get(id).and_then(|m| m.room(id, env, term, open));
+        let room = self.machines.get(id).and_then(|m| m.room(id, context, term, open));
         let Some(mut room) = room else { return };
-        room.kept = plan.is_kept(id);
+        room.reserved = plan.is_reserved(id);
         for start in queue {
-            if !self.start(env, &mut room, &start, commands) {
-                self.followed.unplaced = true;
+            if !self.start(context, &mut room, &start, commands) {
+                self.term_state.unplaced = true;
             }
         }
-        self.start_backlog(env, &mut room, commands);
+        self.start_backlog(context, &mut room, commands);
     }
 
     /// Whether granted tasks are to be given machines anew: something speaks for it, or some have waited.
     fn is_assignment_due(&self, now: Steady, freed: bool) -> bool {
-        let followed = &self.followed;
-        let since = now.since(followed.assigned);
+        let term_state = &self.term_state;
+        let since = now.since(term_state.assigned);
         let waiting =
-            followed.unplaced || !followed.queues.is_empty() || !followed.backlog.is_empty();
-        followed.reassign
-            || (freed && followed.unplaced && since >= ASSIGN_LEAST_MS)
+            term_state.unplaced || !term_state.queues.is_empty() || !term_state.backlog.is_empty();
+        term_state.reassign
+            || (freed && term_state.unplaced && since >= ASSIGN_LEAST_MS)
             || (waiting && since >= ASSIGN_MS)
     }
 
@@ -117,17 +117,17 @@
     /// to fetch its image first is left to the next look at all machines.
     fn start_backlog(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         room: &mut Room,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !room.open || room.free.cores == Cores(0) || self.followed.backlog.is_empty() {
+        if !room.open || room.free.cores == Cores(0) || self.term_state.backlog.is_empty() {
             return;
         }
-        let mut backlog = std::mem::take(&mut self.followed.backlog);
+        let mut backlog = std::mem::take(&mut self.term_state.backlog);
         backlog.retain(|start| {
-            let job = env.replica.jobs.get(&start.task.job);
-            let Some(job) = job.filter(|j| self.may_try(env.now, j.spec.id)) else {
+            let job = context.replica.jobs.get(&start.task.job);
+            let Some(job) = job.filter(|j| self.may_try(context.now, j.spec.id)) else {
                 return false;
             };
             if room.free.cores == Cores(0)
@@ -136,15 +136,15 @@
             {
                 return true;
             }
-            !self.start(env, room, start, commands)
+            !self.start(context, room, start, commands)
         });
-        self.followed.backlog = backlog;
+        self.term_state.backlog = backlog;
     }
 
     /// Whether no job that is more urgent may use such machines.
     fn is_first(&self, spec: &JobSpec, room: &Room) -> bool {
         let kind = (room.machine_type.clone(), room.zone.clone(), room.spot);
-        let highest_priority = self.followed.highest_priority.get(&kind).copied().flatten();
+        let highest_priority = self.term_state.highest_priority.get(&kind).copied().flatten();
         highest_priority.is_some_and(|priority| spec.priority <= priority)
     }
 
@@ -154,19 +154,19 @@
     /// All starts come through here: the right to start a task ends with the term that granted it.
     pub(super) fn start(
         &mut self,
-        env: &Surroundings<'_>,
+        context: &ShardContext<'_>,
         room: &mut Room,
         granted: &GrantedStart,
         commands: &mut Vec<WorkerCommand>,
     ) -> bool {
         let task = granted.task;
-        if granted.term != self.followed.term {
+        if granted.term != self.term_state.term {
             self.refuse_start(room, granted);
             return true;
         }
-        let Some(job) = env.replica.jobs.get(&task.job) else { return true };
+        let Some(job) = context.replica.jobs.get(&task.job) else { return true };
         let need = Need::of(&job.spec);
-        if !self.may_start(env.replica, task)
+        if !self.may_start(context.replica, task)
             || !room.takes(&job.spec, &need, None)
             || self.machines.values().any(|m| m.tasks.contains_key(&task))
         {
@@ -174,14 +174,14 @@
         }
         let Some(machine) = self.machines.get_mut(&room.id) else { return false };
         room.add(&job.spec, &need);
-        let attempt = granted.attempt.unwrap_or_else(|| self.followed.attempts.give());
+        let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.give());
         machine.remember_image(&job.spec);
-        machine.tasks.insert(task, Held { attempt, state: TaskState::Unknown });
+        machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
         machine.changed = self.number + 1;
         self.news = true;
         tracing::debug!(
             %task, machine = %room.id, %attempt, term = %granted.term, plan = granted.plan.0,
-            grant = ?granted.kind, proof_ms = env.proof_ms, agent_epoch = machine.agent_epoch.0,
+            grant = ?granted.kind, proof_ms = context.proof_ms, agent_epoch = machine.agent_epoch.0,
             token = %machine.token, "starts"
         );
         commands.push(WorkerCommand::Start { task: task, attempt: attempt });
@@ -193,7 +193,7 @@
         self.refused_starts += 1;
         tracing::error!(
             task = %granted.task, machine = %room.id, granted_in = %granted.term,
-            plan = granted.plan.0, grant = ?granted.kind, term = %self.followed.term,
+            plan = granted.plan.0, grant = ?granted.kind, term = %self.term_state.term,
             "a start is refused: another term granted it"
         );
     }
@@ -206,30 +206,30 @@
     /// Whether a task is neither done nor known here to have completed.
     pub(super) fn may_start(&self, replica: &Replica, task: TaskId) -> bool {
         replica.may_run(task)
-            && !self.finished.get(&task.job).is_some_and(|f| f.tasks.contains(task.index))
+            && !self.completed_tasks.get(&task.job).is_some_and(|f| f.tasks.contains(task.index))
     }
 
     /// Gives every granted task that is not on a machine the one where it is to start. It
     /// starts with that machine's next report, or in the answer to this one if it is the machine that
     /// `reporting` names. What finds no machine stands in the backlog.
-    fn assign_granted(&mut self, env: &Surroundings<'_>, reporting: &MachineId) {
-        self.followed.reassign = false;
-        self.followed.assigned = env.now;
-        self.followed.unplaced = false;
-        self.followed.backlog.clear();
-        self.followed.queues.clear();
-        let wanted = self.wanted(env, self.followed.plan.grants());
-        let ahead = self.wanted(env, self.followed.plan.ahead());
+    fn assign_granted(&mut self, context: &ShardContext<'_>, reporting: &MachineId) {
+        self.term_state.reassign = false;
+        self.term_state.assigned = context.now;
+        self.term_state.unplaced = false;
+        self.term_state.backlog.clear();
+        self.term_state.queues.clear();
+        let wanted = self.wanted(context, self.term_state.plan.grants());
+        let ahead = self.wanted(context, self.term_state.plan.ahead());
         let mut unplaced = wanted.pauses;
         if wanted.tasks.is_empty() && ahead.tasks.is_empty() {
-            self.followed.unplaced = unplaced;
+            self.term_state.unplaced = unplaced;
             return;
         }
-        let mut rooms = self.open_rooms(env, reporting);
-        let plan = &self.followed.plan;
+        let mut rooms = self.open_rooms(context, reporting);
+        let plan = &self.term_state.plan;
         let mut queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
         for (grant, tasks) in wanted.tasks {
-            let Some(job) = env.replica.jobs.get(&grant.job()) else { continue };
+            let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
             let need = Need::of(&job.spec);
             let zone = grant.zone.as_deref();
             let chosen = match grant.attempt {
@@ -244,11 +244,11 @@
         }
         let mut backlog = Vec::new();
         if !ahead.tasks.is_empty() {
-            self.followed.highest_priority = highest_priority_by_kind(env.replica, &rooms);
+            self.term_state.highest_priority = highest_priority_by_kind(context.replica, &rooms);
         }
-        let plan = &self.followed.plan;
+        let plan = &self.term_state.plan;
         for (grant, tasks) in ahead.tasks {
-            let Some(job) = env.replica.jobs.get(&grant.job()) else { continue };
+            let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
             let need = Need::of(&job.spec);
             let mut first: Vec<Room> =
                 rooms.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
@@ -260,32 +260,32 @@
             backlog.extend(starts);
             rooms.append(&mut first);
         }
-        self.followed.unplaced = unplaced;
-        self.followed.backlog = backlog;
-        self.followed.queues = queues;
+        self.term_state.unplaced = unplaced;
+        self.term_state.backlog = backlog;
+        self.term_state.queues = queues;
     }
 
     /// The granted tasks that are neither on a machine nor done, most urgent first. Within an urgency
     /// the order of the grants holds.
-    fn wanted<'a>(&self, env: &Surroundings<'_>, grants: &'a [Grant]) -> Wanted<'a> {
+    fn wanted<'a>(&self, context: &ShardContext<'_>, grants: &'a [Grant]) -> Wanted<'a> {
         let held: FxHashSet<TaskId> =
             self.machines.values().flat_map(|m| m.tasks.keys()).copied().collect();
         let mut pauses = false;
         let mut by_priority: Vec<(Priority, &Grant, Vec<TaskId>)> = Vec::new();
         for g in grants {
-            let Some(job) = env.replica.jobs.get(&g.job()) else { continue };
-            if !self.may_try(env.now, g.job()) {
+            let Some(job) = context.replica.jobs.get(&g.job()) else { continue };
+            if !self.may_try(context.now, g.job()) {
                 pauses = true;
                 continue;
             }
             let shown = |t: &TaskId| {
-                g.attempt.is_some_and(|a| self.followed.shown_gang_attempts.contains(&(*t, a)))
+                g.attempt.is_some_and(|a| self.term_state.shown_gang_attempts.contains(&(*t, a)))
             };
             let tasks: Vec<TaskId> = g
                 .tasks
                 .iter()
                 .map(|index| TaskId { job: g.job(), index })
-                .filter(|t| !held.contains(t) && self.may_start(env.replica, *t) && !shown(t))
+                .filter(|t| !held.contains(t) && self.may_start(context.replica, *t) && !shown(t))
                 .collect();
             if !tasks.is_empty() {
                 by_priority.push((job.spec.priority, g, tasks));
@@ -296,15 +296,15 @@
     }
 
     /// The machines that take new tasks now.
-    fn open_rooms(&self, env: &Surroundings<'_>, reporting: &MachineId) -> Vec<Room> {
+    fn open_rooms(&self, context: &ShardContext<'_>, reporting: &MachineId) -> Vec<Room> {
         let room = |(id, m): (&MachineId, &Machine)| {
-            let (term, plan) = (self.followed.term, &self.followed.plan);
-            let mut room = m.room(id, env, term, !plan.is_drained(id))?;
+            let (term, plan) = (self.term_state.term, &self.term_state.plan);
+            let mut room = m.room(id, context, term, !plan.is_drained(id))?;
             room.slow = plan.is_slow(id);
-            room.kept = plan.is_kept(id);
+            room.reserved = plan.is_reserved(id);
             room.delay_s = match id == reporting {
                 true => 0.0,
-                false => env.pace.delay_s(env.now.since(m.heard)),
+                false => context.pace.delay_s(context.now.since(m.heard)),
             };
             Some(room).filter(|r| r.open)
         };
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -9,7 +9,7 @@
 use super::task_start::{GrantedStart, MachineKind};
 use crate::lease::Attempts;
 use crate::model::{Attempt, MachineId, NodeId, PlanSeq, Steady, TaskId, Term};
-use crate::peer::{Grant, PlanBody, Stop};
+use crate::peer::{GangStop, Grant, PlanBody};
 use crate::wire::Priority;
 
 /// How a grant came about.
@@ -25,7 +25,7 @@
 
 /// The newest plan that a part follows, with the term that gave it.
 #[derive(Clone, Debug)]
-pub(super) struct FollowedPlan {
+pub(super) struct ActivePlan {
     /// The term of the leader that made it.
     pub(super) term: Term,
     /// Its number; 0 before the first one of the term.
@@ -33,22 +33,22 @@
     grants: Vec<Grant>,
     ahead: Vec<Grant>,
     slow: Vec<MachineId>,
-    kept: Vec<MachineId>,
-    stops: Vec<Stop>,
+    reserved: Vec<MachineId>,
+    stops: Vec<GangStop>,
     drained: HashSet<MachineId>,
     gang_attempts: HashSet<Attempt>,
 }
 
-impl FollowedPlan {
+impl ActivePlan {
     /// Before the first plan of a term: nothing is granted or ordered.
     fn none(term: Term) -> Self {
-        FollowedPlan {
+        ActivePlan {
             term,
             seq: PlanSeq(0),
             grants: Vec::new(),
             ahead: Vec::new(),
             slow: Vec::new(),
-            kept: Vec::new(),
+            reserved: Vec::new(),
             stops: Vec::new(),
             drained: HashSet::new(),
             gang_attempts: HashSet::new(),
@@ -57,7 +57,7 @@
 
     /// The plan of that number.
     pub(super) fn new(term: Term, seq: PlanSeq, body: PlanBody) -> Self {
-        FollowedPlan {
+        ActivePlan {
             term,
             seq,
             drained: body.drain.into_iter().collect(),
@@ -65,7 +65,7 @@
             grants: body.grants,
             ahead: body.ahead,
             slow: body.slow,
-            kept: body.kept,
+            reserved: body.reserved,
             stops: body.stops,
         }
     }
@@ -86,8 +86,8 @@
     }
 
     /// Whether a machine is kept for gangs.
-    pub(super) fn is_kept(&self, machine: &MachineId) -> bool {
-        self.kept.binary_search(machine).is_ok()
+    pub(super) fn is_reserved(&self, machine: &MachineId) -> bool {
+        self.reserved.binary_search(machine).is_ok()
     }
 
     /// Whether a machine takes nothing new.
@@ -96,12 +96,12 @@
     }
 
     /// The stop of a gang's attempt, if it is being stopped.
-    pub(super) fn stop_of(&self, task: TaskId, attempt: Attempt) -> Option<&Stop> {
+    pub(super) fn stop_of(&self, task: TaskId, attempt: Attempt) -> Option<&GangStop> {
         self.stops.iter().find(|s| s.job == task.job.0 && attempt < s.before)
     }
 
     /// Whether it stops a gang that the plan before did not.
-    pub(super) fn stops_more_than(&self, before: &FollowedPlan) -> bool {
+    pub(super) fn stops_more_than(&self, before: &ActivePlan) -> bool {
         self.stops.iter().any(|s| !before.stops.contains(s))
     }
 
@@ -118,7 +118,7 @@
 
 /// How often a machine was told of the term straight away, and when last.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Announced {
+pub(super) struct TermAnnouncement {
     pub(super) times: u32,
     pub(super) at: Steady,
 }
@@ -126,13 +126,13 @@
 /// All that a part does on the word of one term's leader, what it derives from that, and how machines took this
 /// term's token.
 #[derive(Debug)]
-pub(super) struct FollowedTerm {
+pub(super) struct TermState {
     /// The term.
     pub(super) term: Term,
     /// Gives out this term's attempts.
     pub(super) attempts: Attempts,
     /// The newest plan.
-    pub(super) plan: FollowedPlan,
+    pub(super) plan: ActivePlan,
     /// The leader's clock as that plan or a later answer gave it.
     pub(super) clock_ms: u64,
     /// Owners of machines; empty before the first plan.
@@ -153,7 +153,7 @@
     /// The last summary that the leader is known to have taken, and when it was made.
     pub(super) acknowledged: Option<(u64, Steady)>,
     /// Machines that were told of this term straight away.
-    pub(super) announced: HashMap<MachineId, Announced>,
+    pub(super) announced: HashMap<MachineId, TermAnnouncement>,
     /// Whether there may be machines that have to be.
     pub(super) announcing: bool,
     /// Machines that have not shown this term's token.
@@ -164,13 +164,13 @@
     pub(super) foreign_machines: BTreeMap<MachineId, ForeignMachineRecord>,
 }
 
-impl FollowedTerm {
+impl TermState {
     /// The beginning of a term: nothing is granted and nobody is known to own a machine.
     pub(super) fn begin(term: Term, me: NodeId) -> Self {
-        FollowedTerm {
+        TermState {
             term,
             attempts: Attempts::new(term, me),
-            plan: FollowedPlan::none(term),
+            plan: ActivePlan::none(term),
             clock_ms: 0,
             owners: BTreeMap::new(),
             shown_gang_attempts: HashSet::new(),
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -2,13 +2,13 @@
 
 use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
 use super::task_start::GrantedStart;
-use super::term_state::{Announced, GrantKind};
+use super::term_state::{GrantKind, TermAnnouncement};
 use super::*;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{Moment, Revision, StoreLease, Wall};
-use crate::peer::{Grant, OwnershipChanges, PlanBody, Stop, WaitReason};
+use crate::peer::{GangStop, Grant, OwnershipChanges, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
@@ -100,12 +100,13 @@
     controller.rights.confirm_sync(Steady(1_000));
     // It reported before the term: told at once, then after growing pauses, then no more.
     assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, Some(Running))));
-    let told = |controller: &mut Controller, ms| controller.to_announce(Steady(ms), 8).len();
+    let told =
+        |controller: &mut Controller, ms| controller.direct_messages_due(Steady(ms), 8).len();
     let times = [(1_000, 1), (1_100, 0), (2_500, 1), (4_000, 0), (5_500, 1)];
     for (ms, count) in times {
         assert_eq!(told(&mut controller, ms), count, "{ms}");
     }
-    let asked = Announcement {
+    let asked = DirectMessage {
         machine: MachineId::new("n-1"),
         endpoint: "10.1.0.1:9000".into(),
         term: TERM,
@@ -114,24 +115,24 @@
         commands: vec![],
     };
     // (session, sequence, token, whether it is settled then); the session was not known at first.
-    for (agent_epoch, sequence, token, settled) in
+    for (agent_epoch, sequence, token, reconciled) in
         [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
     {
-        controller.on_announced(
+        controller.on_direct_response(
             Steady(6_000),
             &asked,
             &heartbeat(agent_epoch, sequence, token, Some(Running)),
         );
         let now = controller.summary(Steady(6_000), 900_000);
-        let is = now.machines.iter().any(|m| m.settled && m.tasks.len() == 1);
-        assert_eq!(is, settled, "{agent_epoch} {sequence} {token}");
+        let is = now.machines.iter().any(|m| m.reconciled && m.tasks.len() == 1);
+        assert_eq!(is, reconciled, "{agent_epoch} {sequence} {token}");
         // Seen on a bench day: a machine whose session had begun just now counted as silent
         // since it was rented, so what ran on it was started again.
-        assert_eq!(now.answered.len(), usize::from(settled), "{agent_epoch} {sequence} {token}");
+        assert_eq!(now.answered.len(), usize::from(reconciled), "{agent_epoch} {sequence} {token}");
     }
     assert_eq!(told(&mut controller, 9_000), 0);
     // A later answer may be older than a start on its way: it changes nothing any more.
-    controller.on_announced(Steady(6_500), &asked, &heartbeat(2, 8, 3, None));
+    controller.on_direct_response(Steady(6_500), &asked, &heartbeat(2, 8, 3, None));
     assert!(controller.summary(Steady(6_500), 900_000).machines.iter().all(|m| m.tasks.len() == 1));
 }
 
@@ -144,13 +145,16 @@
     for (agent_epoch, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
         let mut controller = node(0);
         hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
-        assert!(controller.to_announce(Steady(1_000), 8).is_empty());
+        assert!(controller.direct_messages_due(Steady(1_000), 8).is_empty());
         assert!(!hear(&mut controller, 1_100, &heartbeat(1, 3, 0, None)).0);
-        let asked = controller.to_announce(Steady(1_100), 8);
+        let asked = controller.direct_messages_due(Steady(1_100), 8);
         assert_eq!(asked.len(), 1);
         hear(&mut controller, 1_200, &heartbeat(1, 2, 0, None));
-        assert!(controller.to_announce(Steady(1_200), 8).is_empty(), "it is asked once in a while");
-        controller.on_announced(
+        assert!(
+            controller.direct_messages_due(Steady(1_200), 8).is_empty(),
+            "it is asked once in a while"
+        );
+        controller.on_direct_response(
             Steady(1_300),
             &asked[0],
             &heartbeat(agent_epoch, sequence, 3, None),
@@ -177,7 +181,7 @@
         assert_eq!(piece.base == 0, pieces == 0);
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
-        controller.shard.followed.acknowledged = Some((piece.number, Steady(1_000)));
+        controller.shard.term_state.acknowledged = Some((piece.number, Steady(1_000)));
         if !piece.more {
             break;
         }
@@ -203,7 +207,7 @@
     let now = controller.summary(Steady(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
-    assert_eq!(now.finished, [(1, Ranges::span(0, 1))], "a completed task stays completed");
+    assert_eq!(now.completed_tasks, [(1, Ranges::span(0, 1))], "a completed task stays completed");
     assert!(hear(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
 }
 
@@ -241,7 +245,7 @@
     assert_eq!(hear(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
     assert_eq!(hear(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
     let view = controller.summary(Steady(1_500), 900_000).machines.remove(0);
-    assert!(view.shun_ms > 0 && view.tasks.is_empty(), "{view:?}");
+    assert!(view.quarantine_ms > 0 && view.tasks.is_empty(), "{view:?}");
     assert_eq!(hear(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
     let shown = heartbeat(1, 5, 3, Some(TaskState::Exited));
     assert_eq!(hear(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
@@ -297,7 +301,7 @@
 #[test]
 fn a_gang_is_stopped_straight_away_and_in_answers_and_its_next_attempt_is_not() {
     let mut controller = node(0);
-    let seq = controller.shard.followed.plan.seq;
+    let seq = controller.shard.term_state.plan.seq;
     let with = |controller: &mut Controller, seq, stops| {
         controller.shard.follow(Plan {
             term: TERM,
@@ -316,7 +320,7 @@
     // (attempts below that are stopped, leeway, what the task of attempt 7 gets)
     let cases = [(7, 0, None), (8, 0, Some(0.0)), (8, 9_000, Some(9.0))];
     for (i, (before, leeway_ms, want)) in cases.into_iter().enumerate() {
-        let stop = Stop { job: 1, before: Attempt(before), leeway_ms };
+        let stop = GangStop { job: 1, before: Attempt(before), leeway_ms };
         assert!(with(&mut controller, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
         let leeway = |commands: &[WorkerCommand]| {
             commands.iter().find_map(|o| match o {
@@ -324,7 +328,7 @@
                 _ => None,
             })
         };
-        let told = controller.to_announce(Steady(200 + i as u64), 8);
+        let told = controller.direct_messages_due(Steady(200 + i as u64), 8);
         assert_eq!(told.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
         let shown = heartbeat(1, 2 + i as u64, 3, Some(TaskState::Running));
         let HeartbeatOutcome::Take(reply) = controller.on_heartbeat(Steady(300 + i as u64), &shown)
@@ -344,8 +348,9 @@
             job.spec.kind = kind;
         }
         controller.on_heartbeat(Steady(100), &heartbeat(1, 1, 3, Some(TaskState::Exited)));
-        let finished = controller.shard.finished.get(&JobId(1)).map(|f| f.tasks.len());
-        assert_eq!(finished, Some(done), "{kind:?}");
+        let completed_tasks =
+            controller.shard.completed_tasks.get(&JobId(1)).map(|f| f.tasks.len());
+        assert_eq!(completed_tasks, Some(done), "{kind:?}");
     }
 }
 
@@ -371,16 +376,16 @@
     for (state, token, heard, cancelled, told) in cases {
         let mut controller = node(0);
         hear(&mut controller, heard, &heartbeat(1, 5, token, state));
-        while !controller.to_announce(Steady(heard), 8).is_empty() {}
+        while !controller.direct_messages_due(Steady(heard), 8).is_empty() {}
         cancel(&mut controller, cancelled);
-        let out = controller.to_announce(Steady(cancelled), 8);
+        let out = controller.direct_messages_due(Steady(cancelled), 8);
         let kills: Vec<&WorkerCommand> = out.iter().flat_map(|a| &a.commands).collect();
         let what = format!("{state:?} {token} {cancelled}");
         assert_eq!(kills.len(), usize::from(told), "{what}: {out:?}");
         let shown =
             |k: &&WorkerCommand| matches!(k, WorkerCommand::Kill { attempt: Attempt(7), .. });
         assert_eq!(kills.iter().all(shown), state.is_some() || !told, "{what}");
-        let again = controller.to_announce(Steady(cancelled), 8);
+        let again = controller.direct_messages_due(Steady(cancelled), 8);
         assert!(again.iter().all(|a| a.commands.is_empty()), "{what}: told once");
     }
 }
@@ -393,14 +398,14 @@
     controller.rights.confirm_sync(Steady(1_000));
     cancel(&mut controller, 1_000);
     assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, None)));
-    let asked = controller.to_announce(Steady(1_000), 8);
+    let asked = controller.direct_messages_due(Steady(1_000), 8);
     assert_eq!((asked.len(), asked[0].commands.len()), (1, 0));
-    controller.on_announced(
+    controller.on_direct_response(
         Steady(1_100),
         &asked[0],
         &heartbeat(1, 6, 3, Some(TaskState::Running)),
     );
-    let then = controller.to_announce(Steady(1_200), 8);
+    let then = controller.direct_messages_due(Steady(1_200), 8);
     assert_eq!((then.len(), then[0].commands.len()), (1, 1));
 }
 
@@ -558,16 +563,16 @@
         ahead: vec![grant(None)],
         drain: vec![machine()],
         slow: vec![machine()],
-        kept: vec![machine()],
-        stops: vec![Stop { job: 9, before: attempt, leeway_ms: 0 }],
+        reserved: vec![machine()],
+        stops: vec![GangStop { job: 9, before: attempt, leeway_ms: 0 }],
         ..PlanBody::default()
     };
     let shard = &mut controller.shard;
-    let followed = &mut shard.followed;
-    followed.plan = FollowedPlan::new(TERM, PlanSeq(2), body);
-    followed.clock_ms = 5;
-    followed.attempts.give();
-    followed.shown_gang_attempts.insert((TASK, attempt));
+    let term_state = &mut shard.term_state;
+    term_state.plan = ActivePlan::new(TERM, PlanSeq(2), body);
+    term_state.clock_ms = 5;
+    term_state.attempts.give();
+    term_state.shown_gang_attempts.insert((TASK, attempt));
     let start = GrantedStart {
         task: TASK,
         attempt: None,
@@ -575,22 +580,22 @@
         plan: PlanSeq(2),
         kind: GrantKind::Ahead,
     };
-    followed.queues.insert(machine(), vec![start]);
-    followed.backlog.push(start);
-    followed.highest_priority.insert(("small".into(), "a".into(), false), None);
-    (followed.reassign, followed.assigned, followed.unplaced) = (true, Steady(5), true);
-    followed.acknowledged = Some((1, Steady(5)));
-    followed.announced.insert(machine(), Announced { times: 1, at: Steady(5) });
-    followed.announcing = true;
+    term_state.queues.insert(machine(), vec![start]);
+    term_state.backlog.push(start);
+    term_state.highest_priority.insert(("small".into(), "a".into(), false), None);
+    (term_state.reassign, term_state.assigned, term_state.unplaced) = (true, Steady(5), true);
+    term_state.acknowledged = Some((1, Steady(5)));
+    term_state.announced.insert(machine(), TermAnnouncement { times: 1, at: Steady(5) });
+    term_state.announcing = true;
     let unacknowledged = Unacknowledged {
         first: Steady(5),
         agent_epoch: AgentEpoch(1),
         answers: 1,
         refuse_until: Steady(0),
     };
-    followed.unacknowledged.insert(machine(), unacknowledged);
+    term_state.unacknowledged.insert(machine(), unacknowledged);
     let redirected = Redirected { at: Steady(5), tries: 1, seen: false };
-    followed.redirected.insert(machine(), redirected);
+    term_state.redirected.insert(machine(), redirected);
     let stray = ForeignMachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -599,7 +604,7 @@
         last: Steady(5),
         hears: true,
     };
-    followed.foreign_machines.insert(MachineId::new("n-2"), stray);
+    term_state.foreign_machines.insert(MachineId::new("n-2"), stray);
     shard.told_progress.job_statuses.push(JobStatus {
         job: 1,
         running: 1,
@@ -615,8 +620,8 @@
     shard.answered.insert(machine(), Steady(5));
     shard.released_workers.insert(machine(), Steady(5));
     shard.faults.insert(JobId(1), JobFaults::default());
-    let finished = Finished { tasks: Ranges::span(0, 1), since: Steady(5) };
-    shard.finished.insert(JobId(1), finished);
+    let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: Steady(5) };
+    shard.completed_tasks.insert(JobId(1), completed_tasks);
     shard.number = 3;
     shard.sent.push_back((3, Steady(5)));
     shard.heard = Steady(5);
@@ -630,8 +635,8 @@
     // Both structs are taken apart whole: a new field has to be given its place here.
     for way in WAYS {
         let mut controller = filled_part();
-        let fresh = FollowedTerm::begin(TERM, controller.me);
-        let FollowedTerm {
+        let fresh = TermState::begin(TERM, controller.me);
+        let TermState {
             term,
             attempts,
             plan,
@@ -650,7 +655,7 @@
             unacknowledged,
             redirected,
             foreign_machines,
-        } = &controller.shard.followed;
+        } = &controller.shard.term_state;
         assert_eq!(*term, TERM);
         assert_ne!(format!("{attempts:?}"), format!("{:?}", fresh.attempts));
         assert_ne!(format!("{plan:?}"), format!("{:?}", fresh.plan));
@@ -658,7 +663,7 @@
         let stopped = TaskId { job: JobId(9), index: 0 };
         assert!(plan.stop_of(stopped, Attempt(1)).is_some());
         assert!(!plan.grants().is_empty() && !plan.ahead().is_empty());
-        assert!(plan.is_kept(&kept_for_gangs) && plan.is_slow(&kept_for_gangs));
+        assert!(plan.is_reserved(&kept_for_gangs) && plan.is_slow(&kept_for_gangs));
         assert!(plan.is_drained(&kept_for_gangs) && plan.grants_gang(Attempt(7)));
         assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !queues.is_empty());
         assert!(!backlog.is_empty() && !highest_priority.is_empty() && *reassign && *unplaced);
@@ -673,7 +678,7 @@
         let Shard {
             me: _,
             incarnation,
-            followed,
+            term_state,
             told_progress,
             machines,
             latest,
@@ -684,26 +689,26 @@
             answered,
             released_workers,
             faults,
-            finished,
+            completed_tasks,
             number,
             sent,
             heard,
             refused_starts,
             news,
         } = controller.shard;
-        let void = FollowedTerm::begin(NEXT_TERM, me);
-        assert_eq!(format!("{followed:?}"), format!("{void:?}"), "{way:?}: all of it is void");
+        let void = TermState::begin(NEXT_TERM, me);
+        assert_eq!(format!("{term_state:?}"), format!("{void:?}"), "{way:?}: all of it is void");
         assert_eq!(incarnation, INCARNATION);
         // Told to users only, and grants nothing.
         assert_eq!((told_progress.job_statuses.len(), told_progress.completed.len()), (1, 1));
         // Seen here: where tasks are, which reports are late copies, who counts from the start again.
         assert_eq!((machines.len(), latest.len(), restarted.len()), (1, 1, 1), "{way:?}");
-        assert!(machines.values().all(|m| !m.is_settled(NEXT_TERM)), "{way:?}");
+        assert!(machines.values().all(|m| !m.is_reconciled(NEXT_TERM)), "{way:?}");
         assert_eq!((doubted.len(), doubts.len(), stopping.len()), (1, 1, 1), "{way:?}");
         // Done here: leases count from these answers whoever leads.
         assert_eq!((answered.len(), released_workers.len(), heard), (1, 1, Steady(5)), "{way:?}");
         // True whoever leads.
-        assert_eq!((finished.len(), faults.len()), (1, 1), "{way:?}");
+        assert_eq!((completed_tasks.len(), faults.len()), (1, 1), "{way:?}");
         // Summaries are numbered for the whole life of the process.
         assert_eq!((number, sent.len(), refused_starts), (3, 1, 1), "{way:?}");
         assert!(news, "{way:?}");
@@ -713,7 +718,7 @@
 #[test]
 fn a_start_is_refused_if_another_term_granted_it_whichever_way_it_came() {
     // The next defect of that kind: something of an earlier term is followed in the present one.
-    type Outlives = fn(&mut FollowedTerm, FollowedTerm);
+    type Outlives = fn(&mut TermState, TermState);
     let cases: [(&str, Outlives); 3] = [
         ("plan", |now, old| {
             (now.plan, now.owners, now.reassign) = (old.plan, old.owners, true);
@@ -733,9 +738,9 @@
             kind: GrantKind::WithRoom,
         };
         let kind = ("small".into(), "a".into(), false);
-        controller.shard.followed.highest_priority.insert(kind, Some(Priority::Normal));
-        controller.shard.followed.queues.insert(MachineId::new("n-1"), vec![start]);
-        controller.shard.followed.backlog.push(start);
+        controller.shard.term_state.highest_priority.insert(kind, Some(Priority::Normal));
+        controller.shard.term_state.queues.insert(MachineId::new("n-1"), vec![start]);
+        controller.shard.term_state.backlog.push(start);
         let before = heartbeat(1, 1, TERM.0, None);
         let mut machine = Machine::new(&before, Steady(0));
         if let Some(job) = controller.replica.jobs.get(&TASK.job) {
@@ -743,11 +748,11 @@
         }
         controller.shard.machines.insert(before.machine.clone(), machine);
         let old = std::mem::replace(
-            &mut controller.shard.followed,
-            FollowedTerm::begin(NEXT_TERM, NodeId(0)),
+            &mut controller.shard.term_state,
+            TermState::begin(NEXT_TERM, NodeId(0)),
         );
-        outlives(&mut controller.shard.followed, old);
-        controller.shard.followed.assigned = Steady(1_000);
+        outlives(&mut controller.shard.term_state, old);
+        controller.shard.term_state.assigned = Steady(1_000);
         let shown = heartbeat(1, 2, NEXT_TERM.0, None);
         assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
         assert_eq!(controller.shard.refused_starts(), 1, "{what}");
--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -16,7 +16,7 @@
     /// The next leader's replica showed it.
     pub current: Option<u64>,
     /// All but a few machines had shown the next token.
-    pub settled: Option<u64>,
+    pub reconciled: Option<u64>,
     /// The first epoch held.
     pub first_epoch: Option<u64>,
     /// The first start of the term reached a worker.
@@ -43,7 +43,7 @@
             self.noticed,
             self.won,
             self.current,
-            self.settled,
+            self.reconciled,
             self.first_epoch,
             self.first_start,
             self.first_urgent_start,
@@ -88,7 +88,7 @@
             return;
         }
         phases.won.get_or_insert(since);
-        let Some((term, machines, unsettled, published)) = seen.leader else { return };
+        let Some((term, machines, unreconciled, published)) = seen.leader else { return };
         if term <= self.old_term {
             return;
         }
@@ -97,8 +97,8 @@
             phases.first_epoch.get_or_insert(since);
         }
         // Owners are only known once an epoch has given them out.
-        if published && unsettled <= machines / UNSETTLED_PART {
-            phases.settled.get_or_insert(since);
+        if published && unreconciled <= machines / UNSETTLED_PART {
+            phases.reconciled.get_or_insert(since);
         }
     }
 
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -20,7 +20,7 @@
     Alone, Blink, BlinkAll, CancelAt, CancelAtEnd, CancelNow, CloseLooks, CopiesForNext, CrashAll,
     CrashLeader, CutNode, CutWorker, CutZones, Deaf, FreezeLeader, Hang, HangMany, HoldCommands,
     LateCopies, LateWrites, LoseReplies, LostAnswers, Mute, PeersRefuse, QuickBoots, Reborn,
-    RefuseStore, SlowStore, StoreOutage, Stranded, Taken, Upgrade, WorkerDies,
+    RefuseStore, SlowStore, StoreOutage, Stranded, SummaryOutcome, Upgrade, WorkerDies,
 };
 
 /// Plays a day of 20 leases and expects that no rule breaks and that all that was asked for ends.
@@ -537,7 +537,7 @@
     assert!(world.writes < 8_000, "{} writes", world.writes);
     // All but a few machines show the next token within two reports.
     let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
-    assert!(phases.settled.is_some_and(|ms| ms <= 12_500), "{phases:?}");
+    assert!(phases.reconciled.is_some_and(|ms| ms <= 12_500), "{phases:?}");
     // For whoever looks; how long they take depends on the machine that plays this.
     println!("epoch {:.0} us, report {:.1} us", world.epochs.mean_us(), world.reports.mean_us());
 }
@@ -564,8 +564,8 @@
             // Two machines a day go while gangs run on most of them.
             let at = 12_000 + seed * 700;
             let faults = [
-                (at, Taken(seed as usize % 8, 9_000)),
-                (at + 9_000, Taken(seed as usize % 5, 14_000)),
+                (at, SummaryOutcome(seed as usize % 8, 9_000)),
+                (at + 9_000, SummaryOutcome(seed as usize % 5, 14_000)),
             ];
             world.run(&faults, rhythm.lease_ms * 20);
             assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
@@ -584,7 +584,7 @@
             let mut faults = world::faults::random_faults(seed, rhythm);
             let taken = (
                 5_000 + seed * 1_237 % 60_000,
-                Taken(seed as usize % 8, 4_000 + seed % 12 * 1_000),
+                SummaryOutcome(seed as usize % 8, 4_000 + seed % 12 * 1_000),
             );
             faults.push(taken);
             faults.sort_by_key(|f| f.0);
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -47,7 +47,7 @@
 struct Cost {
     machines: usize,
     standby: bool,
-    settled_ms: Option<u64>,
+    reconciled_ms: Option<u64>,
     broken: usize,
     epochs: u64,
     epoch_us: f64,
@@ -134,7 +134,7 @@
     Cost {
         machines,
         standby,
-        settled_ms: world.trace.and_then(|trace| trace.phases.settled),
+        reconciled_ms: world.trace.and_then(|trace| trace.phases.reconciled),
         broken: world.checker.broken.len(),
         epochs: world.epochs.count,
         epoch_us: world.epochs.mean_us(),
@@ -176,10 +176,10 @@
         }
     }
     for c in costs {
-        let settled = c.settled_ms.map_or("not seen".into(), |ms| format!("{ms} ms"));
+        let reconciled = c.reconciled_ms.map_or("not seen".into(), |ms| format!("{ms} ms"));
         let _ = writeln!(
             text,
-            "{} machines, standby {}: settled after {settled}; epoch {:.0} us ({} epochs); report \
+            "{} machines, standby {}: settled after {reconciled}; epoch {:.0} us ({} epochs); report \
              {:.1} us ({} reports); log {:.0} bytes a second, {} records kept, {} entries; {} rules broken; played in {:.1} s",
             c.machines,
             c.standby,
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -12,7 +12,7 @@
 use willowshore::lease::LEASE_MS;
 use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
 use willowshore::peer::{self, PeerRequest, PeerResponse, Summary};
-use willowshore::shard::{Announcement, HeartbeatOutcome};
+use willowshore::shard::{DirectMessage, HeartbeatOutcome};
 use willowshore::store_client::Committed;
 use willowshore::wire::{Heartbeat, JobKind, JobSpec, Priority, TaskState, Txn};
 use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
@@ -81,9 +81,9 @@
     Copy(usize, Heartbeat),
     Reply(usize, u64, Answer),
     /// A node announces its term to a worker; when it was sent.
-    Announce(usize, usize, Announcement, u64),
+    Announce(usize, usize, DirectMessage, u64),
     /// The worker's answer to that.
-    Announced(usize, Announcement, Heartbeat, u64),
+    Announced(usize, DirectMessage, Heartbeat, u64),
     /// A summary, and when it was sent by the sender's clock.
     Summary(usize, usize, Box<Summary>, Steady),
     /// The answer; when the summary was sent, if it came directly.
@@ -232,7 +232,7 @@
         && let Some(body) = &mut plan.body
     {
         body.stops.clear();
-        body.kept.clear();
+        body.reserved.clear();
     }
 }
 
@@ -307,7 +307,7 @@
     pub fn kept(&self, n: usize) -> (usize, [usize; 3]) {
         let jobs = self.nodes[n].as_ref().map_or([0; 3], |node| {
             let l = &node.controller.replica;
-            [l.jobs.len(), l.ended.len(), l.withdrawn.len()]
+            [l.jobs.len(), l.ended.len(), l.residual_usage.len()]
         });
         (self.store.len(), jobs)
     }
@@ -631,7 +631,7 @@
                     && sent >= node.started
                 {
                     let steady = node.moment(now).steady;
-                    node.controller.on_announced(steady, &asked, &heartbeat);
+                    node.controller.on_direct_response(steady, &asked, &heartbeat);
                 }
             }
             Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -108,7 +108,7 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let steady = node.moment(now).steady;
-        for a in node.controller.to_announce(steady, 8) {
+        for a in node.controller.direct_messages_due(steady, 8) {
             if let Ok(w) = a.endpoint.parse() {
                 let message = Message::Announce(n, w, a, now);
                 self.send(Place::Node(n), Place::Worker(w), message);
@@ -221,7 +221,7 @@
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        if let Some(txn) = node.controller.finished_txn(moment.steady) {
+        if let Some(txn) = node.controller.completions_txn(moment.steady) {
             self.commit(n, &txn);
         }
     }
@@ -341,7 +341,7 @@
         }
         let gone = node
             .controller
-            .with_leader(moment, |leader, cluster| leader.fleet.to_return(cluster))
+            .with_leader(moment, |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
             .unwrap_or_default();
         if !gone.is_empty() && !self.still_leads(n) {
             return;
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -66,7 +66,7 @@
     /// The first so many machines hang together.
     HangMany(usize, u64),
     /// The cloud takes a machine after that time, with notice.
-    Taken(usize, u64),
+    SummaryOutcome(usize, u64),
     /// A controller is exchanged for the new version.
     Upgrade(usize),
     /// A machine reaches no controller; direct commands and their answers still pass.
@@ -106,7 +106,7 @@
             | Fault::Alone(ms)
             | Fault::Stranded(ms)
             | Fault::HangMany(_, ms)
-            | Fault::Taken(_, ms)
+            | Fault::SummaryOutcome(_, ms)
             | Fault::Mute(_, ms)
             | Fault::LostAnswers(ms)
             | Fault::HoldCommands(ms)
@@ -154,7 +154,7 @@
             Fault::Stranded(t) => Fault::Stranded(t * by),
             Fault::PeersRefuse(t) => Fault::PeersRefuse(t * by),
             Fault::HangMany(n, t) => Fault::HangMany(n, t * by),
-            Fault::Taken(w, t) => Fault::Taken(w, t * by),
+            Fault::SummaryOutcome(w, t) => Fault::SummaryOutcome(w, t * by),
             Fault::Mute(w, t) => Fault::Mute(w, t * by),
             Fault::LateWrites(t) => Fault::LateWrites(t * by),
             Fault::LostAnswers(t) => Fault::LostAnswers(t * by),
@@ -422,7 +422,7 @@
                 rest.insert(Place::Store);
                 self.cut([Place::Node(node)].into(), rest, ms, hold);
             }
-            Fault::Taken(w, ms) => self.workers[w].notice(now, now + ms),
+            Fault::SummaryOutcome(w, ms) => self.workers[w].notice(now, now + ms),
             Fault::Upgrade(n) => {
                 self.old[n] = false;
                 self.crash(n, BACK_MS);
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/succession.rs
@@ -111,7 +111,7 @@
             stored_term: self.store.term(),
             leader: leader.map(|l| {
                 let published = l.published().0 > 0;
-                (l.term.0, l.fleet.machines.len(), l.fleet.unsettled.len(), published)
+                (l.term.0, l.fleet.machines.len(), l.fleet.unreconciled.len(), published)
             }),
         };
         if let Some(trace) = &mut self.trace {
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -11,12 +11,12 @@
     Term, Wall,
 };
 use willowshore::peer::{
-    self, ForeignMachine, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
-    PeerResponse, Plan, PlanBody, Stop, StoreMessage, Summary, TaskView, WaitReason,
+    self, ForeignMachine, GangStop, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
+    PeerResponse, Plan, PlanBody, StoreMessage, Summary, TaskView, WaitReason,
 };
 use willowshore::replica::{
-    Accepted, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord, Progress,
-    Replica, ReplicaChanges, SPEAKS, TermRecord,
+    Accepted, CAPABILITIES, EpochRecord, LeaderRecord, MachineGroup, MachineRecord, MemberRecord,
+    Progress, Replica, ReplicaChanges, TermRecord,
 };
 use willowshore::wire::{self, JobKind, JobSpec, JobState, KeyValue, Priority, TaskState};
 use willowshore_standby::decision_log::{DecisionLog, FollowRequest};
@@ -51,10 +51,10 @@
         zone: "a".into(),
         spot: true,
         endpoint: "10.1.0.1:9000".into(),
-        settled: true,
+        reconciled: true,
         agent_epoch: AgentEpoch(2),
         leaving: false,
-        shun_ms: 700,
+        quarantine_ms: 700,
         tasks: vec![task(412, 3, TaskState::Running), task(412, 4, TaskState::Unknown)],
         images: vec![("img-07".into(), 6.25)],
     };
@@ -73,7 +73,7 @@
         base: 8,
         more: false,
         term: Term(41),
-        followed: PlanSeq(5),
+        applied_plan: PlanSeq(5),
         echo_ms: 1234,
         up_ms: 99_000,
         served_ms: 12,
@@ -83,7 +83,7 @@
         foreign_machines: vec![stray],
         restarted: vec![machine("n-000002")],
         failing: vec![398],
-        finished: vec![(412, Ranges::span(0, 3))],
+        completed_tasks: vec![(412, Ranges::span(0, 3))],
         notices: vec![],
         follow: None,
     }
@@ -115,14 +115,14 @@
             ],
             drain: vec![machine("n-000001")],
             slow: vec![machine("n-000002")],
-            lapsed: vec![(machine("n-000002"), AgentEpoch(3))],
+            expired_leases: vec![(machine("n-000002"), AgentEpoch(3))],
             job_statuses: vec![JobStatus {
                 job: 412,
                 running: 3,
                 wait_reason: WaitReason::ForMachines,
             }],
             stops: vec![],
-            kept: vec![],
+            reserved: vec![],
             ahead: vec![],
             completed: vec![],
         }),
@@ -190,8 +190,12 @@
     assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobState::Done));
     assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
-    assert_eq!((member.incarnation, member.speaks), (Incarnation(77), 0), "it does not know gangs");
-    assert!(member.speaks < SPEAKS);
+    assert_eq!(
+        (member.incarnation, member.capabilities),
+        (Incarnation(77), 0),
+        "it does not know gangs"
+    );
+    assert!(member.capabilities < CAPABILITIES);
     assert_eq!(value::<TermRecord>(&f["term"]).term, Term(41));
     let group: MachineGroup = value(&f["m"]);
     let told: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
@@ -220,12 +224,12 @@
 
     let mut sent = plan();
     if let Some(body) = &mut sent.body {
-        body.stops = vec![Stop { job: 398, before: Attempt(9), leeway_ms: 0 }];
-        body.kept = vec![machine("n-000001")];
+        body.stops = vec![GangStop { job: 398, before: Attempt(9), leeway_ms: 0 }];
+        body.reserved = vec![machine("n-000001")];
     }
     let mut log = DecisionLog::new(Term(41), &StandbySettings::default());
-    let kept = [machine("n-000001")].into();
-    log.record(Wall(7), &DecisionTarget { kept, ..DecisionTarget::default() });
+    let reserved = [machine("n-000001")].into();
+    log.record(Wall(7), &DecisionTarget { reserved, ..DecisionTarget::default() });
     sent.decisions = log.batch_for(&FollowRequest::default());
     assert!(sent.decisions.is_some());
     let frozen::Tell::Plan(p) =
@@ -249,8 +253,11 @@
 
 #[test]
 fn the_version_before_reads_the_values_that_this_one_writes() {
-    let member =
-        MemberRecord { incarnation: Incarnation(77), version: "0.2.0".into(), speaks: SPEAKS };
+    let member = MemberRecord {
+        incarnation: Incarnation(77),
+        version: "0.2.0".into(),
+        capabilities: CAPABILITIES,
+    };
     let old: frozen::MemberRecord = wire::from_value(&wire::to_value(&member)).unwrap();
     assert_eq!(old.life, 77);
     let up = MachineRecord {
@@ -296,13 +303,14 @@
 #[test]
 fn only_versions_that_read_it_are_told_of_cancellations_directly() {
     // (what a member says that it understands, whether it is told)
-    for (speaks, told) in [(0, false), (1, false), (2, true), (3, true)] {
+    for (capabilities, told) in [(0, false), (1, false), (2, true), (3, true)] {
         let mut replica = Replica::new(NodeId(0));
-        let member = MemberRecord { incarnation: Incarnation(77), version: String::new(), speaks };
+        let member =
+            MemberRecord { incarnation: Incarnation(77), version: String::new(), capabilities };
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.hears_ends(NodeId(1)), told, "{speaks}");
+        assert_eq!(replica.reads_cancellation_notices(NodeId(1)), told, "{capabilities}");
     }
     let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
@@ -314,13 +322,14 @@
 #[test]
 fn only_versions_that_read_it_are_asked_when_they_heard_the_leader() {
     // (what a member says that it understands, whether it is asked)
-    for (speaks, asked) in [(0, false), (3, false), (4, true)] {
+    for (capabilities, asked) in [(0, false), (3, false), (4, true)] {
         let mut replica = Replica::new(NodeId(0));
-        let member = MemberRecord { incarnation: Incarnation(77), version: String::new(), speaks };
+        let member =
+            MemberRecord { incarnation: Incarnation(77), version: String::new(), capabilities };
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.knows_standby(NodeId(1)), asked, "{speaks}");
+        assert_eq!(replica.knows_standby(NodeId(1)), asked, "{capabilities}");
     }
     let sent = peer::encode(&PeerRequest::LeaderSilence(Term(41)));
     assert!(matches!(
