--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -132,7 +132,7 @@
 );
 count_type!(
     /// Milliseconds since the epoch by the time of day.
-    Wall
+    WallTime
 );
 
 impl Attempt {
@@ -154,30 +154,30 @@
 
 /// A reading of this process's steady clock, in milliseconds since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Steady(pub u64);
+pub struct MonotonicTime(pub u64);
 
-impl Steady {
+impl MonotonicTime {
     /// This reading plus some milliseconds.
     pub fn plus(self, ms: u64) -> Self {
-        Steady(self.0.saturating_add(ms))
+        MonotonicTime(self.0.saturating_add(ms))
     }
     /// This reading less some milliseconds, not before the start.
     pub fn less(self, ms: u64) -> Self {
-        Steady(self.0.saturating_sub(ms))
+        MonotonicTime(self.0.saturating_sub(ms))
     }
     /// Milliseconds since an earlier reading; 0 if it is not earlier.
-    pub fn since(self, earlier: Steady) -> u64 {
+    pub fn since(self, earlier: MonotonicTime) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
 /// A moment by both clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct ClockReading {
     /// The process's steady clock.
-    pub steady: Steady,
+    pub steady: MonotonicTime,
     /// The time of day.
-    pub wall: Wall,
+    pub wall: WallTime,
 }
 
 /// Processor cores (or a share of them), in thousandths so that sums are exact.
--- a/crates/standby/src/decision_log.rs
+++ b/crates/standby/src/decision_log.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
-use willowshore_model::{Term, Wall};
+use willowshore_model::{Term, WallTime};
 
 use crate::decisions::{Decision, DecisionState, DecisionTarget};
 use crate::settings::StandbySettings;
@@ -66,7 +66,7 @@
     /// The digest of the state at `to`.
     pub digest: u64,
     /// When the last decision was made, by the leader's time of day.
-    pub made: Wall,
+    pub made: WallTime,
     /// The decisions, encoded and compressed.
     pub payload: ByteBuf,
 }
@@ -95,7 +95,7 @@
 struct Record {
     decision: Decision,
     digest: u64,
-    made: Wall,
+    made: WallTime,
 }
 
 /// The log of one term.
@@ -104,7 +104,7 @@
     term: Term,
     state: DecisionState,
     newest: u64,
-    made: Wall,
+    made: WallTime,
     records: VecDeque<Record>,
     window: usize,
     batch: usize,
@@ -118,7 +118,7 @@
             term,
             state: DecisionState::default(),
             newest: 0,
-            made: Wall(0),
+            made: WallTime(0),
             records: VecDeque::new(),
             window: settings.window_records,
             batch: settings.batch_records,
@@ -152,7 +152,7 @@
     }
 
     /// Records the decisions that lead to a state, and says how many they are.
-    pub fn record(&mut self, now: Wall, target: &DecisionTarget) -> usize {
+    pub fn record(&mut self, now: WallTime, target: &DecisionTarget) -> usize {
         let decisions = self.state.changes_to(target);
         let count = decisions.len();
         for decision in decisions {
--- a/crates/standby/src/decision_log/tests.rs
+++ b/crates/standby/src/decision_log/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_standby_gets_what_follows_its_position_in_bounded_batches() {
     let mut log = log();
-    let count = log.record(Wall(10), &target(1)) as u64;
+    let count = log.record(WallTime(10), &target(1)) as u64;
     assert!(count > 16);
     let batch = log.batch_for(&at(0)).unwrap();
     assert_eq!((batch.kind, batch.from.index, batch.to.index), (BatchKind::Records, 0, 16));
@@ -24,14 +24,14 @@
     let next = log.batch_for(&at(16)).unwrap();
     assert_eq!(next.to.index, count.min(32));
     assert_eq!(log.batch_for(&at(count)), None);
-    assert_eq!(log.record(Wall(11), &target(1)), 0, "nothing was decided");
+    assert_eq!(log.record(WallTime(11), &target(1)), 0, "nothing was decided");
 }
 
 #[test]
 fn the_log_is_bounded_and_who_falls_behind_gets_a_snapshot() {
     let mut log = log();
     for n in 0..60 {
-        log.record(Wall(n), &target(n));
+        log.record(WallTime(n), &target(n));
         assert!(log.kept() <= 64);
     }
     let batch = log.batch_for(&at(1)).unwrap();
@@ -56,7 +56,7 @@
     let grants = (0..120_000)
         .map(|i| (crate::decisions::TaskNumber(i / 1_000, i as u32), willowshore_model::NodeId(1)));
     let large = DecisionTarget { grants: grants.collect(), ..DecisionTarget::default() };
-    log.record(Wall(1), &large);
+    log.record(WallTime(1), &large);
     let mut request = FollowRequest { snapshot: true, ..at(0) };
     let mut pieces = 0;
     loop {
--- a/crates/standby/src/decisions.rs
+++ b/crates/standby/src/decisions.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
-use willowshore_model::{Attempt, JobId, MachineId, NodeId, TaskId, Wall};
+use willowshore_model::{Attempt, JobId, MachineId, NodeId, TaskId, WallTime};
 
 /// A job by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
 
 /// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RentalOffer {
+pub struct MachineOfferRecord {
     /// The machine type.
     pub machine_type: String,
     /// The zone.
@@ -103,7 +103,8 @@
     /// A gang took a step, or is over.
     Gang(JobNumber, Option<GangStep>),
     /// A machine was rented and is not up; it is up, or gone.
-    Rented(MachineId, Option<RentalOffer>),
+    #[serde(rename = "Rented")]
+    ScaledOut(MachineId, Option<MachineOfferRecord>),
     /// A machine takes nothing new and is returned once it is empty; it is gone, or stays.
     Returning(MachineId, Option<Mark>),
     /// A class's run times were learned.
@@ -111,9 +112,9 @@
     /// A machine's speed was learned.
     Speed(MachineId, Option<MachineSpeed>),
     /// An offer was refused until then, by the time of day.
-    Refused(RentalOffer, Option<Wall>),
+    Refused(MachineOfferRecord, Option<WallTime>),
     /// A job has had no task anywhere since then, by the time of day.
-    Waiting(JobNumber, Option<Wall>),
+    Waiting(JobNumber, Option<WallTime>),
     /// A machine is kept for gangs.
     #[serde(rename = "Kept")]
     Reserved(MachineId, Option<Mark>),
@@ -176,7 +177,7 @@
     /// Gangs under way.
     pub gangs: BTreeMap<JobNumber, GangStep>,
     /// Machines that were rented and are not up.
-    pub rentals: BTreeMap<MachineId, RentalOffer>,
+    pub provisioning: BTreeMap<MachineId, MachineOfferRecord>,
     /// Machines that are to be returned.
     pub returning: BTreeSet<MachineId>,
     /// Run times by class.
@@ -184,9 +185,9 @@
     /// Speeds of machines.
     pub speeds: BTreeMap<MachineId, MachineSpeed>,
     /// Offers that were refused.
-    pub refusals: BTreeMap<RentalOffer, Wall>,
+    pub refusals: BTreeMap<MachineOfferRecord, WallTime>,
     /// Jobs without a task anywhere.
-    pub waiting: BTreeMap<JobNumber, Wall>,
+    pub waiting: BTreeMap<JobNumber, WallTime>,
     /// Machines kept for gangs.
     pub reserved: BTreeSet<MachineId>,
 }
@@ -201,7 +202,7 @@
     /// Gangs under way.
     pub gangs: Table<JobNumber, GangStep>,
     /// Machines that were rented and are not up.
-    pub rentals: Table<MachineId, RentalOffer>,
+    pub provisioning: Table<MachineId, MachineOfferRecord>,
     /// Machines that are to be returned.
     pub returning: Table<MachineId, Mark>,
     /// Run times by class.
@@ -209,9 +210,9 @@
     /// Speeds of machines.
     pub speeds: Table<MachineId, MachineSpeed>,
     /// Offers that were refused.
-    pub refusals: Table<RentalOffer, Wall>,
+    pub refusals: Table<MachineOfferRecord, WallTime>,
     /// Jobs without a task anywhere.
-    pub waiting: Table<JobNumber, Wall>,
+    pub waiting: Table<JobNumber, WallTime>,
     /// Machines kept for gangs.
     pub reserved: Table<MachineId, Mark>,
 }
@@ -223,7 +224,7 @@
             Decision::Admitted(job, admission) => self.admissions.set(job, admission),
             Decision::Granted(task, node) => self.grants.set(task, node),
             Decision::Gang(job, step) => self.gangs.set(job, step),
-            Decision::Rented(machine, offer) => self.rentals.set(machine, offer),
+            Decision::ScaledOut(machine, offer) => self.provisioning.set(machine, offer),
             Decision::Returning(machine, set) => self.returning.set(machine, set),
             Decision::RunTime(class, ratio) => self.run_times.set(class, ratio),
             Decision::Speed(machine, speed) => self.speeds.set(machine, speed),
@@ -248,7 +249,7 @@
         changes.extend(of(self.admissions.changes_to(&target.admissions), Decision::Admitted));
         changes.extend(of(self.grants.changes_to(&target.grants), Decision::Granted));
         changes.extend(of(self.gangs.changes_to(&target.gangs), Decision::Gang));
-        changes.extend(of(self.rentals.changes_to(&target.rentals), Decision::Rented));
+        changes.extend(of(self.provisioning.changes_to(&target.provisioning), Decision::ScaledOut));
         changes.extend(of(self.returning.changes_to(&set(&target.returning)), Decision::Returning));
         changes.extend(of(self.run_times.changes_to(&target.run_times), Decision::RunTime));
         changes.extend(of(self.speeds.changes_to(&target.speeds), Decision::Speed));
@@ -269,7 +270,7 @@
             admissions: self.admissions.entries.clone(),
             grants: self.grants.entries.clone(),
             gangs: self.gangs.entries.clone(),
-            rentals: self.rentals.entries.clone(),
+            provisioning: self.provisioning.entries.clone(),
             returning: self.returning.entries.keys().cloned().collect(),
             run_times: self.run_times.entries.clone(),
             speeds: self.speeds.entries.clone(),
@@ -285,7 +286,7 @@
             self.admissions.digest,
             self.grants.digest,
             self.gangs.digest,
-            self.rentals.digest,
+            self.provisioning.digest,
             self.returning.digest,
             self.run_times.digest,
             self.speeds.digest,
@@ -302,7 +303,7 @@
         self.admissions.entries.len()
             + self.grants.entries.len()
             + self.gangs.entries.len()
-            + self.rentals.entries.len()
+            + self.provisioning.entries.len()
             + self.returning.entries.len()
             + self.run_times.entries.len()
             + self.speeds.entries.len()
--- a/crates/standby/src/decisions/tests.rs
+++ b/crates/standby/src/decisions/tests.rs
@@ -8,18 +8,21 @@
 
 /// A state with something of each kind that depends on `n`.
 pub(crate) fn target(n: u64) -> DecisionTarget {
-    let offer =
-        RentalOffer { machine_type: "g8".into(), zone: "a".into(), spot: n.is_multiple_of(2) };
+    let offer = MachineOfferRecord {
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: n.is_multiple_of(2),
+    };
     DecisionTarget {
         admissions: (n..n + 4).map(|j| (JobNumber(j), Admission { share: j as u32 })).collect(),
         grants: (n..n + 9).map(|j| (TaskNumber(j / 3, j as u32), NodeId((j % 3) as u8))).collect(),
         gangs: [(JobNumber(n), GangStep::Granted(Attempt(n)))].into(),
-        rentals: [(machine(n), offer.clone())].into(),
+        provisioning: [(machine(n), offer.clone())].into(),
         returning: [machine(n + 1)].into(),
         run_times: [("sweep".to_string(), RunTimeRatio { sum: n as f64, weight: 1.5 })].into(),
         speeds: [(machine(n + 2), MachineSpeed { ratio: 1.25, tasks: n as u32 })].into(),
-        refusals: [(offer, Wall(n))].into(),
-        waiting: [(JobNumber(n), Wall(n))].into(),
+        refusals: [(offer, WallTime(n))].into(),
+        waiting: [(JobNumber(n), WallTime(n))].into(),
         reserved: [machine(n + 3)].into(),
     }
 }
@@ -55,7 +58,7 @@
             Decision::Admitted(k, _) => Decision::Admitted(k, None),
             Decision::Granted(k, _) => Decision::Granted(k, None),
             Decision::Gang(k, _) => Decision::Gang(k, None),
-            Decision::Rented(k, _) => Decision::Rented(k, None),
+            Decision::ScaledOut(k, _) => Decision::ScaledOut(k, None),
             Decision::Returning(k, _) => Decision::Returning(k, None),
             Decision::RunTime(k, _) => Decision::RunTime(k, None),
             Decision::Speed(k, _) => Decision::Speed(k, None),
--- a/crates/standby/src/detector.rs
+++ b/crates/standby/src/detector.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use statrs::distribution::{ContinuousCDF, Normal};
-use willowshore_model::Steady;
+use willowshore_model::MonotonicTime;
 
 use crate::settings::StandbySettings;
 
@@ -29,8 +29,8 @@
     threshold: f64,
     capacity: usize,
     intervals: VecDeque<u64>,
-    last: Option<Steady>,
-    ticked: Option<Steady>,
+    last: Option<MonotonicTime>,
+    ticked: Option<MonotonicTime>,
 }
 
 impl HeartbeatDetector {
@@ -48,7 +48,7 @@
     }
 
     /// The leader answered a request that was sent then. Answers that come out of order count once.
-    pub fn heartbeat(&mut self, sent: Steady) {
+    pub fn heartbeat(&mut self, sent: MonotonicTime) {
         if let Some(last) = self.last {
             if sent <= last {
                 return;
@@ -63,12 +63,12 @@
 
     /// Another leader is to be watched from now on. It gets a whole silence before it can be suspected; the
     /// distribution stays, as the way to it is much the same.
-    pub fn watch_anew(&mut self, now: Steady) {
+    pub fn watch_anew(&mut self, now: MonotonicTime) {
         self.last = Some(now);
     }
 
     /// Has to be called regularly. When this process itself was stopped, the silence starts anew.
-    pub fn tick(&mut self, now: Steady) {
+    pub fn tick(&mut self, now: MonotonicTime) {
         let late = self.ticked.is_some_and(|before| now.since(before) > OWN_PAUSE_MS);
         if late && self.last.is_some() {
             self.last = Some(now);
@@ -77,13 +77,13 @@
     }
 
     /// Milliseconds since the leader was last known to be alive; `None` if it was never heard.
-    pub fn silence_ms(&self, now: Steady) -> Option<u64> {
+    pub fn silence_ms(&self, now: MonotonicTime) -> Option<u64> {
         self.last.map(|last| now.since(last))
     }
 
     /// How improbable the present silence is, as the negative logarithm of its probability; 0 while too little is
     /// known.
-    pub fn phi(&self, now: Steady) -> f64 {
+    pub fn phi(&self, now: MonotonicTime) -> f64 {
         let Some(silence) = self.silence_ms(now) else { return 0.0 };
         if self.intervals.len() < LEAST_SAMPLES {
             return 0.0;
@@ -102,7 +102,7 @@
     }
 
     /// Whether the leader is to be suspected.
-    pub fn suspects(&self, now: Steady) -> bool {
+    pub fn suspects(&self, now: MonotonicTime) -> bool {
         match self.silence_ms(now) {
             None => false,
             Some(silence) if silence < self.min_ms => false,
--- a/crates/standby/src/detector/tests.rs
+++ b/crates/standby/src/detector/tests.rs
@@ -7,8 +7,8 @@
 }
 
 /// Heartbeats at these intervals from 1,000 on; returns the last one.
-fn hear(detector: &mut HeartbeatDetector, intervals: impl Iterator<Item = u64>) -> Steady {
-    let mut at = Steady(1_000);
+fn hear(detector: &mut HeartbeatDetector, intervals: impl Iterator<Item = u64>) -> MonotonicTime {
+    let mut at = MonotonicTime(1_000);
     detector.heartbeat(at);
     for interval in intervals {
         at = at.plus(interval);
@@ -18,7 +18,7 @@
 }
 
 /// The silence after which the leader is suspected.
-fn suspected_after(detector: &HeartbeatDetector, last: Steady) -> u64 {
+fn suspected_after(detector: &HeartbeatDetector, last: MonotonicTime) -> u64 {
     (0..10_000).step_by(10).find(|ms| detector.suspects(last.plus(*ms))).unwrap_or(u64::MAX)
 }
 
@@ -46,8 +46,8 @@
 
 #[test]
 fn nobody_is_suspected_before_being_heard() {
-    assert!(!detector().suspects(Steady(1_000_000)));
-    assert_eq!(detector().phi(Steady(1_000_000)), 0.0);
+    assert!(!detector().suspects(MonotonicTime(1_000_000)));
+    assert_eq!(detector().phi(MonotonicTime(1_000_000)), 0.0);
 }
 
 #[test]
--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use willowshore_model::{NodeId, Revision, Steady, Term};
+use willowshore_model::{MonotonicTime, NodeId, Revision, Term};
 
 /// Time between two questions to the other controllers.
 const ASK_AGAIN_MS: u64 = 200;
@@ -178,20 +178,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moments {
     /// The leader was suspected, or its key was gone.
-    pub suspected: Steady,
+    pub suspected: MonotonicTime,
     /// The transaction was sent.
-    pub fencing: Steady,
+    pub fencing: MonotonicTime,
     /// It was answered.
-    pub fenced: Steady,
+    pub fenced: MonotonicTime,
     /// The replica showed the term.
-    pub caught_up: Steady,
+    pub caught_up: MonotonicTime,
     /// What was mirrored had been compared.
-    pub verified: Steady,
+    pub verified: MonotonicTime,
 }
 
 /// A takeover that came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Takeover {
+pub struct Failover {
     /// The term that was taken.
     pub term: Term,
     /// What started it.
@@ -202,43 +202,43 @@
 
 /// The state machine.
 #[derive(Clone, Debug)]
-pub struct TakeoverMachine {
+pub struct FailoverMachine {
     controllers: usize,
     least_silence_ms: u64,
     rank_delay_ms: u64,
     phase: Phase,
-    entered: Steady,
+    entered: MonotonicTime,
     term: Term,
     cause: Cause,
     moments: Moments,
-    asked: Option<Steady>,
-    answers: BTreeMap<NodeId, (u64, Steady)>,
+    asked: Option<MonotonicTime>,
+    answers: BTreeMap<NodeId, (u64, MonotonicTime)>,
     /// Whether the leader itself was asked and did not answer.
     probe_failed: bool,
-    paused_until: Steady,
+    paused_until: MonotonicTime,
     last_back: Option<BackReason>,
-    last_takeover: Option<Takeover>,
+    last_failover: Option<Failover>,
 }
 
-impl TakeoverMachine {
+impl FailoverMachine {
     /// A machine for a site of so many controllers. Others count as not hearing the leader from that silence on;
     /// each rank waits that much longer.
     pub fn new(controllers: usize, least_silence_ms: u64, rank_delay_ms: u64) -> Self {
-        TakeoverMachine {
+        FailoverMachine {
             controllers,
             least_silence_ms,
             rank_delay_ms,
             phase: Phase::Following,
-            entered: Steady(0),
+            entered: MonotonicTime(0),
             term: Term(0),
             cause: Cause::LeaseEnded,
             moments: Moments::default(),
             asked: None,
             answers: BTreeMap::new(),
             probe_failed: false,
-            paused_until: Steady(0),
+            paused_until: MonotonicTime(0),
             last_back: None,
-            last_takeover: None,
+            last_failover: None,
         }
     }
 
@@ -258,12 +258,12 @@
     }
 
     /// The last takeover that this controller completed.
-    pub fn last_takeover(&self) -> Option<Takeover> {
-        self.last_takeover
+    pub fn last_failover(&self) -> Option<Failover> {
+        self.last_failover
     }
 
     /// Takes an event and says what is to be done.
-    pub fn step(&mut self, now: Steady, event: Event) -> Option<Command> {
+    pub fn step(&mut self, now: MonotonicTime, event: Event) -> Option<Command> {
         match event {
             Event::Tick { suspected, rank } => self.on_tick(now, suspected, rank),
             Event::PeerAnswered(answer) => self.on_answer(now, answer),
@@ -281,19 +281,24 @@
         }
     }
 
-    fn enter(&mut self, now: Steady, phase: Phase) {
+    fn enter(&mut self, now: MonotonicTime, phase: Phase) {
         self.phase = phase;
         self.entered = now;
     }
 
-    fn go_back(&mut self, now: Steady, reason: BackReason) {
+    fn go_back(&mut self, now: MonotonicTime, reason: BackReason) {
         self.enter(now, Phase::Following);
         self.answers.clear();
         self.asked = None;
         self.last_back = Some(reason);
     }
 
-    fn on_tick(&mut self, now: Steady, suspected: bool, rank: Option<u64>) -> Option<Command> {
+    fn on_tick(
+        &mut self,
+        now: MonotonicTime,
+        suspected: bool,
+        rank: Option<u64>,
+    ) -> Option<Command> {
         let waited = now.since(self.entered);
         match self.phase {
             Phase::Following => {
@@ -323,7 +328,7 @@
         }
     }
 
-    fn ask_when_due(&mut self, now: Steady, rank: Option<u64>) -> Option<Command> {
+    fn ask_when_due(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<Command> {
         let turn = rank? * self.rank_delay_ms;
         if now.since(self.entered) < turn
             || self.asked.is_some_and(|at| now.since(at) < ASK_AGAIN_MS)
@@ -334,7 +339,7 @@
         Some(Command::AskPeers(self.term))
     }
 
-    fn on_answer(&mut self, now: Steady, answer: PeerAnswer) -> Option<Command> {
+    fn on_answer(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
         if self.phase != Phase::Suspecting {
             return None;
         }
@@ -353,7 +358,7 @@
         self.fence_if_agreed(now)
     }
 
-    fn on_probed(&mut self, now: Steady, outcome: ProbeOutcome) -> Option<Command> {
+    fn on_probed(&mut self, now: MonotonicTime, outcome: ProbeOutcome) -> Option<Command> {
         if self.phase != Phase::Suspecting {
             return None;
         }
@@ -366,7 +371,7 @@
         self.fence_if_agreed(now)
     }
 
-    fn fence_if_agreed(&mut self, now: Steady) -> Option<Command> {
+    fn fence_if_agreed(&mut self, now: MonotonicTime) -> Option<Command> {
         let agree =
             self.answers.values().filter(|(_, at)| now.since(*at) <= ANSWER_COUNTS_MS).count();
         if !self.probe_failed || (agree + 1) * 2 <= self.controllers {
@@ -376,7 +381,7 @@
         self.start_fencing(now)
     }
 
-    fn start_fencing(&mut self, now: Steady) -> Option<Command> {
+    fn start_fencing(&mut self, now: MonotonicTime) -> Option<Command> {
         self.enter(now, Phase::Fencing);
         self.moments.fencing = now;
         self.answers.clear();
@@ -384,7 +389,7 @@
         Some(Command::Fence(self.term))
     }
 
-    fn on_lease_ended(&mut self, now: Steady) -> Option<Command> {
+    fn on_lease_ended(&mut self, now: MonotonicTime) -> Option<Command> {
         if !matches!(self.phase, Phase::Following | Phase::Suspecting) {
             return None;
         }
@@ -395,7 +400,7 @@
         self.start_fencing(now)
     }
 
-    fn on_fence_answered(&mut self, now: Steady, outcome: FenceOutcome) {
+    fn on_fence_answered(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         if self.phase != Phase::Fencing {
             return;
         }
@@ -411,7 +416,7 @@
         }
     }
 
-    fn on_replica(&mut self, now: Steady, term: Term, mine: bool) -> Option<Command> {
+    fn on_replica(&mut self, now: MonotonicTime, term: Term, mine: bool) -> Option<Command> {
         if term < self.term || (term == self.term && self.phase != Phase::CatchingUp && !mine) {
             return None;
         }
@@ -439,14 +444,14 @@
         Some(Command::Verify(term))
     }
 
-    fn on_verified(&mut self, now: Steady) {
+    fn on_verified(&mut self, now: MonotonicTime) {
         if self.phase != Phase::Verifying {
             return;
         }
         self.moments.verified = now;
         self.enter(now, Phase::Active);
-        self.last_takeover =
-            Some(Takeover { term: self.term, cause: self.cause, moments: self.moments });
+        self.last_failover =
+            Some(Failover { term: self.term, cause: self.cause, moments: self.moments });
     }
 }
 
--- a/crates/standby/src/failover/tests.rs
+++ b/crates/standby/src/failover/tests.rs
@@ -4,9 +4,9 @@
 
 const LEAST_MS: u64 = 900;
 
-fn machine(controllers: usize) -> TakeoverMachine {
-    let mut m = TakeoverMachine::new(controllers, LEAST_MS, 300);
-    assert_eq!(m.step(Steady(0), Event::ReplicaShows { term: Term(7), mine: false }), None);
+fn machine(controllers: usize) -> FailoverMachine {
+    let mut m = FailoverMachine::new(controllers, LEAST_MS, 300);
+    assert_eq!(m.step(MonotonicTime(0), Event::ReplicaShows { term: Term(7), mine: false }), None);
     m
 }
 
@@ -23,10 +23,10 @@
 const SUSPECTED: Event = Event::Tick { suspected: true, rank: Some(0) };
 
 /// The leader is suspected and does not answer either.
-fn suspect(m: &mut TakeoverMachine, at: u64) {
-    assert_eq!(m.step(Steady(at), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
-    assert_eq!(m.step(Steady(at), SUSPECTED), Some(Command::AskPeers(Term(7))));
-    assert_eq!(m.step(Steady(at), SILENT), None);
+fn suspect(m: &mut FailoverMachine, at: u64) {
+    assert_eq!(m.step(MonotonicTime(at), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
+    assert_eq!(m.step(MonotonicTime(at), SUSPECTED), Some(Command::AskPeers(Term(7))));
+    assert_eq!(m.step(MonotonicTime(at), SILENT), None);
 }
 
 #[test]
@@ -34,15 +34,15 @@
     let mut m = machine(3);
     suspect(&mut m, 1_000);
     assert_eq!(m.phase(), Phase::Suspecting);
-    assert_eq!(m.step(Steady(1_010), answer(1, Some(950))), Some(Command::Fence(Term(7))));
+    assert_eq!(m.step(MonotonicTime(1_010), answer(1, Some(950))), Some(Command::Fence(Term(7))));
     assert_eq!(m.phase(), Phase::Fencing);
-    m.step(Steady(1_030), Event::FenceAnswered(FenceOutcome::Done(Revision(50))));
+    m.step(MonotonicTime(1_030), Event::FenceAnswered(FenceOutcome::Done(Revision(50))));
     assert_eq!(m.phase(), Phase::CatchingUp);
     let shows = Event::ReplicaShows { term: Term(8), mine: true };
-    assert_eq!(m.step(Steady(1_060), shows), Some(Command::Verify(Term(8))));
-    m.step(Steady(1_061), Event::Verified);
+    assert_eq!(m.step(MonotonicTime(1_060), shows), Some(Command::Verify(Term(8))));
+    m.step(MonotonicTime(1_061), Event::Verified);
     assert_eq!(m.phase(), Phase::Active);
-    let taken = m.last_takeover().unwrap();
+    let taken = m.last_failover().unwrap();
     assert_eq!((taken.term, taken.cause), (Term(8), Cause::Suspicion));
     assert_eq!(taken.moments.caught_up.since(taken.moments.suspected), 60);
 }
@@ -64,7 +64,7 @@
         let mut m = machine(controllers);
         suspect(&mut m, 1_000);
         let fence = Some(Command::Fence(Term(7)));
-        let found = answers.iter().any(|event| m.step(Steady(1_020), *event) == fence);
+        let found = answers.iter().any(|event| m.step(MonotonicTime(1_020), *event) == fence);
         assert_eq!(found, fenced, "{controllers} {answers:?}");
     }
 }
@@ -73,9 +73,9 @@
 fn answers_from_long_ago_do_not_add_up() {
     let mut m = machine(5);
     suspect(&mut m, 1_000);
-    assert_eq!(m.step(Steady(1_010), answer(1, Some(2_000))), None);
-    assert_eq!(m.step(Steady(1_700), answer(2, Some(2_000))), None);
-    assert_eq!(m.step(Steady(1_710), answer(1, Some(2_700))), Some(Command::Fence(Term(7))));
+    assert_eq!(m.step(MonotonicTime(1_010), answer(1, Some(2_000))), None);
+    assert_eq!(m.step(MonotonicTime(1_700), answer(2, Some(2_000))), None);
+    assert_eq!(m.step(MonotonicTime(1_710), answer(1, Some(2_700))), Some(Command::Fence(Term(7))));
 }
 
 #[test]
@@ -118,7 +118,7 @@
         let mut m = machine(3);
         suspect(&mut m, 1_000);
         for (at, event) in events {
-            m.step(Steady(at), event);
+            m.step(MonotonicTime(at), event);
         }
         assert_eq!((m.phase(), m.last_back()), (Phase::Following, Some(reason)), "{name}");
     }
@@ -129,36 +129,39 @@
 fn a_term_whose_answer_was_lost_is_led_once_the_replica_shows_it() {
     let mut m = machine(3);
     suspect(&mut m, 1_000);
-    m.step(Steady(1_010), answer(1, Some(LEAST_MS)));
-    m.step(Steady(2_600), Event::FenceAnswered(FenceOutcome::Unknown));
+    m.step(MonotonicTime(1_010), answer(1, Some(LEAST_MS)));
+    m.step(MonotonicTime(2_600), Event::FenceAnswered(FenceOutcome::Unknown));
     let shows = Event::ReplicaShows { term: Term(8), mine: true };
-    assert_eq!(m.step(Steady(2_700), shows), Some(Command::Verify(Term(8))));
+    assert_eq!(m.step(MonotonicTime(2_700), shows), Some(Command::Verify(Term(8))));
 }
 
 #[test]
 fn the_second_in_rank_asks_later_and_who_may_not_lead_never_does() {
     let mut m = machine(3);
     let probes = Some(Command::ProbeLeader(Term(7)));
-    assert_eq!(m.step(Steady(1_000), tick(true, Some(1))), probes);
-    assert_eq!(m.step(Steady(1_290), tick(true, Some(1))), None);
+    assert_eq!(m.step(MonotonicTime(1_000), tick(true, Some(1))), probes);
+    assert_eq!(m.step(MonotonicTime(1_290), tick(true, Some(1))), None);
     let asks = Some(Command::AskPeers(Term(7)));
-    assert_eq!(m.step(Steady(1_300), tick(true, Some(1))), asks);
-    assert_eq!(m.step(Steady(1_400), tick(true, Some(1))), None, "asked just now");
+    assert_eq!(m.step(MonotonicTime(1_300), tick(true, Some(1))), asks);
+    assert_eq!(m.step(MonotonicTime(1_400), tick(true, Some(1))), None, "asked just now");
     let mut m = machine(3);
-    assert_eq!(m.step(Steady(1_000), tick(true, None)), None);
+    assert_eq!(m.step(MonotonicTime(1_000), tick(true, None)), None);
     assert_eq!(m.phase(), Phase::Following);
 }
 
 #[test]
 fn a_leader_that_is_replaced_follows_and_its_own_next_term_changes_nothing() {
     let mut m = machine(3);
-    assert_eq!(m.step(Steady(1_000), Event::LeaseEnded), Some(Command::Fence(Term(7))));
-    m.step(Steady(1_020), Event::ReplicaShows { term: Term(8), mine: true });
-    m.step(Steady(1_021), Event::Verified);
-    assert_eq!(m.last_takeover().map(|t| t.cause), Some(Cause::LeaseEnded));
-    assert_eq!(m.step(Steady(1_500), Event::ReplicaShows { term: Term(9), mine: true }), None);
+    assert_eq!(m.step(MonotonicTime(1_000), Event::LeaseEnded), Some(Command::Fence(Term(7))));
+    m.step(MonotonicTime(1_020), Event::ReplicaShows { term: Term(8), mine: true });
+    m.step(MonotonicTime(1_021), Event::Verified);
+    assert_eq!(m.last_failover().map(|t| t.cause), Some(Cause::LeaseEnded));
+    assert_eq!(
+        m.step(MonotonicTime(1_500), Event::ReplicaShows { term: Term(9), mine: true }),
+        None
+    );
     assert_eq!(m.phase(), Phase::Active);
-    m.step(Steady(2_000), Event::ReplicaShows { term: Term(10), mine: false });
+    m.step(MonotonicTime(2_000), Event::ReplicaShows { term: Term(10), mine: false });
     assert_eq!(m.last_back(), Some(BackReason::Replaced(Term(10))));
 }
 
@@ -168,15 +171,19 @@
 fn a_slow_leader_that_answers_when_asked_is_not_replaced() {
     let answered = Event::LeaderProbed(ProbeOutcome::Answered);
     let mut m = machine(3);
-    assert_eq!(m.step(Steady(1_000), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
-    assert_eq!(m.step(Steady(1_010), answer(1, Some(LEAST_MS))), None, "it has not answered yet");
-    assert_eq!(m.step(Steady(1_500), answered), None);
+    assert_eq!(m.step(MonotonicTime(1_000), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
+    assert_eq!(
+        m.step(MonotonicTime(1_010), answer(1, Some(LEAST_MS))),
+        None,
+        "it has not answered yet"
+    );
+    assert_eq!(m.step(MonotonicTime(1_500), answered), None);
     assert_eq!((m.phase(), m.last_back()), (Phase::Following, Some(BackReason::LeaderAnswers)));
-    assert_eq!(m.step(Steady(1_600), SUSPECTED), None, "it gets time");
-    assert_eq!(m.step(Steady(2_600), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
+    assert_eq!(m.step(MonotonicTime(1_600), SUSPECTED), None, "it gets time");
+    assert_eq!(m.step(MonotonicTime(2_600), SUSPECTED), Some(Command::ProbeLeader(Term(7))));
     // With its silence the agreement of the others counts, in whatever order they come.
-    assert_eq!(m.step(Steady(2_620), answer(1, Some(LEAST_MS))), None);
-    assert_eq!(m.step(Steady(2_900), SILENT), Some(Command::Fence(Term(7))));
+    assert_eq!(m.step(MonotonicTime(2_620), answer(1, Some(LEAST_MS))), None);
+    assert_eq!(m.step(MonotonicTime(2_900), SILENT), Some(Command::Fence(Term(7))));
 }
 
 /// What is asked of the store is asked once: a second transaction while the first is under way, or after the term was
@@ -185,13 +192,13 @@
 fn nothing_is_fenced_twice() {
     let mut m = machine(3);
     suspect(&mut m, 1_000);
-    m.step(Steady(1_010), answer(1, Some(LEAST_MS)));
+    m.step(MonotonicTime(1_010), answer(1, Some(LEAST_MS)));
     let events = [SUSPECTED, answer(1, Some(5_000)), Event::LeaseEnded];
     for event in events {
-        assert_eq!(m.step(Steady(1_300), event), None, "{event:?}");
+        assert_eq!(m.step(MonotonicTime(1_300), event), None, "{event:?}");
     }
-    m.step(Steady(1_400), Event::FenceAnswered(FenceOutcome::Done(Revision(9))));
+    m.step(MonotonicTime(1_400), Event::FenceAnswered(FenceOutcome::Done(Revision(9))));
     for event in events {
-        assert_eq!(m.step(Steady(1_500), event), None, "{event:?}");
+        assert_eq!(m.step(MonotonicTime(1_500), event), None, "{event:?}");
     }
 }
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -5,7 +5,7 @@
 //! once it is there, what differed is told.
 
 use thiserror::Error;
-use willowshore_model::{Term, Wall};
+use willowshore_model::{Term, WallTime};
 
 use crate::decision_log::{Batch, BatchKind, FollowRequest, LogPosition, unpack};
 use crate::decisions::{Decision, DecisionState};
@@ -57,7 +57,7 @@
 pub struct Mirror {
     applied: LogPosition,
     newest: LogPosition,
-    made: Wall,
+    made: WallTime,
     state: DecisionState,
     needs_snapshot: bool,
     partial: Vec<Decision>,
@@ -90,7 +90,7 @@
     }
 
     /// Age of the newest decision that is applied, in milliseconds; 0 if nothing is missing.
-    pub fn lag_ms(&self, now: Wall) -> u64 {
+    pub fn lag_ms(&self, now: WallTime) -> u64 {
         if self.lag_records() == 0 { 0 } else { now.0.saturating_sub(self.made.0) }
     }
 
--- a/crates/standby/src/mirror/tests.rs
+++ b/crates/standby/src/mirror/tests.rs
@@ -25,22 +25,22 @@
 #[test]
 fn a_copy_follows_and_says_how_far_it_is_behind() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1_000), &target(1));
+    log.record(WallTime(1_000), &target(1));
     let batch = log.batch_for(&mirror.request()).unwrap();
     mirror.accept(&batch).unwrap();
     assert_eq!(mirror.lag_records(), log.newest().index - 10);
-    assert_eq!(mirror.lag_ms(Wall(1_700)), 700);
+    assert_eq!(mirror.lag_ms(WallTime(1_700)), 700);
     assert!(!mirror.is_complete(Term(3)));
     follow(&mut log, &mut mirror);
     assert!(mirror.is_complete(Term(3)));
-    assert_eq!((mirror.lag_records(), mirror.lag_ms(Wall(9_000))), (0, 0));
+    assert_eq!((mirror.lag_records(), mirror.lag_ms(WallTime(9_000))), (0, 0));
     assert_eq!(mirror.state(), log.state());
 }
 
 #[test]
 fn repeated_and_reordered_batches_change_nothing() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1), &target(1));
+    log.record(WallTime(1), &target(1));
     let first = log.batch_for(&mirror.request()).unwrap();
     mirror.accept(&first).unwrap();
     let second = log.batch_for(&mirror.request()).unwrap();
@@ -58,7 +58,7 @@
 #[test]
 fn gaps_wrong_terms_and_malformed_batches_are_counted_and_mended() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1), &target(1));
+    log.record(WallTime(1), &target(1));
     let first = log.batch_for(&mirror.request()).unwrap();
     let mut gap = first.clone();
     (gap.from.index, gap.to.index) = (5, 15);
@@ -93,12 +93,12 @@
 #[test]
 fn a_divergence_is_found_told_and_mended() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1), &target(1));
+    log.record(WallTime(1), &target(1));
     follow(&mut log, &mut mirror);
-    let lost = Decision::Waiting(JobNumber(1), Some(Wall(1)));
+    let lost = Decision::Waiting(JobNumber(1), Some(WallTime(1)));
     mirror.state.apply(Decision::Waiting(JobNumber(1), None));
     let more = DecisionTarget { reserved: [].into(), ..target(1) };
-    log.record(Wall(2), &more);
+    log.record(WallTime(2), &more);
     let batch = log.batch_for(&mirror.request()).unwrap();
     assert_eq!(mirror.accept(&batch), Err(Rejected::Divergence));
     assert!(!mirror.is_complete(Term(3)), "it is not taken for complete");
@@ -112,11 +112,11 @@
 #[test]
 fn a_snapshot_that_changed_between_its_pieces_is_not_taken() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1), &target(1));
+    log.record(WallTime(1), &target(1));
     let mut first = log.batch_for(&FollowRequest { snapshot: true, ..mirror.request() }).unwrap();
     first.kind = BatchKind::Snapshot { offset: 0, more: true };
     mirror.accept(&first).unwrap();
-    log.record(Wall(2), &target(2));
+    log.record(WallTime(2), &target(2));
     let request = mirror.request();
     assert!(request.snapshot && request.received > 0);
     let last = log.batch_for(&request).unwrap();
@@ -128,7 +128,7 @@
 #[test]
 fn a_new_term_begins_with_nothing_and_an_old_one_does_not_come_back() {
     let (mut log, mut mirror) = pair();
-    log.record(Wall(1), &target(1));
+    log.record(WallTime(1), &target(1));
     follow(&mut log, &mut mirror);
     mirror.begin_term(Term(2));
     assert!(mirror.is_complete(Term(3)));
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::failover::{Cause, Takeover};
+use crate::failover::{Cause, Failover};
 
 /// Longest duration that is told apart, in milliseconds.
 const LONGEST_MS: u64 = 600_000;
@@ -22,7 +22,7 @@
 
 /// A takeover and how long its phases took.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakeoverStatus {
+pub struct FailoverStatus {
     /// The term that was taken.
     pub term: u64,
     /// What started it.
@@ -37,15 +37,15 @@
     pub verifying_ms: u64,
 }
 
-impl From<Takeover> for TakeoverStatus {
-    fn from(takeover: Takeover) -> Self {
-        let moments = takeover.moments;
-        let cause = match takeover.cause {
+impl From<Failover> for FailoverStatus {
+    fn from(failover: Failover) -> Self {
+        let moments = failover.moments;
+        let cause = match failover.cause {
             Cause::Suspicion => "a majority did not hear the leader",
             Cause::LeaseEnded => "the leader's lease ended",
         };
-        TakeoverStatus {
-            term: takeover.term.0,
+        FailoverStatus {
+            term: failover.term.0,
             cause: cause.into(),
             agreeing_ms: moments.fencing.since(moments.suspected),
             fencing_ms: moments.fenced.since(moments.fencing),
@@ -96,7 +96,8 @@
     /// Why it went back to following last.
     pub last_back: Option<String>,
     /// The last takeover.
-    pub last_takeover: Option<TakeoverStatus>,
+    #[serde(rename = "last_takeover")]
+    pub last_failover: Option<FailoverStatus>,
     /// What the last takeover found of the mirrored records.
     pub verification: VerificationCounts,
     /// Actions of this controller that were refused because it no longer led.
@@ -126,7 +127,7 @@
         if let Some(back) = &self.last_back {
             lines.push(format!("back to following: {back}"));
         }
-        if let Some(t) = &self.last_takeover {
+        if let Some(t) = &self.last_failover {
             let v = self.verification;
             lines.push(format!(
                 "last takeover: term {}, {}; agreeing {} ms, fencing {} ms, catching up {} ms, verifying {} ms",
--- a/crates/standby/src/status/tests.rs
+++ b/crates/standby/src/status/tests.rs
@@ -1,6 +1,6 @@
 //! What operators read.
 
-use willowshore_model::{Steady, Term};
+use willowshore_model::{MonotonicTime, Term};
 
 use super::*;
 use crate::failover::Moments;
@@ -8,13 +8,13 @@
 #[test]
 fn a_takeover_is_shown_by_its_phases() {
     let moments = Moments {
-        suspected: Steady(1_000),
-        fencing: Steady(1_030),
-        fenced: Steady(1_050),
-        caught_up: Steady(1_120),
-        verified: Steady(1_121),
+        suspected: MonotonicTime(1_000),
+        fencing: MonotonicTime(1_030),
+        fenced: MonotonicTime(1_050),
+        caught_up: MonotonicTime(1_120),
+        verified: MonotonicTime(1_121),
     };
-    let shown = TakeoverStatus::from(Takeover { term: Term(8), cause: Cause::Suspicion, moments });
+    let shown = FailoverStatus::from(Failover { term: Term(8), cause: Cause::Suspicion, moments });
     let times = [shown.agreeing_ms, shown.fencing_ms, shown.catching_up_ms, shown.verifying_ms];
     assert_eq!((shown.term, times), (8, [30, 20, 70, 1]));
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -154,12 +154,12 @@
     inside
 }
 
-struct Filling {
+struct EpochAllocation {
     room: Cores,
     teams: Vec<Option<Cores>>,
 }
 
-impl Filling {
+impl EpochAllocation {
     /// Takes cores for a team if there is room in all bounds.
     fn take(&mut self, team: usize, cores: Cores) -> bool {
         let limit = self.teams.get(team).copied().flatten();
@@ -182,7 +182,7 @@
 /// against what the concave jobs would make of the same cores, then marginal gain.
 fn fill(demands: &[Demand], bounds: &Bounds, waterline: u32, inside: &[bool]) -> Admission {
     let mut out = Admission { waterline, ..Admission::default() };
-    let mut f = Filling { room: bounds.held, teams: bounds.teams.clone() };
+    let mut f = EpochAllocation { room: bounds.held, teams: bounds.teams.clone() };
     let mut shares: Vec<u32> = vec![0; demands.len()];
     for (i, d) in demands.iter().enumerate() {
         if d.min > 0 {
@@ -277,7 +277,7 @@
     demands: &[Demand],
     inside: &[bool],
     shares: &mut [u32],
-    f: &mut Filling,
+    f: &mut EpochAllocation,
     note: &mut dyn FnMut(Cores, f64),
 ) {
     let mut heap: BinaryHeap<Next> = (0..demands.len())
@@ -305,7 +305,7 @@
     steps: &[usize],
     inside: &[bool],
     shares: &[u32],
-    f: &Filling,
+    f: &EpochAllocation,
 ) -> Vec<usize> {
     const UNITS: usize = 64;
     let unit = (f.room.0 / UNITS as u64).max(1);
@@ -333,7 +333,7 @@
     // What the concave jobs make of any number of cores follows from filling them once: they take
     // the best first, so fewer cores are the beginning of the same order.
     let mut made: Vec<(u64, f64)> = vec![(0, 0.0)];
-    let mut left = Filling { room: f.room, teams: f.teams.clone() };
+    let mut left = EpochAllocation { room: f.room, teams: f.teams.clone() };
     fill_concave(demands, inside, &mut shares.to_vec(), &mut left, &mut |cores, gain| {
         let (used, sum) = made.last().copied().unwrap_or_default();
         made.push((used + cores.0, sum + gain));
--- a/src/api.rs
+++ b/src/api.rs
@@ -225,7 +225,7 @@
             JobKind::Array => 1,
             JobKind::Service | JobKind::Gang => u64::from(spec.task_count),
         };
-        let need = placement::Need::of(spec);
+        let need = placement::Resources::of(spec);
         let over = |limit: Option<crate::model::Cores>, each: u64| {
             limit.is_some_and(|l| each.saturating_mul(tasks) > l.0)
         };
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Cores, MachineId, Steady};
-use crate::placement::{MachineCatalog, Need, allowed, slots};
+use crate::model::{Cores, MachineId, MonotonicTime};
+use crate::placement::{MachineCatalog, Resources, allowed, slots};
 use crate::wire::{JobKind, JobSpec, Priority};
 
 /// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Type.
     pub machine_type: String,
     /// Zone.
@@ -21,17 +21,17 @@
 
 /// A machine that is held.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct MachineUsage {
     /// The machine.
     pub id: MachineId,
     /// What it is.
-    pub offer: Offer,
+    pub offer: MachineOffer,
     /// Whether it has not reported yet.
     pub booting: bool,
     /// Seconds since it was rented, as far as known.
     pub age_s: f64,
     /// What is free on it.
-    pub free: Need,
+    pub free: Resources,
     /// Seconds since something ran on it; 0 if something does.
     pub idle_s: f64,
     /// Whether it is kept for gangs.
@@ -42,7 +42,7 @@
 
 /// Tasks that wait for room.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct PendingWork<'a> {
     /// Their job.
     pub spec: &'a JobSpec,
     /// How many.
@@ -57,20 +57,20 @@
 
 /// What is remembered from epoch to epoch.
 #[derive(Clone, Debug, Default)]
-pub struct Market {
-    refused: HashMap<Offer, Steady>,
+pub struct MarketState {
+    refused: HashMap<MachineOffer, MonotonicTime>,
     /// What the load was.
-    pub load: Load,
-    at: Steady,
-    spare_since: Option<Steady>,
-    gangs_at: Steady,
+    pub load: OfferedLoad,
+    at: MonotonicTime,
+    spare_since: Option<MonotonicTime>,
+    gangs_at: MonotonicTime,
     /// The zone where room is kept for gangs, or both zones if some have to be spread.
     pub gang_zones: Vec<String>,
 }
 
 /// What brief work would use; kept in the store for the next leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct OfferedLoad {
     /// Cores that urgent brief work would use if all of it began on arrival.
     urgent: Average,
     /// The same of all brief work.
@@ -186,35 +186,38 @@
 
 /// The decision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Decision {
+pub struct ScalingDecision {
     /// Machines to rent.
-    pub rent: Vec<(Offer, u32)>,
+    pub scale_out: Vec<(MachineOffer, u32)>,
     /// Machines to drain and return.
-    pub retire: Vec<MachineId>,
+    pub scale_in: Vec<MachineId>,
     /// Whether machines could be done without, if that lasts.
     pub spare: bool,
 }
 
-impl Market {
+impl MarketState {
     /// Remembers that an offer was refused or only partly filled.
-    pub fn refused(&mut self, offer: &Offer, now: Steady) {
+    pub fn refused(&mut self, offer: &MachineOffer, now: MonotonicTime) {
         self.refused.insert(offer.clone(), now.plus(REFUSED_MS));
     }
 
     /// The same as another leader told, for what is left of it.
-    pub fn refused_for(&mut self, offer: &Offer, now: Steady, left_ms: u64) {
+    pub fn refused_for(&mut self, offer: &MachineOffer, now: MonotonicTime, left_ms: u64) {
         self.refused.insert(offer.clone(), now.plus(left_ms.min(REFUSED_MS)));
     }
 
     /// Offers that are not asked for now, and until when.
-    pub fn refusals(&self, now: Steady) -> impl Iterator<Item = (&Offer, Steady)> {
+    pub fn refusals(
+        &self,
+        now: MonotonicTime,
+    ) -> impl Iterator<Item = (&MachineOffer, MonotonicTime)> {
         self.refused.iter().filter(move |(_, until)| **until > now).map(|(o, until)| (o, *until))
     }
 
     /// Notes the cores that brief work would use now if all of it began on arrival, and how
     /// many of them are urgent. What queues does not count: a queue from before the first
     /// machines were up says nothing about what comes.
-    pub fn note(&mut self, now: Steady, brief: Cores, urgent: Cores, long: Cores) {
+    pub fn note(&mut self, now: MonotonicTime, brief: Cores, urgent: Cores, long: Cores) {
         let dt = (now.since(self.at) as f64 / 1000.0).min(5.0);
         self.at = now;
         let load = &mut self.load;
@@ -228,7 +231,7 @@
 
     /// Notes the cores that gangs would use, and the largest of them: those that may not use spot
     /// machines, and those that may.
-    pub fn note_gangs(&mut self, now: Steady, firm: (Cores, Cores), loose: (Cores, Cores)) {
+    pub fn note_gangs(&mut self, now: MonotonicTime, firm: (Cores, Cores), loose: (Cores, Cores)) {
         let dt = (now.since(self.gangs_at) as f64 / 1000.0).min(5.0);
         self.gangs_at = now;
         self.load.gangs.note(firm.0, firm.1, dt);
@@ -242,7 +245,7 @@
     }
 
     /// Notes whether machines could be done without.
-    pub fn note_spare(&mut self, now: Steady, spare: bool) {
+    pub fn note_spare(&mut self, now: MonotonicTime, spare: bool) {
         self.spare_since = self.spare_since.filter(|_| spare).or(spare.then_some(now));
     }
 
@@ -258,26 +261,26 @@
     }
 
     /// Whether an offer may be asked for.
-    pub fn open(&self, offer: &Offer, now: Steady) -> bool {
+    pub fn open(&self, offer: &MachineOffer, now: MonotonicTime) -> bool {
         self.refused.get(offer).is_none_or(|until| *until <= now)
     }
 }
 
 /// Whether work is brief in comparison with how long machines boot.
 pub fn is_brief(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
-    let need = Need::of(spec);
-    let boots = catalog.values().filter(|f| slots(&need, &Need::offered(f)) > 0);
+    let need = Resources::of(spec);
+    let boots = catalog.values().filter(|f| slots(&need, &Resources::offered(f)) > 0);
     boots.map(|f| f.boot_s).min_by(f64::total_cmp).is_some_and(|boot| run_s < boot * BRIEF)
 }
 
 /// Decides what to rent and what to return.
 pub fn decide(
-    now: Steady,
+    now: MonotonicTime,
     catalog: &MachineCatalog,
-    held: &[Held],
-    wants: &[Want<'_>],
-    market: &Market,
-) -> Decision {
+    held: &[MachineUsage],
+    wants: &[PendingWork<'_>],
+    market: &MarketState,
+) -> ScalingDecision {
     let mut bins: Vec<Bin> = Vec::new();
     for h in held.iter().filter(|h| !h.leaving) {
         let startup = catalog.get(&h.offer.machine_type).map_or(60.0, |f| f.boot_s);
@@ -286,9 +289,9 @@
             bins.push(Bin { offer: h.offer.clone(), free: h.free, reserved: h.reserved });
         }
     }
-    let mut rent: BTreeMap<Offer, u32> = BTreeMap::new();
-    let any = |o: &Offer| market.open(o, now);
-    let spot_only = |o: &Offer| o.spot && market.open(o, now);
+    let mut scale_out: BTreeMap<MachineOffer, u32> = BTreeMap::new();
+    let any = |o: &MachineOffer| market.open(o, now);
+    let spot_only = |o: &MachineOffer| o.spot && market.open(o, now);
     // Counted once: each machine that is rented asks for it.
     let mut zones: HashMap<&str, usize> = HashMap::new();
     for h in held {
@@ -298,68 +301,76 @@
     let queues = queues(catalog, held, wants);
     // Gangs first: what they need is whole, and nothing else fits where it has to be.
     for want in wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.tasks > 0) {
-        rent_for_gang(catalog, want, &any, &mut bins, &mut rent, &per_zone);
+        scale_out_for_gang(catalog, want, &any, &mut bins, &mut scale_out, &per_zone);
     }
     for loose in [false, true] {
-        keep_ready(catalog, wants, market, loose, &any, &mut bins, &mut rent, &per_zone);
+        keep_ready(catalog, wants, market, loose, &any, &mut bins, &mut scale_out, &per_zone);
     }
-    let others = |w: &Want<'_>| !w.brief && w.spec.kind != JobKind::Gang;
+    let others = |w: &PendingWork<'_>| !w.brief && w.spec.kind != JobKind::Gang;
     for (want, queue_s) in wants.iter().zip(&queues).filter(|(w, _)| others(w)) {
         // What waits for a short time only is not worth an ordinary machine.
         let patient = want.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
-        let offers: &dyn Fn(&Offer) -> bool = if patient { &spot_only } else { &any };
-        rent_for(catalog, want, offers, &mut bins, &mut rent, &per_zone);
+        let offers: &dyn Fn(&MachineOffer) -> bool = if patient { &spot_only } else { &any };
+        scale_out_for(catalog, want, offers, &mut bins, &mut scale_out, &per_zone);
     }
     // What is free or brief work already has counts for the cores kept ready for it.
     let in_use: f64 = wants
         .iter()
         .filter(|w| w.brief && w.spec.kind != JobKind::Gang)
-        .map(|w| Need::of(w.spec).cores.amount() * f64::from(w.running))
+        .map(|w| Resources::of(w.spec).cores.amount() * f64::from(w.running))
         .sum();
     let models = wants.iter().filter(|w| w.brief && w.spec.kind != JobKind::Gang);
     if let Some(model) = models.max_by_key(|w| w.tasks + w.running) {
-        let each = Need::of(model.spec).cores.amount();
+        let each = Resources::of(model.spec).cores.amount();
         let tasks = |spot| {
             let lacking = (market.ready(spot) - in_use).max(0.0);
             if each > 0.0 { (lacking / each).round() as u32 } else { 0 }
         };
         let (on_spot, on_any) = (tasks(true), tasks(false));
-        let ready = |tasks| Want { tasks, ..model.clone() };
-        let left = rent_for(catalog, &ready(on_spot), &spot_only, &mut bins, &mut rent, &per_zone);
+        let ready = |tasks| PendingWork { tasks, ..model.clone() };
+        let left = scale_out_for(
+            catalog,
+            &ready(on_spot),
+            &spot_only,
+            &mut bins,
+            &mut scale_out,
+            &per_zone,
+        );
         let more = left.saturating_sub(on_spot - on_any);
-        rent_for(catalog, &ready(more), &any, &mut bins, &mut rent, &per_zone);
+        scale_out_for(catalog, &ready(more), &any, &mut bins, &mut scale_out, &per_zone);
     }
-    let mut retire = if rent.is_empty() { retire(catalog, held, market, in_use) } else { vec![] };
+    let mut scale_in =
+        if scale_out.is_empty() { scale_in(catalog, held, market, in_use) } else { vec![] };
     let long = wants.iter().zip(&queues).filter(|(w, _)| others(w) && w.tasks > 0);
     let waiting = long.map(|(_, q)| *q).fold(0.0, f64::max) > PATIENT_S / 3.0;
     let mut spare = false;
-    if rent.is_empty() && !waiting {
+    if scale_out.is_empty() && !waiting {
         let lacking = |spot| (market.ready(spot) - in_use).max(0.0);
         let long = |machine_type: &str| {
-            let fits = |w: &&Want<'_>| {
-                let offered = catalog.get(machine_type).map(Need::offered);
-                !w.brief && offered.is_some_and(|o| Need::of(w.spec).fits(&o))
+            let fits = |w: &&PendingWork<'_>| {
+                let offered = catalog.get(machine_type).map(Resources::offered);
+                !w.brief && offered.is_some_and(|o| Resources::of(w.spec).fits(&o))
             };
             if wants.iter().any(|w| fits(&w)) { market.load.long.mean() } else { 0.0 }
         };
         let since = market.spare_since.map_or(0, |at| now.since(at));
-        let ordinary = shed(catalog, held, false, lacking(false), &long);
-        let cheap = shed(catalog, held, true, lacking(true), &long);
+        let ordinary = consolidate(catalog, held, false, lacking(false), &long);
+        let cheap = consolidate(catalog, held, true, lacking(true), &long);
         spare = !ordinary.is_empty() || !cheap.is_empty();
-        if retire.is_empty() && since >= SPARE_MS && !ordinary.is_empty() {
-            retire = ordinary;
-        } else if retire.is_empty() && since >= SPARE_SPOT_MS {
-            retire = cheap;
+        if scale_in.is_empty() && since >= SPARE_MS && !ordinary.is_empty() {
+            scale_in = ordinary;
+        } else if scale_in.is_empty() && since >= SPARE_SPOT_MS {
+            scale_in = cheap;
         }
     }
-    Decision { retire, spare, rent: rent.into_iter().collect() }
+    ScalingDecision { scale_in, spare, scale_out: scale_out.into_iter().collect() }
 }
 
 /// What is free on a machine, or on one that is to be rented.
 #[derive(Clone)]
 struct Bin {
-    offer: Offer,
-    free: Need,
+    offer: MachineOffer,
+    free: Resources,
     reserved: bool,
 }
 
@@ -371,19 +382,19 @@
 }
 
 /// Room for a gang that waits: where most of it fits already, all in one zone if it wants that.
-fn rent_for_gang(
+fn scale_out_for_gang(
     catalog: &MachineCatalog,
-    want: &Want<'_>,
-    to_be_had: &dyn Fn(&Offer) -> bool,
+    want: &PendingWork<'_>,
+    to_be_had: &dyn Fn(&MachineOffer) -> bool,
     bins: &mut Vec<Bin>,
-    rent: &mut BTreeMap<Offer, u32>,
+    scale_out: &mut BTreeMap<MachineOffer, u32>,
     per_zone: &dyn Fn(&str) -> usize,
 ) {
     if !want.spec.one_zone {
-        rent_for(catalog, want, to_be_had, bins, rent, per_zone);
+        scale_out_for(catalog, want, to_be_had, bins, scale_out, per_zone);
         return;
     }
-    let need = Need::of(want.spec);
+    let need = Resources::of(want.spec);
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for zone in catalog.values().flat_map(|f| &f.zones) {
         zones.entry(zone).or_default();
@@ -399,12 +410,12 @@
         // What is in other zones does not help, and is left for others.
         let (mut inside, outside): (Vec<Bin>, Vec<Bin>) =
             bins.iter().cloned().partition(|b| b.offer.zone == zone);
-        let mut rented = rent.clone();
-        let here = |o: &Offer| o.zone == zone && to_be_had(o);
-        let left = rent_for(catalog, want, &here, &mut inside, &mut rented, per_zone);
+        let mut rented = scale_out.clone();
+        let here = |o: &MachineOffer| o.zone == zone && to_be_had(o);
+        let left = scale_out_for(catalog, want, &here, &mut inside, &mut rented, per_zone);
         if left == 0 {
             inside.extend(outside);
-            (*bins, *rent) = (inside, rented);
+            (*bins, *scale_out) = (inside, rented);
             return;
         }
     }
@@ -414,17 +425,17 @@
 #[allow(clippy::too_many_arguments)]
 fn keep_ready(
     catalog: &MachineCatalog,
-    wants: &[Want<'_>],
-    market: &Market,
+    wants: &[PendingWork<'_>],
+    market: &MarketState,
     loose: bool,
-    to_be_had: &dyn Fn(&Offer) -> bool,
+    to_be_had: &dyn Fn(&MachineOffer) -> bool,
     bins: &mut Vec<Bin>,
-    rent: &mut BTreeMap<Offer, u32>,
+    scale_out: &mut BTreeMap<MachineOffer, u32>,
     per_zone: &dyn Fn(&str) -> usize,
 ) {
     let gangs =
         || wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.spec.allows_spot == loose);
-    let cores = |w: &Want<'_>| Need::of(w.spec).cores.amount();
+    let cores = |w: &PendingWork<'_>| Resources::of(w.spec).cores.amount();
     let in_use: f64 = gangs().map(|w| cores(w) * f64::from(w.running)).sum();
     let Some(model) = gangs().max_by_key(|w| w.tasks + w.running) else { return };
     let zones = &market.gang_zones;
@@ -433,32 +444,40 @@
     let mut left = 0;
     for k in 0..parts {
         let zone = zones.get(k as usize);
-        let near = |o: &Offer| zone.is_none_or(|z| *z == o.zone) && to_be_had(o);
-        let here = Want { tasks: tasks / parts + u32::from(k < tasks % parts), ..model.clone() };
+        let near = |o: &MachineOffer| zone.is_none_or(|z| *z == o.zone) && to_be_had(o);
+        let here =
+            PendingWork { tasks: tasks / parts + u32::from(k < tasks % parts), ..model.clone() };
         let (mut inside, outside): (Vec<Bin>, Vec<Bin>) =
             bins.iter().cloned().partition(|b| zone.is_none_or(|z| *z == b.offer.zone));
-        left += rent_for(catalog, &here, &near, &mut inside, rent, per_zone);
+        left += scale_out_for(catalog, &here, &near, &mut inside, scale_out, per_zone);
         inside.extend(outside);
         *bins = inside;
     }
     if left > 0 {
-        rent_for(catalog, &Want { tasks: left, ..model.clone() }, to_be_had, bins, rent, per_zone);
+        scale_out_for(
+            catalog,
+            &PendingWork { tasks: left, ..model.clone() },
+            to_be_had,
+            bins,
+            scale_out,
+            per_zone,
+        );
     }
 }
 
 /// For each want, the seconds for which the machines that can take it are busy with all that
 /// waits now.
-fn queues(catalog: &MachineCatalog, held: &[Held], wants: &[Want<'_>]) -> Vec<f64> {
-    let cores = |w: &Want<'_>| Need::of(w.spec).cores.amount();
+fn queues(catalog: &MachineCatalog, held: &[MachineUsage], wants: &[PendingWork<'_>]) -> Vec<f64> {
+    let cores = |w: &PendingWork<'_>| Resources::of(w.spec).cores.amount();
     let work: f64 = wants.iter().map(|w| f64::from(w.tasks) * cores(w) * w.run_s).sum();
     let mut of_type: BTreeMap<&str, f64> = BTreeMap::new();
     for h in held.iter().filter(|h| !h.leaving) {
         let offered = catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
         *of_type.entry(h.offer.machine_type.as_str()).or_default() += offered;
     }
-    let takes = |w: &Want<'_>, machine_type: &str| {
-        let offered = catalog.get(machine_type).map(Need::offered);
-        offered.is_some_and(|o| Need::of(w.spec).fits(&o))
+    let takes = |w: &PendingWork<'_>, machine_type: &str| {
+        let offered = catalog.get(machine_type).map(Resources::offered);
+        offered.is_some_and(|o| Resources::of(w.spec).fits(&o))
     };
     wants
         .iter()
@@ -470,15 +489,15 @@
 }
 
 /// Fills what is free with the wanted tasks and rents for the rest; says how many are left.
-fn rent_for(
+fn scale_out_for(
     catalog: &MachineCatalog,
-    want: &Want<'_>,
-    to_be_had: &dyn Fn(&Offer) -> bool,
+    want: &PendingWork<'_>,
+    to_be_had: &dyn Fn(&MachineOffer) -> bool,
     bins: &mut Vec<Bin>,
-    rent: &mut BTreeMap<Offer, u32>,
+    scale_out: &mut BTreeMap<MachineOffer, u32>,
     per_zone: &dyn Fn(&str) -> usize,
 ) -> u32 {
-    let need = Need::of(want.spec);
+    let need = Resources::of(want.spec);
     let mut left = want.tasks;
     for bin in bins.iter_mut().filter(|b| b.takes(want.spec)) {
         while left > 0 && need.fits(&bin.free) {
@@ -487,8 +506,10 @@
         }
     }
     while left > 0 {
-        let open = |o: &Offer| to_be_had(o) && allowed(want.spec, &o.machine_type, &o.zone, o.spot);
-        let Some((offer, offered)) = cheapest(catalog, &need, left, &open, rent, per_zone) else {
+        let open =
+            |o: &MachineOffer| to_be_had(o) && allowed(want.spec, &o.machine_type, &o.zone, o.spot);
+        let Some((offer, offered)) = cheapest(catalog, &need, left, &open, scale_out, per_zone)
+        else {
             return left;
         };
         let fit = slots(&need, &offered).clamp(1, left);
@@ -498,7 +519,7 @@
         }
         left -= fit;
         bins.push(Bin { offer: offer.clone(), free, reserved: false });
-        *rent.entry(offer).or_default() += 1;
+        *scale_out.entry(offer).or_default() += 1;
     }
     left
 }
@@ -507,27 +528,27 @@
 /// equals the zone with fewer machines.
 fn cheapest(
     catalog: &MachineCatalog,
-    need: &Need,
+    need: &Resources,
     left: u32,
-    open: &dyn Fn(&Offer) -> bool,
-    rent: &BTreeMap<Offer, u32>,
+    open: &dyn Fn(&MachineOffer) -> bool,
+    scale_out: &BTreeMap<MachineOffer, u32>,
     per_zone: &dyn Fn(&str) -> usize,
-) -> Option<(Offer, Need)> {
-    let mut best: Option<(f64, usize, Offer, Need)> = None;
+) -> Option<(MachineOffer, Resources)> {
+    let mut best: Option<(f64, usize, MachineOffer, Resources)> = None;
     for f in catalog.values() {
-        let offered = Need::offered(f);
+        let offered = Resources::offered(f);
         let fit = slots(need, &offered);
         if fit == 0 {
             continue;
         }
         for (zone, spot) in f.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
-            let offer = Offer { machine_type: f.name.clone(), zone: zone.clone(), spot };
+            let offer = MachineOffer { machine_type: f.name.clone(), zone: zone.clone(), spot };
             if !open(&offer) {
                 continue;
             }
             let price = if spot { f.spot_hourly_price * SPOT_RISK } else { f.hourly_price };
             let per_task = price / f64::from(fit.min(left.max(1)));
-            let crowd = per_zone(zone) + rent.get(&offer).copied().unwrap_or(0) as usize;
+            let crowd = per_zone(zone) + scale_out.get(&offer).copied().unwrap_or(0) as usize;
             let better = best.as_ref().is_none_or(|(p, c, o, _)| {
                 per_task < p * 0.999 || (per_task < p * 1.001 && (crowd, &offer) < (*c, o))
             });
@@ -542,16 +563,16 @@
 /// Machines, spot or ordinary, whose work others of their type would hold as well, least used
 /// first and a few at a time: they take nothing new, and go when they are empty. What long work
 /// used lately is counted as if it still did.
-fn shed(
+fn consolidate(
     catalog: &MachineCatalog,
-    held: &[Held],
+    held: &[MachineUsage],
     spot: bool,
     lacking: f64,
     long: &dyn Fn(&str) -> f64,
 ) -> Vec<MachineId> {
     let up = || held.iter().filter(|h| !h.leaving && !h.booting);
-    let cores = |h: &Held| catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
-    let used = |h: &Held| cores(h) - h.free.cores.amount();
+    let cores = |h: &MachineUsage| catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
+    let used = |h: &MachineUsage| cores(h) - h.free.cores.amount();
     // In a small fleet one job is much of the load, and what is spare now is wanted again soon.
     let most = up().count() / SHED_PART;
     let mut out = Vec::new();
@@ -559,7 +580,7 @@
         let of_type = || up().filter(|h| h.offer.machine_type == *machine_type);
         let in_use = of_type().map(used).sum::<f64>().max(long(machine_type)) * (1.0 + SPARE_PART);
         let mut spare = of_type().map(cores).sum::<f64>() - in_use - lacking;
-        let mut some: Vec<&Held> = of_type()
+        let mut some: Vec<&MachineUsage> = of_type()
             .filter(|h| h.offer.spot == spot && !h.reserved && h.age_s >= LEAST_PAID_S)
             .collect();
         some.sort_by(|a, b| used(a).total_cmp(&used(b)).then_with(|| a.id.cmp(&b.id)));
@@ -576,15 +597,20 @@
 
 /// Machines that have been idle for long, dearest first, as long as what stays holds the
 /// brief work that is to be expected.
-fn retire(catalog: &MachineCatalog, held: &[Held], market: &Market, in_use: f64) -> Vec<MachineId> {
-    let price = |o: &Offer| {
+fn scale_in(
+    catalog: &MachineCatalog,
+    held: &[MachineUsage],
+    market: &MarketState,
+    in_use: f64,
+) -> Vec<MachineId> {
+    let price = |o: &MachineOffer| {
         catalog.get(&o.machine_type).map_or(0.0, |f| {
             (if o.spot { f.spot_hourly_price } else { f.hourly_price }) / f.vcpus.max(0.001)
         })
     };
     let mut room: f64 =
         in_use + held.iter().filter(|h| !h.leaving).map(|h| h.free.cores.amount()).sum::<f64>();
-    let mut idle: Vec<&Held> = held
+    let mut idle: Vec<&MachineUsage> = held
         .iter()
         .filter(|h| !h.leaving && !h.booting && !h.reserved && h.age_s >= LEAST_PAID_S)
         .filter(|h| h.idle_s >= if h.offer.spot { IDLE_SPOT_S } else { IDLE_ORDINARY_S })
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -9,7 +9,7 @@
 
 use crate::http::{Answer, CallError, Client};
 use crate::model::MachineId;
-use crate::store_client::Bucket;
+use crate::store_client::TokenBucket;
 use crate::wire::{self, MachineListPage, MachineNames, MachineTypes, ScaleOutRequest};
 
 /// Why the cloud gave no answer that can be used.
@@ -29,7 +29,7 @@
 /// The client.
 pub struct CloudClient {
     http: Client,
-    calls: RefCell<Bucket>,
+    calls: RefCell<TokenBucket>,
 }
 
 const LIMIT: Duration = Duration::from_millis(2_500);
@@ -40,7 +40,7 @@
     pub fn new(addr: SocketAddr, rps: f64) -> Self {
         CloudClient {
             http: Client::new(addr, 4 << 20),
-            calls: RefCell::new(Bucket::new(rps * 0.7, rps * 0.7, Instant::now())),
+            calls: RefCell::new(TokenBucket::new(rps * 0.7, rps * 0.7, Instant::now())),
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Returns machines; once this is `Ok`, they and all on them are gone.
-    pub async fn give_back(&self, machines: &[MachineId]) -> Result<(), CloudError> {
+    pub async fn return_machines(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = wire::encode(&MachineNames { machines: machines.to_vec() });
         self.call("POST", "/machines/return", &body).await.map(|_| ())
     }
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::config::{NodeInfo, Settings, StateLimits};
-use crate::model::{JobId, Steady, Wall};
+use crate::config::{NodeInfo, Settings, StoreLimits};
+use crate::model::{JobId, MonotonicTime, WallTime};
 use crate::placement::MachineCatalog;
 use crate::replica::Replica;
 use crate::shard::CompletedTasks;
@@ -11,13 +11,13 @@
 /// What the leader needs to see besides its own state.
 pub struct ClusterView<'a> {
     /// Now.
-    pub now: Steady,
+    pub now: MonotonicTime,
     /// Time of day.
-    pub wall: Wall,
+    pub wall: WallTime,
     /// The replica.
     pub replica: &'a Replica,
     /// When the replica was last known to be current.
-    pub synced: Steady,
+    pub synced: MonotonicTime,
     /// Milliseconds for which the store has served this node without a break.
     pub served_for: u64,
     /// Machine types.
@@ -27,7 +27,7 @@
     /// Settings.
     pub settings: &'a Settings,
     /// Limits of the state service that writes keep to.
-    pub limits: &'a StateLimits,
+    pub limits: &'a StoreLimits,
     /// All controllers.
     pub nodes: &'a [NodeInfo],
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -45,16 +45,18 @@
     pub back: SocketAddr,
     /// The other controllers.
     #[serde(default)]
-    pub known: Vec<Known>,
+    #[serde(rename = "known")]
+    pub peers: Vec<Peer>,
     /// The outside services.
-    pub outside: Outside,
+    #[serde(rename = "outside")]
+    pub external: ExternalServices,
     /// What the deployment is like.
     pub params: Params,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Known {
+pub struct Peer {
     /// Its name.
     pub node_name: String,
     /// Its zone.
@@ -65,7 +67,7 @@
 
 /// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Outside {
+pub struct ExternalServices {
     /// The cloud's interface.
     pub cloud: SocketAddr,
     /// The state service.
@@ -87,9 +89,9 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Workers' rhythm and leases.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// Budgets of the state service.
-    pub state: StateLimits,
+    pub state: StoreLimits,
     /// Budgets of the cloud.
     pub cloud: CloudLimits,
     /// What this process may use.
@@ -142,7 +144,7 @@
 
 /// Workers' rhythm and leases.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Seconds between two reports.
     pub report_s: f64,
     /// A worker's lease.
@@ -167,7 +169,7 @@
 
 /// Budgets of the state service.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second, all controllers together.
     pub rps: f64,
     /// Changes a second, all controllers together.
@@ -195,10 +197,10 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// Takes the lower of both sets of limits. Nobody tells when the next ones begin to hold, so
     /// what is written keeps both from the start.
-    fn obey_both(&mut self) {
+    fn take_stricter(&mut self) {
         let Some(next) = self.next.clone() else { return };
         self.rps = next.rps.map_or(self.rps, |n| n.min(self.rps));
         self.write_rps = next.write_rps.map_or(self.write_rps, |n| n.min(self.write_rps));
@@ -263,7 +265,7 @@
         let mut settings: Settings = toml::from_str(text)
             .map_err(|e| ConfigError::Parse(e.to_string().trim().replace('\n', " ")))?;
         settings.check()?;
-        settings.params.state.obey_both();
+        settings.params.state.take_stricter();
         Ok(settings)
     }
 
@@ -275,13 +277,13 @@
             return bad("node_name", "is empty");
         }
         let p = &self.params;
-        if p.nodes as usize != self.known.len() + 1 {
+        if p.nodes as usize != self.peers.len() + 1 {
             return bad("params.nodes", "does not match the controllers listed in known");
         }
         if p.nodes > 32 {
             return bad("params.nodes", "more than 32 controllers are not supported");
         }
-        let mut names: Vec<&str> = self.known.iter().map(|k| k.node_name.as_str()).collect();
+        let mut names: Vec<&str> = self.peers.iter().map(|k| k.node_name.as_str()).collect();
         names.push(&self.node_name);
         names.sort_unstable();
         if names.windows(2).any(|w| w[0] == w[1]) {
@@ -350,7 +352,7 @@
     /// All controllers in the order that everybody uses, and this one's place among them.
     pub fn all_nodes(&self) -> (Vec<NodeInfo>, NodeId) {
         let mut nodes: Vec<NodeInfo> = self
-            .known
+            .peers
             .iter()
             .map(|k| NodeInfo { name: k.node_name.clone(), zone: k.site.clone(), back: k.address })
             .collect();
@@ -384,15 +386,15 @@
     }
 
     /// What follows from how often workers report.
-    pub fn pace(&self) -> Pace {
-        Pace::of(&self.params.workers)
+    pub fn timing(&self) -> HeartbeatTiming {
+        HeartbeatTiming::of(&self.params.workers)
     }
 }
 
 /// Times that follow from how often workers report, in milliseconds. The least values are those
 /// that a loaded controller and the way of a message need, however often workers report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct HeartbeatTiming {
     /// Usual time between two reports.
     pub report_ms: u64,
     /// Longest time between two reports of a worker that is answered: a quarter more.
@@ -414,13 +416,13 @@
     pub answers_ms: u64,
 }
 
-impl Pace {
+impl HeartbeatTiming {
     /// The times for workers that report like that.
-    pub fn of(w: &Workers) -> Self {
+    pub fn of(w: &WorkerSettings) -> Self {
         let report_ms = (w.report_s * 1000.0) as u64;
         let lease_ms = (w.lease_s * 1000.0) as u64;
         let gap_ms = report_ms + report_ms / 4;
-        Pace {
+        HeartbeatTiming {
             report_ms,
             gap_ms,
             silent_ms: (gap_ms + 2_000).max(4_000),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -15,7 +15,7 @@
         (10.0, 30.0, 14_500, 15_000, 13_500, 30_000),
     ];
     for (report_s, lease_s, silent, unused, stray, quick) in cases {
-        let p = Pace::of(&Workers {
+        let p = HeartbeatTiming::of(&WorkerSettings {
             report_s,
             lease_s,
             cancel_s: 99.0,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -6,11 +6,12 @@
 use tracing::info;
 
 use crate::cluster_view::ClusterView;
-use crate::config::{NodeInfo, Settings, StateLimits};
+use crate::config::{NodeInfo, Settings, StoreLimits};
 use crate::leader::{Epoch, Leader};
-use crate::lease::Rights;
+use crate::lease::LeaseRights;
 use crate::model::{
-    Incarnation, JobId, Moment, NodeId, Revision, Steady, StoreLease, TaskId, Term, Wall,
+    ClockReading, Incarnation, JobId, MonotonicTime, NodeId, Revision, StoreLease, TaskId, Term,
+    WallTime,
 };
 use crate::peer::{PeerResponse, Plan, Summary, WaitReason};
 use crate::placement::MachineCatalog;
@@ -54,7 +55,7 @@
     /// The replica of the store.
     pub replica: Replica,
     /// What this node may do.
-    pub rights: Rights,
+    pub rights: LeaseRights,
     /// Its part.
     pub shard: Shard,
     /// Its leadership.
@@ -66,9 +67,9 @@
     /// Whether the last request to the store was served.
     pub store_ok: bool,
     /// When another controller was last heard.
-    pub peer_heard: Steady,
+    pub peer_heard: MonotonicTime,
     /// Limits of the state service that writes keep to.
-    pub limits: StateLimits,
+    pub limits: StoreLimits,
     /// A leader of a later term than the replica knows, as a peer told.
     leader_from_peer: Option<LeaderRecord>,
     /// The warm standby, if it is enabled.
@@ -81,13 +82,13 @@
         let (nodes, me) = settings.all_nodes();
         Controller {
             replica: Replica::new(me),
-            rights: Rights::new(settings.keep_alive_ms()),
+            rights: LeaseRights::new(settings.keep_alive_ms()),
             shard: Shard::new(me, incarnation),
             leader: None,
             catalog: MachineCatalog::new(),
             loaded: false,
             store_ok: false,
-            peer_heard: Steady(0),
+            peer_heard: MonotonicTime(0),
             leader_from_peer: None,
             standby: None,
             limits: settings.params.state.clone(),
@@ -115,7 +116,7 @@
     /// Does something with the leadership and what it needs to see.
     fn with_cluster_view<T>(
         &mut self,
-        now: Moment,
+        now: ClockReading,
         act: impl FnOnce(&mut Option<Leader>, &ClusterView<'_>) -> T,
     ) -> T {
         let cluster = ClusterView {
@@ -136,7 +137,7 @@
     /// Does something with the leadership, if there is one, and what it needs to see.
     pub fn with_leader<T>(
         &mut self,
-        now: Moment,
+        now: ClockReading,
         act: impl FnOnce(&mut Leader, &ClusterView<'_>) -> T,
     ) -> Option<T> {
         self.with_cluster_view(now, |leader, cluster| {
@@ -168,7 +169,11 @@
 
     /// Takes a watch's answer to a request sent at `sent`; `None` if the replica has to be
     /// read anew.
-    pub fn apply(&mut self, changes: &WatchResponse, sent: Steady) -> Option<ReplicaChanges> {
+    pub fn apply(
+        &mut self,
+        changes: &WatchResponse,
+        sent: MonotonicTime,
+    ) -> Option<ReplicaChanges> {
         if !self.loaded {
             return None;
         }
@@ -189,7 +194,7 @@
     }
 
     /// Follows what changes brought.
-    pub fn follow(&mut self, now: Moment, replica_changes: &ReplicaChanges) {
+    pub fn follow(&mut self, now: ClockReading, replica_changes: &ReplicaChanges) {
         if replica_changes.leader {
             self.follow_leader_key(now);
         }
@@ -211,7 +216,7 @@
 
     /// If one task of a gang is done, all are. A version that does not know that may have put some
     /// of them on record alone.
-    fn complete_gangs(&mut self, now: Steady) {
+    fn complete_gangs(&mut self, now: MonotonicTime) {
         let partly: Vec<JobId> = self
             .replica
             .jobs
@@ -232,7 +237,7 @@
     /// Follows changes of term and leader. A leadership begins only here, when the replica
     /// holds the leader's key: by then it also holds everything that earlier leaders wrote,
     /// as their later writes fail.
-    fn follow_leader_key(&mut self, now: Moment) {
+    fn follow_leader_key(&mut self, now: ClockReading) {
         let known = self.replica.term;
         if self.shard.begin_term(known) {
             self.log_term(now.steady);
@@ -253,7 +258,7 @@
                     let before = leader.take();
                     *leader = Some(Leader::begin(cluster, term, before));
                 });
-                self.take_over(now, term);
+                self.begin_failover(now, term);
             }
             (None, Some(leader)) => {
                 info!(term = %leader.term, "no longer leading");
@@ -265,7 +270,7 @@
     }
 
     /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
-    fn log_term(&self, now: Steady) {
+    fn log_term(&self, now: MonotonicTime) {
         let term = self.replica.term;
         let leader = self.replica.leader.as_ref().map(|(record, _)| record);
         let leader = leader.filter(|record| record.term == term);
@@ -280,16 +285,16 @@
         self.nodes.get(usize::from(node.0)).map_or("unknown", |info| &info.name)
     }
 
-    /// What this node tells the leader, in about `room` bytes.
-    pub fn summary(&mut self, now: Steady, room: usize) -> Summary {
-        let (served_ms, pace) = (self.rights.served_age(now), self.settings.pace());
+    /// What this node tells the leader, in about `byte_budget` bytes.
+    pub fn summary(&mut self, now: MonotonicTime, byte_budget: usize) -> Summary {
+        let (served_ms, timing) = (self.rights.served_age(now), self.settings.timing());
         let follows = self.leader.is_none();
         let follow = self.standby.as_ref().filter(|_| follows).map(Standby::request);
-        Summary { served_ms, follow, ..self.shard.summary(now, &pace, room) }
+        Summary { served_ms, follow, ..self.shard.summary(now, &timing, byte_budget) }
     }
 
     /// Who leads, as the store told just now; what peers are told that it does not serve.
-    pub fn leader_for_peer(&self, now: Steady) -> Option<LeaderRecord> {
+    pub fn leader_for_peer(&self, now: MonotonicTime) -> Option<LeaderRecord> {
         let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_MS);
         let leader = self.replica.leader.as_ref().map(|(r, _)| r);
         leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
@@ -331,7 +336,7 @@
 
     /// Whether this node may stand for leader: nobody leads, or (`Some(true)`) its own
     /// predecessor, which is certainly dead.
-    pub fn may_run_for_leader(&self, now: Steady) -> Option<bool> {
+    pub fn may_run_for_leader(&self, now: MonotonicTime) -> Option<bool> {
         if !self.loaded || !self.rights.may_lead(now) {
             return None;
         }
@@ -365,7 +370,7 @@
 
     /// Whether this node has reached neither the store nor another controller for a while. It
     /// cannot tell that from an outage in which connections between controllers fail, too.
-    pub fn alone(&self, now: Steady) -> bool {
+    pub fn alone(&self, now: MonotonicTime) -> bool {
         self.nodes.len() > 1
             && now.since(self.peer_heard) > ALONE_MS
             && self.rights.synced_at().is_some_and(|at| now.since(at) > ALONE_MS)
@@ -374,7 +379,7 @@
     /// Does something with the part and what it needs to see.
     fn with_shard<T>(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         act: impl FnOnce(&mut Shard, &ShardContext<'_>) -> T,
     ) -> T {
         let context = ShardContext {
@@ -387,19 +392,19 @@
             nodes: &self.nodes,
             alone: self.alone(now),
             lease_ms: self.settings.worker_lease_ms(),
-            pace: self.settings.pace(),
+            timing: self.settings.timing(),
         };
         act(&mut self.shard, &context)
     }
 
     /// Answers a worker's report.
-    pub fn on_heartbeat(&mut self, now: Steady, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+    pub fn on_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> HeartbeatOutcome {
         self.with_shard(now, |shard, context| shard.on_heartbeat(context, heartbeat))
     }
 
     /// Machines that are to be told something straight away, up to `most`. Only a node that may
     /// answer workers tells of its term; any may end what is not wanted any more.
-    pub fn direct_messages_due(&mut self, now: Steady, most: usize) -> Vec<DirectMessage> {
+    pub fn direct_messages_due(&mut self, now: MonotonicTime, most: usize) -> Vec<DirectMessage> {
         if !self.loaded {
             return Vec::new();
         }
@@ -430,7 +435,7 @@
     /// Takes a machine's answer to an announcement.
     pub fn on_direct_response(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         asked: &DirectMessage,
         heartbeat: &Heartbeat,
     ) {
@@ -439,7 +444,7 @@
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
     /// should look at it soon.
-    pub fn take_summary(&mut self, now: Steady, summary: Summary) -> (PeerResponse, bool) {
+    pub fn take_summary(&mut self, now: MonotonicTime, summary: Summary) -> (PeerResponse, bool) {
         let term = self.replica.term;
         let Some(leader) = &mut self.leader else {
             return (PeerResponse::NotLeading(term), false);
@@ -470,7 +475,7 @@
     }
 
     /// Works out an epoch, if this node leads.
-    pub fn epoch(&mut self, now: Moment) -> Option<(Epoch, Term)> {
+    pub fn epoch(&mut self, now: ClockReading) -> Option<(Epoch, Term)> {
         if !self.rights.may_lead(now.steady) {
             return None;
         }
@@ -478,7 +483,7 @@
     }
 
     /// Makes an epoch hold that is durable by now, unless the term has passed meanwhile.
-    pub fn publish(&mut self, now: Moment, epoch: Epoch, term: Term) {
+    pub fn publish(&mut self, now: ClockReading, epoch: Epoch, term: Term) {
         self.with_leader(now, |leader, cluster| {
             if leader.term == term {
                 leader.publish(cluster, epoch);
@@ -488,7 +493,7 @@
     }
 
     /// A node's plan, for messages through the store, with the condition that it still leads.
-    pub fn plan_for(&self, node: NodeId, now: Steady) -> Option<(Plan, Condition)> {
+    pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<(Plan, Condition)> {
         let plan = self.leader.as_ref()?.plan_for(node, now)?;
         Some((plan, self.replica.leader_condition()?))
     }
@@ -497,7 +502,7 @@
     /// The leader writes for all, so that nodes do not get in each other's way; the others
     /// only do when it takes too long. A job that ends is written at once, others after a
     /// while for all tasks that completed meanwhile.
-    pub fn completions_txn(&mut self, now: Steady) -> Option<Txn> {
+    pub fn completions_txn(&mut self, now: MonotonicTime) -> Option<Txn> {
         if !self.loaded {
             return None;
         }
@@ -521,7 +526,7 @@
 
     /// Jobs whose completions are to be written now: all that end, and some of those that go on,
     /// the oldest first.
-    fn completions_due(&self, now: Steady) -> Vec<JobId> {
+    fn completions_due(&self, now: MonotonicTime) -> Vec<JobId> {
         let leads = self.leader.is_some();
         let gather_ms = self.gather_ms();
         let (mut ending, mut going_on) = (Vec::new(), Vec::new());
@@ -620,7 +625,7 @@
 /// The transaction that accepts jobs which are not known yet.
 pub fn submission_txn<'a>(
     specs: impl Iterator<Item = &'a wire::JobSpec>,
-    at: Wall,
+    at: WallTime,
     catalog: &MachineCatalog,
     bytes: usize,
 ) -> Txn {
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -8,7 +8,7 @@
 use willowshore_standby::status::{Status, VerificationCounts};
 
 use super::Controller;
-use crate::model::{Moment, NodeId, Steady, Term};
+use crate::model::{ClockReading, MonotonicTime, NodeId, Term};
 use crate::peer::PeerResponse;
 use crate::replica::LeaderRecord;
 use crate::standby::{FollowedLeader, Standby};
@@ -31,7 +31,7 @@
     }
 
     /// The leader answered a request that was sent then.
-    pub fn heard_leader(&mut self, sent: Steady, response: &PeerResponse) {
+    pub fn heard_leader(&mut self, sent: MonotonicTime, response: &PeerResponse) {
         let Some(standby) = &mut self.standby else { return };
         match response {
             PeerResponse::Plan(plan) => {
@@ -49,13 +49,13 @@
     }
 
     /// Lets the standby see that time passes.
-    pub fn standby_tick(&mut self, now: Steady) -> Option<Command> {
+    pub fn standby_tick(&mut self, now: MonotonicTime) -> Option<Command> {
         let rank = self.rank(now);
         self.standby.as_mut()?.tick(now, rank)
     }
 
     /// This controller's rank among those that may replace the leader now.
-    fn rank(&self, now: Steady) -> Option<u64> {
+    fn rank(&self, now: MonotonicTime) -> Option<u64> {
         let standby = self.standby.as_ref()?;
         let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_REPLICA_MS);
         if !self.loaded || !fresh || !self.rights.may_lead(now) {
@@ -80,7 +80,7 @@
     }
 
     /// What another controller is told that asks when the leader of a term was heard.
-    pub fn leader_silence_ms(&self, now: Steady, term: Term) -> Option<u64> {
+    pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
         if self.leader.as_ref().is_some_and(|leader| leader.term == term) {
             return Some(0);
         }
@@ -88,32 +88,32 @@
     }
 
     /// The question to the leader itself has an outcome.
-    pub fn leader_probed(&mut self, now: Steady, outcome: ProbeOutcome) -> Option<Command> {
+    pub fn leader_probed(&mut self, now: MonotonicTime, outcome: ProbeOutcome) -> Option<Command> {
         self.standby.as_mut()?.step(now, Event::LeaderProbed(outcome))
     }
 
     /// A plan of the leader came through the store. It was alive when it wrote that; what it had decided is not told
     /// this way.
-    pub fn heard_leader_through_store(&mut self, now: Steady, response: &PeerResponse) {
+    pub fn heard_leader_through_store(&mut self, now: MonotonicTime, response: &PeerResponse) {
         if let (Some(standby), PeerResponse::Plan(plan)) = (&mut self.standby, response) {
             standby.heard_leader(now, plan.term);
         }
     }
 
     /// Another controller answered when it heard the leader.
-    pub fn peer_answered(&mut self, now: Steady, answer: PeerAnswer) -> Option<Command> {
+    pub fn peer_answered(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
         self.standby.as_mut()?.step(now, Event::PeerAnswered(answer))
     }
 
     /// The leader's key is gone, and this controller takes the next term.
-    pub fn lease_of_leader_ended(&mut self, now: Steady) {
+    pub fn lease_of_leader_ended(&mut self, now: MonotonicTime) {
         if let Some(standby) = &mut self.standby {
             standby.step(now, Event::LeaseEnded);
         }
     }
 
     /// The transaction that takes the next term has an outcome; `None` if it is not known.
-    pub fn fence_answered(&mut self, now: Steady, outcome: Option<&Committed>) {
+    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: Option<&Committed>) {
         let outcome = match outcome {
             Some(Committed::Yes(revision)) => FenceOutcome::Done(*revision),
             Some(Committed::No(_)) => FenceOutcome::Conflict,
@@ -133,7 +133,7 @@
     }
 
     /// The replica shows that another process leads.
-    pub(super) fn follow_other_leader(&mut self, now: Steady) {
+    pub(super) fn follow_other_leader(&mut self, now: MonotonicTime) {
         let known = self.replica.leader.as_ref().map(|(record, _)| record);
         let leader = known.filter(|r| r.term == self.replica.term && !self.is_me(r));
         let leader = leader.map(|r| FollowedLeader { node: r.node, term: r.term });
@@ -144,7 +144,7 @@
 
     /// This process leads a new term: compares what was mirrored with the replica, gives the leadership what is left
     /// of it, and names the leader that was replaced as it was not heard.
-    pub(super) fn take_over(&mut self, now: Moment, term: Term) {
+    pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
         let followed = standby.followed();
         let shown = Event::ReplicaShows { term, mine: true };
@@ -155,7 +155,7 @@
             counts.unwrap_or_default()
         });
         standby.begin_leading(now.steady, term, counts);
-        if standby.took_over_by(Cause::Suspicion, term)
+        if standby.failed_over_by(Cause::Suspicion, term)
             && let (Some(followed), Some(leader)) = (followed, &mut self.leader)
         {
             leader.fleet.replaced = Some(followed.node);
@@ -164,7 +164,7 @@
     }
 
     /// As the leader, records the decisions that hold from now on.
-    pub(super) fn record_decisions(&mut self, now: Moment) {
+    pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
             let known = standby.log().map(|log| log.state().clone()).unwrap_or_default();
@@ -178,7 +178,7 @@
     }
 
     /// What operators are shown of the standby.
-    pub fn standby_status(&self, now: Moment) -> Option<Status> {
+    pub fn standby_status(&self, now: ClockReading) -> Option<Status> {
         let names: Vec<String> = self.nodes.iter().map(|n| n.name.clone()).collect();
         let standby = self.standby.as_ref()?;
         Some(standby.status(now.steady, now.wall, self.me, &names))
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -30,7 +30,7 @@
             item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(term) })),
         ]
     };
-    let now = Moment { steady: Steady(0), wall: Wall(0) };
+    let now = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
     let leader = ReplicaChanges { leader: true, ..ReplicaChanges::default() };
     let mut controller =
         Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
@@ -63,23 +63,23 @@
         item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(5) })),
     ];
     for id in 1..=JOBS {
-        let accepted = replica::Accepted { spec: spec(id, 1_000), at: Wall(1) };
+        let accepted = replica::Accepted { spec: spec(id, 1_000), at: WallTime(1) };
         items.push(item(&replica::job_key(JobId(id)), wire::to_value(&accepted)));
     }
     let last = JobId(JOBS + 1);
-    let accepted = replica::Accepted { spec: spec(last.0, 1), at: Wall(1) };
+    let accepted = replica::Accepted { spec: spec(last.0, 1), at: WallTime(1) };
     items.push(item(&replica::job_key(last), wire::to_value(&accepted)));
     let settings = Rc::new(Settings::parse(EXAMPLE).unwrap());
     let mut controller = Controller::new(settings, Incarnation(5));
     controller.load(&items, Revision(9));
     controller.follow(
-        Moment { steady: Steady(0), wall: Wall(0) },
+        ClockReading { steady: MonotonicTime(0), wall: WallTime(0) },
         &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
     );
     let (mut changes, mut written) = (0, std::collections::BTreeSet::new());
     let (mut revision, mut most) = (9, 0);
     for step in 0..SECONDS * 5 {
-        let now = Steady(1_000 + step * 200);
+        let now = MonotonicTime(1_000 + step * 200);
         // A task of every job completes in each step, and in the last one a whole job.
         let mut finished: Vec<(u64, Ranges)> =
             (1..=JOBS).map(|id| (id, Ranges::span(step as u32, step as u32 + 1))).collect();
@@ -111,7 +111,7 @@
             Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
         let record = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(5) };
         let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
-        let accepted = replica::Accepted { spec: spec(1, 20), at: Wall(1) };
+        let accepted = replica::Accepted { spec: spec(1, 20), at: WallTime(1) };
         let done = Ranges::span(0, recorded);
         let progress = replica::Progress { end: None, done, gang: None };
         controller.load(
@@ -124,7 +124,7 @@
             Revision(9),
         );
         controller.follow(
-            Moment { steady: Steady(0), wall: Wall(0) },
+            ClockReading { steady: MonotonicTime(0), wall: WallTime(0) },
             &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
         );
         let completed = told.map(|count| (1, count)).into_iter().collect();
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -6,12 +6,12 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::autoscaler::Offer;
+use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
-use crate::config::Pace;
-use crate::model::{AgentEpoch, Incarnation, MachineId, NodeId, PlanSeq, Steady, TaskId};
+use crate::config::HeartbeatTiming;
+use crate::model::{AgentEpoch, Incarnation, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId};
 use crate::peer::{MachineView, Summary};
-use crate::placement::Room;
+use crate::placement::PlacementTarget;
 use crate::wire::{self, MachineListPage, TaskState};
 
 mod lease_expiry;
@@ -54,15 +54,15 @@
     /// How long no worker had reported to it.
     pub heard_ms: u64,
     /// When that was heard.
-    pub at: Steady,
+    pub at: MonotonicTime,
     /// When its first summary of this term was, which told of all answers that it remembered.
-    first: Steady,
+    first: MonotonicTime,
     /// Jobs that fail wherever it tries them.
     pub failing: Vec<u64>,
     foreign_machines: Vec<crate::peer::ForeignMachine>,
     restarted: Vec<MachineId>,
     /// When the cloud takes machines of its part.
-    notices: BTreeMap<MachineId, Steady>,
+    notices: BTreeMap<MachineId, MonotonicTime>,
     machines: BTreeMap<MachineId, OwnedMachine>,
     /// What the first pieces of a summary told whose last one has not come.
     pending: Option<PartialSummary>,
@@ -74,40 +74,40 @@
     /// Whether all that was known before is replaced.
     whole: bool,
     views: Vec<MachineView>,
-    answered: Vec<(MachineId, Steady)>,
+    answered: Vec<(MachineId, MonotonicTime)>,
 }
 
 /// A machine as its owner told of it.
 struct OwnedMachine {
     view: MachineView,
-    quarantined_until: Steady,
+    quarantined_until: MonotonicTime,
     /// When it last reported to its owner.
-    heard: Steady,
+    heard: MonotonicTime,
 }
 
 /// What is known of a machine besides its reports.
 #[derive(Clone, Debug)]
 pub struct FleetMachine {
     /// What it is.
-    pub offer: Offer,
+    pub offer: MachineOffer,
     /// When it was rented, as far as known.
-    pub since: Steady,
+    pub since: MonotonicTime,
     /// Whether it has reported.
     pub up: bool,
     /// Where its worker listens, once it has.
     pub endpoint: Rc<str>,
     /// When something last ran on it.
-    pub busy: Steady,
+    pub busy: MonotonicTime,
     /// The plan from which on it takes nothing new.
     pub draining: Option<PlanSeq>,
     /// Whether the cloud says that it stopped by itself.
     pub failed: bool,
     agent_epoch: AgentEpoch,
-    lost_agent_epoch: Option<Steady>,
+    lost_agent_epoch: Option<MonotonicTime>,
     /// It lost its session twice in a short time.
     pub losing: bool,
     /// When the cloud first listed it.
-    listed: Option<Steady>,
+    listed: Option<MonotonicTime>,
     /// A later list does not have it any more.
     pub missing: bool,
 }
@@ -116,7 +116,7 @@
 struct Reassigned {
     /// The controller that heard it.
     node: NodeId,
-    until: Steady,
+    until: MonotonicTime,
 }
 
 /// A task that is on a machine.
@@ -146,7 +146,7 @@
 
 /// The machines in one term.
 pub struct Fleet {
-    began: Steady,
+    began: MonotonicTime,
     /// What controllers told in this term.
     pub nodes: BTreeMap<NodeId, ControllerState>,
     /// Owner of each machine, and the first plan that names it.
@@ -156,13 +156,13 @@
     pub unreconciled: BTreeSet<MachineId>,
     /// Machines that the cloud confirmed to be gone.
     pub gone: HashSet<MachineId>,
-    heard: HashMap<MachineId, Steady>,
+    heard: HashMap<MachineId, MonotonicTime>,
     /// Machines whose lease has run out, and the session that ended with it: what their owner
     /// still remembers of that session is over.
     pub expired_leases: BTreeMap<MachineId, AgentEpoch>,
-    absent: HashMap<NodeId, (u64, Steady)>,
+    absent: HashMap<NodeId, (u64, MonotonicTime)>,
     /// Controllers that hear no workers, and until when they get no part for that.
-    unheard: HashMap<NodeId, Steady>,
+    unheard: HashMap<NodeId, MonotonicTime>,
     /// Machines that could not reach their owner.
     reassigned: HashMap<MachineId, Reassigned>,
     /// Whether tasks wait for the proof that they are not on an unsettled machine.
@@ -214,7 +214,7 @@
     }
 
     /// Takes a summary.
-    pub fn on_summary(&mut self, now: Steady, s: Summary) -> SummaryOutcome {
+    pub fn on_summary(&mut self, now: MonotonicTime, s: Summary) -> SummaryOutcome {
         match self.nodes.get(&s.node) {
             // Its predecessor may have started tasks that nobody knows of.
             Some(known) if known.incarnation != s.incarnation => {
@@ -278,7 +278,7 @@
         for view in pieces.views {
             let quarantined_until = now.plus(view.quarantine_ms);
             let old = before.remove(&view.id).or_else(|| state.machines.remove(&view.id));
-            let heard = old.map_or(Steady(0), |k| k.heard);
+            let heard = old.map_or(MonotonicTime(0), |k| k.heard);
             state.machines.insert(view.id.clone(), OwnedMachine { view, quarantined_until, heard });
         }
         for (id, at) in pieces.answered {
@@ -302,7 +302,7 @@
     }
 
     /// Controllers that are heard.
-    pub fn live_controllers(&self, now: Steady) -> Vec<NodeId> {
+    pub fn live_controllers(&self, now: MonotonicTime) -> Vec<NodeId> {
         let heard = self.nodes.iter().filter(|(_, n)| now.since(n.at) < NODE_LOST_MS);
         heard.map(|(id, _)| *id).collect()
     }
@@ -310,7 +310,7 @@
     /// Controllers that may own machines: they are heard, the store serves them, and workers reach
     /// them. One that the store refuses knows neither new jobs nor cancellations, and its right to
     /// answer ends soon.
-    pub fn eligible_owners(&self, now: Steady) -> Vec<NodeId> {
+    pub fn eligible_owners(&self, now: MonotonicTime) -> Vec<NodeId> {
         let served = |id: &NodeId| self.nodes.get(id).is_some_and(|n| n.served_ms < UNSERVED_MS);
         let heard = |id: &NodeId| self.unheard.get(id).is_none_or(|until| *until <= now);
         self.live_controllers(now).into_iter().filter(|id| served(id) && heard(id)).collect()
@@ -318,8 +318,12 @@
 
     /// Notes controllers that hear none of their machines while others hear theirs: all their
     /// machines have to move at once. Found one by one, they would move a few in every term.
-    pub fn note_controllers_without_heartbeats(&mut self, now: Steady, pace: &Pace) {
-        let limit = pace.out_of_reach_ms + 1_000;
+    pub fn note_controllers_without_heartbeats(
+        &mut self,
+        now: MonotonicTime,
+        timing: &HeartbeatTiming,
+    ) {
+        let limit = timing.out_of_reach_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
@@ -386,34 +390,34 @@
     }
 
     /// When the cloud takes a machine, if it gave notice.
-    pub fn leaves(&self, id: &MachineId) -> Option<Steady> {
+    pub fn leaves(&self, id: &MachineId) -> Option<MonotonicTime> {
         self.owner_state(id)?.notices.get(id).copied()
     }
 
     /// Whether a machine reported to its owner, and its owner here, within that time.
-    pub fn heard_within(&self, now: Steady, id: &MachineId, ms: u64) -> bool {
+    pub fn heard_within(&self, now: MonotonicTime, id: &MachineId, ms: u64) -> bool {
         let owner = self.owner_state(id).filter(|n| now.since(n.at) < NODE_LOST_MS);
         let known = owner.and_then(|n| n.machines.get(id));
         known.is_some_and(|k| now.since(k.heard) < ms)
     }
 
     /// Machines as placement sees them.
-    pub fn rooms(&self, cluster: &ClusterView<'_>) -> Vec<Room> {
-        let pace = cluster.settings.pace();
+    pub fn targets(&self, cluster: &ClusterView<'_>) -> Vec<PlacementTarget> {
+        let timing = cluster.settings.timing();
         self.known()
             .filter_map(|(k, _, n)| {
                 let m = self.machines.get(&k.view.id)?;
                 let v = &k.view;
                 let open = cluster.now.since(n.at) < NODE_LOST_MS
                     && n.served_ms < UNSERVED_MS / 2
-                    && cluster.now.since(k.heard) < pace.silent_ms
+                    && cluster.now.since(k.heard) < timing.silent_ms
                     && m.draining.is_none()
                     && v.reconciled
                     && !v.leaving
                     && k.quarantined_until <= cluster.now;
                 let tasks = v.tasks.iter().map(|t| (t.task, t.state));
                 let what = (&v.id, &v.machine_type, &v.zone, v.spot);
-                Room::of(what, tasks, &v.images, cluster.catalog, cluster.replica, open)
+                PlacementTarget::of(what, tasks, &v.images, cluster.catalog, cluster.replica, open)
             })
             .collect()
     }
@@ -439,7 +443,7 @@
         self.gone.contains(id) || cluster.replica.machine_gone(id)
     }
 
-    fn note_machine(&mut self, now: Steady, id: &MachineId, offer: Offer) {
+    fn note_machine(&mut self, now: MonotonicTime, id: &MachineId, offer: MachineOffer) {
         if self.machines.contains_key(id) {
             return;
         }
@@ -461,7 +465,7 @@
     }
 
     /// Takes machines that a rental brought or the cloud listed.
-    pub fn rented(&mut self, now: Steady, ids: &[MachineId], offer: &Offer) {
+    pub fn add_provisioned(&mut self, now: MonotonicTime, ids: &[MachineId], offer: &MachineOffer) {
         for id in ids {
             if !self.gone.contains(id) {
                 self.note_machine(now, id, offer.clone());
@@ -475,7 +479,7 @@
         if self.is_gone(cluster, &listed.id) {
             return;
         }
-        let offer = Offer {
+        let offer = MachineOffer {
             machine_type: listed.machine_type.clone(),
             zone: listed.zone.clone(),
             spot: listed.spot,
@@ -530,7 +534,7 @@
     }
 
     /// Learns from reports whether machines are up, busy, and able to keep their sessions.
-    pub fn learn(&mut self, now: Steady) {
+    pub fn learn(&mut self, now: MonotonicTime) {
         let mut machines = std::mem::take(&mut self.machines);
         for (k, _, _) in self.known() {
             let Some(m) = machines.get_mut(&k.view.id) else { continue };
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -5,7 +5,7 @@
 use super::{ControllerState, Fleet, FleetMachine, HEARS_MS, MANY_LEAST, OwnedMachine};
 use crate::cluster_view::ClusterView;
 use crate::lease::{last_right, plus_drift};
-use crate::model::{AgentEpoch, MachineId, NodeId, Steady};
+use crate::model::{AgentEpoch, MachineId, MonotonicTime, NodeId};
 
 /// Part of the machines that are cut off rather than dead when they are silent together; how long they
 /// are waited for then.
@@ -23,15 +23,15 @@
     /// a moment a whole lease after the last answer anyone gave, that it gave no later one.
     pub fn expire_leases(&mut self, cluster: &ClusterView<'_>) {
         let lease = plus_drift(cluster.settings.worker_lease_ms()) + 500;
-        let mut told_until = Steady(u64::MAX);
+        let mut told_until = MonotonicTime(u64::MAX);
         // Nobody tells of answers before that moment; each could be one to any machine.
-        let mut last_other = Steady(0);
-        let kept = cluster.settings.pace().answers_ms;
+        let mut last_other = MonotonicTime(0);
+        let kept = cluster.settings.timing().answers_ms;
         for n in 0..cluster.nodes.len() {
             let id = NodeId(n as u8);
             match self.nodes.get(&id) {
                 Some(n) if n.echo_ms > 0 => {
-                    told_until = told_until.min(Steady(n.echo_ms));
+                    told_until = told_until.min(MonotonicTime(n.echo_ms));
                     // Its predecessor ended before this process started.
                     last_other = last_other.max(n.at.less(n.up_ms)).max(n.first.less(kept));
                 }
@@ -79,19 +79,19 @@
         let calm = now.since(self.began) > lease;
         // Whatever an older controller kept alive has had time to come over.
         let deaf = now.since(self.began) > lease + plus_drift(cluster.settings.keep_alive_ms());
-        let pace = cluster.settings.pace();
-        let quick = pace.quick_ms;
+        let timing = cluster.settings.timing();
+        let quick = timing.quick_ms;
         // The last few that do not show the token have mostly stopped, and what they may still run
         // keeps tasks of many jobs waiting for a whole lease.
         let up = self.machines.values().filter(|m| m.up).count();
         let few = self.reconciliation_awaited
             && are_few(self.unreconciled.len(), up)
-            && now.since(self.began) > pace.gap_ms + FEW_WAIT_MS;
+            && now.since(self.began) > timing.gap_ms + FEW_WAIT_MS;
         let restarted: HashSet<&MachineId> =
             self.nodes.values().flat_map(|n| &n.restarted).collect();
         let all_foreign_machines = self.nodes.values().flat_map(|n| &n.foreign_machines);
         let foreign_machines: HashSet<&MachineId> = all_foreign_machines
-            .filter(|s| s.silent_ms < pace.out_of_reach_ms)
+            .filter(|s| s.silent_ms < timing.out_of_reach_ms)
             .map(|s| &s.id)
             .collect();
         let well: Vec<NodeId> =
@@ -107,7 +107,7 @@
             let silent = silent_ms(id);
             // What ran before it was restarted is over, but nobody can tell its reports from
             // late copies of earlier ones.
-            if restarted.contains(id) || (m.missing && silent > pace.gap_ms) {
+            if restarted.contains(id) || (m.missing && silent > timing.gap_ms) {
                 return true;
             }
             if m.failed
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 
 use super::{Fleet, GONE_TOLD, NODE_LOST_MS, Reassigned, UNSERVED_MS};
-use crate::autoscaler::Offer;
+use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
-use crate::config::Pace;
-use crate::model::{MachineId, NodeId, PlanSeq, Steady};
+use crate::config::HeartbeatTiming;
+use crate::model::{MachineId, MonotonicTime, NodeId, PlanSeq};
 use crate::peer::OwnershipChanges;
 
 /// How long a stray must have been unable to reach its owner before it is moved.
@@ -20,9 +20,9 @@
     /// Why a new term is needed, if one is: an owner is lost, or machines cannot reach theirs.
     pub fn wants_new_term(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         served_for: u64,
-        pace: &Pace,
+        timing: &HeartbeatTiming,
     ) -> Option<&'static str> {
         if now.since(self.began) < NODE_LOST_MS {
             return None;
@@ -40,7 +40,7 @@
         {
             return Some("the store or the workers do not reach the owner of machines");
         }
-        self.reassign_out_of_reach(now, &live_controllers, pace)
+        self.reassign_out_of_reach(now, &live_controllers, timing)
             .then_some("machines cannot reach their owner")
     }
 
@@ -48,9 +48,9 @@
     /// the next term. Says whether they are enough, or have waited long enough, to take one for them.
     fn reassign_out_of_reach(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         live_controllers: &[NodeId],
-        pace: &Pace,
+        timing: &HeartbeatTiming,
     ) -> bool {
         // They go back to the cloud; no owner would take them.
         let restarted: Vec<&MachineId> = self.nodes.values().flat_map(|n| &n.restarted).collect();
@@ -60,7 +60,7 @@
             let Some(state) = self.nodes.get(node) else { continue };
             for s in &state.foreign_machines {
                 if s.since_ms > OUT_OF_REACH_MS
-                    && s.silent_ms < pace.out_of_reach_ms
+                    && s.silent_ms < timing.out_of_reach_ms
                     && self.owners.get(&s.id).is_some_and(|(owner, _)| owner != node)
                     && !self.owner_hears(now, &s.id, s.silent_ms)
                     && !restarted.contains(&&s.id)
@@ -82,7 +82,7 @@
     /// The controller that hears a machine which could not reach its owner.
     fn reassigned_to(
         &self,
-        now: Steady,
+        now: MonotonicTime,
         id: &MachineId,
         live_controllers: &[NodeId],
     ) -> Option<NodeId> {
@@ -92,7 +92,7 @@
 
     /// Whether a machine's owner has heard it lately, or later than the controller that heard it
     /// that many milliseconds ago.
-    fn owner_hears(&self, now: Steady, id: &MachineId, silent_ms: u64) -> bool {
+    fn owner_hears(&self, now: MonotonicTime, id: &MachineId, silent_ms: u64) -> bool {
         let owner = self.owners.get(id).and_then(|(owner, _)| self.nodes.get(owner));
         let known = owner.and_then(|n| n.machines.get(id));
         known.is_some_and(|k| now.since(k.heard) < silent_ms.max(OUT_OF_REACH_MS))
@@ -138,12 +138,12 @@
         {
             return;
         }
-        let heard_ms = cluster.settings.pace().out_of_reach_ms + 2_000;
+        let heard_ms = cluster.settings.timing().out_of_reach_ms + 2_000;
         let mut foreign_machines: HashMap<MachineId, NodeId> = HashMap::new();
-        let mut found: Vec<(MachineId, Offer)> = Vec::new();
+        let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
         for (node, n) in self.nodes.iter().filter(|(id, _)| live_controllers.contains(id)) {
             for s in n.foreign_machines.iter().filter(|s| s.silent_ms < heard_ms) {
-                let offer = Offer {
+                let offer = MachineOffer {
                     machine_type: s.machine_type.clone(),
                     zone: s.zone.clone(),
                     spot: s.spot,
@@ -161,7 +161,7 @@
         }
         for (id, m) in &cluster.replica.machines {
             if m.gone.is_none() && !self.machines.contains_key(id) && !self.gone.contains(id) {
-                let offer = Offer {
+                let offer = MachineOffer {
                     machine_type: m.machine_type.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
--- a/src/http.rs
+++ b/src/http.rs
@@ -152,7 +152,7 @@
 
 /// Whom a connection belongs to, as its last request tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ClientKind {
     /// No request has come yet.
     Fresh,
     /// Workers, and whoever checks health.
@@ -171,7 +171,7 @@
     /// Most of them on which no request has come yet.
     pub fresh: usize,
     /// Tells whom a request's path belongs to.
-    pub kind: fn(&str) -> Kind,
+    pub kind: fn(&str) -> ClientKind,
     /// Largest body of a request.
     pub body: usize,
     /// How long a connection may stay open without a request.
@@ -190,7 +190,7 @@
             connections,
             users: connections,
             fresh: connections,
-            kind: |_| Kind::Worker,
+            kind: |_| ClientKind::Worker,
             body: BODY_LIMIT,
             idle: Duration::from_secs(60),
             idle_crowded: Duration::from_secs(3),
@@ -208,11 +208,11 @@
 }
 
 impl Open {
-    fn of(&self, kind: Kind) -> &Cell<usize> {
+    fn of(&self, kind: ClientKind) -> &Cell<usize> {
         match kind {
-            Kind::Fresh => &self.fresh,
-            Kind::Worker => &self.workers,
-            Kind::User => &self.users,
+            ClientKind::Fresh => &self.fresh,
+            ClientKind::Worker => &self.workers,
+            ClientKind::User => &self.users,
         }
     }
     fn all(&self) -> usize {
@@ -223,20 +223,20 @@
 /// A connection as it is counted, for as long as it is open.
 struct Counted {
     open: Rc<Open>,
-    kind: Kind,
+    kind: ClientKind,
 }
 
 impl Counted {
     fn new(open: Rc<Open>) -> Self {
         open.fresh.set(open.fresh.get() + 1);
-        Counted { open, kind: Kind::Fresh }
+        Counted { open, kind: ClientKind::Fresh }
     }
     /// Counts it as another kind; false if there are too many of that kind.
-    fn turn(&mut self, kind: Kind, limits: &ServerLimits) -> bool {
+    fn turn(&mut self, kind: ClientKind, limits: &ServerLimits) -> bool {
         if kind == self.kind {
             return true;
         }
-        if kind == Kind::User && self.open.users.get() >= limits.users {
+        if kind == ClientKind::User && self.open.users.get() >= limits.users {
             return false;
         }
         let (from, to) = (self.open.of(self.kind), self.open.of(kind));
@@ -303,8 +303,8 @@
         if buf.is_empty() {
             let open = &counted.open;
             let crowded = open.all() * 2 > limits.connections
-                || (counted.kind == Kind::User && open.users.get() * 2 > limits.users)
-                || counted.kind == Kind::Fresh;
+                || (counted.kind == ClientKind::User && open.users.get() * 2 > limits.users)
+                || counted.kind == ClientKind::Fresh;
             let idle = if crowded { limits.idle_crowded } else { limits.idle };
             match timeout(idle, stream.read_buf(&mut buf)).await {
                 Ok(Ok(n)) if n > 0 => {}
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -7,7 +7,7 @@
 async fn flood(paths: &[Option<&str>]) -> Vec<Option<u16>> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let kind = |path: &str| if path == "/user" { Kind::User } else { Kind::Worker };
+    let kind = |path: &str| if path == "/user" { ClientKind::User } else { ClientKind::Worker };
     let limits = ServerLimits { users: 3, fresh: 2, kind, ..ServerLimits::of(6) };
     let server = tokio::task::spawn_local(serve(listener, limits, |_| async {
         Response::new(200, vec![1])
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -12,13 +12,13 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::admission::{self, Bounds, Demand};
-use crate::autoscaler::{self, Market};
+use crate::autoscaler::{self, MarketState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, SummaryOutcome, TasksOnMachines};
-use crate::lease::Attempts;
+use crate::lease::AttemptAllocator;
 use crate::model::{
-    Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
-    Term,
+    Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges,
+    TaskId, Term,
 };
 use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::{JobKind, Txn};
@@ -42,16 +42,16 @@
 mod standby_decisions;
 mod starvation;
 
-use allocation::Filling;
+use allocation::EpochAllocation;
 use machine_speed::Speed;
-use scaling::CAPACITY_MS;
+use scaling::SCALING_PERIOD_MS;
 use starvation::STARVED_WEIGHT;
 
 #[derive(Clone)]
 struct TaskGrant {
     node: NodeId,
     attempt: Option<Attempt>,
-    at: Steady,
+    at: MonotonicTime,
     zone: Option<String>,
     /// Whether a worker has shown it; followed for gangs only.
     seen: bool,
@@ -81,13 +81,13 @@
 pub struct Leader {
     /// Its term.
     pub term: Term,
-    began: Steady,
+    began: MonotonicTime,
     seq: PlanSeq,
     /// The machines.
     pub fleet: Fleet,
     granted: BTreeMap<TaskId, TaskGrant>,
     revoked: FxHashMap<TaskId, RevokedGrant>,
-    attempts: Attempts,
+    attempts: AttemptAllocator,
     unresolved: FxHashSet<TaskId>,
     /// Grants on record, in the store.
     recorded: FxHashMap<JobId, Ranges>,
@@ -96,35 +96,35 @@
     /// Tasks on record that were never granted: this leader put them there ahead of time.
     ahead: FxHashSet<TaskId>,
     bodies: BTreeMap<NodeId, PlanBody>,
-    job_statuses_sent: Steady,
+    job_statuses_sent: MonotonicTime,
     /// Set when a new term is needed, with the reason.
     pub renew_term: Option<&'static str>,
-    rebalanced: Steady,
+    rebalanced: MonotonicTime,
     /// What is remembered of the market.
-    pub market: Market,
+    pub market: MarketState,
     wait_reasons: HashMap<JobId, WaitReason>,
     /// Shares of the last epoch.
     shares: BTreeMap<JobId, u32>,
     runs: HashMap<String, (f64, f64)>,
-    seen_running: FxHashMap<TaskId, (Steady, MachineId)>,
+    seen_running: FxHashMap<TaskId, (MonotonicTime, MachineId)>,
     /// Seconds that a job's tasks ran in all, and their number.
     job_runs: FxHashMap<JobId, (f64, u32)>,
     speeds: FxHashMap<MachineId, Speed>,
-    decision: autoscaler::Decision,
-    decided: Option<Steady>,
-    machines_written: Steady,
-    load_written: Steady,
+    decision: autoscaler::ScalingDecision,
+    decided: Option<MonotonicTime>,
+    machines_written: MonotonicTime,
+    load_written: MonotonicTime,
     /// Since when open jobs have had no task on a machine or on its way there.
-    idle: FxHashMap<JobId, Steady>,
+    idle: FxHashMap<JobId, MonotonicTime>,
     /// Gangs granted in this term, and those that are being stopped.
     gangs: FxHashMap<JobId, gang_scheduling::Gang>,
     pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
     /// Machines that are kept for gangs.
     reserved: Vec<MachineId>,
     /// Images of gangs, and when one that needs it was last open.
-    gang_images: FxHashMap<Rc<str>, Steady>,
+    gang_images: FxHashMap<Rc<str>, MonotonicTime>,
     /// When a gang that has to be spread over zones was last open.
-    spread_gangs: Option<Steady>,
+    spread_gangs: Option<MonotonicTime>,
 }
 
 impl Epoch {
@@ -154,25 +154,25 @@
             fleet: Fleet::begin(cluster, old_fleet),
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
-            attempts: Attempts::new(term, LEADERS_ATTEMPTS),
+            attempts: AttemptAllocator::new(term, LEADERS_ATTEMPTS),
             unresolved: replica.granted_before(),
             recorded,
             duplicated: FxHashSet::default(),
             ahead: FxHashSet::default(),
             bodies: BTreeMap::new(),
-            job_statuses_sent: Steady(0),
+            job_statuses_sent: MonotonicTime(0),
             renew_term: None,
-            rebalanced: Steady(0),
-            market: Market::default(),
+            rebalanced: MonotonicTime(0),
+            market: MarketState::default(),
             wait_reasons: HashMap::new(),
             shares: BTreeMap::new(),
             runs: HashMap::new(),
             seen_running: FxHashMap::default(),
             job_runs: FxHashMap::default(),
             speeds: FxHashMap::default(),
-            decision: autoscaler::Decision::default(),
+            decision: autoscaler::ScalingDecision::default(),
             decided: None,
-            machines_written: Steady(0),
+            machines_written: MonotonicTime(0),
             load_written: cluster.now,
             idle: FxHashMap::default(),
             gangs: FxHashMap::default(),
@@ -206,7 +206,7 @@
 
     /// Takes a summary and returns the answer, and whether the summary tells anything that an
     /// epoch should look at soon.
-    pub fn on_summary(&mut self, now: Steady, s: Summary) -> (PeerResponse, bool) {
+    pub fn on_summary(&mut self, now: MonotonicTime, s: Summary) -> (PeerResponse, bool) {
         if s.term != self.term {
             return (PeerResponse::NotLeading(self.term), false);
         }
@@ -246,7 +246,7 @@
     /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
         self.fleet.follow_members(cluster);
-        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.pace());
+        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
         self.check_nodes(cluster);
         self.fleet.assign(cluster, PlanSeq(self.seq.0 + 1));
         self.fleet.learn(cluster.now);
@@ -258,31 +258,32 @@
         self.log_duplicated_tasks(&fleet, &on_machines);
         self.reconcile(cluster, &fleet, &on_machines);
         self.supervise_gangs(cluster, &fleet, &on_machines);
-        let mut rooms = self.rooms(cluster, &fleet);
-        let mut turnover = self.turnover(cluster, &fleet, &on_machines, &rooms);
-        let extra = turnover.iter().fold(Cores(0), |sum, t| Cores(sum.0 + t.free_cores().0));
-        self.place_under_way(cluster, &fleet, &on_machines, &mut rooms, &mut turnover);
-        self.reserve_for_gangs(cluster, &fleet, &on_machines, &mut rooms);
-        let filling = Filling {
+        let mut targets = self.targets(cluster, &fleet);
+        let mut expected_releases = self.expected_releases(cluster, &fleet, &on_machines, &targets);
+        let extra =
+            expected_releases.iter().fold(Cores(0), |sum, t| Cores(sum.0 + t.free_cores().0));
+        self.place_granted(cluster, &fleet, &on_machines, &mut targets, &mut expected_releases);
+        self.reserve_for_gangs(cluster, &fleet, &on_machines, &mut targets);
+        let allocation = EpochAllocation {
             used: self.team_use(cluster, &fleet, &on_machines),
-            rooms,
-            turnover,
+            targets,
+            expected_releases,
             extra,
             grants: Vec::new(),
             counts: self.counts(&on_machines),
         };
-        let filling = self.grant(cluster, &fleet, &on_machines, filling);
-        let mut epoch = Epoch { grants: filling.grants, ..Epoch::default() };
-        let due = self.decided.is_none_or(|at| cluster.now.since(at) >= CAPACITY_MS);
+        let allocation = self.grant(cluster, &fleet, &on_machines, allocation);
+        let mut epoch = Epoch { grants: allocation.grants, ..Epoch::default() };
+        let due = self.decided.is_none_or(|at| cluster.now.since(at) >= SCALING_PERIOD_MS);
         if due {
             self.decided = Some(cluster.now);
-            self.decide_capacity(cluster, &fleet, &on_machines, &filling.rooms, &epoch);
+            self.decide_scaling(cluster, &fleet, &on_machines, &allocation.targets, &epoch);
         }
         drop(on_machines);
         self.fleet = fleet;
         self.fleet.reconciliation_awaited = !self.unresolved.is_empty();
         if due {
-            self.drain_retired();
+            self.drain_for_scale_in();
         }
         self.compose(cluster, &mut epoch);
         epoch
@@ -296,7 +297,7 @@
             return;
         }
         self.renew_term =
-            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.pace());
+            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
         let calm = now.since(self.rebalanced.max(self.began)) > REBALANCE_MS;
         if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
             let live = self.fleet.eligible_owners(now);
@@ -347,7 +348,7 @@
         self.job_runs.retain(|job, _| replica.jobs.contains_key(job));
         self.ahead.retain(|t| replica.may_run(*t));
         let next = PlanSeq(self.seq.0 + 1);
-        let unused_ms = cluster.settings.pace().unused_ms;
+        let unused_ms = cluster.settings.timing().unused_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (t, g) in &mut self.granted {
             if on_machines.contains_key(t) {
@@ -412,13 +413,13 @@
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on_machines: &TasksOnMachines<'_>,
-        mut filling: Filling,
-    ) -> Filling {
-        let counts = std::mem::take(&mut filling.counts);
+        mut allocation: EpochAllocation,
+    ) -> EpochAllocation {
+        let counts = std::mem::take(&mut allocation.counts);
         let failing: HashSet<JobId> =
             fleet.nodes.values().flat_map(|n| n.failing.iter().map(|j| JobId(*j))).collect();
         self.note_idle(cluster, &counts);
-        let teams = cluster.settings.params.teams.iter().zip(&filling.used);
+        let teams = cluster.settings.params.teams.iter().zip(&allocation.used);
         let at_limit: Vec<bool> = teams
             .map(|(t, used)| {
                 t.core_limit().is_some_and(|l| used.0.amount() >= l.amount() * AT_LIMIT)
@@ -427,7 +428,7 @@
         let demands = self.demands(cluster, &counts, &failing, &at_limit);
         // What waits for a place counts as held, so urgent work finds as much again beside it.
         let bounds = Bounds {
-            held: filling.rooms.iter().fold(Cores(filling.extra.0 * 2), |sum, r| {
+            held: allocation.targets.iter().fold(Cores(allocation.extra.0 * 2), |sum, r| {
                 let total = cluster
                     .catalog
                     .get(&*r.machine_type)
@@ -449,7 +450,7 @@
                 .then(b.weight.total_cmp(&a.weight))
                 .then(a.job.cmp(&b.job))
         });
-        self.hold_back(cluster, &demands, &counts, &mut filling);
+        self.reserve_for_starved(cluster, &demands, &counts, &mut allocation);
         for d in order {
             let share = admission.shares.get(&d.job).copied().unwrap_or(0);
             let (held, unresolved) = counts.get(&d.job).copied().unwrap_or_default();
@@ -467,15 +468,33 @@
                 self.wait_reasons.entry(d.job).or_insert(WaitReason::ForMachines);
             }
             if job.spec.kind == JobKind::Gang {
-                self.grant_gang(cluster, fleet, on_machines, job, d.team, more, held, &mut filling);
+                self.grant_gang(
+                    cluster,
+                    fleet,
+                    on_machines,
+                    job,
+                    d.team,
+                    more,
+                    held,
+                    &mut allocation,
+                );
             } else {
                 // What has waited long needs a machine, as small places may never hold it.
                 let ahead = d.weight < STARVED_WEIGHT;
-                self.grant_job(cluster, fleet, on_machines, job, d.team, more, ahead, &mut filling);
+                self.grant_job(
+                    cluster,
+                    fleet,
+                    on_machines,
+                    job,
+                    d.team,
+                    more,
+                    ahead,
+                    &mut allocation,
+                );
             }
         }
         self.shares = admission.shares;
-        filling
+        allocation
     }
 }
 
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -6,30 +6,30 @@
 
 use rustc_hash::FxHashMap;
 
-use super::expected_releases::{Turnover, take_places};
+use super::expected_releases::{ExpectedRelease, take_expected_releases};
 use super::machine_speed::Speed;
 use super::{ClusterView, Leader, TaskGrant};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
 use crate::peer::WaitReason;
-use crate::placement::{Need, Room};
+use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Job;
 use crate::{placement, wire};
 
 /// What an epoch fills: teams' use of cores and accelerators, room on machines, and grants.
 #[derive(Clone)]
-pub(super) struct Filling {
+pub(super) struct EpochAllocation {
     pub(super) used: Vec<(Cores, Cores)>,
-    pub(super) rooms: Vec<Room>,
+    pub(super) targets: Vec<PlacementTarget>,
     /// Places that tasks are about to leave, and their cores, granted ones included.
-    pub(super) turnover: Vec<Turnover>,
+    pub(super) expected_releases: Vec<ExpectedRelease>,
     pub(super) extra: Cores,
     pub(super) grants: Vec<(TaskId, TaskGrant)>,
     /// How many tasks of each job are held, and how many may be running somewhere.
     pub(super) counts: FxHashMap<JobId, (u32, u32)>,
 }
 
-impl Filling {
+impl EpochAllocation {
     /// Takes places for up to `count` tasks of a job: on machines with room, and, if `ahead`,
     /// where others are about to end.
     fn choose_places(
@@ -40,49 +40,53 @@
         mut zones: ZoneRule,
         count: usize,
         ahead: bool,
-    ) -> Vec<Place> {
-        let need = Need::of(&job.spec);
+    ) -> Vec<GrantedPlace> {
+        let need = Resources::of(&job.spec);
         let mut places = Vec::new();
         if !zones.binds() {
-            for i in placement::spread(&job.spec, &need, &mut self.rooms, None, count) {
+            for i in placement::spread(&job.spec, &need, &mut self.targets, None, count) {
                 places.extend(self.place_on(fleet, i, false));
             }
             let left = if ahead { count - places.len() } else { 0 };
-            let turnover = &mut self.turnover;
-            for i in take_places(turnover, &job.spec, &need, None, left) {
-                places.push(Place { node: turnover[i].owner, ahead: true, zone: None });
+            let expected_releases = &mut self.expected_releases;
+            for i in take_expected_releases(expected_releases, &job.spec, &need, None, left) {
+                places.push(GrantedPlace {
+                    node: expected_releases[i].owner,
+                    ahead: true,
+                    zone: None,
+                });
             }
             return places;
         }
         while places.len() < count {
             let open = zones.open(&cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
-                placement::choose(&job.spec, &need, &self.rooms, Some(zone.as_str()))
+                placement::choose(&job.spec, &need, &self.targets, Some(zone.as_str()))
             }) else {
                 break;
             };
-            self.rooms[i].add(&job.spec, &need);
-            zones.count(&self.rooms[i].zone);
+            self.targets[i].add(&job.spec, &need);
+            zones.count(&self.targets[i].zone);
             places.extend(self.place_on(fleet, i, true));
         }
         places
     }
 
     /// Whether there is a place for a task at all.
-    fn may_hold(&self, spec: &wire::JobSpec, need: &Need, ahead: bool) -> bool {
-        self.rooms.iter().any(|r| r.takes(spec, need, None))
-            || ahead && self.turnover.iter().any(|t| t.takes(spec, need))
+    fn may_hold(&self, spec: &wire::JobSpec, need: &Resources, ahead: bool) -> bool {
+        self.targets.iter().any(|r| r.takes(spec, need, None))
+            || ahead && self.expected_releases.iter().any(|t| t.takes(spec, need))
     }
 
-    fn place_on(&self, fleet: &Fleet, room: usize, bound: bool) -> Option<Place> {
-        let room = &self.rooms[room];
-        let (node, _) = fleet.owners.get(&room.id).copied()?;
-        Some(Place { node, ahead: false, zone: bound.then(|| room.zone.to_string()) })
+    fn place_on(&self, fleet: &Fleet, target: usize, bound: bool) -> Option<GrantedPlace> {
+        let target = &self.targets[target];
+        let (node, _) = fleet.owners.get(&target.id).copied()?;
+        Some(GrantedPlace { node, ahead: false, zone: bound.then(|| target.zone.to_string()) })
     }
 }
 
 /// Where a task is granted.
-struct Place {
+struct GrantedPlace {
     node: NodeId,
     /// Whether another task is about to leave it.
     ahead: bool,
@@ -129,10 +133,10 @@
 
 /// Where the rooms of each controller's part are. They come part by part. Looked up for each job anew, the owners of
 /// all rooms took most of an epoch at 4,000 machines.
-fn shard_ranges(fleet: &Fleet, rooms: &[Room]) -> BTreeMap<NodeId, Range<usize>> {
+fn shard_ranges(fleet: &Fleet, targets: &[PlacementTarget]) -> BTreeMap<NodeId, Range<usize>> {
     let mut shards: BTreeMap<NodeId, Range<usize>> = BTreeMap::new();
-    for (at, room) in rooms.iter().enumerate() {
-        let Some((owner, _)) = fleet.owners.get(&room.id) else { continue };
+    for (at, target) in targets.iter().enumerate() {
+        let Some((owner, _)) = fleet.owners.get(&target.id) else { continue };
         let shard = shards.entry(*owner).or_insert(at..at);
         // What is behind a gap is not taken for this part's.
         if shard.end == at {
@@ -144,22 +148,22 @@
 
 impl Leader {
     /// Machines as placement sees them.
-    pub(super) fn rooms(&self, cluster: &ClusterView<'_>, fleet: &Fleet) -> Vec<Room> {
-        let mut rooms = fleet.rooms(cluster);
-        for room in &mut rooms {
-            room.slow = self.speeds.get(&room.id).is_some_and(Speed::is_slow);
+    pub(super) fn targets(&self, cluster: &ClusterView<'_>, fleet: &Fleet) -> Vec<PlacementTarget> {
+        let mut targets = fleet.targets(cluster);
+        for target in &mut targets {
+            target.slow = self.speeds.get(&target.id).is_some_and(Speed::is_slow);
         }
-        rooms
+        targets
     }
 
     /// Counts grants under way in where their parts would place them, first on machines with room.
-    pub(super) fn place_under_way(
+    pub(super) fn place_granted(
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on_machines: &TasksOnMachines<'_>,
-        rooms: &mut [Room],
-        turnover: &mut [Turnover],
+        targets: &mut [PlacementTarget],
+        expected_releases: &mut [ExpectedRelease],
     ) {
         type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
         let mut under_way: BTreeMap<Alike<'_>, usize> = BTreeMap::new();
@@ -167,17 +171,17 @@
             let alike = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
             *under_way.entry(alike).or_default() += 1;
         }
-        let shards = shard_ranges(fleet, rooms);
+        let shards = shard_ranges(fleet, targets);
         for ((node, job, zone, attempt, ahead), count) in under_way {
             let Some(job) = cluster.replica.jobs.get(&job) else { continue };
             if ahead {
-                let need = Need::of(&job.spec);
-                take_places(turnover, &job.spec, &need, Some(node), count);
+                let need = Resources::of(&job.spec);
+                take_expected_releases(expected_releases, &job.spec, &need, Some(node), count);
                 continue;
             }
-            let shard = shards.get(&node).and_then(|shard| rooms.get_mut(shard.clone()));
+            let shard = shards.get(&node).and_then(|shard| targets.get_mut(shard.clone()));
             let shard = shard.unwrap_or_default();
-            let need = Need::of(&job.spec);
+            let need = Resources::of(&job.spec);
             if attempt.is_some() {
                 placement::pack_in(&job.spec, &need, shard, zone, count);
             } else {
@@ -198,14 +202,14 @@
         team: usize,
         more: usize,
         ahead: bool,
-        filling: &mut Filling,
+        allocation: &mut EpochAllocation,
     ) {
         let id = job.spec.id;
-        let need = Need::of(&job.spec);
-        if more == 0 || !filling.may_hold(&job.spec, &need, ahead) {
+        let need = Resources::of(&job.spec);
+        if more == 0 || !allocation.may_hold(&job.spec, &need, ahead) {
             return;
         }
-        let fits = self.within_limit(cluster, team, &need, filling);
+        let fits = self.within_limit(cluster, team, &need, allocation);
         if fits < more {
             self.wait_reasons.insert(id, WaitReason::TeamLimit);
         }
@@ -221,14 +225,14 @@
             .filter(|t| self.is_free(cluster, on_machines, *t))
             .take(more.min(fits))
             .collect();
-        let chosen = filling.choose_places(cluster, fleet, job, zones, free.len(), ahead);
+        let chosen = allocation.choose_places(cluster, fleet, job, zones, free.len(), ahead);
         for (task, place) in free.into_iter().zip(chosen) {
-            if let Some(u) = filling.used.get_mut(team) {
+            if let Some(u) = allocation.used.get_mut(team) {
                 u.0.0 += need.cores.0;
                 u.1.0 += need.accelerators.0;
             }
-            let Place { node, zone, ahead } = place;
-            filling.grants.push((
+            let GrantedPlace { node, zone, ahead } = place;
+            allocation.grants.push((
                 task,
                 TaskGrant { node, attempt: None, at: cluster.now, zone, seen: false, ahead },
             ));
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterView, Leader};
 use crate::model::Cores;
-use crate::placement::Need;
+use crate::placement::Resources;
 use crate::replica;
 use crate::wire::TaskState;
 
@@ -24,7 +24,7 @@
         let mut waits = Cores(0);
         for (t, s) in &on_machines {
             let cores =
-                cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Need::of(&j.spec).cores);
+                cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Resources::of(&j.spec).cores);
             let sum = match s.state {
                 TaskState::FetchingImage => &mut fetches,
                 TaskState::WaitingForGang => &mut waits,
@@ -32,8 +32,8 @@
             };
             sum.0 += cores.0;
         }
-        let rooms = self.fleet.rooms(cluster);
-        rooms.iter().for_each(|r| free.0 += r.free.cores.0);
+        let targets = self.fleet.targets(cluster);
+        targets.iter().for_each(|r| free.0 += r.free.cores.0);
         format!(
             "machines={} up={} spot={} owners={} tasks={} granted={} unresolved={} unsettled={} jobs={} \
              cores: run={:.0} fetch={:.0} wait={:.0} free={:.0} ready={:.0}/{:.0} kept={} versions={}",
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -15,7 +15,7 @@
 use super::{ClusterView, Leader};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, MachineId, NodeId};
-use crate::placement::{self, Need, Room};
+use crate::placement::{self, PlacementTarget, Resources};
 use crate::wire::{JobKind, JobSpec, Priority, TaskState};
 
 /// Seconds of expected completions that are granted ahead: some epochs, so that there is always
@@ -27,22 +27,22 @@
 
 /// Places of one size on alike machines of one controller.
 #[derive(Clone, Debug)]
-pub(super) struct Turnover {
+pub(super) struct ExpectedRelease {
     /// The controller that owns the machines.
     pub(super) owner: NodeId,
     zone: Rc<str>,
     machine_type: Rc<str>,
     spot: bool,
     /// The largest task that one of these places holds.
-    each: Need,
+    each: Resources,
     /// What they hold all together and is not granted yet to work of an urgency or of a better one,
     /// by urgency. A controller starts urgent work first, so less urgent grants take nothing from it.
-    free: [Need; PRIORITIES],
+    free: [Resources; PRIORITIES],
 }
 
-impl Turnover {
+impl ExpectedRelease {
     /// Whether a task can be granted here.
-    pub(super) fn takes(&self, spec: &JobSpec, need: &Need) -> bool {
+    pub(super) fn takes(&self, spec: &JobSpec, need: &Resources) -> bool {
         need.fits(&self.each)
             && need.fits(&self.free[spec.priority as usize])
             && placement::allowed(spec, &self.machine_type, &self.zone, self.spot)
@@ -54,7 +54,7 @@
     }
 
     /// Grants a place to a task of that urgency.
-    fn take(&mut self, need: &Need, priority: Priority) {
+    fn take(&mut self, need: &Resources, priority: Priority) {
         for free in &mut self.free[priority as usize..] {
             need.take_from(free);
         }
@@ -67,13 +67,13 @@
 /// What is expected to end on alike machines.
 #[derive(Default)]
 struct Ending {
-    each: Need,
+    each: Resources,
     /// Cores, accelerators and memory in thousandths.
     sum: [f64; 3],
 }
 
 impl Ending {
-    fn add(&mut self, need: &Need, tasks: f64) {
+    fn add(&mut self, need: &Resources, tasks: f64) {
         self.each.cores = self.each.cores.max(need.cores);
         self.each.accelerators = self.each.accelerators.max(need.accelerators);
         self.each.memory = self.each.memory.max(need.memory);
@@ -83,34 +83,34 @@
         }
     }
 
-    fn free(&self) -> Need {
+    fn free(&self) -> Resources {
         let [cores, accelerators, memory] = self.sum.map(|s| Cores(s as u64));
-        Need { cores, accelerators, memory }
+        Resources { cores, accelerators, memory }
     }
 }
 
 impl Leader {
     /// The places that tasks are expected to leave soon, on machines that take new ones.
-    pub(super) fn turnover(
+    pub(super) fn expected_releases(
         &self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on_machines: &TasksOnMachines<'_>,
-        rooms: &[Room],
-    ) -> Vec<Turnover> {
-        let reserved = |r: &Room| self.reserved.binary_search(&r.id).is_ok();
-        let open: FxHashMap<&MachineId, &Room> =
-            rooms.iter().filter(|r| r.open && !reserved(r)).map(|r| (&r.id, r)).collect();
+        targets: &[PlacementTarget],
+    ) -> Vec<ExpectedRelease> {
+        let reserved = |r: &PlacementTarget| self.reserved.binary_search(&r.id).is_ok();
+        let open: FxHashMap<&MachineId, &PlacementTarget> =
+            targets.iter().filter(|r| r.open && !reserved(r)).map(|r| (&r.id, r)).collect();
         let mut ending: BTreeMap<Alike<'_>, Ending> = BTreeMap::new();
         for (task, seen) in on_machines.iter().filter(|(_, s)| s.state == TaskState::Running) {
-            let Some(room) = open.get(&seen.machine.id) else { continue };
-            let owner = fleet.owners.get(&room.id).map(|(owner, _)| *owner);
+            let Some(target) = open.get(&seen.machine.id) else { continue };
+            let owner = fleet.owners.get(&target.id).map(|(owner, _)| *owner);
             let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
             let job = cluster.replica.jobs.get(&task.job);
             let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else { continue };
-            let need = Need::of(&job.spec);
+            let need = Resources::of(&job.spec);
             let size = need.cores.0.checked_ilog2().unwrap_or(0);
-            let alike = (owner, &*room.machine_type, &*room.zone, room.spot, size);
+            let alike = (owner, &*target.machine_type, &*target.zone, target.spot, size);
             ending.entry(alike).or_default().add(&need, AHEAD_S / self.run_s(job));
         }
         let specs = || cluster.replica.jobs.values().map(|j| &j.spec);
@@ -120,11 +120,11 @@
             let highest_priority = *first
                 .entry((machine_type, zone, spot))
                 .or_insert_with(|| placement::highest_priority(specs(), machine_type, zone, spot));
-            let mut free = [Need::default(); PRIORITIES];
+            let mut free = [Resources::default(); PRIORITIES];
             let until = highest_priority.map_or(PRIORITIES, |u| u as usize + 1);
             free[..until].fill(e.free());
             let (zone, machine_type) = (zone.into(), machine_type.into());
-            places.push(Turnover { owner, zone, machine_type, spot, each: e.each, free });
+            places.push(ExpectedRelease { owner, zone, machine_type, spot, each: e.each, free });
         }
         places
     }
@@ -132,21 +132,21 @@
 
 /// Takes places for up to `count` tasks of a job, where most are left first, and says which.
 /// `owner` is set if they have to be of that controller.
-pub(super) fn take_places(
-    turnover: &mut [Turnover],
+pub(super) fn take_expected_releases(
+    expected_releases: &mut [ExpectedRelease],
     spec: &JobSpec,
-    need: &Need,
+    need: &Resources,
     owner: Option<NodeId>,
     count: usize,
 ) -> Vec<usize> {
     let mut taken = Vec::new();
     while taken.len() < count {
-        let best = (0..turnover.len())
-            .filter(|&i| owner.is_none_or(|o| o == turnover[i].owner))
-            .filter(|&i| turnover[i].takes(spec, need))
-            .max_by_key(|&i| turnover[i].free[spec.priority as usize].cores);
+        let best = (0..expected_releases.len())
+            .filter(|&i| owner.is_none_or(|o| o == expected_releases[i].owner))
+            .filter(|&i| expected_releases[i].takes(spec, need))
+            .max_by_key(|&i| expected_releases[i].free[spec.priority as usize].cores);
         let Some(i) = best else { break };
-        turnover[i].take(need, spec.priority);
+        expected_releases[i].take(need, spec.priority);
         taken.push(i);
     }
     taken
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -9,12 +9,12 @@
 
 use rustc_hash::FxHashSet;
 
-use super::allocation::{Filling, ZoneRule};
+use super::allocation::{EpochAllocation, ZoneRule};
 use super::{ClusterView, Leader, RevokedGrant, TaskGrant};
 use crate::fleet::{Fleet, TasksOnMachines};
-use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId};
+use crate::model::{Attempt, Cores, JobId, MachineId, MonotonicTime, PlanSeq, TaskId};
 use crate::peer::{GangStop, WaitReason};
-use crate::placement::{self, Need, Room};
+use crate::placement::{self, PlacementTarget, Resources};
 use crate::replica::Job;
 use crate::wire::{JobKind, TaskState};
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Gang {
     attempt: Attempt,
-    since: Steady,
+    since: MonotonicTime,
 }
 
 impl Gang {
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingStop {
     pub(super) stop: GangStop,
-    until: Steady,
+    until: MonotonicTime,
 }
 
 /// Where a gang's tasks are.
@@ -63,7 +63,7 @@
     /// A worker had shown it, and it is nowhere now.
     lost: bool,
     /// When the first of its machines goes.
-    leaves: Option<Steady>,
+    leaves: Option<MonotonicTime>,
     /// All its machines were heard lately.
     heard: bool,
 }
@@ -95,7 +95,7 @@
         if gangs.is_empty() {
             return;
         }
-        let silent_ms = cluster.settings.pace().silent_ms;
+        let silent_ms = cluster.settings.timing().silent_ms;
         for (t, seen) in on_machines {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
             p.on_machines += 1;
@@ -179,10 +179,10 @@
         if job.spec.checkpoint_interval_s <= 0.0 || !p.heard {
             return;
         }
-        let pace = cluster.settings.pace();
+        let timing = cluster.settings.timing();
         let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
         let save_ms = (job.spec.checkpoint_save_s * 1000.0) as u64;
-        let way_ms = (pace.gap_ms + STOP_WAY_MS).min(peer_ms);
+        let way_ms = (timing.gap_ms + STOP_WAY_MS).min(peer_ms);
         let left = leaves.since(cluster.now);
         if left < save_ms + way_ms / 2 || left > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
@@ -228,14 +228,14 @@
         team: usize,
         more: usize,
         held: u32,
-        filling: &mut Filling,
+        allocation: &mut EpochAllocation,
     ) {
         let id = job.spec.id;
         if more == 0 || more < (job.spec.task_count.saturating_sub(held)) as usize {
             return;
         }
-        let need = Need::of(&job.spec);
-        if self.within_limit(cluster, team, &need, filling) < more {
+        let need = Resources::of(&job.spec);
+        if self.within_limit(cluster, team, &need, allocation) < more {
             self.wait_reasons.insert(id, WaitReason::TeamLimit);
             return;
         }
@@ -249,12 +249,13 @@
         let mut zones = ZoneRule::of(&job.spec);
         self.count_zones(id, on_machines, &mut zones);
         // A controller that does not know gangs would not look after its part of one.
-        let capabilities: Vec<bool> = filling
-            .rooms
+        let capabilities: Vec<bool> = allocation
+            .targets
             .iter()
             .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n)))
             .collect();
-        let Some(chosen) = choose(cluster, job, &need, &filling.rooms, &capabilities, zones, more)
+        let Some(chosen) =
+            choose(cluster, job, &need, &allocation.targets, &capabilities, zones, more)
         else {
             self.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
             return;
@@ -265,16 +266,16 @@
         };
         let binds = ZoneRule::of(&job.spec).binds();
         for (task, i) in free.into_iter().zip(chosen) {
-            let room = &mut filling.rooms[i];
-            room.add(&job.spec, &need);
-            let Some((node, _)) = fleet.owners.get(&room.id).copied() else { continue };
-            let zone = binds.then(|| room.zone.to_string());
-            if let Some(u) = filling.used.get_mut(team) {
+            let target = &mut allocation.targets[i];
+            target.add(&job.spec, &need);
+            let Some((node, _)) = fleet.owners.get(&target.id).copied() else { continue };
+            let zone = binds.then(|| target.zone.to_string());
+            if let Some(u) = allocation.used.get_mut(team) {
                 u.0.0 += need.cores.0;
                 u.1.0 += need.accelerators.0;
             }
             let attempt = Some(attempt);
-            filling.grants.push((
+            allocation.grants.push((
                 task,
                 TaskGrant { node, attempt, at: cluster.now, zone, seen: false, ahead: false },
             ));
@@ -282,7 +283,7 @@
     }
 
     /// Remembers gangs that were granted just now.
-    pub(super) fn note_gang(&mut self, now: Steady, job: JobId, attempt: Attempt) {
+    pub(super) fn note_gang(&mut self, now: MonotonicTime, job: JobId, attempt: Attempt) {
         let known = self.gangs.get(&job).is_some_and(|g| g.attempt == attempt);
         if !known {
             self.gangs.insert(job, Gang { attempt, since: now });
@@ -301,7 +302,7 @@
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on_machines: &TasksOnMachines<'_>,
-        rooms: &mut [Room],
+        targets: &mut [PlacementTarget],
     ) {
         self.reserved.clear();
         for job in cluster.replica.jobs.values().filter(|j| j.spec.kind == JobKind::Gang) {
@@ -320,19 +321,21 @@
         for (t, seen) in on_machines {
             let Some(job) = cluster.replica.jobs.get(&t.job) else { continue };
             if job.spec.kind == JobKind::Gang {
-                used[usize::from(job.spec.allows_spot)] += Need::of(&job.spec).cores.0;
+                used[usize::from(job.spec.allows_spot)] += Resources::of(&job.spec).cores.0;
                 hosts.insert(&seen.machine.id);
             }
         }
-        let offered = |r: &Room| {
+        let offered = |r: &PlacementTarget| {
             cluster.catalog.get(&*r.machine_type).map_or(Cores(0), |f| Cores::offer(f.vcpus))
         };
-        let open = rooms.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
-        let capabilities = |r: &Room| {
+        let open = targets.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
+        let capabilities = |r: &PlacementTarget| {
             fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n))
         };
         for loose in [false, true] {
-            let may = |r: &Room| r.open && !r.reserved && (loose || !r.spot) && capabilities(r);
+            let may = |r: &PlacementTarget| {
+                r.open && !r.reserved && (loose || !r.spot) && capabilities(r)
+            };
             let wanted = self.market.headroom(loose, Cores(used[usize::from(loose)]).amount());
             // In a small fleet others would find nothing.
             let wanted = wanted.min(open * MAX_RESERVED_SHARE);
@@ -340,13 +343,13 @@
                 continue;
             }
             let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-            for r in rooms.iter().filter(|r| may(r)) {
+            for r in targets.iter().filter(|r| may(r)) {
                 *zones.entry(&*r.zone).or_default() += offered(r).0;
             }
             let zones = self.gang_zones(&zones);
-            let mut order: Vec<usize> = (0..rooms.len()).filter(|&i| may(&rooms[i])).collect();
+            let mut order: Vec<usize> = (0..targets.len()).filter(|&i| may(&targets[i])).collect();
             order.sort_by_key(|&i| {
-                let r = &rooms[i];
+                let r = &targets[i];
                 // What gangs need again is there already.
                 let warm = r.images.iter().filter(|(i, _)| self.gang_images.contains_key(i));
                 let rank = (warm.count(), hosts.contains(&r.id), offered(r), r.free.cores);
@@ -358,7 +361,7 @@
             for (zone, most) in places.chain([(None, wanted)]) {
                 let mut here = most.min(lacking);
                 for &i in &order {
-                    let r = &mut rooms[i];
+                    let r = &mut targets[i];
                     if here <= 0.0 || r.reserved || zone.is_some_and(|z| z != &*r.zone) {
                         continue;
                     }
@@ -394,21 +397,22 @@
 fn choose(
     cluster: &ClusterView<'_>,
     job: &Job,
-    need: &Need,
-    rooms: &[Room],
+    need: &Resources,
+    targets: &[PlacementTarget],
     may: &[bool],
     zones: ZoneRule,
     count: usize,
 ) -> Option<Vec<usize>> {
     let names = &cluster.settings.params.zones;
     if !zones.binds() {
-        return placement::pack(&job.spec, need, rooms, may, None, count).map(|(_, chosen)| chosen);
+        return placement::pack(&job.spec, need, targets, may, None, count)
+            .map(|(_, chosen)| chosen);
     }
     if zones.one {
         let open = zones.open(names);
         let found = open
             .iter()
-            .filter_map(|z| placement::pack(&job.spec, need, rooms, may, Some(z), count));
+            .filter_map(|z| placement::pack(&job.spec, need, targets, may, Some(z), count));
         return found.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, chosen)| chosen);
     }
     // Spread: as many in one zone as the rule allows, the rest in another.
@@ -423,7 +427,7 @@
         }
         let in_zone = |z: &str, n| match n {
             0 => Some((0.0, Vec::new())),
-            _ => placement::pack(&job.spec, need, rooms, may, Some(z), n),
+            _ => placement::pack(&job.spec, need, targets, may, Some(z), n),
         };
         let (Some(a), Some(b)) = (in_zone(first, here), in_zone(second, rest)) else { continue };
         let when = a.0.max(b.0);
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -9,7 +9,7 @@
 use crate::admission::{Curve, Demand};
 use crate::config::Settings;
 use crate::model::{Cores, JobId};
-use crate::placement::Need;
+use crate::placement::Resources;
 use crate::replica::Job;
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
@@ -84,7 +84,7 @@
 
 /// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 fn within_guarantees(cluster: &ClusterView<'_>) -> HashSet<JobId> {
-    let mut room: HashMap<&str, Cores> = cluster
+    let mut headroom: HashMap<&str, Cores> = cluster
         .settings
         .params
         .teams
@@ -100,8 +100,8 @@
             JobKind::Array | JobKind::Gang => job.remaining(),
             JobKind::Service => job.spec.task_count,
         };
-        let need = Cores(Need::of(&job.spec).cores.0 * u64::from(tasks));
-        if let Some(left) = room.get_mut(job.spec.team.as_str())
+        let need = Cores(Resources::of(&job.spec).cores.0 * u64::from(tasks));
+        if let Some(left) = headroom.get_mut(job.spec.team.as_str())
             && need <= *left
         {
             *left = left.less(need);
@@ -172,7 +172,7 @@
                     JobKind::Array | JobKind::Service => Curve::Concave { fade: FADE },
                 },
                 team,
-                cores: Need::of(&job.spec).cores,
+                cores: Resources::of(&job.spec).cores,
                 min: held,
                 max: held + tries,
                 required: starved || kept_for || required.contains(id),
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{ClusterView, Epoch, Leader, TaskGrant};
-use crate::model::{Attempt, JobId, NodeId, PlanSeq, Ranges, Steady};
+use crate::model::{Attempt, JobId, MonotonicTime, NodeId, PlanSeq, Ranges};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
@@ -86,14 +86,14 @@
     /// What each controller is granted: where there is room, and ahead of it, first what was granted first.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
         type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
-        let mut alike: BTreeMap<Alike<'_>, (Steady, Ranges)> = BTreeMap::new();
+        let mut alike: BTreeMap<Alike<'_>, (MonotonicTime, Ranges)> = BTreeMap::new();
         for (t, g) in &self.granted {
             let key = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
             let (oldest, tasks) = alike.entry(key).or_insert((g.at, Ranges::default()));
             *oldest = g.at.min(*oldest);
             tasks.insert(t.index);
         }
-        let mut ahead_by_age: Vec<(Steady, NodeId, Grant)> = Vec::new();
+        let mut ahead_by_age: Vec<(MonotonicTime, NodeId, Grant)> = Vec::new();
         let mut by_node: BTreeMap<NodeId, NodeGrants> = BTreeMap::new();
         for ((node, job, zone, attempt, ahead), (oldest, tasks)) in alike {
             let grant = Grant { job: job.0, tasks, zone: zone.map(str::to_string), attempt };
@@ -131,7 +131,7 @@
     }
 
     /// A node's plan as of now, with what it does not follow yet.
-    pub fn plan_for(&self, node: NodeId, now: Steady) -> Option<Plan> {
+    pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<Plan> {
         let state = self.fleet.nodes.get(&node).filter(|_| self.seq > PlanSeq(0))?;
         let body = self.bodies.get(&node)?;
         Some(Plan {
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -4,10 +4,10 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{ClusterView, Filling, Leader};
+use super::{ClusterView, EpochAllocation, Leader};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId};
-use crate::placement::Need;
+use crate::placement::Resources;
 
 impl Leader {
     /// Cores that each team may be using.
@@ -21,7 +21,7 @@
         let mut used = vec![(Cores(0), Cores(0)); teams.len()];
         let index: FxHashMap<&str, usize> =
             teams.iter().enumerate().map(|(i, t)| (t.name.as_str(), i)).collect();
-        let add = |used: &mut Vec<(Cores, Cores)>, owner: &str, need: &Need, tasks: u64| {
+        let add = |used: &mut Vec<(Cores, Cores)>, owner: &str, need: &Resources, tasks: u64| {
             if let Some(u) = index.get(owner).and_then(|i| used.get_mut(*i)) {
                 u.0.0 += need.cores.0 * tasks;
                 u.1.0 += need.accelerators.0 * tasks;
@@ -44,7 +44,7 @@
         }
         for (job, tasks) in by_job {
             if let Some(j) = cluster.replica.jobs.get(&job) {
-                add(&mut used, &j.spec.team, &Need::of(&j.spec), tasks);
+                add(&mut used, &j.spec.team, &Resources::of(&j.spec), tasks);
             } else if let Some(w) = cluster.replica.residual_usage.get(&job) {
                 add(&mut used, &w.owner, &w.need, tasks);
             }
@@ -52,7 +52,7 @@
         // Machines whose tasks belong to nobody known count in full for every team.
         let offered = |id: &MachineId| {
             let machine_type = &fleet.machines.get(id)?.offer.machine_type;
-            cluster.catalog.get(machine_type).map(Need::offered)
+            cluster.catalog.get(machine_type).map(Resources::offered)
         };
         for need in strange.into_iter().filter_map(offered) {
             for u in &mut used {
@@ -74,11 +74,11 @@
         index: &FxHashMap<&str, usize>,
         used: &mut [(Cores, Cores)],
     ) {
-        let mut held = Need::default();
+        let mut held = Resources::default();
         for id in &fleet.unreconciled {
             let machine_type = fleet.machines.get(id).map(|m| &m.offer.machine_type);
             if let Some(f) = machine_type.and_then(|h| cluster.catalog.get(h)) {
-                let offered = Need::offered(f);
+                let offered = Resources::offered(f);
                 held.cores.0 += offered.cores.0;
                 held.accelerators.0 += offered.accelerators.0;
             }
@@ -86,8 +86,8 @@
         if held.cores.0 == 0 && held.accelerators.0 == 0 {
             return;
         }
-        let mut may: Vec<Need> = vec![Need::default(); used.len()];
-        let mut add = |owner: &str, need: &Need, tasks: u64| {
+        let mut may: Vec<Resources> = vec![Resources::default(); used.len()];
+        let mut add = |owner: &str, need: &Resources, tasks: u64| {
             if let Some(m) = index.get(owner).and_then(|i| may.get_mut(*i)) {
                 m.cores.0 += need.cores.0 * tasks;
                 m.accelerators.0 += need.accelerators.0 * tasks;
@@ -99,7 +99,7 @@
         }
         for (job, tasks) in by_job {
             if let Some(j) = cluster.replica.jobs.get(&job) {
-                add(&j.spec.team, &Need::of(&j.spec), tasks);
+                add(&j.spec.team, &Resources::of(&j.spec), tasks);
             }
         }
         for w in cluster.replica.residual_usage.values() {
@@ -118,8 +118,8 @@
         &self,
         cluster: &ClusterView<'_>,
         team: usize,
-        need: &Need,
-        f: &Filling,
+        need: &Resources,
+        f: &EpochAllocation,
     ) -> usize {
         let Some(limits) = cluster.settings.params.teams.get(team) else { return usize::MAX };
         let used = f.used.get(team).copied().unwrap_or_default();
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -4,38 +4,38 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::starvation::waited_ms;
+use super::starvation::waiting_ms;
 use super::{ClusterView, Epoch, Leader};
 use crate::autoscaler;
-use crate::autoscaler::{Held, Offer, Want};
+use crate::autoscaler::{MachineOffer, MachineUsage, PendingWork};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
-use crate::placement::{Need, Room};
+use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Job;
 use crate::wire::{JobKind, Priority};
 
 /// Time between two decisions on what to rent and return.
-pub(super) const CAPACITY_MS: u64 = 1_000;
+pub(super) const SCALING_PERIOD_MS: u64 = 1_000;
 
 impl Leader {
-    pub(super) fn decide_capacity(
+    pub(super) fn decide_scaling(
         &mut self,
         cluster: &ClusterView<'_>,
         fleet: &Fleet,
         on_machines: &TasksOnMachines<'_>,
-        rooms: &[Room],
+        targets: &[PlacementTarget],
         epoch: &Epoch,
     ) {
         let now = cluster.now;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|g| g.0).collect();
-        let mut wants: Vec<Want<'_>> = Vec::new();
+        let mut wants: Vec<PendingWork<'_>> = Vec::new();
         let (mut brief_cores, mut urgent, mut long) = (Cores(0), Cores(0), Cores(0));
         // Gangs that may not use spot machines, and those that may: all, and the largest.
         let mut gangs = [(Cores(0), Cores(0)); 2];
-        let mut team_room: HashMap<&str, u64> = HashMap::new();
+        let mut team_headroom: HashMap<&str, u64> = HashMap::new();
         for t in &cluster.settings.params.teams {
             let limit = t.core_limit().map_or(u64::MAX, |c| c.0);
-            team_room.insert(&t.name, limit);
+            team_headroom.insert(&t.name, limit);
         }
         let mut held: FxHashMap<JobId, u32> = FxHashMap::default();
         let others = self.granted.keys().chain(granting.iter());
@@ -45,8 +45,8 @@
         let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
         jobs.sort_by_key(|j| (j.spec.priority, j.at, j.spec.id));
         for job in jobs {
-            let need = Need::of(&job.spec);
-            let room = team_room.get_mut(job.spec.team.as_str());
+            let need = Resources::of(&job.spec);
+            let room = team_headroom.get_mut(job.spec.team.as_str());
             let can = room.as_ref().map_or(0, |r| **r / need.cores.0.max(1));
             let wanted = u64::from(job.remaining()).min(can) as u32;
             if let Some(r) = room {
@@ -54,7 +54,7 @@
             }
             let run_s = self.run_s(job);
             let brief = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
-            let age_ms = waited_ms(cluster, job) as f64;
+            let age_ms = waiting_ms(cluster, job) as f64;
             let gang = job.spec.kind == JobKind::Gang;
             if gang {
                 let cores = Cores(need.cores.0 * u64::from(job.spec.task_count));
@@ -74,7 +74,7 @@
             if !brief {
                 long.0 += need.cores.0 * u64::from(running);
             }
-            wants.push(Want {
+            wants.push(PendingWork {
                 spec: &job.spec,
                 tasks: wanted.saturating_sub(running),
                 running,
@@ -84,18 +84,19 @@
         }
         self.market.note(now, brief_cores, urgent, long);
         self.market.note_gangs(now, gangs[0], gangs[1]);
-        let free: HashMap<&MachineId, &Room> = rooms.iter().map(|r| (&r.id, r)).collect();
-        let machines: Vec<Held> = fleet
+        let free: HashMap<&MachineId, &PlacementTarget> =
+            targets.iter().map(|r| (&r.id, r)).collect();
+        let machines: Vec<MachineUsage> = fleet
             .machines
             .iter()
             .map(|(id, m)| {
                 let offered = cluster
                     .catalog
                     .get(&m.offer.machine_type)
-                    .map(Need::offered)
+                    .map(Resources::offered)
                     .unwrap_or_default();
                 let room = free.get(id);
-                Held {
+                MachineUsage {
                     id: id.clone(),
                     offer: m.offer.clone(),
                     booting: !m.up,
@@ -114,9 +115,9 @@
     }
 
     /// Drains the machines that are to be returned.
-    pub(super) fn drain_retired(&mut self) {
+    pub(super) fn drain_for_scale_in(&mut self) {
         let next = PlanSeq(self.seq.0 + 1);
-        for id in &self.decision.retire {
+        for id in &self.decision.scale_in {
             if let Some(m) = self.fleet.machines.get_mut(id).filter(|m| m.draining.is_none()) {
                 tracing::info!(machine = %id, "draining an idle machine");
                 m.draining = Some(next);
@@ -125,14 +126,14 @@
     }
 
     /// What to rent now. Asked once per decision, so that nothing is rented twice.
-    pub fn to_rent(&mut self) -> Vec<(Offer, u32)> {
-        std::mem::take(&mut self.decision.rent)
+    pub fn take_scale_out(&mut self) -> Vec<(MachineOffer, u32)> {
+        std::mem::take(&mut self.decision.scale_out)
     }
 
     /// Forgets what was decided to be rented before the last rentals were known.
     pub fn decide_anew(&mut self) {
-        if !self.decision.rent.is_empty() {
-            self.decision.rent.clear();
+        if !self.decision.scale_out.is_empty() {
+            self.decision.scale_out.clear();
             self.decided = None;
         }
     }
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use willowshore_standby::decisions::{
-    Admission, DecisionState, DecisionTarget, GangStep, JobNumber, MachineSpeed, RentalOffer,
-    RunTimeRatio, TaskNumber,
+    Admission, DecisionState, DecisionTarget, GangStep, JobNumber, MachineOfferRecord,
+    MachineSpeed, RunTimeRatio, TaskNumber,
 };
 use willowshore_standby::status::VerificationCounts;
 
 use super::machine_speed::Speed;
 use super::{ClusterView, Leader};
-use crate::autoscaler::Offer;
-use crate::model::{JobId, MachineId, TaskId, Wall};
+use crate::autoscaler::MachineOffer;
+use crate::model::{JobId, MachineId, TaskId, WallTime};
 
 /// A time of day is computed anew from the steady clock each time and then differs by a little. One that moved by
 /// less than this is the same.
@@ -20,9 +20,9 @@
 const MOST_RATIO: f64 = 100.0;
 const MOST_WEIGHT: f64 = 1_000.0;
 
-impl From<&Offer> for RentalOffer {
-    fn from(offer: &Offer) -> Self {
-        RentalOffer {
+impl From<&MachineOffer> for MachineOfferRecord {
+    fn from(offer: &MachineOffer) -> Self {
+        MachineOfferRecord {
             machine_type: offer.machine_type.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
@@ -30,9 +30,9 @@
     }
 }
 
-impl From<&RentalOffer> for Offer {
-    fn from(offer: &RentalOffer) -> Self {
-        Offer {
+impl From<&MachineOfferRecord> for MachineOffer {
+    fn from(offer: &MachineOfferRecord) -> Self {
+        MachineOffer {
             machine_type: offer.machine_type.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
@@ -41,8 +41,8 @@
 }
 
 /// The time of day of a moment, or the one that is known of it already.
-fn reconciled(known: Option<Wall>, computed: u64) -> Wall {
-    known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(Wall(computed))
+fn reconciled(known: Option<WallTime>, computed: u64) -> WallTime {
+    known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(WallTime(computed))
 }
 
 impl Leader {
@@ -62,10 +62,10 @@
                 .collect(),
             grants: self.granted.iter().map(|(task, g)| ((*task).into(), g.node)).collect(),
             gangs: self.gang_steps(),
-            rentals: machines
+            provisioning: machines
                 .iter()
                 .filter(|(_, m)| !m.up && !m.failed)
-                .map(|(id, m)| (id.clone(), RentalOffer::from(&m.offer)))
+                .map(|(id, m)| (id.clone(), MachineOfferRecord::from(&m.offer)))
                 .collect(),
             returning: machines
                 .iter()
@@ -84,7 +84,7 @@
                 .market
                 .refusals(cluster.now)
                 .map(|(offer, until)| {
-                    let offer = RentalOffer::from(offer);
+                    let offer = MachineOfferRecord::from(offer);
                     let computed = cluster.wall.0 + until.since(cluster.now);
                     let until = reconciled(known.refusals.entries().get(&offer).copied(), computed);
                     (offer, until)
@@ -160,14 +160,18 @@
         for (offer, until) in state.refusals.entries() {
             let left = until.0.saturating_sub(cluster.wall.0);
             if left > 0 {
-                self.market.refused_for(&Offer::from(offer), cluster.now, left);
+                self.market.refused_for(&MachineOffer::from(offer), cluster.now, left);
                 hints += 1;
             }
         }
-        for (id, offer) in state.rentals.entries() {
+        for (id, offer) in state.provisioning.entries() {
             let known = cluster.replica.machines.contains_key(id);
             if !known && cluster.catalog.contains_key(&offer.machine_type) {
-                self.fleet.rented(cluster.now, std::slice::from_ref(id), &Offer::from(offer));
+                self.fleet.add_provisioned(
+                    cluster.now,
+                    std::slice::from_ref(id),
+                    &MachineOffer::from(offer),
+                );
                 hints += 1;
             }
         }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -3,12 +3,12 @@
 
 use rustc_hash::FxHashMap;
 
-use super::allocation::Filling;
+use super::allocation::EpochAllocation;
 use super::{ClusterView, Leader};
 use crate::admission::Demand;
 use crate::model::JobId;
 use crate::placement;
-use crate::placement::{Need, Room};
+use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Job;
 use crate::wire::JobKind;
 
@@ -34,41 +34,47 @@
 const CLEARED_MS: u64 = 33_000;
 
 /// Milliseconds since a job was accepted.
-pub(super) fn waited_ms(cluster: &ClusterView<'_>, job: &Job) -> u64 {
+pub(super) fn waiting_ms(cluster: &ClusterView<'_>, job: &Job) -> u64 {
     cluster.wall.0.saturating_sub(job.at.0)
 }
 
 /// Keeps machines from others in the zone where a gang that fits nowhere can begin first: those
 /// that would hold it once they are empty.
-fn hold_back_for_gang(cluster: &ClusterView<'_>, job: &Job, need: &Need, rooms: &mut [Room]) {
+fn hold_back_for_gang(
+    cluster: &ClusterView<'_>,
+    job: &Job,
+    need: &Resources,
+    targets: &mut [PlacementTarget],
+) {
     let count = job.spec.task_count as usize;
-    let all = vec![true; rooms.len()];
+    let all = vec![true; targets.len()];
     let zones: Vec<Option<&str>> = match job.spec.one_zone {
         true => cluster.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
         false => vec![None],
     };
-    if zones.iter().any(|z| placement::pack(&job.spec, need, rooms, &all, *z, count).is_some()) {
+    if zones.iter().any(|z| placement::pack(&job.spec, need, targets, &all, *z, count).is_some()) {
         return;
     }
-    let slots = |r: &Room| {
-        let offered = cluster.catalog.get(&*r.machine_type).map(Need::offered).unwrap_or_default();
+    let slots = |r: &PlacementTarget| {
+        let offered =
+            cluster.catalog.get(&*r.machine_type).map(Resources::offered).unwrap_or_default();
         let may = r.open && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot);
         if may { placement::slots(need, &offered) as usize } else { 0 }
     };
     // The zone that lacks least now, of those that could hold it at all.
     let mut best: Option<(usize, Vec<usize>)> = None;
     for zone in zones {
-        let mut inside: Vec<usize> = (0..rooms.len())
-            .filter(|&i| zone.is_none_or(|z| *z == *rooms[i].zone) && slots(&rooms[i]) > 0)
+        let mut inside: Vec<usize> = (0..targets.len())
+            .filter(|&i| zone.is_none_or(|z| *z == *targets[i].zone) && slots(&targets[i]) > 0)
             .collect();
-        inside.sort_by_key(|&i| std::cmp::Reverse((rooms[i].free.cores, i)));
+        inside.sort_by_key(|&i| std::cmp::Reverse((targets[i].free.cores, i)));
         let (mut could, mut can, mut chosen) = (0, 0, Vec::new());
         for i in inside {
             if could >= count {
                 break;
             }
-            could += slots(&rooms[i]);
-            can += placement::slots(need, &rooms[i].free) as usize;
+            could += slots(&targets[i]);
+            can += placement::slots(need, &targets[i].free) as usize;
             chosen.push(i);
         }
         if could >= count && best.as_ref().is_none_or(|b| can > b.0) {
@@ -76,7 +82,7 @@
         }
     }
     for i in best.into_iter().flat_map(|b| b.1) {
-        rooms[i].open = false;
+        targets[i].open = false;
     }
 }
 
@@ -104,7 +110,7 @@
         at_limit: bool,
     ) -> bool {
         let begun = !job.progress.done.is_empty();
-        let waits = if begun { 0 } else { waited_ms(cluster, job) };
+        let waits = if begun { 0 } else { waiting_ms(cluster, job) };
         if held > 0 || !at_limit {
             return held == 0 && waits > STARVED_MS;
         }
@@ -114,49 +120,49 @@
 
     /// Keeps machines from others that jobs need which have waited long and fit nowhere: else
     /// small tasks would take every core that a large one waits for.
-    pub(super) fn hold_back(
+    pub(super) fn reserve_for_starved(
         &mut self,
         cluster: &ClusterView<'_>,
         demands: &[Demand],
         counts: &FxHashMap<JobId, (u32, u32)>,
-        filling: &mut Filling,
+        allocation: &mut EpochAllocation,
     ) {
         let mut held = 0;
         for d in demands {
             let Some(job) = cluster.replica.jobs.get(&d.job) else { continue };
-            let need = Need::of(&job.spec);
+            let need = Resources::of(&job.spec);
             let running = counts.get(&d.job).map_or(0, |c| c.0);
             if job.spec.kind == JobKind::Gang {
-                if running == 0 && waited_ms(cluster, job) > CLEARED_MS {
-                    hold_back_for_gang(cluster, job, &need, &mut filling.rooms);
+                if running == 0 && waiting_ms(cluster, job) > CLEARED_MS {
+                    hold_back_for_gang(cluster, job, &need, &mut allocation.targets);
                 }
                 continue;
             }
-            let fits = |r: &Room| r.takes(&job.spec, &need, None);
-            if !self.starved(cluster, job, running, false) || filling.rooms.iter().any(fits) {
+            let fits = |r: &PlacementTarget| r.takes(&job.spec, &need, None);
+            if !self.starved(cluster, job, running, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
             // What is kept for gangs is not kept from work that has waited long.
-            let free = |r: &&mut Room| r.holds(&job.spec, &need, None);
-            if let Some(room) = filling.rooms.iter_mut().find(free) {
-                room.reserved = false;
-                self.reserved.retain(|id| *id != room.id);
+            let free = |r: &&mut PlacementTarget| r.holds(&job.spec, &need, None);
+            if let Some(target) = allocation.targets.iter_mut().find(free) {
+                target.reserved = false;
+                self.reserved.retain(|id| *id != target.id);
                 continue;
             }
             if held >= STARVED_ROOMS {
                 continue;
             }
-            let could = |r: &Room| {
-                let offered = cluster.catalog.get(&*r.machine_type).map(Need::offered);
+            let could = |r: &PlacementTarget| {
+                let offered = cluster.catalog.get(&*r.machine_type).map(Resources::offered);
                 r.open
                     && offered.is_some_and(|o| need.fits(&o))
                     && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot)
             };
-            let best = (0..filling.rooms.len())
-                .filter(|&i| could(&filling.rooms[i]))
-                .max_by_key(|&i| filling.rooms[i].free.cores);
+            let best = (0..allocation.targets.len())
+                .filter(|&i| could(&allocation.targets[i]))
+                .max_by_key(|&i| allocation.targets[i].free.cores);
             if let Some(i) = best {
-                filling.rooms[i].open = false;
+                allocation.targets[i].open = false;
                 held += 1;
             }
         }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -2,11 +2,11 @@
 
 use super::importance::weight;
 use super::*;
-use crate::autoscaler::Offer;
+use crate::autoscaler::MachineOffer;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
-use crate::model::{AgentEpoch, Incarnation, Moment, Revision, StoreLease, Wall};
+use crate::model::{AgentEpoch, ClockReading, Incarnation, Revision, StoreLease, WallTime};
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
@@ -16,8 +16,8 @@
 
 const INCARNATION: Incarnation = Incarnation(5);
 
-fn at(ms: u64) -> Moment {
-    Moment { steady: Steady(ms), wall: Wall(1_000_000 + ms) }
+fn at(ms: u64) -> ClockReading {
+    ClockReading { steady: MonotonicTime(ms), wall: WallTime(1_000_000 + ms) }
 }
 
 /// A leader of term 3 with a job of one task that term 2 granted, and two machines.
@@ -31,7 +31,7 @@
     let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
-    let accepted = Accepted { spec: spec(1, 1), at: Wall(1) };
+    let accepted = Accepted { spec: spec(1, 1), at: WallTime(1) };
     controller.load(
         &[
             item(&replica::job_key(job), wire::to_value(&accepted)),
@@ -43,8 +43,8 @@
         Revision(9),
     );
     controller.rights.lease = Some(StoreLease(1));
-    controller.rights.confirm_renewal(Steady(0));
-    controller.rights.confirm_sync(Steady(0));
+    controller.rights.confirm_renewal(MonotonicTime(0));
+    controller.rights.confirm_sync(MonotonicTime(0));
     controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     controller
 }
@@ -100,7 +100,7 @@
         notices: vec![],
         follow: None,
     };
-    controller.take_summary(Steady(ms), summary);
+    controller.take_summary(MonotonicTime(ms), summary);
     let (epoch, term) = controller.epoch(at(ms)).unwrap();
     let grants = !epoch.is_empty();
     controller.publish(at(ms), epoch, term);
@@ -203,8 +203,8 @@
     // their leases had proven all that was needed.
     let mut controller = leader();
     let speaks_for = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
-        controller.rights.confirm_renewal(Steady(ms));
-        controller.rights.confirm_sync(Steady(ms));
+        controller.rights.confirm_renewal(MonotonicTime(ms));
+        controller.rights.confirm_sync(MonotonicTime(ms));
         let mut n1 = view("n-1", true, if agent_epoch == 1 { &[0] } else { &[] });
         n1.agent_epoch = AgentEpoch(agent_epoch);
         let mut s = Summary {
@@ -220,7 +220,7 @@
         if alive {
             s.answered.push((MachineId::new("n-1"), 0));
         }
-        controller.take_summary(Steady(ms), s);
+        controller.take_summary(MonotonicTime(ms), s);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         controller.publish(at(ms), epoch, term);
         let leader = controller.leader.as_ref().unwrap();
@@ -231,7 +231,7 @@
     assert_eq!(speaks_for(&mut controller, 30_000, true, 1), (true, 0));
     assert_eq!(speaks_for(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
     assert_eq!(speaks_for(&mut controller, 42_000, false, 1), (false, 1));
-    let plan = controller.plan_for(NodeId(0), Steady(42_000)).unwrap().0;
+    let plan = controller.plan_for(NodeId(0), MonotonicTime(42_000)).unwrap().0;
     let told = plan.body.map(|b| b.expired_leases);
     assert_eq!(told, Some(vec![(MachineId::new("n-1"), AgentEpoch(1))]), "its part is told");
     assert_eq!(speaks_for(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
@@ -246,7 +246,7 @@
     let mut controller = leader();
     let alive = || vec![view("n-2", true, &[])];
     let returned = |controller: &mut Controller, ms| {
-        controller.rights.confirm_renewal(Steady(ms));
+        controller.rights.confirm_renewal(MonotonicTime(ms));
         tell(controller, ms, 1, alive());
         controller
             .with_leader(at(ms), |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
@@ -282,7 +282,7 @@
             applied_plan: PlanSeq(1),
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(Steady(number), piece);
+        controller.take_summary(MonotonicTime(number), piece);
         let (epoch, _) = controller.epoch(at(number)).unwrap();
         assert!(epoch.is_empty(), "{number}");
         let leader = controller.leader.as_ref().unwrap();
@@ -304,7 +304,7 @@
     ];
     for (what, up_ms, answered, over) in cases {
         let mut controller = leader();
-        let now = Steady(300_000);
+        let now = MonotonicTime(300_000);
         controller.rights.confirm_renewal(now);
         controller.rights.confirm_sync(now);
         for node in 0..3 {
@@ -359,11 +359,11 @@
                     l.fleet.listed_page(cluster, after.as_ref(), &page)
                 });
             };
-        controller.rights.confirm_renewal(Steady(1_000));
+        controller.rights.confirm_renewal(MonotonicTime(1_000));
         tell(&mut controller, 1_000, 0, vec![view("n-1", true, &[])]);
         list(&mut controller, 500, &["n-1", "n-2"], None, false);
         list(&mut controller, second, &["n-1"], after, truncated);
-        controller.rights.confirm_renewal(Steady(when));
+        controller.rights.confirm_renewal(MonotonicTime(when));
         controller.leader.as_mut().unwrap().unresolved.clear();
         tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
         let gone = controller.with_leader(at(when), |l, cluster| {
@@ -379,7 +379,7 @@
     // What a missed summary told could be a task on a machine, or an answer to a worker.
     let other = Incarnation(8);
     let mut controller = leader();
-    let mut take = |s| controller.take_summary(Steady(1_000), s).0;
+    let mut take = |s| controller.take_summary(MonotonicTime(1_000), s).0;
     assert!(
         matches!(take(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
         "nothing is known yet"
@@ -396,7 +396,7 @@
         controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
     };
     assert_eq!(told(&controller), Some(6), "a late one changes nothing");
-    controller.take_summary(Steady(1_100), summary(1, 0, other));
+    controller.take_summary(MonotonicTime(1_100), summary(1, 0, other));
     let leader = controller.leader.as_ref().unwrap();
     assert!(leader.renew_term.is_some(), "a new life needs a new term");
     assert_eq!(told(&controller), Some(6));
@@ -405,7 +405,7 @@
 #[test]
 fn what_is_on_record_ahead_is_unresolved_for_others_only() {
     let mut controller = leader();
-    let accepted = Accepted { spec: spec(2, 20), at: Wall(1) };
+    let accepted = Accepted { spec: spec(2, 20), at: WallTime(1) };
     let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
     let mut replica_changes = ReplicaChanges::default();
     let job = item(replica::job_key(JobId(2)), wire::to_value(&accepted));
@@ -464,9 +464,10 @@
     ];
     let mut controller = leader();
     for (age_s, idle_s, done, held, at_limit, want) in cases {
-        let moment = Moment { steady: Steady(400_000), wall: Wall(1 + age_s * 1_000) };
+        let moment =
+            ClockReading { steady: MonotonicTime(400_000), wall: WallTime(1 + age_s * 1_000) };
         if let Some(leader) = &mut controller.leader {
-            leader.idle.insert(JobId(1), Steady(400_000 - idle_s * 1_000));
+            leader.idle.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
         }
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
             job.progress.done = Ranges::span(0, done);
@@ -479,7 +480,7 @@
     }
     // Within a rank, age wins in the end over work that is still in time.
     let weigh = |controller: &mut Controller, age_s: u64| {
-        let moment = Moment { steady: Steady(1), wall: Wall(1 + age_s * 1_000) };
+        let moment = ClockReading { steady: MonotonicTime(1), wall: WallTime(1 + age_s * 1_000) };
         let due = |cluster: &ClusterView<'_>| {
             let mut job = cluster.replica.jobs[&JobId(1)].clone();
             job.spec.deadline_s = Some(100.0);
@@ -542,7 +543,7 @@
         ),
     ];
     for id in 1..=600 {
-        let accepted = Accepted { spec: spec(id, 3), at: Wall(1) };
+        let accepted = Accepted { spec: spec(id, 3), at: WallTime(1) };
         items.push((replica::job_key(JobId(id)), wire::to_value(&accepted)));
     }
     for key in 0..16u64 {
@@ -598,15 +599,16 @@
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
         let before = controller.replica.granted_before();
         let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
-        let offer = Offer { machine_type: "small".into(), zone: "a".into(), spot: false };
-        controller
-            .with_leader(at(1_000), |l, cluster| l.fleet.rented(cluster.now, &rented, &offer));
+        let offer = MachineOffer { machine_type: "small".into(), zone: "a".into(), spot: false };
+        controller.with_leader(at(1_000), |l, cluster| {
+            l.fleet.add_provisioned(cluster.now, &rented, &offer)
+        });
         let mut revision = 9;
         let mut granted: FxHashSet<TaskId> = FxHashSet::default();
         for step in 0..400u64 {
             let ms = 1_200 + step * 450;
-            controller.rights.confirm_renewal(Steady(ms));
-            controller.rights.confirm_sync(Steady(ms));
+            controller.rights.confirm_renewal(MonotonicTime(ms));
+            controller.rights.confirm_sync(MonotonicTime(ms));
             let told = Summary {
                 node: NodeId(0),
                 number: step + 1,
@@ -616,7 +618,7 @@
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, INCARNATION)
             };
-            controller.take_summary(Steady(ms), told);
+            controller.take_summary(MonotonicTime(ms), told);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
                 assert!(
@@ -686,8 +688,8 @@
     let mut granted = 0;
     for step in 0..6u64 {
         let ms = 1_200 + step * 450;
-        controller.rights.confirm_renewal(Steady(ms));
-        controller.rights.confirm_sync(Steady(ms));
+        controller.rights.confirm_renewal(MonotonicTime(ms));
+        controller.rights.confirm_sync(MonotonicTime(ms));
         let told = Summary {
             node: NodeId(0),
             number: step + 1,
@@ -697,7 +699,7 @@
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(Steady(ms), told);
+        controller.take_summary(MonotonicTime(ms), told);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.changes);
@@ -721,7 +723,7 @@
     let member =
         replica::MemberRecord { incarnation: INCARNATION, version: String::new(), capabilities };
     let mut replica_changes = ReplicaChanges::default();
-    let accepted = Accepted { spec: gang, at: Wall(1_000_500) };
+    let accepted = Accepted { spec: gang, at: WallTime(1_000_500) };
     controller
         .replica
         .load(&item(replica::job_key(JobId(7)), wire::to_value(&accepted)), &mut replica_changes);
@@ -808,7 +810,7 @@
         tell(&mut controller, 1_500, 1, idle());
         let attempt = granted_of(&controller).1.unwrap();
         let now = || vec![shows("n-1", first), shows("n-2", second)];
-        controller.rights.confirm_renewal(Steady(1_700));
+        controller.rights.confirm_renewal(MonotonicTime(1_700));
         if stopped {
             let all = [shows("n-1", &[(0, Running), (1, Running)]), shows("n-2", &[(2, Running)])];
             tell(&mut controller, 1_800, 2, all.to_vec());
@@ -820,7 +822,7 @@
             continue;
         }
         assert!(stops[0].before > attempt && stops[0].leeway_ms == 0);
-        let plan = controller.plan_for(NodeId(0), Steady(2_000)).unwrap().0;
+        let plan = controller.plan_for(NodeId(0), MonotonicTime(2_000)).unwrap().0;
         assert_eq!(plan.body.unwrap().stops, stops, "parts are told");
         // While any is left, whatever else is free, none starts: it would be beside the old ones.
         for ms in [2_300, 2_600] {
@@ -866,7 +868,7 @@
             notices: vec![(MachineId::new("n-2"), ms)],
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(Steady(1_300), told);
+        controller.take_summary(MonotonicTime(1_300), told);
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(
@@ -888,7 +890,7 @@
         controller.replica.jobs.remove(&JobId(1));
         let item = |key: String, v| KeyValue { key, value: v, version: Revision(11) };
         let mut replica_changes = ReplicaChanges::default();
-        let array = Accepted { spec: spec(8, 1), at: Wall(1_001_000 - age_s * 1_000) };
+        let array = Accepted { spec: spec(8, 1), at: WallTime(1_001_000 - age_s * 1_000) };
         controller
             .replica
             .load(&item(replica::job_key(JobId(8)), wire::to_value(&array)), &mut replica_changes);
@@ -901,7 +903,11 @@
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         tell(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
-            l.market.note_gangs(Steady(1_150), (Cores(64_000), Cores(64_000)), Default::default());
+            l.market.note_gangs(
+                MonotonicTime(1_150),
+                (Cores(64_000), Cores(64_000)),
+                Default::default(),
+            );
         });
         tell(&mut controller, 1_200, 1, idle());
         tell(&mut controller, 1_400, 1, idle());
@@ -958,12 +964,15 @@
         };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
         let brief = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
-        put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: Wall(1) }));
+        put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: WallTime(1) }));
         if let Some(edit) = urgent {
             let mut other =
                 wire::JobSpec { priority: Priority::High, team: "blue".into(), ..spec(9, 1) };
             edit(&mut other);
-            put(replica::job_key(JobId(9)), wire::to_value(&Accepted { spec: other, at: Wall(1) }));
+            put(
+                replica::job_key(JobId(9)),
+                wire::to_value(&Accepted { spec: other, at: WallTime(1) }),
+            );
         }
         tell(&mut controller, 1_100, 0, vec![]);
         for step in 0..4 {
@@ -1001,7 +1010,7 @@
     let mut controller = leader();
     let mut weigh = |(age, deadline_s, run_s, tasks): (f64, f64, f64, u32)| {
         let now = at(1_000_000);
-        let accepted = Wall(now.wall.0 - (age * 1_000.0) as u64);
+        let accepted = WallTime(now.wall.0 - (age * 1_000.0) as u64);
         let spec = wire::JobSpec {
             deadline_s: Some(deadline_s),
             estimated_run_s: run_s,
