--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,6 +1,6 @@
 //! The right to answer and to lead, counted from when a confirmed request was sent.
 
-use crate::model::{Attempt, NodeId, Steady, StoreLease, Term};
+use crate::model::{Attempt, MonotonicTime, NodeId, StoreLease, Term};
 
 /// Steady clocks drift apart by at most 0.05%; twice that is taken off every right.
 pub fn less_drift(ms: u64) -> u64 {
@@ -25,30 +25,30 @@
 
 /// What this node may do, as its own clock says.
 #[derive(Clone, Debug, Default)]
-pub struct Rights {
+pub struct LeaseRights {
     keep_alive_ms: u64,
     /// The lease that this node's key hangs on.
     pub lease: Option<StoreLease>,
-    renewed: Option<Steady>,
-    synced: Option<Steady>,
+    renewed: Option<MonotonicTime>,
+    synced: Option<MonotonicTime>,
     /// Since when the store has served this node without a longer break.
-    served_since: Steady,
+    served_since: MonotonicTime,
 }
 
-impl Rights {
+impl LeaseRights {
     /// No rights yet; `keep_alive_ms` is how long a proof of being current lasts.
     pub fn new(keep_alive_ms: u64) -> Self {
-        Rights { keep_alive_ms, ..Rights::default() }
+        LeaseRights { keep_alive_ms, ..LeaseRights::default() }
     }
 
     /// A renewal of the lease that holds this node's key was confirmed; it was sent then.
-    pub fn confirm_renewal(&mut self, sent: Steady) {
+    pub fn confirm_renewal(&mut self, sent: MonotonicTime) {
         self.note_served(sent);
         self.renewed = self.renewed.max(Some(sent));
     }
 
     /// The replica was confirmed to be current; the request was sent then.
-    pub fn confirm_sync(&mut self, sent: Steady) {
+    pub fn confirm_sync(&mut self, sent: MonotonicTime) {
         self.note_served(sent);
         self.synced = self.synced.max(Some(sent));
     }
@@ -61,7 +61,7 @@
     /// Whether reports may be answered with 200. Both proofs count: without news of
     /// cancellations a worker must not be kept alive beyond `cancel_s` less its lease, and a
     /// leader takes an absent node's last renewal for the start of its last right.
-    pub fn may_answer(&self, now: Steady) -> bool {
+    pub fn may_answer(&self, now: MonotonicTime) -> bool {
         match (self.renewed, self.synced) {
             (Some(r), Some(s)) => now < r.min(s).plus(less_drift(self.keep_alive_ms)),
             _ => false,
@@ -71,7 +71,7 @@
     /// Whether tasks may be started. A node that has not heard from the store for a while may have
     /// missed cancellations that others confirmed. Keeping workers alive is bounded by `cancel_s`,
     /// starting what nobody wants any more is not wanted at all.
-    pub fn may_start(&self, now: Steady) -> bool {
+    pub fn may_start(&self, now: MonotonicTime) -> bool {
         self.may_answer(now)
             && self
                 .synced
@@ -79,56 +79,56 @@
     }
 
     /// Whether this node may still take itself for the leader, if it was elected.
-    pub fn may_lead(&self, now: Steady) -> bool {
+    pub fn may_lead(&self, now: MonotonicTime) -> bool {
         self.lease.is_some()
             && self.renewed.is_some_and(|r| now < r.plus(less_drift(LEASE_MS).saturating_sub(100)))
     }
 
     /// Milliseconds since the replica was known to be current.
-    pub fn sync_age(&self, now: Steady) -> Option<u64> {
+    pub fn sync_age(&self, now: MonotonicTime) -> Option<u64> {
         self.synced.map(|s| now.since(s))
     }
 
-    fn note_served(&mut self, sent: Steady) {
+    fn note_served(&mut self, sent: MonotonicTime) {
         if self.served_age(sent) > BREAK_MS {
             self.served_since = sent;
         }
     }
 
     /// Milliseconds for which the store has served this node without a longer break.
-    pub fn served_for(&self, now: Steady) -> u64 {
+    pub fn served_for(&self, now: MonotonicTime) -> u64 {
         now.since(self.served_since)
     }
 
     /// Milliseconds since the store last served this node, in any way.
-    pub fn served_age(&self, now: Steady) -> u64 {
+    pub fn served_age(&self, now: MonotonicTime) -> u64 {
         now.since(self.synced.max(self.renewed).unwrap_or_default())
     }
 
     /// When the replica was last known to be current.
-    pub fn synced_at(&self) -> Option<Steady> {
+    pub fn synced_at(&self) -> Option<MonotonicTime> {
         self.synced
     }
 }
 
 /// The latest moment, by the leader's clock, at which a node whose key is absent since
 /// `absent` can have answered a report: its last renewal was a whole lease earlier.
-pub fn last_right(absent: Steady, keep_alive_ms: u64) -> Steady {
+pub fn last_right(absent: MonotonicTime, keep_alive_ms: u64) -> MonotonicTime {
     absent.less(less_drift(LEASE_MS)).plus(plus_drift(keep_alive_ms))
 }
 
 /// Gives out attempts of a node within a term.
 #[derive(Clone, Debug)]
-pub struct Attempts {
+pub struct AttemptAllocator {
     term: Term,
     node: NodeId,
     n: u32,
 }
 
-impl Attempts {
+impl AttemptAllocator {
     /// Starts counting for a term.
     pub fn new(term: Term, node: NodeId) -> Self {
-        Attempts { term, node, n: 0 }
+        AttemptAllocator { term, node, n: 0 }
     }
     /// A new attempt.
     pub fn give(&mut self) -> Attempt {
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -16,29 +16,29 @@
         (Some(9_000), Some(1_000), 18_990, false, false),
     ];
     for (renewed, synced, now, answer, leader) in cases {
-        let mut r = Rights::new(18_000);
+        let mut r = LeaseRights::new(18_000);
         r.lease = Some(StoreLease(1));
         if let Some(t) = renewed {
-            r.confirm_renewal(Steady(t));
-            r.confirm_renewal(Steady(t / 2));
+            r.confirm_renewal(MonotonicTime(t));
+            r.confirm_renewal(MonotonicTime(t / 2));
         }
         if let Some(t) = synced {
-            r.confirm_sync(Steady(t));
+            r.confirm_sync(MonotonicTime(t));
         }
-        let got = (r.may_answer(Steady(now)), r.may_lead(Steady(now)));
+        let got = (r.may_answer(MonotonicTime(now)), r.may_lead(MonotonicTime(now)));
         assert_eq!(got, (answer, leader), "{renewed:?} {synced:?} {now}");
         r.lose_lease();
-        assert!(!r.may_lead(Steady(now)));
+        assert!(!r.may_lead(MonotonicTime(now)));
     }
 }
 
 #[test]
 fn an_absent_nodes_right_is_bounded_from_above() {
     // A node renews at 0 at the latest, its key vanishes at 3 s at the earliest.
-    let bound = last_right(Steady(3_000), 18_000);
-    let mut r = Rights::new(18_000);
-    r.confirm_renewal(Steady(0));
-    r.confirm_sync(Steady(2_000));
+    let bound = last_right(MonotonicTime(3_000), 18_000);
+    let mut r = LeaseRights::new(18_000);
+    r.confirm_renewal(MonotonicTime(0));
+    r.confirm_sync(MonotonicTime(2_000));
     assert!(!r.may_answer(bound));
 }
 
@@ -57,10 +57,10 @@
         (2_000, 1_000, 1_000, 3_000, false, false),
     ];
     for (keep_alive, renewed, synced, now, start, answer) in cases {
-        let mut r = Rights::new(keep_alive);
-        r.confirm_renewal(Steady(renewed));
-        r.confirm_sync(Steady(synced));
-        let got = (r.may_start(Steady(now)), r.may_answer(Steady(now)));
+        let mut r = LeaseRights::new(keep_alive);
+        r.confirm_renewal(MonotonicTime(renewed));
+        r.confirm_sync(MonotonicTime(synced));
+        let got = (r.may_start(MonotonicTime(now)), r.may_answer(MonotonicTime(now)));
         assert_eq!(got, (start, answer), "{keep_alive} {renewed} {synced} {now}");
     }
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -16,7 +16,7 @@
 
 /// What a task takes. Memory and accelerators are counted in thousandths like cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Need {
+pub struct Resources {
     /// Cores.
     pub cores: Cores,
     /// Accelerators.
@@ -25,10 +25,10 @@
     pub memory: Cores,
 }
 
-impl Need {
+impl Resources {
     /// What each task of a job takes.
     pub fn of(spec: &JobSpec) -> Self {
-        Need {
+        Resources {
             cores: Cores::need(spec.vcpus),
             accelerators: Cores::need(spec.accelerators),
             memory: Cores::need(spec.mem_gb),
@@ -36,20 +36,20 @@
     }
     /// What a machine of a type offers.
     pub fn offered(machine_type: &MachineType) -> Self {
-        Need {
+        Resources {
             cores: Cores::offer(machine_type.vcpus),
             accelerators: Cores::offer(machine_type.accelerators),
             memory: Cores::offer(machine_type.mem_gb),
         }
     }
     /// Whether this fits into what is free.
-    pub fn fits(&self, free: &Need) -> bool {
+    pub fn fits(&self, free: &Resources) -> bool {
         self.cores <= free.cores
             && self.accelerators <= free.accelerators
             && self.memory <= free.memory
     }
     /// Takes this away from what is free.
-    pub fn take_from(&self, free: &mut Need) {
+    pub fn take_from(&self, free: &mut Resources) {
         free.cores = free.cores.less(self.cores);
         free.accelerators = free.accelerators.less(self.accelerators);
         free.memory = free.memory.less(self.memory);
@@ -76,7 +76,7 @@
 
 /// A machine as placement sees it.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct PlacementTarget {
     /// The machine.
     pub id: MachineId,
     /// Type.
@@ -86,7 +86,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// What is free; tasks that fetch their image count as there.
-    pub free: Need,
+    pub free: Resources,
     /// Images that it has or fetches, with their sizes in GB.
     pub images: Vec<(Rc<str>, f64)>,
     /// Images that it fetches.
@@ -103,15 +103,15 @@
     pub reserved: bool,
 }
 
-impl Room {
+impl PlacementTarget {
     /// Whether a task of the job may start here now.
-    pub fn takes(&self, spec: &JobSpec, need: &Need, zone: Option<&str>) -> bool {
+    pub fn takes(&self, spec: &JobSpec, need: &Resources, zone: Option<&str>) -> bool {
         !(self.reserved && spec.allows_spot && spec.kind != JobKind::Gang)
             && self.holds(spec, need, zone)
     }
 
     /// The same, whether it is kept for others or not.
-    pub fn holds(&self, spec: &JobSpec, need: &Need, zone: Option<&str>) -> bool {
+    pub fn holds(&self, spec: &JobSpec, need: &Resources, zone: Option<&str>) -> bool {
         self.open
             && need.fits(&self.free)
             && zone.is_none_or(|z| *z == *self.zone)
@@ -147,7 +147,7 @@
     }
 
     /// Counts a task in.
-    pub fn add(&mut self, spec: &JobSpec, need: &Need) {
+    pub fn add(&mut self, spec: &JobSpec, need: &Resources) {
         need.take_from(&mut self.free);
         if !self.has(&spec.image) {
             self.images.push((spec.image.clone(), spec.image_gb));
@@ -165,7 +165,7 @@
         open: bool,
     ) -> Option<Self> {
         let properties = catalog.get(&**machine_type)?;
-        let mut free = Need::offered(properties);
+        let mut free = Resources::offered(properties);
         let mut known = true;
         let mut fetching: Vec<Rc<str>> = Vec::new();
         for (task, state) in tasks {
@@ -174,12 +174,12 @@
                 known = false;
                 continue;
             };
-            Need::of(&job.spec).take_from(&mut free);
+            Resources::of(&job.spec).take_from(&mut free);
             if state == TaskState::FetchingImage && !fetching.contains(&job.spec.image) {
                 fetching.push(job.spec.image.clone());
             }
         }
-        Some(Room {
+        Some(PlacementTarget {
             id: id.clone(),
             machine_type: machine_type.clone(),
             zone: zone.clone(),
@@ -215,7 +215,7 @@
 const WARM_S_PER_GB: f64 = 0.1;
 
 /// What it costs to place a task on a machine, in seconds.
-fn cost(spec: &JobSpec, need: &Need, r: &Room) -> f64 {
+fn cost(spec: &JobSpec, need: &Resources, r: &PlacementTarget) -> f64 {
     r.fetch_s(spec)
         + r.delay_s
         + r.free.cores.less(need.cores).amount() * SPARE_CORE_S
@@ -225,13 +225,18 @@
 }
 
 /// The best machine for a task: shortest wait for the image, then the tightest fit.
-pub fn choose(spec: &JobSpec, need: &Need, rooms: &[Room], zone: Option<&str>) -> Option<usize> {
-    rooms
+pub fn choose(
+    spec: &JobSpec,
+    need: &Resources,
+    targets: &[PlacementTarget],
+    zone: Option<&str>,
+) -> Option<usize> {
+    targets
         .iter()
         .enumerate()
         .filter(|(_, r)| r.takes(spec, need, zone))
         .map(|(i, r)| (cost(spec, need, r), i))
-        .min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| rooms[a.1].id.cmp(&rooms[b.1].id)))
+        .min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| targets[a.1].id.cmp(&targets[b.1].id)))
         .map(|(_, i)| i)
 }
 
@@ -240,14 +245,14 @@
 /// again only when it got a task.
 pub fn spread(
     spec: &JobSpec,
-    need: &Need,
-    rooms: &mut [Room],
+    need: &Resources,
+    targets: &mut [PlacementTarget],
     zone: Option<&str>,
     count: usize,
 ) -> Vec<usize> {
     // Costs are not negative, so their bits sort as they do.
-    let bits = |r: &Room| cost(spec, need, r).max(0.0).to_bits();
-    let mut open: BinaryHeap<Reverse<(u64, usize)>> = rooms
+    let bits = |r: &PlacementTarget| cost(spec, need, r).max(0.0).to_bits();
+    let mut open: BinaryHeap<Reverse<(u64, usize)>> = targets
         .iter()
         .enumerate()
         .filter(|(_, r)| r.takes(spec, need, zone))
@@ -257,10 +262,10 @@
     while chosen.len() < count
         && let Some(Reverse((_, i))) = open.pop()
     {
-        rooms[i].add(spec, need);
+        targets[i].add(spec, need);
         chosen.push(i);
-        if rooms[i].takes(spec, need, zone) {
-            open.push(Reverse((bits(&rooms[i]), i)));
+        if targets[i].takes(spec, need, zone) {
+            open.push(Reverse((bits(&targets[i]), i)));
         }
     }
     chosen
@@ -274,25 +279,25 @@
 /// says when the last can begin, in seconds. `may` says which machines can be used at all.
 pub fn pack(
     spec: &JobSpec,
-    need: &Need,
-    rooms: &[Room],
+    need: &Resources,
+    targets: &[PlacementTarget],
     may: &[bool],
     zone: Option<&str>,
     count: usize,
 ) -> Option<(f64, Vec<usize>)> {
-    let wait = |r: &Room| {
+    let wait = |r: &PlacementTarget| {
         let slow = if r.slow { spec.estimated_run_s * SLOW_PART } else { 0.0 };
         let dear =
             if spec.allows_spot && !r.spot { spec.estimated_run_s * ORDINARY_PART } else { 0.0 };
         r.fetch_s(spec) + r.delay_s + slow + dear
     };
-    let mut open: Vec<(f64, usize, usize)> = rooms
+    let mut open: Vec<(f64, usize, usize)> = targets
         .iter()
         .enumerate()
         .filter(|(i, r)| may.get(*i).copied().unwrap_or(false) && r.takes(spec, need, zone))
         .map(|(i, r)| (wait(r), i, slots(need, &r.free) as usize))
         .collect();
-    open.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| rooms[a.1].id.cmp(&rooms[b.1].id)));
+    open.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| targets[a.1].id.cmp(&targets[b.1].id)));
     let mut sum = 0;
     let last = open.iter().find(|o| {
         sum += o.2;
@@ -321,19 +326,19 @@
 /// The same among all of some machines, where it counts the tasks in at once.
 pub fn pack_in(
     spec: &JobSpec,
-    need: &Need,
-    rooms: &mut [Room],
+    need: &Resources,
+    targets: &mut [PlacementTarget],
     zone: Option<&str>,
     count: usize,
 ) -> Vec<usize> {
-    let all = vec![true; rooms.len()];
-    let chosen = pack(spec, need, rooms, &all, zone, count).map_or(vec![], |(_, chosen)| chosen);
-    chosen.iter().for_each(|i| rooms[*i].add(spec, need));
+    let all = vec![true; targets.len()];
+    let chosen = pack(spec, need, targets, &all, zone, count).map_or(vec![], |(_, chosen)| chosen);
+    chosen.iter().for_each(|i| targets[*i].add(spec, need));
     chosen
 }
 
 /// How many tasks fit into what is offered or free.
-pub fn slots(need: &Need, offered: &Need) -> u32 {
+pub fn slots(need: &Resources, offered: &Resources) -> u32 {
     let per = |n: Cores, o: Cores| o.0.checked_div(n.0).unwrap_or(u64::MAX);
     per(need.cores, offered.cores)
         .min(per(need.memory, offered.memory))
@@ -351,9 +356,9 @@
     spec: &'a JobSpec,
     catalog: &'a MachineCatalog,
 ) -> impl Iterator<Item = &'a MachineType> {
-    let need = Need::of(spec);
+    let need = Resources::of(spec);
     catalog.values().filter(move |f| {
-        need.fits(&Need::offered(f))
+        need.fits(&Resources::offered(f))
             && spec.machine_types.as_ref().is_none_or(|h| h.contains(&f.name))
             && spec.zone.as_ref().is_none_or(|y| f.zones.contains(y))
     })
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -19,13 +19,13 @@
     }
 }
 
-fn room(id: &str, cores: u64, memory: u64) -> Room {
-    Room {
+fn target(id: &str, cores: u64, memory: u64) -> PlacementTarget {
+    PlacementTarget {
         id: MachineId::new(id),
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        free: Need {
+        free: Resources {
             cores: Cores(cores * 1000),
             accelerators: Cores(0),
             memory: Cores(memory * 1000),
@@ -43,50 +43,50 @@
 #[test]
 fn the_best_machine_is_chosen() {
     let job = spec(1, 1); // 4 cores, 8 GB, image of 1 GB
-    let need = Need::of(&job);
-    let edit = |mut r: Room, f: fn(&mut Room)| {
+    let need = Resources::of(&job);
+    let edit = |mut r: PlacementTarget, f: fn(&mut PlacementTarget)| {
         f(&mut r);
         r
     };
-    let has = |r: &mut Room| r.images.push(("img".into(), 1.0));
-    type Case = (&'static str, Vec<Room>, Option<&'static str>, Option<usize>);
+    let has = |r: &mut PlacementTarget| r.images.push(("img".into(), 1.0));
+    type Case = (&'static str, Vec<PlacementTarget>, Option<&'static str>, Option<usize>);
     let cases: Vec<Case> = vec![
         ("none", vec![], None, None),
-        ("too little memory", vec![room("n-1", 8, 7)], None, None),
-        ("too few cores", vec![room("n-1", 3, 64)], None, None),
-        ("tightest fit", vec![room("n-1", 16, 64), room("n-2", 8, 64)], None, Some(1)),
+        ("too little memory", vec![target("n-1", 8, 7)], None, None),
+        ("too few cores", vec![target("n-1", 3, 64)], None, None),
+        ("tightest fit", vec![target("n-1", 16, 64), target("n-2", 8, 64)], None, Some(1)),
         (
             "the image outweighs the fit",
-            vec![edit(room("n-1", 16, 64), has), room("n-2", 4, 64)],
+            vec![edit(target("n-1", 16, 64), has), target("n-2", 4, 64)],
             None,
             Some(0),
         ),
         (
             "a machine that fetches much is slower",
             vec![
-                edit(room("n-1", 4, 64), |r| r.fetching = ["x", "y", "z"].map(Rc::from).to_vec()),
-                room("n-2", 8, 64),
+                edit(target("n-1", 4, 64), |r| r.fetching = ["x", "y", "z"].map(Rc::from).to_vec()),
+                target("n-2", 8, 64),
             ],
             None,
             Some(1),
         ),
         (
             "closed machines take nothing",
-            vec![edit(room("n-1", 4, 64), |r| r.open = false)],
+            vec![edit(target("n-1", 4, 64), |r| r.open = false)],
             None,
             None,
         ),
         (
             "slow machines are used last",
-            vec![edit(room("n-1", 4, 64), |r| r.slow = true), room("n-2", 16, 64)],
+            vec![edit(target("n-1", 4, 64), |r| r.slow = true), target("n-2", 16, 64)],
             None,
             Some(1),
         ),
-        ("wrong zone", vec![room("n-1", 8, 64)], Some("b"), None),
+        ("wrong zone", vec![target("n-1", 8, 64)], Some("b"), None),
     ];
-    for (what, rooms, zone, want) in cases {
-        assert_eq!(choose(&job, &need, &rooms, zone), want, "{what}");
-        let first = spread(&job, &need, &mut rooms.clone(), zone, 1);
+    for (what, targets, zone, want) in cases {
+        assert_eq!(choose(&job, &need, &targets, zone), want, "{what}");
+        let first = spread(&job, &need, &mut targets.clone(), zone, 1);
         assert_eq!(first.first().copied(), want, "{what}, in one pass");
     }
 }
@@ -102,13 +102,13 @@
         (&[3, 7], 9, &[1]),
     ];
     let job = spec(1, 9);
-    let need = Need::of(&job);
+    let need = Resources::of(&job);
     for (cores, count, want) in cases {
         let names = ["n-1", "n-2"];
-        let mut rooms: Vec<Room> =
-            cores.iter().zip(names).map(|(c, id)| room(id, *c, 64)).collect();
-        let mut one_by_one = rooms.clone();
-        let chosen = spread(&job, &need, &mut rooms, None, count);
+        let mut targets: Vec<PlacementTarget> =
+            cores.iter().zip(names).map(|(c, id)| target(id, *c, 64)).collect();
+        let mut one_by_one = targets.clone();
+        let chosen = spread(&job, &need, &mut targets, None, count);
         assert_eq!(chosen, want, "{cores:?} {count}");
         let mut singly = Vec::new();
         while singly.len() < count
@@ -172,30 +172,30 @@
         ("nothing is there", &[], 1, None),
     ];
     let job = spec(1, 1);
-    let need = Need::of(&job);
+    let need = Resources::of(&job);
     for (what, machines, count, want) in cases {
-        let rooms: Vec<Room> = machines
+        let targets: Vec<PlacementTarget> = machines
             .iter()
             .map(|(id, cores, warm)| {
-                let mut r = room(id, *cores, 512);
+                let mut r = target(id, *cores, 512);
                 if *warm {
                     r.images.push((job.image.clone(), job.image_gb));
                 }
                 r
             })
             .collect();
-        let may = vec![true; rooms.len()];
-        let got = pack(&job, &need, &rooms, &may, Some("a"), count).map(|(_, chosen)| {
+        let may = vec![true; targets.len()];
+        let got = pack(&job, &need, &targets, &may, Some("a"), count).map(|(_, chosen)| {
             assert_eq!(chosen.len(), count, "{what}");
             let used: std::collections::BTreeSet<&str> =
-                chosen.iter().map(|i| &*rooms[*i].id.0).collect();
+                chosen.iter().map(|i| &*targets[*i].id.0).collect();
             used.into_iter().collect::<Vec<_>>()
         });
         assert_eq!(got.as_deref(), want, "{what}");
     }
-    let rooms = [room("n-1", 8, 512)];
-    assert!(pack(&job, &need, &rooms, &[false], None, 1).is_none(), "it may not be used");
-    assert!(pack(&job, &need, &rooms, &[true], Some("b"), 1).is_none(), "another zone");
+    let targets = [target("n-1", 8, 512)];
+    assert!(pack(&job, &need, &targets, &[false], None, 1).is_none(), "it may not be used");
+    assert!(pack(&job, &need, &targets, &[true], Some("b"), 1).is_none(), "another zone");
 }
 
 #[test]
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -12,9 +12,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::autoscaler::Load;
-use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, Wall};
-use crate::placement::{MachineCatalog, Need};
+use crate::autoscaler::OfferedLoad;
+use crate::model::{
+    Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, WallTime,
+};
+use crate::placement::{MachineCatalog, Resources};
 use crate::wire::{self, Condition, JobSpec, JobState, KeyValue, Value, WatchResponse};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
@@ -30,7 +32,7 @@
     /// What its user asked for.
     pub spec: JobSpec,
     /// When it was accepted.
-    pub at: Wall,
+    pub at: WallTime,
 }
 
 /// What is durable about a job's progress.
@@ -104,7 +106,7 @@
     /// Set once it is proven gone; the key stays for a while so that late reports are known
     /// for what they are.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gone: Option<Wall>,
+    pub gone: Option<WallTime>,
     /// Where its worker listens, for controllers that it never reported to.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub endpoint: String,
@@ -112,7 +114,7 @@
 
 impl MachineRecord {
     /// What is kept of it once it is gone: that it is.
-    pub fn tombstone(&self, at: Wall) -> Self {
+    pub fn tombstone(&self, at: WallTime) -> Self {
         MachineRecord {
             machine_type: String::new(),
             zone: String::new(),
@@ -136,7 +138,7 @@
     /// Its team.
     pub owner: String,
     /// What each task takes.
-    pub need: Need,
+    pub need: Resources,
     /// Tasks that were not done.
     pub left: u32,
 }
@@ -144,7 +146,7 @@
 impl ResidualUsage {
     fn of(spec: &JobSpec, done: u32) -> Self {
         let left = spec.task_count.saturating_sub(done);
-        ResidualUsage { owner: spec.team.clone(), need: Need::of(spec), left }
+        ResidualUsage { owner: spec.team.clone(), need: Resources::of(spec), left }
     }
 }
 
@@ -170,7 +172,7 @@
     /// The job.
     pub spec: JobSpec,
     /// When it was accepted.
-    pub at: Wall,
+    pub at: WallTime,
     /// Its progress.
     pub progress: Progress,
     /// Version of its progress; 0 if there is none yet.
@@ -243,7 +245,7 @@
     /// Granted ranges by key number.
     pub epochs: BTreeMap<u32, (EpochRecord, Revision)>,
     /// What the load was, as the last leader wrote it.
-    pub load: Option<(Load, Revision)>,
+    pub load: Option<(OfferedLoad, Revision)>,
     /// Machine types, as the last leader that asked the cloud wrote them.
     pub catalog: Option<(wire::MachineTypes, Revision)>,
     /// Those that did not fit into the first value.
@@ -323,7 +325,7 @@
 /// there are none of. They are the only part without a bound, and the job is none the wider.
 pub fn kept_spec(spec: &JobSpec, catalog: &MachineCatalog, bytes: usize) -> JobSpec {
     let mut kept = spec.clone();
-    if wire::stored_bytes(&Accepted { spec: kept.clone(), at: Wall(u64::MAX) }) > bytes
+    if wire::stored_bytes(&Accepted { spec: kept.clone(), at: WallTime(u64::MAX) }) > bytes
         && let Some(machine_types) = &mut kept.machine_types
     {
         machine_types.retain(|h| catalog.contains_key(h));
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -36,7 +36,7 @@
 #[test]
 fn overlapping_and_late_watches_change_nothing() {
     let id = JobId(7);
-    let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: Wall(1) }, 3);
+    let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: WallTime(1) }, 3);
     let leader =
         |term| LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(term) };
     let mut l = Replica::new(NodeId(0));
@@ -58,7 +58,7 @@
     let done = Progress { done: Ranges::span(0, 1), ..Progress::default() };
     let item = |key: String, v, version| KeyValue { key, value: v, version: Revision(version) };
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
-    let accepted = Accepted { spec: spec(7, 2), at: Wall(1) };
+    let accepted = Accepted { spec: spec(7, 2), at: WallTime(1) };
     l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
     let job = &l.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
@@ -84,7 +84,7 @@
         let mut l = Replica::new(NodeId(0));
         let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
         for n in 1..=cancelled {
-            let accepted = Accepted { spec: spec(n, 2), at: Wall(1) };
+            let accepted = Accepted { spec: spec(n, 2), at: WallTime(1) };
             let news = vec![
                 set(job_key(JobId(n)), &accepted, 2 * n),
                 set(progress_key(JobId(n)), &gone, 2 * n + 1),
@@ -102,7 +102,7 @@
     for (kind, left) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
         let job = Job {
             spec: JobSpec { kind, ..spec(7, 3) },
-            at: Wall(1),
+            at: WallTime(1),
             progress: Progress::default(),
             progress_version: Revision(0),
         };
@@ -119,7 +119,7 @@
 fn completions_that_lie_far_apart_fit_into_a_value_and_are_recorded_in_the_end() {
     let mut job = Job {
         spec: spec(7, 4_000),
-        at: Wall(1),
+        at: WallTime(1),
         progress: Progress::default(),
         progress_version: Revision(0),
     };
--- a/src/service.rs
+++ b/src/service.rs
@@ -13,14 +13,14 @@
 use tracing::info;
 
 use crate::cloud::CloudClient;
-use crate::config::{Settings, StateLimits};
+use crate::config::{Settings, StoreLimits};
 use crate::controller::Controller;
 use crate::feature_flags::FeatureFlags;
-use crate::http::{self, Client, Kind, ServerLimits};
+use crate::http::{self, Client, ClientKind, ServerLimits};
 use crate::metrics::LatencyMetrics;
-use crate::model::{Incarnation, Moment, NodeId, Steady, Wall};
+use crate::model::{ClockReading, Incarnation, MonotonicTime, NodeId, WallTime};
 use crate::peer::PeerResponse;
-use crate::store_client::StateClient;
+use crate::store_client::StoreClient;
 use crate::wire::JobSpec;
 
 pub use reporting::STATUS_PATH;
@@ -65,15 +65,15 @@
 }
 
 /// Bytes of a message through the store that go into one value.
-fn message_chunk_bytes(limits: &StateLimits) -> usize {
+fn message_chunk_bytes(limits: &StoreLimits) -> usize {
     (limits.value_kb * 900.0) as usize
 }
 
 /// Bounds of the public address: all workers of a fleet must fit in, whatever users do.
 fn public_limits(connections: usize) -> ServerLimits {
     let kind = |path: &str| match path.starts_with("/api/") {
-        true => Kind::User,
-        false => Kind::Worker,
+        true => ClientKind::User,
+        false => ClientKind::Worker,
     };
     ServerLimits {
         users: connections * 3 / 10,
@@ -94,7 +94,7 @@
     /// State.
     pub controller: RefCell<Controller>,
     /// The state service.
-    pub store: StateClient,
+    pub store: StoreClient,
     cloud: CloudClient,
     peers: Vec<Rc<Client>>,
     wake_epoch: Notify,
@@ -105,14 +105,14 @@
     wake_confirm: Notify,
     confirms: RefCell<Vec<Waiter>>,
     accepts: RefCell<Vec<Submission>>,
-    responses_through_store: RefCell<HashMap<NodeId, (Steady, PeerResponse)>>,
+    responses_through_store: RefCell<HashMap<NodeId, (MonotonicTime, PeerResponse)>>,
     /// User requests being served.
     pub(crate) serving: Cell<usize>,
     announcing: Cell<usize>,
     /// Controllers' names.
     names: Vec<String>,
     /// When operators were last told of a message that was not understood.
-    told_unread: Cell<Option<Steady>>,
+    told_unread: Cell<Option<MonotonicTime>>,
     metrics: LatencyMetrics,
     /// Microseconds that the last epoch took.
     epoch_us: Cell<u64>,
@@ -133,12 +133,12 @@
             me: controller.me,
             nodes: controller.nodes.len(),
             peers: controller.nodes.iter().map(|n| Rc::new(Client::new(n.back, 4 << 20))).collect(),
-            store: StateClient::new(
-                settings.outside.state,
+            store: StoreClient::new(
+                settings.external.state,
                 &settings.params.state,
                 settings.params.nodes,
             ),
-            cloud: CloudClient::new(settings.outside.cloud, settings.params.cloud.rps),
+            cloud: CloudClient::new(settings.external.cloud, settings.params.cloud.rps),
             controller: RefCell::new(controller),
             settings,
             started: Instant::now(),
@@ -160,19 +160,19 @@
     }
 
     /// Now, by this process's steady clock.
-    pub fn now(&self) -> Steady {
-        Steady(self.started.elapsed().as_millis() as u64)
+    pub fn now(&self) -> MonotonicTime {
+        MonotonicTime(self.started.elapsed().as_millis() as u64)
     }
 
     /// Now, by the time of day.
-    pub fn wall(&self) -> Wall {
+    pub fn wall(&self) -> WallTime {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Wall(since.as_millis() as u64)
+        WallTime(since.as_millis() as u64)
     }
 
     /// Now, by both clocks.
-    pub fn moment(&self) -> Moment {
-        Moment { steady: self.now(), wall: self.wall() }
+    pub fn moment(&self) -> ClockReading {
+        ClockReading { steady: self.now(), wall: self.wall() }
     }
 
     /// Serves until the process is killed.
@@ -202,7 +202,7 @@
         spawn_local(self.clone().elect());
         spawn_local(self.clone().report_shard());
         spawn_local(self.clone().run_epochs());
-        spawn_local(self.clone().rent_and_return());
+        spawn_local(self.clone().scale_out_and_in());
         spawn_local(self.clone().write_completions());
         spawn_local(self.clone().write_accepted());
         spawn_local(self.clone().serve_confirms());
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -9,7 +9,7 @@
 use super::{STORE_MESSAGE_PERIOD, Service};
 use crate::metrics::Operation;
 use crate::model::Revision;
-use crate::store_client::{Committed, StateError};
+use crate::store_client::{Committed, StoreError};
 use crate::wire::Txn;
 
 /// Longest wait between two epochs; arrivals and reports bring them sooner.
@@ -95,8 +95,8 @@
     }
 
     /// Writes less at once when the store calls a write malformed.
-    pub(super) fn note_refused_write(&self, e: &StateError) {
-        if matches!(e, StateError::Malformed(400)) {
+    pub(super) fn note_refused_write(&self, e: &StoreError) {
+        if matches!(e, StoreError::Malformed(400)) {
             self.controller.borrow_mut().tighten();
         }
     }
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -13,7 +13,7 @@
 use crate::model::{JobId, Revision};
 use crate::peer::PeerRequest;
 use crate::replica;
-use crate::store_client::{Committed, StateError};
+use crate::store_client::{Committed, StoreError};
 use crate::wire::JobSpec;
 
 /// Least time between two writes of completions.
@@ -123,7 +123,7 @@
 
     /// Cancels a job durably: `Ok(true)` if it is cancelled now, `Ok(false)` if its progress
     /// changed meanwhile and the caller has to look again.
-    pub(crate) async fn write_cancelled(self: &Rc<Self>, id: JobId) -> Result<bool, StateError> {
+    pub(crate) async fn write_cancelled(self: &Rc<Self>, id: JobId) -> Result<bool, StoreError> {
         let Some((txn, progress)) = self.controller.borrow().cancel_txn(id) else {
             return Ok(false);
         };
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -11,7 +11,7 @@
 use super::failover::FENCE_AGAIN;
 use crate::lease::LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
-use crate::store_client::{Committed, StateError};
+use crate::store_client::{Committed, StoreError};
 
 impl Service {
     pub(super) async fn keep_lease(self: Rc<Self>) {
@@ -27,9 +27,9 @@
         }
     }
 
-    async fn renew_lease(&self) -> Result<(), StateError> {
+    async fn renew_lease(&self) -> Result<(), StoreError> {
         if !self.controller.borrow().loaded {
-            return Err(StateError::Unknown);
+            return Err(StoreError::Unknown);
         }
         let lease = self.controller.borrow().rights.lease;
         if let Some(lease) = lease {
@@ -40,7 +40,7 @@
                     Ok(())
                 }
                 Err(e) => {
-                    if e == StateError::NoLease {
+                    if e == StoreError::NoLease {
                         warn!("the lease in the store has ended");
                         self.controller.borrow_mut().rights.lose_lease();
                     }
@@ -62,7 +62,7 @@
             }
             Committed::No(_) => {
                 self.pull(Duration::ZERO).await?;
-                Err(StateError::Unknown)
+                Err(StoreError::Unknown)
             }
         }
     }
@@ -109,8 +109,8 @@
     }
 
     /// Takes the next term.
-    pub(super) async fn acquire_leadership(&self) -> Result<(), StateError> {
-        let txn = self.controller.borrow().election_txn().ok_or(StateError::NoLease)?;
+    pub(super) async fn acquire_leadership(&self) -> Result<(), StoreError> {
+        let txn = self.controller.borrow().election_txn().ok_or(StoreError::NoLease)?;
         let standby = self.controller.borrow().standby.is_some();
         let outcome = match standby {
             true => self.store.commit_hedged(&txn, FENCE_AGAIN).await,
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -15,7 +15,7 @@
 use crate::http::{Client, Response};
 use crate::message_chunks;
 use crate::metrics::Operation;
-use crate::model::{NodeId, Steady};
+use crate::model::{MonotonicTime, NodeId};
 use crate::peer::{self, PeerRequest, PeerResponse, Summary};
 use crate::shard::{DirectMessage, HeartbeatOutcome};
 use crate::wire::{self, DirectCommand};
@@ -39,7 +39,7 @@
     pub(super) async fn report_shard(self: Rc<Self>) {
         let mut failures = 0u32;
         let mut before: Option<NodeId> = None;
-        let (mut relayed, mut tried) = (Steady(0), Steady(0));
+        let (mut relayed, mut tried) = (MonotonicTime(0), MonotonicTime(0));
         loop {
             let _ = timeout(SUMMARY, self.wake_shard_report.notified()).await;
             let leader = self.controller.borrow().leader();
@@ -67,11 +67,11 @@
                 if now.since(relayed) >= STORE_MESSAGE_PERIOD.as_millis() as u64 {
                     relayed = now;
                     let limits = &self.settings.params.state;
-                    let room = message_chunks::capacity(
+                    let byte_budget = message_chunks::capacity(
                         message_chunk_bytes(limits),
                         limits.txn_ops * TXNS_PER_SUMMARY,
                     );
-                    let summary = self.summary(room);
+                    let summary = self.summary(byte_budget);
                     self.send_summary_through_store(leader, &summary).await;
                 }
                 None
@@ -84,11 +84,11 @@
         }
     }
 
-    fn summary(&self, room: usize) -> Summary {
+    fn summary(&self, byte_budget: usize) -> Summary {
         let mut controller = self.controller.borrow_mut();
         controller.shard.news = false;
         let now = self.now();
-        self.metrics.time(Operation::Summary, || controller.summary(now, room))
+        self.metrics.time(Operation::Summary, || controller.summary(now, byte_budget))
     }
 
     /// Tells machines of a new term straight away, so that what they may still run and what may
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -8,21 +8,21 @@
 use tracing::{debug, error, info, warn};
 
 use super::Service;
-use crate::autoscaler::Offer;
+use crate::autoscaler::MachineOffer;
 use crate::cloud::CloudError;
 use crate::leader::Leader;
-use crate::model::{Steady, Term};
+use crate::model::{MonotonicTime, Term};
 use crate::replica;
 use crate::wire::{ScaleOutRequest, Txn};
 
 /// Most machines in one rental, as the cloud has it.
-const MOST_RENTED: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 impl Service {
-    pub(super) async fn rent_and_return(self: Rc<Self>) {
-        let mut priced: Option<Steady> = None;
-        let mut listed = Steady(0);
-        let mut open: VecDeque<(ScaleOutRequest, Offer)> = VecDeque::new();
+    pub(super) async fn scale_out_and_in(self: Rc<Self>) {
+        let mut priced: Option<MonotonicTime> = None;
+        let mut listed = MonotonicTime(0);
+        let mut open: VecDeque<(ScaleOutRequest, MachineOffer)> = VecDeque::new();
         let mut unknown: HashSet<String> = HashSet::new();
         let mut counter = 0u32;
         loop {
@@ -51,13 +51,13 @@
             };
             self.return_machines().await;
             if open.is_empty() {
-                open = self.next_rentals(term, &mut counter);
+                open = self.next_scale_out_requests(term, &mut counter);
             }
             // A rental whose outcome is not known is repeated under its name, after the others.
-            if let Some((rental, offer)) = open.pop_front() {
-                if !self.rent(&rental, &offer).await {
-                    unknown.insert(rental.idempotency_key.clone());
-                    open.push_back((rental, offer));
+            if let Some((request, offer)) = open.pop_front() {
+                if !self.rent(&request, &offer).await {
+                    unknown.insert(request.idempotency_key.clone());
+                    open.push_back((request, offer));
                 } else if self.is_refused(&offer) {
                     // Nor would the rest of what was wanted of it be had. What went out already
                     // has to go out again until its outcome is known.
@@ -107,40 +107,44 @@
         true
     }
 
-    fn next_rentals(&self, term: Term, counter: &mut u32) -> VecDeque<(ScaleOutRequest, Offer)> {
+    fn next_scale_out_requests(
+        &self,
+        term: Term,
+        counter: &mut u32,
+    ) -> VecDeque<(ScaleOutRequest, MachineOffer)> {
         let mut controller = self.controller.borrow_mut();
         let incarnation = controller.incarnation;
-        let wanted = controller.leader.as_mut().map(Leader::to_rent).unwrap_or_default();
+        let wanted = controller.leader.as_mut().map(Leader::take_scale_out).unwrap_or_default();
         let mut out = VecDeque::new();
         for (offer, mut left) in wanted {
             while left > 0 {
-                let count = left.min(MOST_RENTED);
+                let count = left.min(MAX_MACHINES_PER_REQUEST);
                 left -= count;
                 *counter += 1;
-                let rental = ScaleOutRequest {
+                let request = ScaleOutRequest {
                     idempotency_key: format!("r-{term}-{incarnation}-{counter}"),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
                     spot: offer.spot,
                     count,
                 };
-                out.push_back((rental, offer.clone()));
+                out.push_back((request, offer.clone()));
             }
         }
         out
     }
 
-    fn is_refused(&self, offer: &Offer) -> bool {
+    fn is_refused(&self, offer: &MachineOffer) -> bool {
         let controller = self.controller.borrow();
         controller.leader.as_ref().is_some_and(|l| !l.market.open(offer, self.now()))
     }
 
     /// Makes a rental; true once its outcome is known.
-    async fn rent(&self, rental: &ScaleOutRequest, offer: &Offer) -> bool {
+    async fn rent(&self, request: &ScaleOutRequest, offer: &MachineOffer) -> bool {
         if !self.still_leads().await {
             return false;
         }
-        let result = self.cloud.rent(rental).await;
+        let result = self.cloud.rent(request).await;
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
         let Some(leader) = &mut controller.leader else {
@@ -148,11 +152,11 @@
         };
         match result {
             Ok(ids) => {
-                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = rental.count, got = ids.len(), "rented");
-                if (ids.len() as u32) < rental.count {
+                info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = request.count, got = ids.len(), "rented");
+                if (ids.len() as u32) < request.count {
                     leader.market.refused(offer, now);
                 }
-                leader.fleet.rented(now, &ids, offer);
+                leader.fleet.add_provisioned(now, &ids, offer);
                 true
             }
             Err(CloudError::NoCapacity) => {
@@ -161,7 +165,7 @@
                 true
             }
             Err(CloudError::Refused(400)) => {
-                error!(?rental, "rental refused as malformed");
+                error!(?request, "rental refused as malformed");
                 leader.market.refused(offer, now);
                 true
             }
@@ -180,7 +184,7 @@
         if ids.is_empty() || !self.still_leads().await {
             return;
         }
-        if self.cloud.give_back(&ids).await.is_ok() {
+        if self.cloud.return_machines(&ids).await.is_ok() {
             info!(machines = ?ids.iter().map(|i| i.to_string()).collect::<Vec<_>>(), "returned");
             if let Some(leader) = &mut self.controller.borrow_mut().leader {
                 leader.machines_gone(&ids);
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Operation;
 use crate::model::Revision;
 use crate::replica::{self, Replica, ReplicaChanges};
-use crate::store_client::{PageSize, StateError};
+use crate::store_client::{PageSize, StoreError};
 
 impl Service {
     /// Keeps the replica current.
@@ -27,7 +27,7 @@
             }
             match self.pull(self.watch_for()).await {
                 Ok(()) => sleep(Duration::from_millis(40)).await,
-                Err(StateError::TooOld) => self.controller.borrow_mut().loaded = false,
+                Err(StoreError::TooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
                     debug!(error = %e, "cannot follow the store");
                     sleep(Duration::from_millis(150)).await;
@@ -43,7 +43,7 @@
     }
 
     /// Reads the whole store.
-    pub(super) async fn load(&self) -> Result<(), StateError> {
+    pub(super) async fn load(&self) -> Result<(), StoreError> {
         let sent = self.now();
         let mut first: Option<Revision> = None;
         // Pages as they were read take many times what the replica keeps of them, so each is taken at once.
@@ -81,9 +81,9 @@
     }
 
     /// Takes changes, waiting for some for up to `wait`.
-    pub(super) async fn pull(&self, wait: Duration) -> Result<(), StateError> {
+    pub(super) async fn pull(&self, wait: Duration) -> Result<(), StoreError> {
         let sent = self.now();
-        let after = self.controller.borrow().changes_from().ok_or(StateError::Unknown)?;
+        let after = self.controller.borrow().changes_from().ok_or(StoreError::Unknown)?;
         let got = self.store.changes(after, wait).await;
         let replica_changes = {
             let mut controller = self.controller.borrow_mut();
@@ -91,7 +91,7 @@
             let got = got?;
             self.metrics
                 .time(Operation::Watch, || controller.apply(&got, sent))
-                .ok_or(StateError::TooOld)?
+                .ok_or(StoreError::TooOld)?
         };
         self.note(&replica_changes);
         Ok(())
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use crate::config::{NodeInfo, Pace};
+use crate::config::{HeartbeatTiming, NodeInfo};
 use crate::model::{
-    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Steady, TaskId,
-    Term,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges,
+    TaskId, Term,
 };
 use crate::peer::{JobStatus, OwnershipChanges, Plan};
 use crate::placement::MachineCatalog;
@@ -40,7 +40,7 @@
     /// The tasks.
     pub tasks: Ranges,
     /// When the first of them was heard of.
-    pub since: Steady,
+    pub since: MonotonicTime,
 }
 
 /// How a report is answered.
@@ -94,13 +94,13 @@
 struct JobFaults {
     machines: HashSet<MachineId>,
     count: u32,
-    until: Steady,
+    until: MonotonicTime,
 }
 
 /// What the outside of a part looks like while it handles a report.
 pub struct ShardContext<'a> {
     /// Now.
-    pub now: Steady,
+    pub now: MonotonicTime,
     /// Whether this node may answer with 200.
     pub may_answer: bool,
     /// Whether it may start tasks.
@@ -118,7 +118,7 @@
     /// Milliseconds for which workers keep tasks without an answer.
     pub lease_ms: u64,
     /// How often workers report.
-    pub pace: Pace,
+    pub timing: HeartbeatTiming,
 }
 
 /// How jobs stand as the newest plan told, for users. It grants nothing, so it stays when a term begins: completions
@@ -144,23 +144,23 @@
     /// Newest report seen of any machine, against late copies.
     latest: HashMap<MachineId, NewestHeartbeat>,
     /// Machines of which an old report came: when they were asked, and whom to ask still.
-    doubted: HashMap<MachineId, Steady>,
+    doubted: HashMap<MachineId, MonotonicTime>,
     doubts: Vec<(MachineId, AgentEpoch)>,
     /// Machines that are to be told straight away to end tasks: of gangs that are being stopped, or
     /// of jobs that were cancelled.
     stopping: BTreeSet<MachineId>,
     /// Machines that were restarted and count from the start again.
     restarted: BTreeSet<MachineId>,
-    answered: BTreeMap<MachineId, Steady>,
-    released_workers: HashMap<MachineId, Steady>,
+    answered: BTreeMap<MachineId, MonotonicTime>,
+    released_workers: HashMap<MachineId, MonotonicTime>,
     faults: HashMap<JobId, JobFaults>,
     /// Tasks that completed and whose outcome is not known to be durable yet.
     pub completed_tasks: BTreeMap<JobId, CompletedTasks>,
     number: u64,
     /// Summaries sent lately, with when they were made.
-    sent: VecDeque<(u64, Steady)>,
+    sent: VecDeque<(u64, MonotonicTime)>,
     /// When any worker last reported here.
-    heard: Steady,
+    heard: MonotonicTime,
     /// Starts that were refused as another term had granted them.
     refused_starts: u64,
     /// Set when something happened that the leader should hear of soon.
@@ -187,7 +187,7 @@
             completed_tasks: BTreeMap::new(),
             number: 0,
             sent: VecDeque::new(),
-            heard: Steady(0),
+            heard: MonotonicTime(0),
             refused_starts: 0,
             news: false,
         }
@@ -341,7 +341,7 @@
                 self.on_own_heartbeat(context, heartbeat)
             }
             Responsibility::Other(owner) => {
-                match self.route(context.now, &context.pace, &heartbeat.machine) {
+                match self.route(context.now, &context.timing, &heartbeat.machine) {
                     Route::Send => self.go(context, usize::from(owner.0)),
                     Route::Keep => self.on_foreign_heartbeat(context, heartbeat, false),
                     Route::Cut => self.on_foreign_heartbeat(context, heartbeat, true),
@@ -418,7 +418,7 @@
             %task, %machine, %attempt, why, term = %plan.term, plan = plan.seq.0, "stops"
         );
         let grace_s = leeway_ms as f64 / 1000.0;
-        Some(WorkerCommand::Kill { task: task, attempt: attempt, grace_s })
+        Some(WorkerCommand::Kill { task, attempt, grace_s })
     }
 
     /// Logs why a report may be answered with 200.
@@ -436,7 +436,7 @@
         );
     }
 
-    fn note_completions(&mut self, now: Steady, replica: &Replica, heartbeat: &Heartbeat) {
+    fn note_completions(&mut self, now: MonotonicTime, replica: &Replica, heartbeat: &Heartbeat) {
         for p in &heartbeat.tasks {
             if p.state == TaskState::Exited && p.exit_reason == Some(ExitReason::Done) {
                 self.note_done(now, replica, p.task);
@@ -445,7 +445,7 @@
     }
 
     /// Notes a task that completed; if it is of a gang, all of its tasks did.
-    pub fn note_done(&mut self, now: Steady, replica: &Replica, task: TaskId) {
+    pub fn note_done(&mut self, now: MonotonicTime, replica: &Replica, task: TaskId) {
         let Some(job) = replica.jobs.get(&task.job) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         if !gang && !replica.may_run(task) || task.index >= job.spec.task_count {
@@ -466,7 +466,7 @@
     /// Takes completions that another controller heard of.
     pub fn merge_completions(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         replica: &Replica,
         completed_tasks: &[(u64, Ranges)],
     ) {
@@ -581,7 +581,7 @@
 
     /// Errors mostly mean a faulty machine, but a job that fails on several machines is
     /// faulty itself: then it backs off and the machines are not blamed.
-    fn note_error(&mut self, now: Steady, job: JobId, machine: &MachineId) {
+    fn note_error(&mut self, now: MonotonicTime, job: JobId, machine: &MachineId) {
         let f = self.faults.entry(job).or_default();
         f.machines.insert(machine.clone());
         f.count += 1;
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -3,7 +3,7 @@
 use super::machine::{HeldTask, Machine};
 use super::term_state::TermAnnouncement;
 use super::{DirectMessage, LATEST_KEPT, Shard, ShardContext, is_cancelled};
-use crate::model::{AgentEpoch, JobId, Steady, TaskId};
+use crate::model::{AgentEpoch, JobId, MonotonicTime, TaskId};
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
 
@@ -19,7 +19,7 @@
 impl Shard {
     /// An old report is a late copy, or its machine was restarted and counts from the start again.
     /// Only the machine itself can tell.
-    pub(super) fn doubt(&mut self, now: Steady, heartbeat: &Heartbeat) {
+    pub(super) fn doubt(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let id = &heartbeat.machine;
         if self.restarted.contains(id)
             || self.doubted.get(id).is_some_and(|at| now.since(*at) < DOUBT_AGAIN_MS)
@@ -38,7 +38,7 @@
     /// nothing starts on them before, and tasks of earlier terms wait for the proof.
     pub fn direct_messages_due(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         replica: &Replica,
         may_answer: bool,
         most: usize,
@@ -63,7 +63,7 @@
     /// Tells machines of this part that have not shown the term's token of it, up to `most` in all.
     fn announce_term(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         replica: &Replica,
         most: usize,
         out: &mut Vec<DirectMessage>,
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use super::ShardContext;
-use crate::config::Pace;
-use crate::model::{AgentEpoch, Attempt, MachineId, Steady, TaskId, Term};
-use crate::placement::Room;
+use crate::config::HeartbeatTiming;
+use crate::model::{AgentEpoch, Attempt, MachineId, MonotonicTime, TaskId, Term};
+use crate::placement::PlacementTarget;
 use crate::wire::{Heartbeat, JobSpec, TaskState};
 
 /// A task on a machine or on its way there.
@@ -26,14 +26,14 @@
     pub(super) agent_epoch: AgentEpoch,
     /// The token that its newest report showed.
     pub(super) token: Term,
-    pub(super) heard: Steady,
+    pub(super) heard: MonotonicTime,
     pub(super) warned: bool,
     /// When the cloud takes it, if it gave notice.
-    pub(super) leaves: Option<Steady>,
+    pub(super) leaves: Option<MonotonicTime>,
     pub(super) tasks: BTreeMap<TaskId, HeldTask>,
     pub(super) images: Vec<(Rc<str>, f64)>,
     pub(super) faults: u32,
-    pub(super) quarantined_until: Steady,
+    pub(super) quarantined_until: MonotonicTime,
     /// Starts in a row that the next report did not show.
     pub(super) missed: u32,
     /// The first summary that tells of it as it is now.
@@ -41,7 +41,7 @@
 }
 
 impl Machine {
-    pub(super) fn new(heartbeat: &Heartbeat, now: Steady) -> Self {
+    pub(super) fn new(heartbeat: &Heartbeat, now: MonotonicTime) -> Self {
         Machine {
             machine_type: heartbeat.machine_type.as_str().into(),
             zone: heartbeat.zone.as_str().into(),
@@ -55,7 +55,7 @@
             tasks: BTreeMap::new(),
             images: Vec::new(),
             faults: 0,
-            quarantined_until: Steady(0),
+            quarantined_until: MonotonicTime(0),
             missed: 0,
             changed: 0,
         }
@@ -84,30 +84,30 @@
     }
 
     /// Whether it may be given tasks in that term, as far as its own state tells.
-    pub(super) fn usable(&self, term: Term, now: Steady, pace: &Pace) -> bool {
+    pub(super) fn usable(&self, term: Term, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
         self.is_reconciled(term)
             && !self.warned
             && self.quarantined_until <= now
-            && now.since(self.heard) < pace.silent_ms
+            && now.since(self.heard) < timing.silent_ms
     }
 
     /// The room on it for tasks of that term; closed unless `open` and it may be given tasks.
-    pub(super) fn room(
+    pub(super) fn placement_target(
         &self,
         id: &MachineId,
         context: &ShardContext<'_>,
         term: Term,
         open: bool,
-    ) -> Option<Room> {
+    ) -> Option<PlacementTarget> {
         let tasks = self.tasks.iter().map(|(t, h)| (*t, h.state));
         let what = (id, &self.machine_type, &self.zone, self.spot);
-        Room::of(
+        PlacementTarget::of(
             what,
             tasks,
             &self.images,
             context.catalog,
             context.replica,
-            open && self.usable(term, context.now, &context.pace),
+            open && self.usable(term, context.now, &context.timing),
         )
     }
 
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,8 +1,8 @@
 //! Machines of other parts that report here: sent to their owner, or kept alive if they cannot reach it.
 
 use super::{HeartbeatOutcome, Shard, ShardContext};
-use crate::config::Pace;
-use crate::model::{AgentEpoch, MachineId, Steady};
+use crate::config::HeartbeatTiming;
+use crate::model::{AgentEpoch, MachineId, MonotonicTime};
 use crate::wire::{Heartbeat, HeartbeatResponse};
 
 /// Answers that a machine gets without showing this term's token before it is taken for deaf.
@@ -25,7 +25,7 @@
 /// When a machine was last sent to its owner.
 #[derive(Clone, Debug)]
 pub(super) struct Redirected {
-    pub(super) at: Steady,
+    pub(super) at: MonotonicTime,
     pub(super) tries: u32,
     /// Whether it has reported here since.
     pub(super) seen: bool,
@@ -44,10 +44,10 @@
 /// How a machine that has not shown this term's token was answered in it.
 #[derive(Clone, Debug)]
 pub(super) struct Unacknowledged {
-    pub(super) first: Steady,
+    pub(super) first: MonotonicTime,
     pub(super) agent_epoch: AgentEpoch,
     pub(super) answers: u32,
-    pub(super) refuse_until: Steady,
+    pub(super) refuse_until: MonotonicTime,
 }
 
 #[derive(Clone, Debug)]
@@ -56,8 +56,8 @@
     pub(super) zone: String,
     pub(super) spot: bool,
     /// When it came back from being sent to its owner, which it cannot reach then.
-    pub(super) back: Option<Steady>,
-    pub(super) last: Steady,
+    pub(super) back: Option<MonotonicTime>,
+    pub(super) last: MonotonicTime,
     /// Whether it showed this term's token, which no late copy from before does.
     pub(super) hears: bool,
 }
@@ -70,7 +70,7 @@
 
     /// Whether an isolated node sends a machine of its own away: not again for a while, as every
     /// try takes from the worker's lease.
-    pub(super) fn releases_worker(&mut self, now: Steady, id: &MachineId) -> bool {
+    pub(super) fn releases_worker(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
         if self.released_workers.get(id).is_some_and(|at| now.since(*at) < RELEASED_MS) {
             return false;
         }
@@ -95,7 +95,7 @@
             first: now,
             agent_epoch: heartbeat.agent_epoch,
             answers: 0,
-            refuse_until: Steady(0),
+            refuse_until: MonotonicTime(0),
         };
         let u = self
             .term_state
@@ -105,7 +105,7 @@
         if u.refuse_until > now {
             return false;
         }
-        if u.refuse_until > Steady(0) {
+        if u.refuse_until > MonotonicTime(0) {
             *u = fresh; // It gets another chance.
         }
         let ignored = u.answers >= DEAF_ANSWERS && now.since(u.first) > DEAF_MS;
@@ -121,11 +121,16 @@
     /// What to do with a machine of another part: it is sent to its owner. If it comes back
     /// late, the owner cannot be reached. If it comes back at once, the owner refuses, as one
     /// does that has just started, so after an answer here it is sent there again.
-    pub(super) fn route(&mut self, now: Steady, pace: &Pace, id: &MachineId) -> Route {
-        let again_ms = pace.out_of_reach_ms + 5_000;
+    pub(super) fn route(
+        &mut self,
+        now: MonotonicTime,
+        timing: &HeartbeatTiming,
+        id: &MachineId,
+    ) -> Route {
+        let again_ms = timing.out_of_reach_ms + 5_000;
         let stray = self.term_state.foreign_machines.get(id);
         if stray
-            .is_some_and(|s| s.back.is_some() && now.since(s.last) < pace.out_of_reach_ms + 2_000)
+            .is_some_and(|s| s.back.is_some() && now.since(s.last) < timing.out_of_reach_ms + 2_000)
         {
             return Route::Cut;
         }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -3,8 +3,8 @@
 use super::Shard;
 use super::machine::Machine;
 use super::redirect::RELEASED_MS;
-use crate::config::Pace;
-use crate::model::{MachineId, Steady, Term};
+use crate::config::HeartbeatTiming;
+use crate::model::{MachineId, MonotonicTime, Term};
 use crate::peer::{ForeignMachine, MachineView, Summary, TaskView};
 
 /// About how many bytes a summary takes, and each machine, task, image, answer and stray in it.
@@ -20,7 +20,7 @@
 
 const FOREIGN_MACHINE_BYTES: usize = 64;
 
-pub(super) fn view(id: &MachineId, m: &Machine, term: Term, now: Steady) -> MachineView {
+pub(super) fn view(id: &MachineId, m: &Machine, term: Term, now: MonotonicTime) -> MachineView {
     MachineView {
         id: id.clone(),
         machine_type: m.machine_type.clone(),
@@ -37,15 +37,20 @@
 }
 
 impl Shard {
-    /// What the leader is told, in about `room` bytes. Machines that do not fit are told of next, and
+    /// What the leader is told, in about `byte_budget` bytes. Machines that do not fit are told of next, and
     /// the leader takes none of it before all is there.
-    pub fn summary(&mut self, now: Steady, pace: &Pace, room: usize) -> Summary {
+    pub fn summary(
+        &mut self,
+        now: MonotonicTime,
+        timing: &HeartbeatTiming,
+        byte_budget: usize,
+    ) -> Summary {
         self.number += 1;
-        let kept_ms = pace.out_of_reach_ms + 7_000;
+        let kept_ms = timing.out_of_reach_ms + 7_000;
         self.term_state.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
         self.term_state.redirected.retain(|_, r| now.since(r.at) < kept_ms);
         self.released_workers.retain(|_, at| now.since(*at) < RELEASED_MS);
-        self.answered.retain(|_, at| now.since(*at) < pace.answers_ms);
+        self.answered.retain(|_, at| now.since(*at) < timing.answers_ms);
         self.sent.push_back((self.number, now));
         if self.sent.len() > 64 {
             self.sent.pop_front();
@@ -62,7 +67,7 @@
             .foreign_machines
             .iter()
             .filter(|(_, s)| s.hears)
-            .take(room / 2 / FOREIGN_MACHINE_BYTES)
+            .take(byte_budget / 2 / FOREIGN_MACHINE_BYTES)
             .map(|(id, s)| ForeignMachine {
                 id: id.clone(),
                 machine_type: s.machine_type.clone(),
@@ -79,7 +84,7 @@
         let mut whole = true;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| base == 0 || m.changed > base) {
             used += MACHINE_BYTES + m.tasks.len() * TASK_BYTES + m.images.len() * IMAGE_BYTES;
-            if used > room && !machines.is_empty() {
+            if used > byte_budget && !machines.is_empty() {
                 m.changed = self.number + 1;
                 whole = false;
             } else {
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -8,10 +8,10 @@
 use super::machine::{HeldTask, Machine};
 use super::term_state::{ActivePlan, GrantKind};
 use super::{Shard, ShardContext};
-use crate::model::{Attempt, Cores, JobId, MachineId, PlanSeq, Steady, TaskId, Term};
+use crate::model::{Attempt, Cores, JobId, MachineId, MonotonicTime, PlanSeq, TaskId, Term};
 use crate::peer::Grant;
 use crate::placement;
-use crate::placement::{Need, Room};
+use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Replica;
 use crate::wire::{JobSpec, Priority, TaskState, WorkerCommand};
 
@@ -57,11 +57,11 @@
 /// For each kind of these machines, the most urgent open work that may use it.
 fn highest_priority_by_kind(
     replica: &Replica,
-    rooms: &[Room],
+    targets: &[PlacementTarget],
 ) -> BTreeMap<MachineKind, Option<Priority>> {
     let specs = || replica.jobs.values().map(|j| &j.spec);
     let mut kinds = BTreeMap::new();
-    for r in rooms {
+    for r in targets {
         kinds.entry((r.machine_type.clone(), r.zone.clone(), r.spot)).or_insert_with(|| {
             placement::highest_priority(specs(), &r.machine_type, &r.zone, r.spot)
         });
@@ -91,19 +91,20 @@
         }
         let (term, plan) = (self.term_state.term, &self.term_state.plan);
         let open = !plan.is_drained(id);
-        let room = self.machines.get(id).and_then(|m| m.room(id, context, term, open));
-        let Some(mut room) = room else { return };
-        room.reserved = plan.is_reserved(id);
+        let target =
+            self.machines.get(id).and_then(|m| m.placement_target(id, context, term, open));
+        let Some(mut target) = target else { return };
+        target.reserved = plan.is_reserved(id);
         for start in queue {
-            if !self.start(context, &mut room, &start, commands) {
+            if !self.start(context, &mut target, &start, commands) {
                 self.term_state.unplaced = true;
             }
         }
-        self.start_backlog(context, &mut room, commands);
+        self.start_backlog(context, &mut target, commands);
     }
 
     /// Whether granted tasks are to be given machines anew: something speaks for it, or some have waited.
-    fn is_assignment_due(&self, now: Steady, freed: bool) -> bool {
+    fn is_assignment_due(&self, now: MonotonicTime, freed: bool) -> bool {
         let term_state = &self.term_state;
         let since = now.since(term_state.assigned);
         let waiting =
@@ -118,10 +119,10 @@
     fn start_backlog(
         &mut self,
         context: &ShardContext<'_>,
-        room: &mut Room,
+        target: &mut PlacementTarget,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !room.open || room.free.cores == Cores(0) || self.term_state.backlog.is_empty() {
+        if !target.open || target.free.cores == Cores(0) || self.term_state.backlog.is_empty() {
             return;
         }
         let mut backlog = std::mem::take(&mut self.term_state.backlog);
@@ -130,20 +131,20 @@
             let Some(job) = job.filter(|j| self.may_try(context.now, j.spec.id)) else {
                 return false;
             };
-            if room.free.cores == Cores(0)
-                || !room.is_warm(&job.spec)
-                || !self.is_first(&job.spec, room)
+            if target.free.cores == Cores(0)
+                || !target.is_warm(&job.spec)
+                || !self.is_first(&job.spec, target)
             {
                 return true;
             }
-            !self.start(context, room, start, commands)
+            !self.start(context, target, start, commands)
         });
         self.term_state.backlog = backlog;
     }
 
     /// Whether no job that is more urgent may use such machines.
-    fn is_first(&self, spec: &JobSpec, room: &Room) -> bool {
-        let kind = (room.machine_type.clone(), room.zone.clone(), room.spot);
+    fn is_first(&self, spec: &JobSpec, target: &PlacementTarget) -> bool {
+        let kind = (target.machine_type.clone(), target.zone.clone(), target.spot);
         let highest_priority = self.term_state.highest_priority.get(&kind).copied().flatten();
         highest_priority.is_some_and(|priority| spec.priority <= priority)
     }
@@ -155,51 +156,51 @@
     pub(super) fn start(
         &mut self,
         context: &ShardContext<'_>,
-        room: &mut Room,
+        target: &mut PlacementTarget,
         granted: &GrantedStart,
         commands: &mut Vec<WorkerCommand>,
     ) -> bool {
         let task = granted.task;
         if granted.term != self.term_state.term {
-            self.refuse_start(room, granted);
+            self.refuse_start(target, granted);
             return true;
         }
         let Some(job) = context.replica.jobs.get(&task.job) else { return true };
-        let need = Need::of(&job.spec);
+        let need = Resources::of(&job.spec);
         if !self.may_start(context.replica, task)
-            || !room.takes(&job.spec, &need, None)
+            || !target.takes(&job.spec, &need, None)
             || self.machines.values().any(|m| m.tasks.contains_key(&task))
         {
             return false;
         }
-        let Some(machine) = self.machines.get_mut(&room.id) else { return false };
-        room.add(&job.spec, &need);
+        let Some(machine) = self.machines.get_mut(&target.id) else { return false };
+        target.add(&job.spec, &need);
         let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.give());
         machine.remember_image(&job.spec);
         machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
         machine.changed = self.number + 1;
         self.news = true;
         tracing::debug!(
-            %task, machine = %room.id, %attempt, term = %granted.term, plan = granted.plan.0,
+            %task, machine = %target.id, %attempt, term = %granted.term, plan = granted.plan.0,
             grant = ?granted.kind, proof_ms = context.proof_ms, agent_epoch = machine.agent_epoch.0,
             token = %machine.token, "starts"
         );
-        commands.push(WorkerCommand::Start { task: task, attempt: attempt });
+        commands.push(WorkerCommand::Start { task, attempt });
         true
     }
 
     /// Notes a start that another term granted: something of that term outlived it.
-    fn refuse_start(&mut self, room: &Room, granted: &GrantedStart) {
+    fn refuse_start(&mut self, target: &PlacementTarget, granted: &GrantedStart) {
         self.refused_starts += 1;
         tracing::error!(
-            task = %granted.task, machine = %room.id, granted_in = %granted.term,
+            task = %granted.task, machine = %target.id, granted_in = %granted.term,
             plan = granted.plan.0, grant = ?granted.kind, term = %self.term_state.term,
             "a start is refused: another term granted it"
         );
     }
 
     /// Whether a job's tasks may be tried now: one that fails pauses.
-    fn may_try(&self, now: Steady, job: JobId) -> bool {
+    fn may_try(&self, now: MonotonicTime, job: JobId) -> bool {
         self.faults.get(&job).is_none_or(|f| f.until <= now)
     }
 
@@ -225,40 +226,40 @@
             self.term_state.unplaced = unplaced;
             return;
         }
-        let mut rooms = self.open_rooms(context, reporting);
+        let mut targets = self.open_rooms(context, reporting);
         let plan = &self.term_state.plan;
         let mut queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
         for (grant, tasks) in wanted.tasks {
             let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
-            let need = Need::of(&job.spec);
+            let need = Resources::of(&job.spec);
             let zone = grant.zone.as_deref();
             let chosen = match grant.attempt {
-                Some(_) => placement::pack_in(&job.spec, &need, &mut rooms, zone, tasks.len()),
-                None => placement::spread(&job.spec, &need, &mut rooms, zone, tasks.len()),
+                Some(_) => placement::pack_in(&job.spec, &need, &mut targets, zone, tasks.len()),
+                None => placement::spread(&job.spec, &need, &mut targets, zone, tasks.len()),
             };
             unplaced |= chosen.len() < tasks.len();
-            for (task, room) in tasks.into_iter().zip(chosen) {
+            for (task, target) in tasks.into_iter().zip(chosen) {
                 let start = GrantedStart::of(plan, task, grant.attempt, false);
-                queues.entry(rooms[room].id.clone()).or_default().push(start);
+                queues.entry(targets[target].id.clone()).or_default().push(start);
             }
         }
         let mut backlog = Vec::new();
         if !ahead.tasks.is_empty() {
-            self.term_state.highest_priority = highest_priority_by_kind(context.replica, &rooms);
+            self.term_state.highest_priority = highest_priority_by_kind(context.replica, &targets);
         }
         let plan = &self.term_state.plan;
         for (grant, tasks) in ahead.tasks {
             let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
-            let need = Need::of(&job.spec);
-            let mut first: Vec<Room> =
-                rooms.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
+            let need = Resources::of(&job.spec);
+            let mut first: Vec<PlacementTarget> =
+                targets.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
             let chosen = placement::spread(&job.spec, &need, &mut first, None, tasks.len());
             let mut starts = tasks.iter().map(|task| GrantedStart::of(plan, *task, None, true));
-            for (room, start) in chosen.into_iter().zip(starts.by_ref()) {
-                queues.entry(first[room].id.clone()).or_default().push(start);
+            for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
+                queues.entry(first[target].id.clone()).or_default().push(start);
             }
             backlog.extend(starts);
-            rooms.append(&mut first);
+            targets.append(&mut first);
         }
         self.term_state.unplaced = unplaced;
         self.term_state.backlog = backlog;
@@ -296,18 +297,22 @@
     }
 
     /// The machines that take new tasks now.
-    fn open_rooms(&self, context: &ShardContext<'_>, reporting: &MachineId) -> Vec<Room> {
-        let room = |(id, m): (&MachineId, &Machine)| {
+    fn open_rooms(
+        &self,
+        context: &ShardContext<'_>,
+        reporting: &MachineId,
+    ) -> Vec<PlacementTarget> {
+        let target = |(id, m): (&MachineId, &Machine)| {
             let (term, plan) = (self.term_state.term, &self.term_state.plan);
-            let mut room = m.room(id, context, term, !plan.is_drained(id))?;
-            room.slow = plan.is_slow(id);
-            room.reserved = plan.is_reserved(id);
-            room.delay_s = match id == reporting {
+            let mut target = m.placement_target(id, context, term, !plan.is_drained(id))?;
+            target.slow = plan.is_slow(id);
+            target.reserved = plan.is_reserved(id);
+            target.delay_s = match id == reporting {
                 true => 0.0,
-                false => context.pace.delay_s(context.now.since(m.heard)),
+                false => context.timing.delay_s(context.now.since(m.heard)),
             };
-            Some(room).filter(|r| r.open)
+            Some(target).filter(|r| r.open)
         };
-        self.machines.iter().filter_map(room).collect()
+        self.machines.iter().filter_map(target).collect()
     }
 }
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -7,8 +7,8 @@
 
 use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
 use super::task_start::{GrantedStart, MachineKind};
-use crate::lease::Attempts;
-use crate::model::{Attempt, MachineId, NodeId, PlanSeq, Steady, TaskId, Term};
+use crate::lease::AttemptAllocator;
+use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::peer::{GangStop, Grant, PlanBody};
 use crate::wire::Priority;
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TermAnnouncement {
     pub(super) times: u32,
-    pub(super) at: Steady,
+    pub(super) at: MonotonicTime,
 }
 
 /// All that a part does on the word of one term's leader, what it derives from that, and how machines took this
@@ -130,7 +130,7 @@
     /// The term.
     pub(super) term: Term,
     /// Gives out this term's attempts.
-    pub(super) attempts: Attempts,
+    pub(super) attempts: AttemptAllocator,
     /// The newest plan.
     pub(super) plan: ActivePlan,
     /// The leader's clock as that plan or a later answer gave it.
@@ -147,11 +147,11 @@
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
     /// Whether granted tasks have to be given machines anew, and when they last were.
     pub(super) reassign: bool,
-    pub(super) assigned: Steady,
+    pub(super) assigned: MonotonicTime,
     /// Whether granted tasks found no machine.
     pub(super) unplaced: bool,
     /// The last summary that the leader is known to have taken, and when it was made.
-    pub(super) acknowledged: Option<(u64, Steady)>,
+    pub(super) acknowledged: Option<(u64, MonotonicTime)>,
     /// Machines that were told of this term straight away.
     pub(super) announced: HashMap<MachineId, TermAnnouncement>,
     /// Whether there may be machines that have to be.
@@ -169,7 +169,7 @@
     pub(super) fn begin(term: Term, me: NodeId) -> Self {
         TermState {
             term,
-            attempts: Attempts::new(term, me),
+            attempts: AttemptAllocator::new(term, me),
             plan: ActivePlan::none(term),
             clock_ms: 0,
             owners: BTreeMap::new(),
@@ -178,7 +178,7 @@
             backlog: Vec::new(),
             highest_priority: BTreeMap::new(),
             reassign: false,
-            assigned: Steady(0),
+            assigned: MonotonicTime(0),
             unplaced: false,
             acknowledged: None,
             announced: HashMap::new(),
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -7,7 +7,7 @@
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
-use crate::model::{Moment, Revision, StoreLease, Wall};
+use crate::model::{ClockReading, Revision, StoreLease, WallTime};
 use crate::peer::{GangStop, Grant, OwnershipChanges, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
@@ -28,7 +28,7 @@
     let leader = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: TERM };
     let group = group(&["n-1"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
-    let accepted = Accepted { spec: spec(1, 2), at: Wall(1) };
+    let accepted = Accepted { spec: spec(1, 2), at: WallTime(1) };
     controller.load(
         &[
             item(&replica::job_key(JobId(1)), wire::to_value(&accepted)),
@@ -39,7 +39,7 @@
         Revision(9),
     );
     controller.rights.lease = Some(StoreLease(1));
-    let moment = Moment { steady: Steady(0), wall: Wall(0) };
+    let moment = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
     controller.follow(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let grant = Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt: None };
     controller.shard.follow(Plan {
@@ -81,9 +81,9 @@
 
 /// Has a report answered at that time; says whether with 200, and how many tasks it starts.
 fn hear(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
-    controller.rights.confirm_renewal(Steady(ms));
-    controller.rights.confirm_sync(Steady(ms));
-    match controller.on_heartbeat(Steady(ms), heartbeat) {
+    controller.rights.confirm_renewal(MonotonicTime(ms));
+    controller.rights.confirm_sync(MonotonicTime(ms));
+    match controller.on_heartbeat(MonotonicTime(ms), heartbeat) {
         HeartbeatOutcome::Take(reply) => {
             let starts = |o: &&WorkerCommand| matches!(o, WorkerCommand::Start { .. });
             (true, reply.commands.iter().filter(starts).count())
@@ -96,12 +96,13 @@
 fn an_announced_term_settles_a_machine_once_and_its_lease_counts_from_there() {
     use TaskState::Running;
     let mut controller = node(0);
-    controller.rights.confirm_renewal(Steady(1_000));
-    controller.rights.confirm_sync(Steady(1_000));
+    controller.rights.confirm_renewal(MonotonicTime(1_000));
+    controller.rights.confirm_sync(MonotonicTime(1_000));
     // It reported before the term: told at once, then after growing pauses, then no more.
     assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, Some(Running))));
-    let told =
-        |controller: &mut Controller, ms| controller.direct_messages_due(Steady(ms), 8).len();
+    let told = |controller: &mut Controller, ms| {
+        controller.direct_messages_due(MonotonicTime(ms), 8).len()
+    };
     let times = [(1_000, 1), (1_100, 0), (2_500, 1), (4_000, 0), (5_500, 1)];
     for (ms, count) in times {
         assert_eq!(told(&mut controller, ms), count, "{ms}");
@@ -119,11 +120,11 @@
         [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
     {
         controller.on_direct_response(
-            Steady(6_000),
+            MonotonicTime(6_000),
             &asked,
             &heartbeat(agent_epoch, sequence, token, Some(Running)),
         );
-        let now = controller.summary(Steady(6_000), 900_000);
+        let now = controller.summary(MonotonicTime(6_000), 900_000);
         let is = now.machines.iter().any(|m| m.reconciled && m.tasks.len() == 1);
         assert_eq!(is, reconciled, "{agent_epoch} {sequence} {token}");
         // Seen on a bench day: a machine whose session had begun just now counted as silent
@@ -132,8 +133,14 @@
     }
     assert_eq!(told(&mut controller, 9_000), 0);
     // A later answer may be older than a start on its way: it changes nothing any more.
-    controller.on_direct_response(Steady(6_500), &asked, &heartbeat(2, 8, 3, None));
-    assert!(controller.summary(Steady(6_500), 900_000).machines.iter().all(|m| m.tasks.len() == 1));
+    controller.on_direct_response(MonotonicTime(6_500), &asked, &heartbeat(2, 8, 3, None));
+    assert!(
+        controller
+            .summary(MonotonicTime(6_500), 900_000)
+            .machines
+            .iter()
+            .all(|m| m.tasks.len() == 1)
+    );
 }
 
 #[test]
@@ -145,21 +152,21 @@
     for (agent_epoch, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
         let mut controller = node(0);
         hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
-        assert!(controller.direct_messages_due(Steady(1_000), 8).is_empty());
+        assert!(controller.direct_messages_due(MonotonicTime(1_000), 8).is_empty());
         assert!(!hear(&mut controller, 1_100, &heartbeat(1, 3, 0, None)).0);
-        let asked = controller.direct_messages_due(Steady(1_100), 8);
+        let asked = controller.direct_messages_due(MonotonicTime(1_100), 8);
         assert_eq!(asked.len(), 1);
         hear(&mut controller, 1_200, &heartbeat(1, 2, 0, None));
         assert!(
-            controller.direct_messages_due(Steady(1_200), 8).is_empty(),
+            controller.direct_messages_due(MonotonicTime(1_200), 8).is_empty(),
             "it is asked once in a while"
         );
         controller.on_direct_response(
-            Steady(1_300),
+            MonotonicTime(1_300),
             &asked[0],
             &heartbeat(agent_epoch, sequence, 3, None),
         );
-        let told = controller.summary(Steady(1_300), 900_000).restarted;
+        let told = controller.summary(MonotonicTime(1_300), 900_000).restarted;
         assert_eq!(!told.is_empty(), restarted, "{agent_epoch} {sequence}");
     }
 }
@@ -167,21 +174,21 @@
 #[test]
 fn a_summary_that_does_not_fit_comes_in_pieces() {
     let mut controller = node(0);
-    let pace = controller.settings.pace();
+    let timing = controller.settings.timing();
     for n in 0..40 {
-        let mut machine = Machine::new(&heartbeat(1, 1, 3, None), Steady(0));
+        let mut machine = Machine::new(&heartbeat(1, 1, 3, None), MonotonicTime(0));
         machine.changed = 1;
         controller.shard.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
     }
     let mut told = BTreeSet::new();
     let mut pieces = 0;
     loop {
-        let piece = controller.shard.summary(Steady(1_000), &pace, 2_048);
+        let piece = controller.shard.summary(MonotonicTime(1_000), &timing, 2_048);
         assert!(crate::peer::encode(&piece).len() <= 2_048);
         assert_eq!(piece.base == 0, pieces == 0);
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
-        controller.shard.term_state.acknowledged = Some((piece.number, Steady(1_000)));
+        controller.shard.term_state.acknowledged = Some((piece.number, MonotonicTime(1_000)));
         if !piece.more {
             break;
         }
@@ -194,7 +201,7 @@
     use TaskState::{Exited, Running};
     let mut controller = node(0);
     assert!(hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
-    let told = controller.summary(Steady(2_000), 900_000);
+    let told = controller.summary(MonotonicTime(2_000), 900_000);
     let copies = [
         heartbeat(2, 9, 3, Some(Running)),
         heartbeat(2, 8, 3, None),
@@ -204,7 +211,7 @@
     for copy in &copies {
         assert_eq!(hear(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
     }
-    let now = controller.summary(Steady(2_000), 900_000);
+    let now = controller.summary(MonotonicTime(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
     assert_eq!(now.completed_tasks, [(1, Ranges::span(0, 1))], "a completed task stays completed");
@@ -244,7 +251,7 @@
     assert_eq!(hear(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
     assert_eq!(hear(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
     assert_eq!(hear(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
-    let view = controller.summary(Steady(1_500), 900_000).machines.remove(0);
+    let view = controller.summary(MonotonicTime(1_500), 900_000).machines.remove(0);
     assert!(view.quarantine_ms > 0 && view.tasks.is_empty(), "{view:?}");
     assert_eq!(hear(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
     let shown = heartbeat(1, 5, 3, Some(TaskState::Exited));
@@ -260,7 +267,7 @@
     let mut controller = node(0);
     assert!(hear(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
     let mut answer =
-        |ms, sequence| controller.on_heartbeat(Steady(ms), &heartbeat(1, sequence, 3, None));
+        |ms, sequence| controller.on_heartbeat(MonotonicTime(ms), &heartbeat(1, sequence, 3, None));
     assert!(matches!(answer(5_500, 2), HeartbeatOutcome::Take(_)), "not for long yet");
     assert!(matches!(answer(7_000, 3), HeartbeatOutcome::Go(_)));
     assert!(matches!(answer(9_000, 4), HeartbeatOutcome::Take(_)), "it found nobody");
@@ -274,7 +281,11 @@
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
         hear(&mut controller, ms, &heartbeat(1, sequence, token, None));
-        assert_eq!(controller.summary(Steady(ms), 900_000).foreign_machines.len(), told, "{ms}");
+        assert_eq!(
+            controller.summary(MonotonicTime(ms), 900_000).foreign_machines.len(),
+            told,
+            "{ms}"
+        );
     }
 }
 
@@ -292,7 +303,7 @@
             let got = hear(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
             assert_eq!(got, *kept, "{ms}");
             let foreign_machines =
-                controller.summary(Steady(*ms + 3_000), 900_000).foreign_machines;
+                controller.summary(MonotonicTime(*ms + 3_000), 900_000).foreign_machines;
             assert_eq!(foreign_machines.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
         }
     }
@@ -314,9 +325,9 @@
             decisions: None,
         })
     };
-    controller.rights.confirm_renewal(Steady(0));
-    controller.rights.confirm_sync(Steady(0));
-    controller.on_heartbeat(Steady(100), &heartbeat(1, 1, 3, Some(TaskState::Running)));
+    controller.rights.confirm_renewal(MonotonicTime(0));
+    controller.rights.confirm_sync(MonotonicTime(0));
+    controller.on_heartbeat(MonotonicTime(100), &heartbeat(1, 1, 3, Some(TaskState::Running)));
     // (attempts below that are stopped, leeway, what the task of attempt 7 gets)
     let cases = [(7, 0, None), (8, 0, Some(0.0)), (8, 9_000, Some(9.0))];
     for (i, (before, leeway_ms, want)) in cases.into_iter().enumerate() {
@@ -328,10 +339,11 @@
                 _ => None,
             })
         };
-        let told = controller.direct_messages_due(Steady(200 + i as u64), 8);
+        let told = controller.direct_messages_due(MonotonicTime(200 + i as u64), 8);
         assert_eq!(told.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
         let shown = heartbeat(1, 2 + i as u64, 3, Some(TaskState::Running));
-        let HeartbeatOutcome::Take(reply) = controller.on_heartbeat(Steady(300 + i as u64), &shown)
+        let HeartbeatOutcome::Take(reply) =
+            controller.on_heartbeat(MonotonicTime(300 + i as u64), &shown)
         else {
             panic!("refused");
         };
@@ -347,7 +359,7 @@
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
             job.spec.kind = kind;
         }
-        controller.on_heartbeat(Steady(100), &heartbeat(1, 1, 3, Some(TaskState::Exited)));
+        controller.on_heartbeat(MonotonicTime(100), &heartbeat(1, 1, 3, Some(TaskState::Exited)));
         let completed_tasks =
             controller.shard.completed_tasks.get(&JobId(1)).map(|f| f.tasks.len());
         assert_eq!(completed_tasks, Some(done), "{kind:?}");
@@ -358,7 +370,8 @@
 fn cancel(controller: &mut Controller, ms: u64) {
     let gone = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
     let replica_changes = controller.hear_ended(JobId(1), &gone, Revision(12));
-    controller.follow(Moment { steady: Steady(ms), wall: Wall(ms) }, &replica_changes);
+    controller
+        .follow(ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) }, &replica_changes);
 }
 
 #[test]
@@ -376,16 +389,16 @@
     for (state, token, heard, cancelled, told) in cases {
         let mut controller = node(0);
         hear(&mut controller, heard, &heartbeat(1, 5, token, state));
-        while !controller.direct_messages_due(Steady(heard), 8).is_empty() {}
+        while !controller.direct_messages_due(MonotonicTime(heard), 8).is_empty() {}
         cancel(&mut controller, cancelled);
-        let out = controller.direct_messages_due(Steady(cancelled), 8);
+        let out = controller.direct_messages_due(MonotonicTime(cancelled), 8);
         let kills: Vec<&WorkerCommand> = out.iter().flat_map(|a| &a.commands).collect();
         let what = format!("{state:?} {token} {cancelled}");
         assert_eq!(kills.len(), usize::from(told), "{what}: {out:?}");
         let shown =
             |k: &&WorkerCommand| matches!(k, WorkerCommand::Kill { attempt: Attempt(7), .. });
         assert_eq!(kills.iter().all(shown), state.is_some() || !told, "{what}");
-        let again = controller.direct_messages_due(Steady(cancelled), 8);
+        let again = controller.direct_messages_due(MonotonicTime(cancelled), 8);
         assert!(again.iter().all(|a| a.commands.is_empty()), "{what}: told once");
     }
 }
@@ -394,18 +407,18 @@
 fn a_machine_that_only_commands_reach_is_told_of_earlier_cancellations() {
     // The leader changed after the cancellation, and no report of the machine reaches the new owner.
     let mut controller = node(0);
-    controller.rights.confirm_renewal(Steady(1_000));
-    controller.rights.confirm_sync(Steady(1_000));
+    controller.rights.confirm_renewal(MonotonicTime(1_000));
+    controller.rights.confirm_sync(MonotonicTime(1_000));
     cancel(&mut controller, 1_000);
     assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, None)));
-    let asked = controller.direct_messages_due(Steady(1_000), 8);
+    let asked = controller.direct_messages_due(MonotonicTime(1_000), 8);
     assert_eq!((asked.len(), asked[0].commands.len()), (1, 0));
     controller.on_direct_response(
-        Steady(1_100),
+        MonotonicTime(1_100),
         &asked[0],
         &heartbeat(1, 6, 3, Some(TaskState::Running)),
     );
-    let then = controller.direct_messages_due(Steady(1_200), 8);
+    let then = controller.direct_messages_due(MonotonicTime(1_200), 8);
     assert_eq!((then.len(), then[0].commands.len()), (1, 1));
 }
 
@@ -416,9 +429,9 @@
         [(1_000, 1_500, true, 1), (1_000, 4_400, true, 1), (1_000, 4_600, true, 0)]
     {
         let mut controller = node(0);
-        controller.rights.confirm_renewal(Steady(now));
-        controller.rights.confirm_sync(Steady(synced));
-        let got = match controller.on_heartbeat(Steady(now), &heartbeat(1, 5, 3, None)) {
+        controller.rights.confirm_renewal(MonotonicTime(now));
+        controller.rights.confirm_sync(MonotonicTime(synced));
+        let got = match controller.on_heartbeat(MonotonicTime(now), &heartbeat(1, 5, 3, None)) {
             HeartbeatOutcome::Take(reply) => (true, reply.commands.len()),
             _ => (false, 0),
         };
@@ -443,7 +456,7 @@
         let mut controller = node(0);
         let mut put = |spec: wire::JobSpec| {
             let key = replica::job_key(spec.id);
-            let v = wire::to_value(&Accepted { spec, at: Wall(1) });
+            let v = wire::to_value(&Accepted { spec, at: WallTime(1) });
             controller.replica.load(
                 &KeyValue { key, value: v, version: Revision(10) },
                 &mut ReplicaChanges::default(),
@@ -518,7 +531,10 @@
         let item = KeyValue { key: key.into(), value: v, version: Revision(20) };
         controller.replica.load(&item, &mut replica_changes);
     }
-    controller.follow(Moment { steady: Steady(1_000), wall: Wall(1_000) }, &replica_changes);
+    controller.follow(
+        ClockReading { steady: MonotonicTime(1_000), wall: WallTime(1_000) },
+        &replica_changes,
+    );
 }
 
 #[test]
@@ -583,25 +599,26 @@
     term_state.queues.insert(machine(), vec![start]);
     term_state.backlog.push(start);
     term_state.highest_priority.insert(("small".into(), "a".into(), false), None);
-    (term_state.reassign, term_state.assigned, term_state.unplaced) = (true, Steady(5), true);
-    term_state.acknowledged = Some((1, Steady(5)));
-    term_state.announced.insert(machine(), TermAnnouncement { times: 1, at: Steady(5) });
+    (term_state.reassign, term_state.assigned, term_state.unplaced) =
+        (true, MonotonicTime(5), true);
+    term_state.acknowledged = Some((1, MonotonicTime(5)));
+    term_state.announced.insert(machine(), TermAnnouncement { times: 1, at: MonotonicTime(5) });
     term_state.announcing = true;
     let unacknowledged = Unacknowledged {
-        first: Steady(5),
+        first: MonotonicTime(5),
         agent_epoch: AgentEpoch(1),
         answers: 1,
-        refuse_until: Steady(0),
+        refuse_until: MonotonicTime(0),
     };
     term_state.unacknowledged.insert(machine(), unacknowledged);
-    let redirected = Redirected { at: Steady(5), tries: 1, seen: false };
+    let redirected = Redirected { at: MonotonicTime(5), tries: 1, seen: false };
     term_state.redirected.insert(machine(), redirected);
     let stray = ForeignMachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         back: None,
-        last: Steady(5),
+        last: MonotonicTime(5),
         hears: true,
     };
     term_state.foreign_machines.insert(MachineId::new("n-2"), stray);
@@ -611,20 +628,20 @@
         wait_reason: WaitReason::No,
     });
     shard.told_progress.completed.push((1, 1));
-    shard.machines.insert(machine(), Machine::new(&shown, Steady(5)));
+    shard.machines.insert(machine(), Machine::new(&shown, MonotonicTime(5)));
     shard.is_newest(&shown);
-    shard.doubted.insert(machine(), Steady(5));
+    shard.doubted.insert(machine(), MonotonicTime(5));
     shard.doubts.push((machine(), AgentEpoch(1)));
     shard.stopping.insert(machine());
     shard.restarted.insert(machine());
-    shard.answered.insert(machine(), Steady(5));
-    shard.released_workers.insert(machine(), Steady(5));
+    shard.answered.insert(machine(), MonotonicTime(5));
+    shard.released_workers.insert(machine(), MonotonicTime(5));
     shard.faults.insert(JobId(1), JobFaults::default());
-    let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: Steady(5) };
+    let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: MonotonicTime(5) };
     shard.completed_tasks.insert(JobId(1), completed_tasks);
     shard.number = 3;
-    shard.sent.push_back((3, Steady(5)));
-    shard.heard = Steady(5);
+    shard.sent.push_back((3, MonotonicTime(5)));
+    shard.heard = MonotonicTime(5);
     shard.refused_starts = 1;
     shard.news = true;
     controller
@@ -668,7 +685,7 @@
         assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !queues.is_empty());
         assert!(!backlog.is_empty() && !highest_priority.is_empty() && *reassign && *unplaced);
         assert!(acknowledged.is_some() && !announced.is_empty() && *announcing);
-        assert!(*clock_ms > 0 && *assigned > Steady(0));
+        assert!(*clock_ms > 0 && *assigned > MonotonicTime(0));
         assert!(
             !unacknowledged.is_empty() && !redirected.is_empty() && !foreign_machines.is_empty()
         );
@@ -706,7 +723,11 @@
         assert!(machines.values().all(|m| !m.is_reconciled(NEXT_TERM)), "{way:?}");
         assert_eq!((doubted.len(), doubts.len(), stopping.len()), (1, 1, 1), "{way:?}");
         // Done here: leases count from these answers whoever leads.
-        assert_eq!((answered.len(), released_workers.len(), heard), (1, 1, Steady(5)), "{way:?}");
+        assert_eq!(
+            (answered.len(), released_workers.len(), heard),
+            (1, 1, MonotonicTime(5)),
+            "{way:?}"
+        );
         // True whoever leads.
         assert_eq!((completed_tasks.len(), faults.len()), (1, 1), "{way:?}");
         // Summaries are numbered for the whole life of the process.
@@ -742,7 +763,7 @@
         controller.shard.term_state.queues.insert(MachineId::new("n-1"), vec![start]);
         controller.shard.term_state.backlog.push(start);
         let before = heartbeat(1, 1, TERM.0, None);
-        let mut machine = Machine::new(&before, Steady(0));
+        let mut machine = Machine::new(&before, MonotonicTime(0));
         if let Some(job) = controller.replica.jobs.get(&TASK.job) {
             machine.remember_image(&job.spec);
         }
@@ -752,7 +773,7 @@
             TermState::begin(NEXT_TERM, NodeId(0)),
         );
         outlives(&mut controller.shard.term_state, old);
-        controller.shard.term_state.assigned = Steady(1_000);
+        controller.shard.term_state.assigned = MonotonicTime(1_000);
         let shown = heartbeat(1, 2, NEXT_TERM.0, None);
         assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
         assert_eq!(controller.shard.refused_starts(), 1, "{what}");
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -5,12 +5,12 @@
 use willowshore_standby::decision_log::{Batch, DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
 use willowshore_standby::detector::HeartbeatDetector;
-use willowshore_standby::failover::{Cause, Command, Event, FenceOutcome, Phase, TakeoverMachine};
+use willowshore_standby::failover::{Cause, Command, Event, FailoverMachine, FenceOutcome, Phase};
 use willowshore_standby::mirror::{Mirror, Rejected};
 use willowshore_standby::settings::StandbySettings;
-use willowshore_standby::status::{Role, Status, TakeoverStatus, VerificationCounts};
+use willowshore_standby::status::{FailoverStatus, Role, Status, VerificationCounts};
 
-use crate::model::{Moment, NodeId, Steady, Term, Wall};
+use crate::model::{ClockReading, MonotonicTime, NodeId, Term, WallTime};
 
 /// Least time between two records of the leader's decisions, in milliseconds.
 const RECORD_MS: u64 = 200;
@@ -28,10 +28,10 @@
 pub struct Standby {
     settings: StandbySettings,
     detector: HeartbeatDetector,
-    machine: TakeoverMachine,
+    machine: FailoverMachine,
     mirror: Mirror,
     log: Option<DecisionLog>,
-    recorded: Option<Steady>,
+    recorded: Option<MonotonicTime>,
     followed: Option<FollowedLeader>,
     verification: VerificationCounts,
     refused_actions: u64,
@@ -42,7 +42,7 @@
     pub fn new(settings: StandbySettings, controllers: usize) -> Self {
         Standby {
             detector: HeartbeatDetector::new(&settings),
-            machine: TakeoverMachine::new(
+            machine: FailoverMachine::new(
                 controllers,
                 settings.suspect_after_min_ms,
                 settings.rank_delay_ms,
@@ -88,7 +88,7 @@
     }
 
     /// The replica shows another leader than this process.
-    pub fn follow(&mut self, now: Steady, leader: FollowedLeader) {
+    pub fn follow(&mut self, now: MonotonicTime, leader: FollowedLeader) {
         if self.followed.replace(leader) == Some(leader) {
             return;
         }
@@ -99,7 +99,7 @@
     }
 
     /// The leader answered with a plan to a request that was sent then, with decisions if there were new ones.
-    pub fn heard_plan(&mut self, sent: Steady, term: Term, batch: Option<&Batch>) {
+    pub fn heard_plan(&mut self, sent: MonotonicTime, term: Term, batch: Option<&Batch>) {
         if !self.heard_leader(sent, term) {
             return;
         }
@@ -120,7 +120,7 @@
     }
 
     /// The leader of that term answered a request that was sent then; false if it is not the one that is followed.
-    pub fn heard_leader(&mut self, sent: Steady, term: Term) -> bool {
+    pub fn heard_leader(&mut self, sent: MonotonicTime, term: Term) -> bool {
         let followed = self.followed.is_some_and(|f| f.term == term);
         if followed {
             self.detector.heartbeat(sent);
@@ -129,14 +129,14 @@
     }
 
     /// Time passes; `rank` as [`Event::Tick`] has it.
-    pub fn tick(&mut self, now: Steady, rank: Option<u64>) -> Option<Command> {
+    pub fn tick(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<Command> {
         self.detector.tick(now);
         let suspected = self.followed.is_some() && self.detector.suspects(now);
         self.step(now, Event::Tick { suspected, rank })
     }
 
     /// Takes an event to the takeover's state machine and logs where that leads.
-    pub fn step(&mut self, now: Steady, event: Event) -> Option<Command> {
+    pub fn step(&mut self, now: MonotonicTime, event: Event) -> Option<Command> {
         let before = self.machine.phase();
         let command = self.machine.step(now, event);
         let after = self.machine.phase();
@@ -152,7 +152,7 @@
     }
 
     /// Milliseconds since the leader of that term was heard; `None` if this controller does not follow it.
-    pub fn leader_silence_ms(&self, now: Steady, term: Term) -> Option<u64> {
+    pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
         self.followed.filter(|f| f.term == term)?;
         self.detector.silence_ms(now)
     }
@@ -160,7 +160,7 @@
     /// This process leads that term from now on. The old leader's decisions are compared before that.
     pub fn begin_leading(
         &mut self,
-        now: Steady,
+        now: MonotonicTime,
         term: Term,
         verification: Option<VerificationCounts>,
     ) {
@@ -170,18 +170,18 @@
         if let Some(counts) = verification {
             self.verification = counts;
             self.step(now, Event::Verified);
-            let taken = self.machine.last_takeover().map(TakeoverStatus::from);
+            let taken = self.machine.last_failover().map(FailoverStatus::from);
             info!(%term, ?taken, ?counts, "standby: took over");
         }
     }
 
     /// Whether the leader's decisions are to be recorded now.
-    pub fn is_record_due(&self, now: Steady) -> bool {
+    pub fn is_record_due(&self, now: MonotonicTime) -> bool {
         self.log.is_some() && self.recorded.is_none_or(|at| now.since(at) >= RECORD_MS)
     }
 
     /// As the leader, records what the decisions add up to.
-    pub fn record(&mut self, now: Moment, target: &DecisionTarget) {
+    pub fn record(&mut self, now: ClockReading, target: &DecisionTarget) {
         if let Some(log) = &mut self.log {
             self.recorded = Some(now.steady);
             log.record(now.wall, target);
@@ -204,13 +204,13 @@
     }
 
     /// The outcome of taking the next term.
-    pub fn fence_answered(&mut self, now: Steady, outcome: FenceOutcome) {
+    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         self.step(now, Event::FenceAnswered(outcome));
     }
 
     /// Whether the last takeover was that of this term and had that cause.
-    pub fn took_over_by(&self, cause: Cause, term: Term) -> bool {
-        self.machine.last_takeover().is_some_and(|t| t.term == term && t.cause == cause)
+    pub fn failed_over_by(&self, cause: Cause, term: Term) -> bool {
+        self.machine.last_failover().is_some_and(|t| t.term == term && t.cause == cause)
     }
 
     /// What the last takeover found of the mirrored records.
@@ -219,7 +219,13 @@
     }
 
     /// What operators are shown; `names` are those of all controllers.
-    pub fn status(&self, now: Steady, wall: Wall, me: NodeId, names: &[String]) -> Status {
+    pub fn status(
+        &self,
+        now: MonotonicTime,
+        wall: WallTime,
+        me: NodeId,
+        names: &[String],
+    ) -> Status {
         let name = |node: NodeId| names.get(usize::from(node.0)).cloned().unwrap_or_default();
         let leads = self.log.is_some();
         let controller = name(me);
@@ -246,7 +252,7 @@
             divergences: counts.divergences,
             malformed: counts.malformed,
             last_back: self.machine.last_back().map(|reason| reason.to_string()),
-            last_takeover: self.machine.last_takeover().map(TakeoverStatus::from),
+            last_failover: self.machine.last_failover().map(FailoverStatus::from),
             verification: self.verification,
             refused_actions: self.refused_actions,
         }
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::config::StateLimits;
+use crate::config::StoreLimits;
 use crate::http::{Answer, CallError, Client};
 use crate::model::{Revision, StoreLease};
 use crate::wire::{
@@ -17,7 +17,7 @@
 
 /// Why the state service gave no answer that can be used.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
-pub enum StateError {
+pub enum StoreError {
     /// The request was certainly not carried out.
     #[error("refused ({0})")]
     Refused(u16),
@@ -82,17 +82,17 @@
 
 /// A bucket of allowances that refills steadily.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
-        Bucket { rate, burst: burst.max(1.0), level: burst.max(1.0), at: now }
+        TokenBucket { rate, burst: burst.max(1.0), level: burst.max(1.0), at: now }
     }
     /// Refills at another rate from now on.
     pub fn set_rate(&mut self, rate: f64) {
@@ -114,11 +114,11 @@
 }
 
 /// The client.
-pub struct StateClient {
+pub struct StoreClient {
     http: Client,
     watch: Client,
-    requests: RefCell<Bucket>,
-    writes: RefCell<Bucket>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
     limit: Duration,
     write_rps: f64,
     nodes: f64,
@@ -130,21 +130,21 @@
 const LEADERS_PART: f64 = 0.65;
 
 /// Changes a second that the leader may write.
-pub fn leaders_writes_per_s(limits: &StateLimits) -> f64 {
+pub fn leaders_writes_per_s(limits: &StoreLimits) -> f64 {
     limits.write_rps * USED_PART * LEADERS_PART
 }
 
-impl StateClient {
+impl StoreClient {
     /// A client that uses one `nodes`th of the budgets.
-    pub fn new(addr: SocketAddr, limits: &StateLimits, nodes: u32) -> Self {
+    pub fn new(addr: SocketAddr, limits: &StoreLimits, nodes: u32) -> Self {
         let share = USED_PART / f64::from(nodes.max(1));
         let now = Instant::now();
         let (r, w) = (limits.rps * share, limits.write_rps * share);
-        StateClient {
+        StoreClient {
             http: Client::new(addr, 4 << 20),
             watch: Client::new(addr, 8 << 20),
-            requests: RefCell::new(Bucket::new(r, r, now)),
-            writes: RefCell::new(Bucket::new(w, w, now)),
+            requests: RefCell::new(TokenBucket::new(r, r, now)),
+            writes: RefCell::new(TokenBucket::new(w, w, now)),
             limit: Duration::from_millis(1500),
             write_rps: limits.write_rps * USED_PART,
             nodes: f64::from(nodes.max(1)),
@@ -158,8 +158,8 @@
         self.writes.borrow_mut().set_rate(self.write_rps * part);
     }
 
-    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StateError> {
-        self.pace(0).await;
+    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
+        self.timing(0).await;
         Self::checked(self.http.call(method, path, body, self.limit).await)
     }
 
@@ -173,36 +173,36 @@
         wait.max(self.writes.borrow_mut().take(changes as f64, now))
     }
 
-    async fn pace(&self, changes: usize) {
+    async fn timing(&self, changes: usize) {
         let wait = self.charge(changes);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
     }
 
-    fn checked(answer: Result<Answer, CallError>) -> Result<Answer, StateError> {
+    fn checked(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
         match answer {
             Ok(a) if matches!(a.status, 200 | 404 | 409) => Ok(a),
-            Ok(a) if a.status == 410 => Err(StateError::TooOld),
+            Ok(a) if a.status == 410 => Err(StoreError::TooOld),
             Ok(a) if a.status == 400 => {
                 if String::from_utf8_lossy(&a.body).contains("no such lease") {
-                    Err(StateError::NoLease)
+                    Err(StoreError::NoLease)
                 } else {
-                    Err(StateError::Malformed(400))
+                    Err(StoreError::Malformed(400))
                 }
             }
-            Ok(a) => Err(StateError::Refused(a.status)),
-            Err(CallError::Connect) => Err(StateError::Refused(0)),
-            Err(_) => Err(StateError::Unknown),
+            Ok(a) => Err(StoreError::Refused(a.status)),
+            Err(CallError::Connect) => Err(StoreError::Refused(0)),
+            Err(_) => Err(StoreError::Unknown),
         }
     }
 
-    fn body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, StateError> {
-        wire::decode(&answer.body).map_err(|_| StateError::Malformed(answer.status))
+    fn body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
+        wire::decode(&answer.body).map_err(|_| StoreError::Malformed(answer.status))
     }
 
     /// Reads one key; `None` if it does not exist.
-    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         let answer = self.call("GET", &format!("/keys/{key}"), &[]).await?;
         if answer.status == 404 {
             return Ok(None);
@@ -216,7 +216,7 @@
         prefix: &str,
         after: Option<&str>,
         size: PageSize,
-    ) -> Result<(KeyValuePage, PageSize), StateError> {
+    ) -> Result<(KeyValuePage, PageSize), StoreError> {
         let answer = self.call("GET", &page_path(prefix, after, size), &[]).await?;
         let page: KeyValuePage = Self::body(&answer)?;
         let next = size.after(page.items.len(), answer.body.len());
@@ -225,12 +225,12 @@
 
     /// Carries out a transaction. Every caller guards it, so that a late or second
     /// execution changes nothing.
-    pub async fn commit(&self, txn: &Txn) -> Result<Committed, StateError> {
-        self.pace(txn.changes.len()).await;
+    pub async fn commit(&self, txn: &Txn) -> Result<Committed, StoreError> {
+        self.timing(txn.changes.len()).await;
         self.send(txn).await
     }
 
-    async fn send(&self, txn: &Txn) -> Result<Committed, StateError> {
+    async fn send(&self, txn: &Txn) -> Result<Committed, StoreError> {
         let body = wire::encode(txn);
         let answer = Self::checked(self.http.call("POST", "/multi", &body, self.limit).await)?;
         let told: TxnResponse = Self::body(&answer)?;
@@ -245,7 +245,7 @@
     /// first answer is slow. The answer that comes first counts, unless it is a conflict
     /// while the other request is still out: that may have been this very transaction, and
     /// the caller looks the keys up to learn which.
-    pub async fn commit_hedged(&self, txn: &Txn, after: Duration) -> Result<Committed, StateError> {
+    pub async fn commit_hedged(&self, txn: &Txn, after: Duration) -> Result<Committed, StoreError> {
         // What users wait for goes before bulk: it takes from the budgets without queueing behind
         // them, and what comes after makes up for it.
         self.charge(txn.changes.len());
@@ -268,8 +268,8 @@
         &self,
         after: Revision,
         wait: Duration,
-    ) -> Result<WatchResponse, StateError> {
-        self.pace(0).await;
+    ) -> Result<WatchResponse, StoreError> {
+        self.timing(0).await;
         let path = format!("/changes?Starts=&After={after}&WaitMs={}", wait.as_millis());
         let limit = wait + self.limit;
         let client = if wait.is_zero() { &self.http } else { &self.watch };
@@ -277,21 +277,21 @@
     }
 
     /// Takes a new lease.
-    pub async fn grant(&self, ttl_ms: u64) -> Result<StoreLease, StateError> {
+    pub async fn grant(&self, ttl_ms: u64) -> Result<StoreLease, StoreError> {
         let body = wire::encode(&LeaseRequest { ttl_ms });
         let answer = self.call("POST", "/leases", &body).await?;
         Ok(Self::body::<LeaseGrant>(&answer)?.lease)
     }
 
     /// Renews a lease.
-    pub async fn renew(&self, lease: StoreLease) -> Result<(), StateError> {
+    pub async fn renew(&self, lease: StoreLease) -> Result<(), StoreError> {
         // A renewal in the queue behind others is worth less than none: it is sent at once.
         self.requests.borrow_mut().take(1.0, Instant::now());
         let path = format!("/leases/{lease}/renew");
         let limit = Duration::from_millis(900);
         let answer = Self::checked(self.http.call("POST", &path, &[], limit).await)?;
         if answer.status == 404 {
-            return Err(StateError::NoLease);
+            return Err(StoreError::NoLease);
         }
         Ok(())
     }
--- a/src/store_client/tests.rs
+++ b/src/store_client/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_bucket_allows_its_burst_and_then_its_rate() {
     let start = Instant::now();
-    let mut bucket = Bucket::new(10.0, 2.0, start);
+    let mut bucket = TokenBucket::new(10.0, 2.0, start);
     assert_eq!(bucket.take(2.0, start), Duration::ZERO);
     assert_eq!(bucket.take(1.0, start), Duration::from_millis(100));
     let later = start + Duration::from_secs(60);
@@ -20,20 +20,20 @@
         |status, body: &[u8]| Ok(Answer { status, body: body.to_vec(), retry_after: None });
     let lease = wire::encode(&cbor!({"error" => "no such lease"}).unwrap());
     let cases = [
-        (answer(503, b""), Some(StateError::Refused(503))),
-        (answer(429, b""), Some(StateError::Refused(429))),
-        (answer(410, b""), Some(StateError::TooOld)),
-        (answer(400, &lease), Some(StateError::NoLease)),
-        (answer(400, b""), Some(StateError::Malformed(400))),
-        (Err(CallError::Connect), Some(StateError::Refused(0))),
-        (Err(CallError::Timeout), Some(StateError::Unknown)),
-        (Err(CallError::Broken), Some(StateError::Unknown)),
+        (answer(503, b""), Some(StoreError::Refused(503))),
+        (answer(429, b""), Some(StoreError::Refused(429))),
+        (answer(410, b""), Some(StoreError::TooOld)),
+        (answer(400, &lease), Some(StoreError::NoLease)),
+        (answer(400, b""), Some(StoreError::Malformed(400))),
+        (Err(CallError::Connect), Some(StoreError::Refused(0))),
+        (Err(CallError::Timeout), Some(StoreError::Unknown)),
+        (Err(CallError::Broken), Some(StoreError::Unknown)),
         (answer(409, b""), None),
         (answer(404, b""), None),
     ];
     for (given, want) in cases {
         let text = format!("{given:?}");
-        assert_eq!(StateClient::checked(given).err(), want, "{text}");
+        assert_eq!(StoreClient::checked(given).err(), want, "{text}");
     }
 }
 
@@ -43,7 +43,7 @@
     // in debt, and when it was to lead, its election and every epoch waited 5 s. (rate, taken at once)
     for (rate, taken) in [(7.4, 650), (27.0, 400), (0.5, 30)] {
         let began = Instant::now();
-        let mut bucket = Bucket::new(rate, rate, began);
+        let mut bucket = TokenBucket::new(rate, rate, began);
         for _ in 0..taken {
             bucket.take(1.0, began);
         }
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -118,7 +118,7 @@
         site.all_ended().await;
 
         let status = site.controllers.status(third).await.expect("a status");
-        assert!(status.last_takeover.is_some_and(|t| t.term > 1), "{:?}", site.controllers.logs());
+        assert!(status.last_failover.is_some_and(|t| t.term > 1), "{:?}", site.controllers.logs());
         assert!(site.controllers.logged("replacing the leader"), "no takeover was by suspicion");
         assert_eq!(status.divergences, 0);
         let old = site.controllers.status(first).await.expect("a status");
--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -61,17 +61,17 @@
 
 /// Follows one change of leader.
 #[derive(Clone, Copy, Debug)]
-pub struct TakeoverTrace {
+pub struct FailoverTrace {
     began: u64,
     old_term: u64,
     /// What was seen so far.
     pub phases: Phases,
 }
 
-impl TakeoverTrace {
+impl FailoverTrace {
     /// The leader of that term fails now.
     pub fn new(now: u64, old_term: u64) -> Self {
-        TakeoverTrace { began: now, old_term, phases: Phases::default() }
+        FailoverTrace { began: now, old_term, phases: Phases::default() }
     }
 
     /// A controller stands for the next term.
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -1,7 +1,7 @@
 //! The report on changes of leader: plays them in simulation, without and with the warm standby, and writes how long
 //! each phase took, and what the standby costs, as text and as an HTML page with plots.
 //!
-//! `cargo run --release --example takeovers -- [--seeds N] [--out FILE] [--sizes 600,4000] [--debug-log yes]`
+//! `cargo run --release --example failovers -- [--seeds N] [--out FILE] [--sizes 600,4000] [--debug-log yes]`
 #![allow(dead_code, missing_docs)]
 
 mod check;
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -117,13 +117,13 @@
 
 #[test]
 fn hard_cases_of_a_takeover_break_no_rule_and_lose_no_job() {
-    let mut takeovers = 0;
+    let mut failovers = 0;
     for HardCase { name, faults, may_be_late } in hard_cases() {
         for seed in 1..=4 {
             for rhythm in [BRISK, SLOW] {
                 let what = format!("{name} {seed} {rhythm:?}");
                 let world = play(with_standby(World::busy(seed, rhythm)), &what, rhythm, &faults);
-                takeovers += world.changes_of_leader;
+                failovers += world.changes_of_leader;
                 let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
                 let first = phases.first_epoch;
                 let in_time = first.is_some_and(|ms| ms < FIRST_DECISION_MS);
@@ -131,7 +131,7 @@
             }
         }
     }
-    assert!(takeovers >= 200, "only {takeovers} changes of leader were played");
+    assert!(failovers >= 200, "only {failovers} changes of leader were played");
 }
 
 #[test]
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -6,11 +6,13 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use willowshore::autoscaler::Offer;
+use willowshore::autoscaler::MachineOffer;
 use willowshore::config::Settings;
 use willowshore::controller::Controller;
 use willowshore::lease::LEASE_MS;
-use willowshore::model::{Attempt, Incarnation, JobId, Moment, NodeId, Steady, TaskId, Term, Wall};
+use willowshore::model::{
+    Attempt, ClockReading, Incarnation, JobId, MonotonicTime, NodeId, TaskId, Term, WallTime,
+};
 use willowshore::peer::{self, PeerRequest, PeerResponse, Summary};
 use willowshore::shard::{DirectMessage, HeartbeatOutcome};
 use willowshore::store_client::Committed;
@@ -20,7 +22,7 @@
 use willowshore_standby::status::VerificationCounts;
 
 use crate::check::{Checker, Event};
-use crate::failover::{Observed, TakeoverTrace};
+use crate::failover::{FailoverTrace, Observed};
 use crate::site::{BRISK, Rhythm, SLOW, ZONES, catalog, spec};
 use crate::store::Store;
 use crate::worker::{Answer, Change, Worker};
@@ -60,11 +62,11 @@
 }
 
 impl Node {
-    fn moment(&self, now: u64) -> Moment {
+    fn moment(&self, now: u64) -> ClockReading {
         // A clock that runs a little fast, differently on each node.
         let gone = now - self.started;
         let drift = gone * u64::from(self.controller.me.0) / 4_000;
-        Moment { steady: Steady(gone + drift), wall: Wall(1_000_000 + now) }
+        ClockReading { steady: MonotonicTime(gone + drift), wall: WallTime(1_000_000 + now) }
     }
 }
 
@@ -85,9 +87,9 @@
     /// The worker's answer to that.
     Announced(usize, DirectMessage, Heartbeat, u64),
     /// A summary, and when it was sent by the sender's clock.
-    Summary(usize, usize, Box<Summary>, Steady),
+    Summary(usize, usize, Box<Summary>, MonotonicTime),
     /// The answer; when the summary was sent, if it came directly.
-    PeerResponse(usize, PeerResponse, Option<Steady>),
+    PeerResponse(usize, PeerResponse, Option<MonotonicTime>),
     /// A node tells another one of a cancellation.
     Ended(usize, PeerRequest),
     /// What became of a node's question to the leader.
@@ -197,7 +199,7 @@
     /// How long a gang runs.
     pub gang_run_ms: u64,
     /// The last change of leader.
-    pub trace: Option<TakeoverTrace>,
+    pub trace: Option<FailoverTrace>,
     /// The warm standby, if controllers have it.
     pub standby: Option<StandbySettings>,
     /// Whether the leader ends in its next epoch that writes something, after the write or before it.
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -352,21 +352,22 @@
                 self.see(w, changes);
             }
         }
-        let mut rented = Vec::new();
+        let mut add_provisioned = Vec::new();
         for _ in &gone {
             let id = self.workers.len();
             let mut worker = Worker::new(id, ZONES[id % 2], now + BOOT_MS, self.rhythm);
             worker.hung_until = now + BOOT_MS;
-            rented.push((worker.name(), worker.zone));
+            add_provisioned.push((worker.name(), worker.zone));
             self.workers.push(worker);
         }
         if let Ok(node) = &mut self.nodes[n]
             && let Some(leader) = &mut node.controller.leader
         {
             leader.machines_gone(&gone);
-            for (id, zone) in rented {
-                let offer = Offer { machine_type: "small".into(), zone: zone.into(), spot: false };
-                leader.fleet.rented(moment.steady, &[id], &offer);
+            for (id, zone) in add_provisioned {
+                let offer =
+                    MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
+                leader.fleet.add_provisioned(moment.steady, &[id], &offer);
             }
         }
     }
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -277,9 +277,10 @@
                 && let Ok(node) = &mut self.nodes[leader]
             {
                 let steady = node.moment(self.now).steady;
-                let offer = Offer { machine_type: "small".into(), zone: zone.into(), spot: false };
+                let offer =
+                    MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 if let Some(leader) = &mut node.controller.leader {
-                    leader.fleet.rented(steady, &[name], &offer);
+                    leader.fleet.add_provisioned(steady, &[name], &offer);
                 }
             }
         }
@@ -318,7 +319,7 @@
                 | Fault::CrashLeaderAndStandby
         );
         if let Some((_, term)) = self.leads().filter(|_| traced) {
-            self.trace = Some(TakeoverTrace::new(now, term));
+            self.trace = Some(FailoverTrace::new(now, term));
         }
         match fault {
             Fault::FreezeLeader(ms) => self.freeze(self.leader(), ms),
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use willowshore::controller::submission_txn;
-use willowshore::model::{JobId, TaskId, Wall};
+use willowshore::model::{JobId, TaskId, WallTime};
 use willowshore::peer::PeerRequest;
 use willowshore::replica;
 use willowshore::store_client::Committed;
@@ -106,7 +106,7 @@
             self.checker.see(now, Event::Submitted { job: id });
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
-                Wall(1_000_000 + now),
+                WallTime(1_000_000 + now),
                 &node.controller.catalog,
                 node.controller.settings.params.state.value_bytes(),
             );
@@ -155,7 +155,7 @@
         let node = self.nodes[n].as_ref().ok()?;
         if !node.controller.replica.jobs.contains_key(&job) {
             let bytes = node.controller.settings.params.state.value_bytes();
-            let wall = Wall(1_000_000 + self.now);
+            let wall = WallTime(1_000_000 + self.now);
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
                 wall,
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use willowshore::autoscaler::Load;
+use willowshore::autoscaler::OfferedLoad;
 use willowshore::model::{
     AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
-    Term, Wall,
+    Term, WallTime,
 };
 use willowshore::peer::{
     self, ForeignMachine, GangStop, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
@@ -199,9 +199,9 @@
     assert_eq!(value::<TermRecord>(&f["term"]).term, Term(41));
     let group: MachineGroup = value(&f["m"]);
     let told: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
-    assert_eq!(told, [(true, None), (true, Some(Wall(5)))]);
+    assert_eq!(told, [(true, None), (true, Some(WallTime(5)))]);
     assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), Ranges::span(0, 9))]);
-    assert_eq!(value::<Load>(&f["load"]), Load::default());
+    assert_eq!(value::<OfferedLoad>(&f["load"]), OfferedLoad::default());
 }
 
 #[test]
@@ -229,7 +229,7 @@
     }
     let mut log = DecisionLog::new(Term(41), &StandbySettings::default());
     let reserved = [machine("n-000001")].into();
-    log.record(Wall(7), &DecisionTarget { reserved, ..DecisionTarget::default() });
+    log.record(WallTime(7), &DecisionTarget { reserved, ..DecisionTarget::default() });
     sent.decisions = log.batch_for(&FollowRequest::default());
     assert!(sent.decisions.is_some());
     let frozen::Tell::Plan(p) =
@@ -269,7 +269,7 @@
         endpoint: String::new(),
     };
     let machines =
-        vec![(machine("n-000001"), up.clone()), (machine("n-000002"), up.tombstone(Wall(7)))];
+        vec![(machine("n-000001"), up.clone()), (machine("n-000002"), up.tombstone(WallTime(7)))];
     let old: frozen::MachineGroup =
         wire::from_value(&wire::to_value(&MachineGroup { machines })).unwrap();
     let told: Vec<_> = old.machines.iter().map(|(id, m)| (id.as_str(), m.up, m.gone)).collect();
@@ -295,7 +295,7 @@
     let sent = wire::encode(&group).len();
     assert!(sent < 2_048 && shown > 2_048, "{sent} {shown}");
     assert_eq!(wire::stored_bytes(&group), shown);
-    let numbers = Load::default();
+    let numbers = OfferedLoad::default();
     let sent = wire::encode(&numbers).len();
     assert!(wire::stored_bytes(&numbers) >= sent.max(serde_json::to_vec(&numbers).unwrap().len()));
 }
