--- a/tests/sim/check.rs
+++ b/tests/sim/check.rs
@@ -36,7 +36,7 @@
     },
     /// With troubles over, a job that nobody cancelled has tasks that wait, while a machine has room and
     /// its team is under its limit (or not).
-    WaitReason {
+    JobWaiting {
         job: u64,
         could: bool,
     },
@@ -216,7 +216,7 @@
             Event::AskedToCancel { job } => {
                 self.asked_to_cancel.insert(job);
             }
-            Event::WaitReason { job, could } => {
+            Event::JobWaiting { job, could } => {
                 if !could {
                     self.could.remove(&job);
                 } else if at > *self.could.entry(job).or_insert(at) + LEFT_WAITING_MS {
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -17,10 +17,13 @@
 use world::{Fault, World};
 
 use Fault::{
-    Alone, Blink, BlinkAll, CancelAt, CancelAtEnd, CancelNow, CloseLooks, CopiesForNext, CrashAll,
-    CrashLeader, CutNode, CutWorker, CutZones, Deaf, FreezeLeader, Hang, HangMany, HoldCommands,
-    LateCopies, LateWrites, LoseReplies, LostAnswers, Mute, PeersRefuse, QuickBoots, Reborn,
-    RefuseStore, SlowStore, StoreOutage, Stranded, SummaryOutcome, Upgrade, WorkerDies,
+    AggressivePolling, BriefCrashOfAll, BriefLeaderCrash, CancelAt, CancelAtEnd, CancelNow,
+    CrashAll, CrashLeader, FastBoots, FreezeLeader, HoldCommands, LateCopies,
+    LateCopiesForNextLeader, LateWrites, LeaderOnlyReachesWorkers, LeaderStrandedWithMachines,
+    LostResponses, LostStoreResponses, PartitionLeader, PartitionWorker, PartitionZones,
+    PeersRefuseConnections, SlowStore, SpotReclaimed, StoreOutage, StoreRefusesLeader,
+    UnansweredWorker, Upgrade, WorkerCrash, WorkerHangs, WorkerReachesNoController, WorkerRestart,
+    WorkersHang,
 };
 
 /// Plays a day of 20 leases and expects that no rule breaks and that all that was asked for ends.
@@ -67,48 +70,58 @@
             vec![
                 (21_300, FreezeLeader(30_000)),
                 (26_000, FreezeLeader(9_000)),
-                (27_000, Reborn(1)),
+                (27_000, WorkerRestart(1)),
             ],
         ),
         ("store outage longer than a lease", vec![(20_000, StoreOutage(15_000))]),
         ("all crash in an outage", vec![(20_000, StoreOutage(12_000)), (24_000, CrashAll)]),
-        ("the store refuses the leader", vec![(20_000, RefuseStore(20_000))]),
+        ("the store refuses the leader", vec![(20_000, StoreRefusesLeader(20_000))]),
         ("slow and late transactions", vec![(5_000, SlowStore(60_000)), (30_000, CrashLeader)]),
-        ("a start response is lost", vec![(20_000, LoseReplies(8_000))]),
-        ("a machine dies", vec![(20_000, WorkerDies(0)), (22_000, CrashLeader)]),
-        ("a machine is cut off and comes back", vec![(20_000, CutWorker(1, 30_000, true))]),
+        ("a start response is lost", vec![(20_000, LostResponses(8_000))]),
+        ("a machine dies", vec![(20_000, WorkerCrash(0)), (22_000, CrashLeader)]),
+        ("a machine is cut off and comes back", vec![(20_000, PartitionWorker(1, 30_000, true))]),
         (
             "cancelled while a machine is cut off",
-            vec![(20_000, CutWorker(1, 45_000, false)), (21_000, CancelAt(1))],
+            vec![(20_000, PartitionWorker(1, 45_000, false)), (21_000, CancelAt(1))],
         ),
-        ("a machine hangs within its lease", vec![(20_000, Hang(2, 8_000)), (21_000, CrashLeader)]),
-        ("a machine hangs beyond it", vec![(20_000, Hang(2, 40_000))]),
-        ("zones are cut", vec![(20_000, CutZones(30_000, false))]),
+        (
+            "a machine hangs within its lease",
+            vec![(20_000, WorkerHangs(2, 8_000)), (21_000, CrashLeader)],
+        ),
+        ("a machine hangs beyond it", vec![(20_000, WorkerHangs(2, 40_000))]),
+        ("zones are cut", vec![(20_000, PartitionZones(30_000, false))]),
         (
             "held packets arrive after a takeover",
-            vec![(20_000, CutZones(25_000, true)), (28_000, CrashLeader)],
+            vec![(20_000, PartitionZones(25_000, true)), (28_000, CrashLeader)],
         ),
-        ("the leader loses its network", vec![(20_000, CutNode(40_000, true))]),
+        ("the leader loses its network", vec![(20_000, PartitionLeader(40_000, true))]),
         (
             "a cut node, then all crash",
-            vec![(20_000, CutNode(40_000, true)), (25_000, CrashAll), (90_000, CrashLeader)],
+            vec![
+                (20_000, PartitionLeader(40_000, true)),
+                (25_000, CrashAll),
+                (90_000, CrashLeader),
+            ],
         ),
         (
             "rolling restarts with a machine lost",
             vec![
                 (20_000, CrashLeader),
                 (30_000, CrashLeader),
-                (31_000, WorkerDies(1)),
+                (31_000, WorkerCrash(1)),
                 (40_000, CrashLeader),
             ],
         ),
-        ("a deaf machine", vec![(20_000, Deaf(1, 40_000))]),
-        ("a deaf machine at a takeover", vec![(20_000, Deaf(1, 60_000)), (21_000, CrashLeader)]),
+        ("a deaf machine", vec![(20_000, UnansweredWorker(1, 40_000))]),
+        (
+            "a deaf machine at a takeover",
+            vec![(20_000, UnansweredWorker(1, 60_000)), (21_000, CrashLeader)],
+        ),
         (
             "a deaf machine and a cancellation",
-            vec![(20_000, Deaf(1, 50_000)), (21_000, CancelAt(3)), (30_000, CrashAll)],
+            vec![(20_000, UnansweredWorker(1, 50_000)), (21_000, CancelAt(3)), (30_000, CrashAll)],
         ),
-        ("late copies of reports", vec![(5_000, LateCopies(60_000)), (22_000, WorkerDies(1))]),
+        ("late copies of reports", vec![(5_000, LateCopies(60_000)), (22_000, WorkerCrash(1))]),
         (
             "late copies at takeovers",
             vec![(5_000, LateCopies(60_000)), (21_000, CrashLeader), (33_000, CrashAll)],
@@ -117,28 +130,32 @@
             "late copies of a machine that lost its lease",
             vec![
                 (5_000, LateCopies(60_000)),
-                (20_000, CutWorker(1, 14_000, true)),
-                (24_000, Blink),
+                (20_000, PartitionWorker(1, 14_000, true)),
+                (24_000, BriefLeaderCrash),
             ],
         ),
-        ("a process is back at once", vec![(20_000, Blink), (26_000, Blink)]),
+        ("a process is back at once", vec![(20_000, BriefLeaderCrash), (26_000, BriefLeaderCrash)]),
         (
             "back at once in mid-election",
-            vec![(20_000, CrashLeader), (22_900, BlinkAll), (23_300, BlinkAll)],
+            vec![(20_000, CrashLeader), (22_900, BriefCrashOfAll), (23_300, BriefCrashOfAll)],
         ),
-        ("a machine is back at once", vec![(20_000, Reborn(1)), (24_000, Reborn(2))]),
+        ("a machine is back at once", vec![(20_000, WorkerRestart(1)), (24_000, WorkerRestart(2))]),
         (
             "a machine is back at once, with late copies",
-            vec![(5_000, LateCopies(50_000)), (20_000, Reborn(1)), (21_000, CrashLeader)],
+            vec![(5_000, LateCopies(50_000)), (20_000, WorkerRestart(1)), (21_000, CrashLeader)],
         ),
-        ("the leader has only its workers", vec![(20_000, Alone(45_000))]),
+        ("the leader has only its workers", vec![(20_000, LeaderOnlyReachesWorkers(45_000))]),
         (
             "the leader has only its workers, and a job is cancelled",
-            vec![(20_000, Alone(60_000)), (21_000, CancelAt(3)), (30_000, CancelAt(1))],
+            vec![
+                (20_000, LeaderOnlyReachesWorkers(60_000)),
+                (21_000, CancelAt(3)),
+                (30_000, CancelAt(1)),
+            ],
         ),
         (
             "peers refuse each other in an outage",
-            vec![(18_000, PeersRefuse(40_000)), (20_000, StoreOutage(12_000))],
+            vec![(18_000, PeersRefuseConnections(40_000)), (20_000, StoreOutage(12_000))],
         ),
     ];
     for (name, faults) in cases {
@@ -152,7 +169,7 @@
 /// The meetings of troubles that operators saw rules break in, in a world where jobs keep coming.
 /// Moments are in tenths of a lease, durations in hundredths.
 fn meetings() -> Vec<(&'static str, Vec<(u64, Fault)>)> {
-    let all = |from: usize, ms| (0..4).map(move |w| (20, Mute(from + w, ms)));
+    let all = |from: usize, ms| (0..4).map(move |w| (20, WorkerReachesNoController(from + w, ms)));
     vec![
         (
             "all controllers are away for longer than a lease",
@@ -160,7 +177,12 @@
         ),
         (
             "jobs of two or three tasks end far apart across a change of leader",
-            vec![(20, CrashLeader), (23, WorkerDies(1)), (25, Blink), (40, CrashLeader)],
+            vec![
+                (20, CrashLeader),
+                (23, WorkerCrash(1)),
+                (25, BriefLeaderCrash),
+                (40, CrashLeader),
+            ],
         ),
         (
             "machines reach no controller",
@@ -173,27 +195,32 @@
         (
             "a leader ends while machines can't be reached, or don't hear the new one",
             vec![
-                (20, CutWorker(0, 300, false)),
-                (20, CutWorker(1, 300, true)),
-                (20, Deaf(2, 300)),
+                (20, PartitionWorker(0, 300, false)),
+                (20, PartitionWorker(1, 300, true)),
+                (20, UnansweredWorker(2, 300)),
                 (21, CrashLeader),
                 (22, CancelNow(6, 0)),
             ],
         ),
         (
             "zones are cut and jobs bound to one lose machines",
-            vec![(20, CutZones(200, false)), (24, WorkerDies(0)), (25, WorkerDies(1))],
+            vec![(20, PartitionZones(200, false)), (24, WorkerCrash(0)), (25, WorkerCrash(1))],
         ),
         (
             "transactions are carried out after newer ones of the same controller",
-            vec![(10, LateWrites(300)), (22, CrashLeader), (24, CancelNow(4, 0)), (34, BlinkAll)],
+            vec![
+                (10, LateWrites(300)),
+                (22, CrashLeader),
+                (24, CancelNow(4, 0)),
+                (34, BriefCrashOfAll),
+            ],
         ),
         (
             "commands are held up and the machines then go on",
             vec![
                 (18, HoldCommands(120)),
-                (20, Hang(0, 90)),
-                (20, CutWorker(1, 100, true)),
+                (20, WorkerHangs(0, 90)),
+                (20, PartitionWorker(1, 100, true)),
                 (21, CancelNow(8, 0)),
                 (22, CrashLeader),
             ],
@@ -209,22 +236,27 @@
         ),
         (
             "old reports come after newer ones, also of an earlier session",
-            vec![(5, LateCopies(600)), (20, CutWorker(1, 140, true)), (22, Reborn(2)), (30, Blink)],
+            vec![
+                (5, LateCopies(600)),
+                (20, PartitionWorker(1, 140, true)),
+                (22, WorkerRestart(2)),
+                (30, BriefLeaderCrash),
+            ],
         ),
         (
             "new machines get work at once while writes lag, and the leader ends",
             vec![
                 (15, LateWrites(120)),
-                (18, QuickBoots(4)),
+                (18, FastBoots(4)),
                 (20, CrashLeader),
-                (21, QuickBoots(3)),
-                (22, Blink),
+                (21, FastBoots(3)),
+                (22, BriefLeaderCrash),
             ],
         ),
         (
             "jobs are cancelled while a controller's work changes hands, and back",
             vec![
-                (20, Alone(130)),
+                (20, LeaderOnlyReachesWorkers(130)),
                 (20, CancelNow(3, 0)),
                 (25, CancelNow(3, 0)),
                 (26, CancelNow(3, 0)),
@@ -236,41 +268,46 @@
         (
             "copies of reports reach every controller as a new leader begins",
             vec![
-                (15, CopiesForNext(60)),
+                (15, LateCopiesForNextLeader(60)),
                 (21, CrashLeader),
-                (35, CopiesForNext(200)),
-                (44, CutNode(120, true)),
+                (35, LateCopiesForNextLeader(200)),
+                (44, PartitionLeader(120, true)),
                 (45, CancelNow(4, 0)),
             ],
         ),
         (
             "users look closely",
-            vec![(1, CloseLooks(900)), (20, CrashLeader), (30, CancelAtEnd(300))],
+            vec![(1, AggressivePolling(900)), (20, CrashLeader), (30, CancelAtEnd(300))],
         ),
         (
             "users look closely while the store answers late, then refuses the leader, then all",
             vec![
-                (1, CloseLooks(900)),
+                (1, AggressivePolling(900)),
                 (8, SlowStore(120)),
-                (22, RefuseStore(140)),
+                (22, StoreRefusesLeader(140)),
                 (23, StoreOutage(400)),
                 (24, CancelNow(5, 0)),
             ],
         ),
         (
             "only the answers of transactions are lost, and others read what they wrote",
-            vec![(1, CloseLooks(900)), (5, LostAnswers(500)), (30, CancelAtEnd(200)), (32, Blink)],
+            vec![
+                (1, AggressivePolling(900)),
+                (5, LostStoreResponses(500)),
+                (30, CancelAtEnd(200)),
+                (32, BriefLeaderCrash),
+            ],
         ),
         (
             "a cancellation meets the end of the last task, with no other trouble",
-            vec![(1, CancelAtEnd(900)), (1, CloseLooks(900))],
+            vec![(1, CancelAtEnd(900)), (1, AggressivePolling(900))],
         ),
         (
             "every team is at its limit, machines are cut off or hang, and the leader changes",
             vec![
-                (20, Hang(0, 90)),
-                (20, Hang(1, 200)),
-                (20, CutWorker(2, 200, false)),
+                (20, WorkerHangs(0, 90)),
+                (20, WorkerHangs(1, 200)),
+                (20, PartitionWorker(2, 200, false)),
                 (20, CancelNow(8, 0)),
                 (21, CrashLeader),
                 (40, CancelNow(8, 80)),
@@ -279,12 +316,18 @@
         ),
         (
             "controllers hand over and back, all end, and one returns",
-            vec![(20, CrashLeader), (24, CrashLeader), (26, CrashAll), (26, Blink), (30, BlinkAll)],
+            vec![
+                (20, CrashLeader),
+                (24, CrashLeader),
+                (26, CrashAll),
+                (26, BriefLeaderCrash),
+                (30, BriefCrashOfAll),
+            ],
         ),
         (
             "a leader keeps only its workers and users while jobs are cancelled through others",
             vec![
-                (20, Alone(400)),
+                (20, LeaderOnlyReachesWorkers(400)),
                 (21, CancelNow(4, 0)),
                 (24, CancelNow(4, 0)),
                 (28, CancelNow(4, 90)),
@@ -293,13 +336,13 @@
         (
             "leaders change ten times, also inside an outage",
             (0..10)
-                .map(|i| (20 + 12 * i, if i % 2 == 0 { CrashLeader } else { Blink }))
+                .map(|i| (20 + 12 * i, if i % 2 == 0 { CrashLeader } else { BriefLeaderCrash }))
                 .chain([(60, StoreOutage(300)), (62, CancelNow(4, 0)), (100, CancelNow(4, 0))])
                 .collect(),
         ),
         (
             "a zone with workers and a controller is cut off for longer than a lease",
-            vec![(20, CutZones(200, true)), (21, CancelNow(4, 0)), (30, CancelNow(4, 0))],
+            vec![(20, PartitionZones(200, true)), (21, CancelNow(4, 0)), (30, CancelNow(4, 0))],
         ),
     ]
 }
@@ -372,12 +415,19 @@
             ] {
                 let (refused, told) = (20_000, 20_000 + after);
                 let mut faults = vec![
-                    (refused, if stranded { Stranded(outage) } else { RefuseStore(14_000) }),
+                    (
+                        refused,
+                        if stranded {
+                            LeaderStrandedWithMachines(outage)
+                        } else {
+                            StoreRefusesLeader(14_000)
+                        },
+                    ),
                     (told, CancelNow(4, hang)),
                     (told + before, StoreOutage(outage)),
                 ];
                 if blink {
-                    faults.push((told + before + 3_000, Blink));
+                    faults.push((told + before + 3_000, BriefLeaderCrash));
                 }
                 let mut world = World::long(seed as u64, rhythm);
                 world.run(&faults, told + before + outage + 20_000);
@@ -400,13 +450,13 @@
     type Troubles = fn(u64) -> Vec<Fault>;
     let cases: [(&str, Troubles); 7] = [
         ("no direct command arrives", |ms| vec![HoldCommands(ms)]),
-        ("no report arrives", |ms| (0..8).map(|w| Mute(w, ms)).collect()),
-        ("no answer arrives", |ms| (0..8).map(|w| Deaf(w, ms)).collect()),
-        ("nothing arrives", |ms| (0..8).map(|w| CutWorker(w, ms, false)).collect()),
-        ("everything arrives late", |ms| (0..8).map(|w| CutWorker(w, ms, true)).collect()),
-        ("they hang", |ms| vec![HangMany(8, ms)]),
+        ("no report arrives", |ms| (0..8).map(|w| WorkerReachesNoController(w, ms)).collect()),
+        ("no answer arrives", |ms| (0..8).map(|w| UnansweredWorker(w, ms)).collect()),
+        ("nothing arrives", |ms| (0..8).map(|w| PartitionWorker(w, ms, false)).collect()),
+        ("everything arrives late", |ms| (0..8).map(|w| PartitionWorker(w, ms, true)).collect()),
+        ("they hang", |ms| vec![WorkersHang(8, ms)]),
         ("reports find nobody, and commands are held", |ms| {
-            (0..8).map(|w| Mute(w, ms)).chain([HoldCommands(ms)]).collect()
+            (0..8).map(|w| WorkerReachesNoController(w, ms)).chain([HoldCommands(ms)]).collect()
         }),
     ];
     for (name, troubles) in cases {
@@ -431,7 +481,7 @@
 
 #[test]
 fn many_small_jobs_of_which_a_quarter_is_cancelled_leave_little_behind() {
-    let faults = [(60_000, CrashLeader), (1_000, CloseLooks(120_000))];
+    let faults = [(60_000, CrashLeader), (1_000, AggressivePolling(120_000))];
     let mut faults = faults.to_vec();
     faults.sort_by_key(|f| f.0);
     let mut world = World::rate(1, 720);
@@ -478,15 +528,19 @@
         (
             "all crash, a third hangs, some stay deaf",
             vec![
-                (16_000, Deaf(1_799, 60_000)),
-                (16_000, Deaf(1_798, 60_000)),
-                (18_000, HangMany(600, 60_000)),
+                (16_000, UnansweredWorker(1_799, 60_000)),
+                (16_000, UnansweredWorker(1_798, 60_000)),
+                (18_000, WorkersHang(600, 60_000)),
                 (19_000, CrashAll),
             ],
         ),
         (
             "controllers refuse each other while all crash",
-            vec![(16_000, PeersRefuse(40_000)), (17_000, CrashAll), (30_000, CrashLeader)],
+            vec![
+                (16_000, PeersRefuseConnections(40_000)),
+                (17_000, CrashAll),
+                (30_000, CrashLeader),
+            ],
         ),
     ];
     for (name, faults) in cases {
@@ -507,7 +561,7 @@
 /// seconds.
 #[test]
 fn a_change_of_leader_goes_through_its_phases_in_time() {
-    for fault in [CrashLeader, FreezeLeader(20_000), CutNode(20_000, true)] {
+    for fault in [CrashLeader, FreezeLeader(20_000), PartitionLeader(20_000, true)] {
         for seed in 1..=5 {
             let at = 20_000 + seed * 1_370;
             let mut world = World::busy(seed, BRISK);
@@ -525,7 +579,7 @@
 /// The size that the operators run: the leader crashes with all machines in use, and a zone is cut later.
 #[test]
 fn four_thousand_machines_keep_the_rules_and_settle_after_a_takeover() {
-    let faults = [(18_000, CrashLeader), (40_000, CutZones(40_000, false))];
+    let faults = [(18_000, CrashLeader), (40_000, PartitionZones(40_000, false))];
     let mut world = World::fleet(1, 4_000);
     world.run(&faults, 200_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
@@ -564,8 +618,8 @@
             // Two machines a day go while gangs run on most of them.
             let at = 12_000 + seed * 700;
             let faults = [
-                (at, SummaryOutcome(seed as usize % 8, 9_000)),
-                (at + 9_000, SummaryOutcome(seed as usize % 5, 14_000)),
+                (at, SpotReclaimed(seed as usize % 8, 9_000)),
+                (at + 9_000, SpotReclaimed(seed as usize % 5, 14_000)),
             ];
             world.run(&faults, rhythm.lease_ms * 20);
             assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
@@ -584,7 +638,7 @@
             let mut faults = world::faults::random_faults(seed, rhythm);
             let taken = (
                 5_000 + seed * 1_237 % 60_000,
-                SummaryOutcome(seed as usize % 8, 4_000 + seed % 12 * 1_000),
+                SpotReclaimed(seed as usize % 8, 4_000 + seed % 12 * 1_000),
             );
             faults.push(taken);
             faults.sort_by_key(|f| f.0);
@@ -647,7 +701,7 @@
     let known = (0, Event::Submitted { job: 1 });
     let asked_to = |at| (at, Event::AskedToCancel { job: 1 });
     let could = |from: u64, to: u64, could| -> Vec<(u64, Event)> {
-        (from..to).step_by(1_000).map(|at| (at, Event::WaitReason { job: 1, could })).collect()
+        (from..to).step_by(1_000).map(|at| (at, Event::JobWaiting { job: 1, could })).collect()
     };
     let gone_on = |at| vec![(at, start((1, 0), 0))];
     let closely: Vec<Case> = vec![
--- a/tests/sim/reach.rs
+++ b/tests/sim/reach.rs
@@ -13,7 +13,7 @@
         let mut world = World::saturated(seed, SLOW);
         world.run(&[], 21_000);
         let (owner, term) = (world.owner_of(machine), world.term());
-        world.run(&[(21_300, Fault::CutFromOwner(machine, CUT_MS))], 60_000);
+        world.run(&[(21_300, Fault::PartitionWorkerFromOwner(machine, CUT_MS))], 60_000);
         assert_ne!(world.owner_of(machine), owner, "{seed}");
         world.run(&[], 21_300 + CUT_MS);
         assert!(world.term() <= term + 1, "{seed}: {} terms", world.term() - term);
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -96,7 +96,7 @@
     let failures = [
         ("kill", Fault::CrashLeader),
         ("freeze", Fault::FreezeLeader(FAILURE_MS)),
-        ("cut", Fault::CutNode(FAILURE_MS, true)),
+        ("cut", Fault::PartitionLeader(FAILURE_MS, true)),
     ];
     let mut cases = Vec::new();
     for (failure, fault) in failures {
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -8,9 +8,10 @@
 use crate::world::{self, Fault, World};
 
 use Fault::{
-    Blink, CancelNow, CrashAll, CrashInEpoch, CrashLeader, CrashLeaderAndStandby, CrashSuccessor,
-    CutNode, CutPair, FreezeLeader, ListedFailed, LogLag, LostAnswers, PeersRefuse, QuickBoots,
-    RefuseStandby, RefuseStore, StoreOutage, Upgrade, WorkerDies,
+    BriefLeaderCrash, CancelNow, CrashAll, CrashInEpoch, CrashLeader, CrashLeaderAndStandby,
+    CrashSuccessor, DecisionLogLag, FastBoots, FreezeLeader, ListedFailed, LostStoreResponses,
+    PartitionLeader, PartitionLeaderAndStandby, PeersRefuseConnections, StoreOutage,
+    StoreRefusesLeader, StoreRefusesStandby, Upgrade, WorkerCrash,
 };
 
 /// When the leader fails in most cases.
@@ -64,7 +65,7 @@
         case("dies with an epoch that was not written", vec![(AT, CrashInEpoch(false))], false),
         case(
             "dies while the log lags by seconds",
-            vec![(AT - 4_000, LogLag(8_000)), (AT, CrashLeader)],
+            vec![(AT - 4_000, DecisionLogLag(8_000)), (AT, CrashLeader)],
             false,
         ),
         case("leader and standby die together", vec![(AT, CrashLeaderAndStandby)], false),
@@ -73,12 +74,16 @@
             vec![(AT - 10, CrashSuccessor), (AT, CrashLeader)],
             false,
         ),
-        case("leader and standby do not reach each other", vec![(AT, CutPair(30_000))], true),
-        case("no controller reaches another", vec![(AT, PeersRefuse(30_000))], true),
-        case("the store refuses the leader", vec![(AT, RefuseStore(12_000))], false),
+        case(
+            "leader and standby do not reach each other",
+            vec![(AT, PartitionLeaderAndStandby(30_000))],
+            true,
+        ),
+        case("no controller reaches another", vec![(AT, PeersRefuseConnections(30_000))], true),
+        case("the store refuses the leader", vec![(AT, StoreRefusesLeader(12_000))], false),
         case(
             "the store refuses the standby as the leader dies",
-            vec![(AT - 100, RefuseStandby(8_000)), (AT, CrashLeader)],
+            vec![(AT - 100, StoreRefusesStandby(8_000)), (AT, CrashLeader)],
             false,
         ),
         case(
@@ -88,14 +93,14 @@
         ),
         case(
             "answers of transactions are lost as the leader is fenced",
-            vec![(AT, LostAnswers(6_000)), (AT, FreezeLeader(15_000))],
+            vec![(AT, LostStoreResponses(6_000)), (AT, FreezeLeader(15_000))],
             false,
         ),
-        case("back in a fraction of a second", vec![(AT, Blink)], false),
-        case("cut off from everything", vec![(AT, CutNode(25_000, true))], false),
+        case("back in a fraction of a second", vec![(AT, BriefLeaderCrash)], false),
+        case("cut off from everything", vec![(AT, PartitionLeader(25_000, true))], false),
         case(
             "machines are rented and jobs cancelled at that moment",
-            vec![(AT - 300, QuickBoots(4)), (AT - 100, CancelNow(4, 0)), (AT, FreezeLeader(9_000))],
+            vec![(AT - 300, FastBoots(4)), (AT - 100, CancelNow(4, 0)), (AT, FreezeLeader(9_000))],
             false,
         ),
         case(
@@ -109,7 +114,7 @@
         ),
         case(
             "all die after a takeover",
-            vec![(AT, FreezeLeader(6_000)), (AT + 1_500, WorkerDies(1)), (AT + 3_000, CrashAll)],
+            vec![(AT, FreezeLeader(6_000)), (AT + 1_500, WorkerCrash(1)), (AT + 3_000, CrashAll)],
             false,
         ),
     ]
@@ -177,7 +182,7 @@
 /// Without the standby the lease of 3 s is what is waited for; with it, the others notice within a second.
 #[test]
 fn a_standby_shortens_each_kind_of_failure_and_no_phase_gets_longer() {
-    for fault in [CrashLeader, FreezeLeader(20_000), CutNode(20_000, true)] {
+    for fault in [CrashLeader, FreezeLeader(20_000), PartitionLeader(20_000, true)] {
         for seed in 1..=5 {
             let at = 20_000 + seed * 1_370;
             let played = |standby: bool| {
@@ -203,9 +208,9 @@
 #[test]
 fn a_leader_that_others_hear_is_not_replaced() {
     for (name, fault, most) in [
-        ("the standby alone does not hear it", CutPair(40_000), 0),
+        ("the standby alone does not hear it", PartitionLeaderAndStandby(40_000), 0),
         ("it is stopped for a moment", FreezeLeader(400), 0),
-        ("the standby itself is refused by the store", RefuseStandby(20_000), 0),
+        ("the standby itself is refused by the store", StoreRefusesStandby(20_000), 0),
     ] {
         for seed in 1..=4 {
             let mut world = with_standby(World::busy(seed, BRISK));
--- a/tests/sim/stopped.rs
+++ b/tests/sim/stopped.rs
@@ -7,7 +7,8 @@
 use crate::world::{Fault, World};
 
 use Fault::{
-    CopiesForNext, CrashLeader, CutFromControllers, Freeze, FreezeLeader, HoldCommands, PeersRefuse,
+    CrashLeader, Freeze, FreezeLeader, HoldCommands, LateCopiesForNextLeader,
+    PartitionControllerFromPeers, PeersRefuseConnections,
 };
 
 /// Seeds that CI plays of each case; by hand, `STOPPED_SEEDS=200 cargo test --release --test sim stopped` plays more.
@@ -33,17 +34,20 @@
 const DAYS: [(&str, Day); 6] = [
     ("the leader is stopped", |_, at, ms| vec![(at, FreezeLeader(ms))]),
     ("the leader is stopped, and another controller is cut off from the others", |i, at, ms| {
-        vec![(at - 500, CutFromControllers(i as usize % 3, ms + 4_000)), (at, FreezeLeader(ms))]
+        vec![
+            (at - 500, PartitionControllerFromPeers(i as usize % 3, ms + 4_000)),
+            (at, FreezeLeader(ms)),
+        ]
     }),
     ("controllers are stopped one after the other", |i, at, ms| {
         vec![(at, Freeze(i as usize % 3, ms)), (at + 1_500, Freeze((i as usize + 1) % 3, ms))]
     }),
     ("the leader is stopped while controllers refuse each other", |_, at, ms| {
-        vec![(at - 500, PeersRefuse(ms + 4_000)), (at, FreezeLeader(ms))]
+        vec![(at - 500, PeersRefuseConnections(ms + 4_000)), (at, FreezeLeader(ms))]
     }),
     ("the leader is stopped, its successor ends, and old reports come", |i, at, ms| {
         let successor = if i % 2 == 0 { vec![(at + 3_500, CrashLeader)] } else { Vec::new() };
-        let stopped = [(at - 1_000, CopiesForNext(4_000)), (at, FreezeLeader(ms))];
+        let stopped = [(at - 1_000, LateCopiesForNextLeader(4_000)), (at, FreezeLeader(ms))];
         stopped.into_iter().chain(successor).collect()
     }),
     ("the leader is stopped while direct commands are held up", |_, at, ms| {
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -523,7 +523,7 @@
             });
             // A gang needs more than room for one task.
             let could = could && accepted && open && free && job.kind != JobKind::Gang;
-            self.checker.see(now, Event::WaitReason { job: id, could });
+            self.checker.see(now, Event::JobWaiting { job: id, could });
         }
     }
 
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -12,9 +12,9 @@
     /// That controller's process is stopped and goes on later.
     Freeze(usize, u64),
     /// A machine does not reach the controller that owns it; it reaches the others.
-    CutFromOwner(usize, u64),
+    PartitionWorkerFromOwner(usize, u64),
     /// That controller is cut off from the other controllers only.
-    CutFromControllers(usize, u64),
+    PartitionControllerFromPeers(usize, u64),
     /// The leader's process ends in its next epoch that writes something: after the write, or before it.
     CrashInEpoch(bool),
     /// The leader and the first in rank to replace it end together.
@@ -22,72 +22,72 @@
     /// Whoever takes the next term ends as it has taken it.
     CrashSuccessor,
     /// The leader and the first in rank to replace it do not reach each other.
-    CutPair(u64),
+    PartitionLeaderAndStandby(u64),
     /// The store refuses the first in rank to replace the leader.
-    RefuseStandby(u64),
+    StoreRefusesStandby(u64),
     /// The leader takes a machine that is well for failed, as an old list of the cloud may say, and is about to return
     /// it.
     ListedFailed(usize),
     /// Standbys get no decisions for that long.
-    LogLag(u64),
+    DecisionLogLag(u64),
     StoreOutage(u64),
     /// The store refuses the leader alone.
-    RefuseStore(u64),
+    StoreRefusesLeader(u64),
     /// Transactions are carried out late, or without an answer.
     SlowStore(u64),
     /// Answers to workers get lost now and then.
-    LoseReplies(u64),
-    WorkerDies(usize),
+    LostResponses(u64),
+    WorkerCrash(usize),
     /// A machine is cut off; packets are held if true.
-    CutWorker(usize, u64, bool),
-    Hang(usize, u64),
-    CutZones(u64, bool),
+    PartitionWorker(usize, u64, bool),
+    WorkerHangs(usize, u64),
+    PartitionZones(u64, bool),
     /// The leader is cut off from everything.
-    CutNode(u64, bool),
+    PartitionLeader(u64, bool),
     /// The user cancels a job, and is told.
     CancelAt(u64),
     /// A machine's reports arrive; no answer reaches it.
-    Deaf(usize, u64),
+    UnansweredWorker(usize, u64),
     /// Every report is delivered once more, up to well over a lease late.
     LateCopies(u64),
     /// The leader's process is back in a fraction of a second.
-    Blink,
+    BriefLeaderCrash,
     /// All processes are.
-    BlinkAll,
+    BriefCrashOfAll,
     /// A machine is back at once with nothing on it and counts from 1 again.
-    Reborn(usize),
+    WorkerRestart(usize),
     /// The leader loses the store and the other controllers, not its workers.
-    Alone(u64),
+    LeaderOnlyReachesWorkers(u64),
     /// The leader and all but two machines are cut off from the store and the other controllers, not from
     /// each other.
-    Stranded(u64),
+    LeaderStrandedWithMachines(u64),
     /// Controllers refuse each other's connections.
-    PeersRefuse(u64),
+    PeersRefuseConnections(u64),
     /// The first so many machines hang together.
-    HangMany(usize, u64),
+    WorkersHang(usize, u64),
     /// The cloud takes a machine after that time, with notice.
-    SummaryOutcome(usize, u64),
+    SpotReclaimed(usize, u64),
     /// A controller is exchanged for the new version.
     Upgrade(usize),
     /// A machine reaches no controller; direct commands and their answers still pass.
-    Mute(usize, u64),
+    WorkerReachesNoController(usize, u64),
     /// A third of all transactions gets no answer and is carried out 2 to 12 s later.
     LateWrites(u64),
     /// A third of all transactions is carried out at once, and only the answer is lost.
-    LostAnswers(u64),
+    LostStoreResponses(u64),
     /// Direct commands are held up until it is over.
     HoldCommands(u64),
     /// Copies of reports are kept for that long, and reach every controller 200 ms after the next
     /// leader has begun.
-    CopiesForNext(u64),
+    LateCopiesForNextLeader(u64),
     /// Users cancel that many jobs that run; up to eight of their machines hang that long.
     CancelNow(usize, u64),
     /// Jobs are cancelled at the moment of their end.
     CancelAtEnd(u64),
     /// Users ask and submit at all nodes right after anything was told.
-    CloseLooks(u64),
+    AggressivePolling(u64),
     /// That many machines are rented and up within 2 s.
-    QuickBoots(usize),
+    FastBoots(usize),
 }
 
 impl Fault {
@@ -95,34 +95,34 @@
     pub(super) fn lasts(self) -> u64 {
         match self {
             Fault::StoreOutage(ms)
-            | Fault::RefuseStore(ms)
+            | Fault::StoreRefusesLeader(ms)
             | Fault::SlowStore(ms)
-            | Fault::LoseReplies(ms)
-            | Fault::CutWorker(_, ms, _)
-            | Fault::Hang(_, ms)
-            | Fault::CutZones(ms, _)
-            | Fault::CutNode(ms, _)
-            | Fault::Deaf(_, ms)
-            | Fault::Alone(ms)
-            | Fault::Stranded(ms)
-            | Fault::HangMany(_, ms)
-            | Fault::SummaryOutcome(_, ms)
-            | Fault::Mute(_, ms)
-            | Fault::LostAnswers(ms)
+            | Fault::LostResponses(ms)
+            | Fault::PartitionWorker(_, ms, _)
+            | Fault::WorkerHangs(_, ms)
+            | Fault::PartitionZones(ms, _)
+            | Fault::PartitionLeader(ms, _)
+            | Fault::UnansweredWorker(_, ms)
+            | Fault::LeaderOnlyReachesWorkers(ms)
+            | Fault::LeaderStrandedWithMachines(ms)
+            | Fault::WorkersHang(_, ms)
+            | Fault::SpotReclaimed(_, ms)
+            | Fault::WorkerReachesNoController(_, ms)
+            | Fault::LostStoreResponses(ms)
             | Fault::HoldCommands(ms)
             | Fault::CancelNow(_, ms)
             | Fault::CancelAtEnd(ms)
-            | Fault::CloseLooks(ms)
+            | Fault::AggressivePolling(ms)
             | Fault::FreezeLeader(ms)
             | Fault::Freeze(_, ms)
-            | Fault::CutFromControllers(_, ms)
-            | Fault::CutFromOwner(_, ms)
-            | Fault::CutPair(ms)
-            | Fault::RefuseStandby(ms)
-            | Fault::LogLag(ms)
-            | Fault::PeersRefuse(ms) => ms,
+            | Fault::PartitionControllerFromPeers(_, ms)
+            | Fault::PartitionWorkerFromOwner(_, ms)
+            | Fault::PartitionLeaderAndStandby(ms)
+            | Fault::StoreRefusesStandby(ms)
+            | Fault::DecisionLogLag(ms)
+            | Fault::PeersRefuseConnections(ms) => ms,
             Fault::LateWrites(ms) => ms + 12_000,
-            Fault::CopiesForNext(ms) => ms,
+            Fault::LateCopiesForNextLeader(ms) => ms,
             Fault::LateCopies(ms) => ms + 70_000,
             _ => 0,
         }
@@ -136,33 +136,35 @@
             Fault::StoreOutage(t) => Fault::StoreOutage(t * by),
             Fault::FreezeLeader(t) => Fault::FreezeLeader(t * by),
             Fault::Freeze(n, t) => Fault::Freeze(n, t * by),
-            Fault::CutFromControllers(n, t) => Fault::CutFromControllers(n, t * by),
-            Fault::CutFromOwner(w, t) => Fault::CutFromOwner(w, t * by),
-            Fault::CutPair(t) => Fault::CutPair(t * by),
-            Fault::RefuseStandby(t) => Fault::RefuseStandby(t * by),
-            Fault::LogLag(t) => Fault::LogLag(t * by),
-            Fault::RefuseStore(t) => Fault::RefuseStore(t * by),
+            Fault::PartitionControllerFromPeers(n, t) => {
+                Fault::PartitionControllerFromPeers(n, t * by)
+            }
+            Fault::PartitionWorkerFromOwner(w, t) => Fault::PartitionWorkerFromOwner(w, t * by),
+            Fault::PartitionLeaderAndStandby(t) => Fault::PartitionLeaderAndStandby(t * by),
+            Fault::StoreRefusesStandby(t) => Fault::StoreRefusesStandby(t * by),
+            Fault::DecisionLogLag(t) => Fault::DecisionLogLag(t * by),
+            Fault::StoreRefusesLeader(t) => Fault::StoreRefusesLeader(t * by),
             Fault::SlowStore(t) => Fault::SlowStore(t * by),
-            Fault::LoseReplies(t) => Fault::LoseReplies(t * by),
-            Fault::CutWorker(w, t, hold) => Fault::CutWorker(w, t * by, hold),
-            Fault::Hang(w, t) => Fault::Hang(w, t * by),
-            Fault::CutZones(t, hold) => Fault::CutZones(t * by, hold),
-            Fault::CutNode(t, hold) => Fault::CutNode(t * by, hold),
-            Fault::Deaf(w, t) => Fault::Deaf(w, t * by),
+            Fault::LostResponses(t) => Fault::LostResponses(t * by),
+            Fault::PartitionWorker(w, t, hold) => Fault::PartitionWorker(w, t * by, hold),
+            Fault::WorkerHangs(w, t) => Fault::WorkerHangs(w, t * by),
+            Fault::PartitionZones(t, hold) => Fault::PartitionZones(t * by, hold),
+            Fault::PartitionLeader(t, hold) => Fault::PartitionLeader(t * by, hold),
+            Fault::UnansweredWorker(w, t) => Fault::UnansweredWorker(w, t * by),
             Fault::LateCopies(t) => Fault::LateCopies(t * by),
-            Fault::Alone(t) => Fault::Alone(t * by),
-            Fault::Stranded(t) => Fault::Stranded(t * by),
-            Fault::PeersRefuse(t) => Fault::PeersRefuse(t * by),
-            Fault::HangMany(n, t) => Fault::HangMany(n, t * by),
-            Fault::SummaryOutcome(w, t) => Fault::SummaryOutcome(w, t * by),
-            Fault::Mute(w, t) => Fault::Mute(w, t * by),
+            Fault::LeaderOnlyReachesWorkers(t) => Fault::LeaderOnlyReachesWorkers(t * by),
+            Fault::LeaderStrandedWithMachines(t) => Fault::LeaderStrandedWithMachines(t * by),
+            Fault::PeersRefuseConnections(t) => Fault::PeersRefuseConnections(t * by),
+            Fault::WorkersHang(n, t) => Fault::WorkersHang(n, t * by),
+            Fault::SpotReclaimed(w, t) => Fault::SpotReclaimed(w, t * by),
+            Fault::WorkerReachesNoController(w, t) => Fault::WorkerReachesNoController(w, t * by),
             Fault::LateWrites(t) => Fault::LateWrites(t * by),
-            Fault::LostAnswers(t) => Fault::LostAnswers(t * by),
+            Fault::LostStoreResponses(t) => Fault::LostStoreResponses(t * by),
             Fault::HoldCommands(t) => Fault::HoldCommands(t * by),
-            Fault::CopiesForNext(t) => Fault::CopiesForNext(t * by),
+            Fault::LateCopiesForNextLeader(t) => Fault::LateCopiesForNextLeader(t * by),
             Fault::CancelNow(n, t) => Fault::CancelNow(n, t * by),
             Fault::CancelAtEnd(t) => Fault::CancelAtEnd(t * by),
-            Fault::CloseLooks(t) => Fault::CloseLooks(t * by),
+            Fault::AggressivePolling(t) => Fault::AggressivePolling(t * by),
             other => other,
         }
     }
@@ -172,7 +174,7 @@
 pub fn random_meetings(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let unit = rhythm.lease_ms / 100;
-    let mut faults = vec![(1_000, Fault::CloseLooks(rhythm.lease_ms * 12))];
+    let mut faults = vec![(1_000, Fault::AggressivePolling(rhythm.lease_ms * 12))];
     for _ in 0..2 {
         let at = rng.random_range(10_000..70_000);
         for _ in 0..rng.random_range(2..=3) {
@@ -183,28 +185,28 @@
             let fault = match rng.random_range(0..24) {
                 0 => Fault::CrashAll,
                 1 => Fault::StoreOutage(t),
-                2 => Fault::RefuseStore(t),
+                2 => Fault::StoreRefusesLeader(t),
                 3 => Fault::SlowStore(t),
-                4 => Fault::LoseReplies(t),
-                5 => Fault::WorkerDies(w),
-                6 => Fault::CutWorker(w, t, hold),
-                7 => Fault::Hang(w, t),
-                8 => Fault::CutZones(t, hold),
-                9 => Fault::CutNode(t, hold),
-                10 => Fault::Deaf(w, t),
+                4 => Fault::LostResponses(t),
+                5 => Fault::WorkerCrash(w),
+                6 => Fault::PartitionWorker(w, t, hold),
+                7 => Fault::WorkerHangs(w, t),
+                8 => Fault::PartitionZones(t, hold),
+                9 => Fault::PartitionLeader(t, hold),
+                10 => Fault::UnansweredWorker(w, t),
                 11 => Fault::LateCopies(t),
-                12 => Fault::Blink,
-                13 => Fault::BlinkAll,
-                14 => Fault::Reborn(w),
-                15 => Fault::Alone(t),
-                16 => Fault::PeersRefuse(t),
-                17 => Fault::Mute(w, t),
+                12 => Fault::BriefLeaderCrash,
+                13 => Fault::BriefCrashOfAll,
+                14 => Fault::WorkerRestart(w),
+                15 => Fault::LeaderOnlyReachesWorkers(t),
+                16 => Fault::PeersRefuseConnections(t),
+                17 => Fault::WorkerReachesNoController(w, t),
                 18 => Fault::LateWrites(t),
-                19 => Fault::LostAnswers(t),
+                19 => Fault::LostStoreResponses(t),
                 20 => Fault::HoldCommands(t),
-                21 => Fault::CopiesForNext(t),
+                21 => Fault::LateCopiesForNextLeader(t),
                 22 => Fault::CancelAtEnd(t),
-                _ => Fault::QuickBoots(1 + w % 3),
+                _ => Fault::FastBoots(1 + w % 3),
             };
             faults.push((at + rng.random_range(0..3_000), fault.scaled(unit)));
         }
@@ -229,22 +231,22 @@
             let fault = match rng.random_range(0..19) {
                 0 => Fault::CrashAll,
                 1 => Fault::StoreOutage(ms),
-                2 => Fault::RefuseStore(ms),
+                2 => Fault::StoreRefusesLeader(ms),
                 3 => Fault::SlowStore(ms),
-                4 => Fault::LoseReplies(ms),
-                5 => Fault::WorkerDies(worker),
-                6 => Fault::CutWorker(worker, ms, hold),
-                7 => Fault::Hang(worker, ms),
-                8 => Fault::CutZones(ms, hold),
-                9 => Fault::CutNode(ms, hold),
+                4 => Fault::LostResponses(ms),
+                5 => Fault::WorkerCrash(worker),
+                6 => Fault::PartitionWorker(worker, ms, hold),
+                7 => Fault::WorkerHangs(worker, ms),
+                8 => Fault::PartitionZones(ms, hold),
+                9 => Fault::PartitionLeader(ms, hold),
                 10 => Fault::CancelAt(rng.random_range(1..7)),
-                11 => Fault::Deaf(worker, ms),
+                11 => Fault::UnansweredWorker(worker, ms),
                 12 => Fault::LateCopies(ms),
-                13 => Fault::Blink,
-                14 => Fault::BlinkAll,
-                15 => Fault::Reborn(worker),
-                16 => Fault::Alone(ms),
-                17 => Fault::PeersRefuse(ms),
+                13 => Fault::BriefLeaderCrash,
+                14 => Fault::BriefCrashOfAll,
+                15 => Fault::WorkerRestart(worker),
+                16 => Fault::LeaderOnlyReachesWorkers(ms),
+                17 => Fault::PeersRefuseConnections(ms),
                 _ => Fault::CrashLeader,
             };
             (rng.random_range(5_000..70_000), fault)
@@ -312,9 +314,9 @@
             fault,
             Fault::CrashLeader
                 | Fault::FreezeLeader(_)
-                | Fault::CutNode(..)
-                | Fault::Blink
-                | Fault::RefuseStore(_)
+                | Fault::PartitionLeader(..)
+                | Fault::BriefLeaderCrash
+                | Fault::StoreRefusesLeader(_)
                 | Fault::CrashInEpoch(_)
                 | Fault::CrashLeaderAndStandby
         );
@@ -324,12 +326,12 @@
         match fault {
             Fault::FreezeLeader(ms) => self.freeze(self.leader(), ms),
             Fault::Freeze(n, ms) => self.freeze(n, ms),
-            Fault::CutFromOwner(w, ms) => {
+            Fault::PartitionWorkerFromOwner(w, ms) => {
                 if let Some(owner) = self.owner_of(w) {
                     self.cut([Place::Worker(w)].into(), [Place::Node(owner)].into(), ms, false);
                 }
             }
-            Fault::CutFromControllers(n, ms) => {
+            Fault::PartitionControllerFromPeers(n, ms) => {
                 let others = (0..3).filter(|m| *m != n).map(Place::Node).collect();
                 self.cut([Place::Node(n)].into(), others, ms, false);
             }
@@ -349,33 +351,33 @@
                 self.crash(leader, BACK_MS);
                 self.crash(standby, BACK_MS);
             }
-            Fault::CutPair(ms) => {
+            Fault::PartitionLeaderAndStandby(ms) => {
                 let (leader, standby) = (self.leader(), self.first_standby());
                 self.cut([Place::Node(leader)].into(), [Place::Node(standby)].into(), ms, false);
             }
-            Fault::RefuseStandby(ms) => {
+            Fault::StoreRefusesStandby(ms) => {
                 let standby = self.first_standby();
                 self.refused.push((standby, now + ms));
             }
-            Fault::LogLag(ms) => self.log_lags_until = now + ms,
+            Fault::DecisionLogLag(ms) => self.log_lags_until = now + ms,
             Fault::CrashLeader => self.crash(self.leader(), BACK_MS),
             Fault::CrashAll => (0..3).for_each(|n| self.crash(n, BACK_MS)),
-            Fault::Blink => self.crash(self.leader(), 200),
-            Fault::BlinkAll => (0..3).for_each(|n| self.crash(n, 200)),
-            Fault::Deaf(w, ms) => self.deaf.push((w, now + ms)),
+            Fault::BriefLeaderCrash => self.crash(self.leader(), 200),
+            Fault::BriefCrashOfAll => (0..3).for_each(|n| self.crash(n, 200)),
+            Fault::UnansweredWorker(w, ms) => self.deaf.push((w, now + ms)),
             Fault::LateCopies(ms) => self.copies_until = now + ms,
-            Fault::Reborn(w) => {
+            Fault::WorkerRestart(w) => {
                 let changes = self.workers[w].reborn(now);
                 self.see(w, changes);
             }
-            Fault::Alone(ms) => {
+            Fault::LeaderOnlyReachesWorkers(ms) => {
                 let node = self.leader();
                 let mut rest: BTreeSet<Place> =
                     (0..3).filter(|n| *n != node).map(Place::Node).collect();
                 rest.insert(Place::Store);
                 self.cut([Place::Node(node)].into(), rest, ms, false);
             }
-            Fault::Stranded(ms) => {
+            Fault::LeaderStrandedWithMachines(ms) => {
                 let node = self.leader();
                 let mut here: BTreeSet<Place> =
                     (2..self.workers.len()).map(Place::Worker).collect();
@@ -385,29 +387,29 @@
                 rest.insert(Place::Store);
                 self.cut(here, rest, ms, false);
             }
-            Fault::PeersRefuse(ms) => {
+            Fault::PeersRefuseConnections(ms) => {
                 for n in 0..3 {
                     let rest = (n + 1..3).map(Place::Node).collect();
                     self.cut([Place::Node(n)].into(), rest, ms, false);
                 }
             }
             Fault::StoreOutage(ms) => self.store.outage(now, ms),
-            Fault::RefuseStore(ms) => self.refused.push((self.leader(), now + ms)),
+            Fault::StoreRefusesLeader(ms) => self.refused.push((self.leader(), now + ms)),
             Fault::SlowStore(ms) => self.slow_until = now + ms,
-            Fault::LoseReplies(ms) => self.lossy_until = now + ms,
-            Fault::WorkerDies(w) => {
+            Fault::LostResponses(ms) => self.lossy_until = now + ms,
+            Fault::WorkerCrash(w) => {
                 let changes = self.workers[w].vanish();
                 self.see(w, changes);
             }
-            Fault::CutWorker(w, ms, hold) => {
+            Fault::PartitionWorker(w, ms, hold) => {
                 let nodes = (0..3).map(Place::Node).collect();
                 self.cut([Place::Worker(w)].into(), nodes, ms, hold);
             }
-            Fault::Hang(w, ms) => self.workers[w].hung_until = now + ms,
-            Fault::HangMany(count, ms) => {
+            Fault::WorkerHangs(w, ms) => self.workers[w].hung_until = now + ms,
+            Fault::WorkersHang(count, ms) => {
                 self.workers.iter_mut().take(count).for_each(|w| w.hung_until = now + ms);
             }
-            Fault::CutZones(ms, hold) => {
+            Fault::PartitionZones(ms, hold) => {
                 let side = |zone: usize| -> BTreeSet<Place> {
                     let nodes = (0..3).filter(|n| n % 2 == zone).map(Place::Node);
                     let workers = self.workers.iter().filter(|w| w.id % 2 == zone);
@@ -415,7 +417,7 @@
                 };
                 self.cut(side(0), side(1), ms, hold);
             }
-            Fault::CutNode(ms, hold) => {
+            Fault::PartitionLeader(ms, hold) => {
                 let node = self.leader();
                 let mut rest: BTreeSet<Place> =
                     (0..3).filter(|n| *n != node).map(Place::Node).collect();
@@ -423,7 +425,7 @@
                 rest.insert(Place::Store);
                 self.cut([Place::Node(node)].into(), rest, ms, hold);
             }
-            Fault::SummaryOutcome(w, ms) => self.workers[w].notice(now, now + ms),
+            Fault::SpotReclaimed(w, ms) => self.workers[w].notice(now, now + ms),
             Fault::Upgrade(n) => {
                 self.old[n] = false;
                 self.crash(n, BACK_MS);
@@ -431,18 +433,18 @@
             Fault::CancelAt(job) => {
                 self.wanted_cancels.insert(job);
             }
-            Fault::Mute(w, ms) => self.mute.push((w, now + ms)),
+            Fault::WorkerReachesNoController(w, ms) => self.mute.push((w, now + ms)),
             Fault::LateWrites(ms) => self.late_writes_until = now + ms,
-            Fault::LostAnswers(ms) => self.lost_answers_until = now + ms,
+            Fault::LostStoreResponses(ms) => self.lost_answers_until = now + ms,
             Fault::HoldCommands(ms) => self.hold_until = now + ms,
-            Fault::CopiesForNext(ms) => {
+            Fault::LateCopiesForNextLeader(ms) => {
                 self.copies_kept_until = now + ms;
                 self.last_leader = self.leads();
             }
             Fault::CancelNow(count, hang_ms) => self.cancel_now(count, hang_ms),
             Fault::CancelAtEnd(ms) => self.cancel_at_end_until = now + ms,
-            Fault::CloseLooks(ms) => self.looks_until = now + ms,
-            Fault::QuickBoots(count) => self.quick_boots(count),
+            Fault::AggressivePolling(ms) => self.looks_until = now + ms,
+            Fault::FastBoots(count) => self.quick_boots(count),
         }
     }
 
