--- /dev/null
+++ b/src/shard/active_plan.rs
@@ -0,0 +1,99 @@
+//! The newest plan that a part follows.
+
+use std::collections::HashSet;
+
+use crate::model::{Attempt, MachineId, PlanSeq, TaskId, Term};
+use crate::peer::{GangStop, Grant, PlanBody};
+
+/// The newest plan that a part follows, with the term that gave it.
+#[derive(Clone, Debug)]
+pub(super) struct ActivePlan {
+    /// The term of the leader that made it.
+    pub(super) term: Term,
+    /// Its number; 0 before the first one of the term.
+    pub(super) seq: PlanSeq,
+    grants: Vec<Grant>,
+    ahead: Vec<Grant>,
+    slow: Vec<MachineId>,
+    reserved: Vec<MachineId>,
+    stops: Vec<GangStop>,
+    drained: HashSet<MachineId>,
+    gang_attempts: HashSet<Attempt>,
+}
+
+impl ActivePlan {
+    /// Before the first plan of a term: nothing is granted or ordered.
+    pub(super) fn none(term: Term) -> Self {
+        ActivePlan {
+            term,
+            seq: PlanSeq(0),
+            grants: Vec::new(),
+            ahead: Vec::new(),
+            slow: Vec::new(),
+            reserved: Vec::new(),
+            stops: Vec::new(),
+            drained: HashSet::new(),
+            gang_attempts: HashSet::new(),
+        }
+    }
+
+    /// The plan of that number.
+    pub(super) fn new(term: Term, seq: PlanSeq, body: PlanBody) -> Self {
+        ActivePlan {
+            term,
+            seq,
+            drained: body.drain.into_iter().collect(),
+            gang_attempts: body.grants.iter().filter_map(|g| g.attempt).collect(),
+            grants: body.grants,
+            ahead: body.ahead,
+            slow: body.slow,
+            reserved: body.reserved,
+            stops: body.stops,
+        }
+    }
+
+    /// What may start where there is room.
+    pub(super) fn grants(&self) -> &[Grant] {
+        &self.grants
+    }
+
+    /// What may start as soon as other tasks leave room for it.
+    pub(super) fn ahead(&self) -> &[Grant] {
+        &self.ahead
+    }
+
+    /// Whether a machine is used last.
+    pub(super) fn is_slow(&self, machine: &MachineId) -> bool {
+        self.slow.contains(machine)
+    }
+
+    /// Whether a machine is kept for gangs.
+    pub(super) fn is_reserved(&self, machine: &MachineId) -> bool {
+        self.reserved.binary_search(machine).is_ok()
+    }
+
+    /// Whether a machine takes nothing new.
+    pub(super) fn is_drained(&self, machine: &MachineId) -> bool {
+        self.drained.contains(machine)
+    }
+
+    /// The stop of a gang's attempt, if it is being stopped.
+    pub(super) fn stop_of(&self, task: TaskId, attempt: Attempt) -> Option<&GangStop> {
+        self.stops.iter().find(|s| s.job == task.job.0 && attempt < s.before)
+    }
+
+    /// Whether it stops a gang that the plan before did not.
+    pub(super) fn stops_more_than(&self, before: &ActivePlan) -> bool {
+        self.stops.iter().any(|s| !before.stops.contains(s))
+    }
+
+    /// Whether it grants a gang with that attempt.
+    pub(super) fn grants_gang(&self, attempt: Attempt) -> bool {
+        self.gang_attempts.contains(&attempt)
+    }
+
+    /// Whether it grants any gang.
+    pub(super) fn has_gangs(&self) -> bool {
+        !self.gang_attempts.is_empty()
+    }
+}
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -1,8 +1,9 @@
 //! What machines are told or asked straight away, besides the answers to their reports.
 
+use super::kills::is_cancelled;
 use super::machine::{HeldTask, Machine};
 use super::term_state::TermAnnouncement;
-use super::{DirectMessage, LATEST_KEPT, Shard, ShardContext, is_cancelled};
+use super::{DirectMessage, LATEST_KEPT, Shard, ShardContext};
 use crate::model::{AgentEpoch, JobId, MonotonicTime, TaskId};
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -1,14 +1,13 @@
 //! Which granted task starts on which machine of the part.
 
 use std::collections::BTreeMap;
-use std::rc::Rc;
 
 use rustc_hash::FxHashSet;
 
+use super::granted_start::{GrantedStart, MachineKind};
 use super::machine::{HeldTask, Machine};
-use super::term_state::{ActivePlan, GrantKind};
 use super::{Shard, ShardContext};
-use crate::model::{Attempt, Cores, JobId, MachineId, MonotonicTime, PlanSeq, TaskId, Term};
+use crate::model::{Cores, JobId, MachineId, MonotonicTime, TaskId};
 use crate::peer::Grant;
 use crate::placement;
 use crate::placement::{PlacementTarget, Resources};
@@ -21,32 +20,6 @@
 /// Shortest time between two such looks that only a report asks for.
 const ASSIGN_LEAST_MS: u64 = 60;
 
-/// A type of machines, a zone, and whether they are spot machines.
-pub(super) type MachineKind = (Rc<str>, Rc<str>, bool);
-
-/// A task that is to start, with the grant that allows it.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct GrantedStart {
-    pub(super) task: TaskId,
-    /// The attempt that all tasks of a gang share.
-    pub(super) attempt: Option<Attempt>,
-    /// The term and the number of the plan that granted it.
-    pub(super) term: Term,
-    pub(super) plan: PlanSeq,
-    pub(super) kind: GrantKind,
-}
-
-impl GrantedStart {
-    fn of(plan: &ActivePlan, task: TaskId, attempt: Option<Attempt>, ahead: bool) -> Self {
-        let kind = match (attempt, ahead) {
-            (Some(_), _) => GrantKind::Gang,
-            (None, true) => GrantKind::Ahead,
-            (None, false) => GrantKind::WithRoom,
-        };
-        GrantedStart { task, attempt, term: plan.term, plan: plan.seq, kind }
-    }
-}
-
 /// Granted tasks that are to start somewhere.
 struct Wanted<'a> {
     tasks: Vec<(&'a Grant, Vec<TaskId>)>,
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -1,19 +1,27 @@
 //! Tables of cases for what a part answers and tells.
 
+use std::rc::Rc;
+
+use super::active_plan::ActivePlan;
+use super::granted_start::{GrantKind, GrantedStart};
 use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
-use super::task_start::GrantedStart;
-use super::term_state::{GrantKind, TermAnnouncement};
+use super::term_state::TermAnnouncement;
 use super::*;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
-use crate::model::{ClockReading, Revision, StoreLease, WallTime};
-use crate::peer::{GangStop, Grant, OwnershipChanges, PlanBody, WaitReason};
+use crate::model::{
+    Attempt, ClockReading, PlanSeq, Ranges, Revision, StoreLease, TaskId, WallTime,
+};
+use crate::peer::{GangStop, Grant, JobStatus, OwnershipChanges, Plan, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, LeaderRecord, ReplicaChanges};
 use crate::wire::tests::spec;
-use crate::wire::{self, KeyValue, Priority};
+use crate::wire::{
+    self, ExitReason, Heartbeat, JobKind, JobState, KeyValue, Priority, TaskState, TaskStatus,
+    WorkerCommand,
+};
 
 const INCARNATION: Incarnation = Incarnation(5);
 const TERM: Term = Term(3);
