--- a/src/controller.rs
+++ b/src/controller.rs
@@ -202,7 +202,7 @@
             self.shard.tidy(&self.replica);
         }
         if !replica_changes.cancelled.is_empty() {
-            self.shard.stop_cancelled(&replica_changes.cancelled);
+            self.shard.queue_cancellation_kills(&replica_changes.cancelled);
         }
         if replica_changes.progress || replica_changes.jobs {
             self.complete_gangs(now.steady);
@@ -225,7 +225,7 @@
             .map(|(id, _)| *id)
             .collect();
         for job in partly {
-            self.shard.note_done(now, &self.replica, TaskId { job, index: 0 });
+            self.shard.record_completion(now, &self.replica, TaskId { job, index: 0 });
         }
     }
 
@@ -390,7 +390,7 @@
             replica: &self.replica,
             catalog: &self.catalog,
             nodes: &self.nodes,
-            alone: self.alone(now),
+            isolated: self.alone(now),
             lease_ms: self.settings.worker_lease_ms(),
             timing: self.settings.timing(),
         };
@@ -467,7 +467,7 @@
         match response {
             PeerResponse::Plan(plan) => self.shard.follow(*plan),
             PeerResponse::SendWhole => {
-                self.shard.send_whole();
+                self.shard.request_full_summary();
                 false
             }
             _ => false,
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -86,7 +86,7 @@
 
     fn summary(&self, byte_budget: usize) -> Summary {
         let mut controller = self.controller.borrow_mut();
-        controller.shard.news = false;
+        controller.shard.summary_due = false;
         let now = self.now();
         self.metrics.time(Operation::Summary, || controller.summary(now, byte_budget))
     }
@@ -127,7 +127,7 @@
             let now = self.now();
             self.metrics
                 .time(Operation::Heartbeat, || controller.on_direct_response(now, a, &heartbeat));
-            if controller.shard.news {
+            if controller.shard.summary_due {
                 self.wake_shard_report.notify_one();
             }
         }
@@ -241,15 +241,15 @@
         let now = self.now();
         let answer =
             self.metrics.time(Operation::Heartbeat, || controller.on_heartbeat(now, &heartbeat));
-        if controller.shard.news {
+        if controller.shard.summary_due {
             self.wake_shard_report.notify_one();
         }
         if !controller.shard.completed_tasks.is_empty() {
             self.wake_completions.notify_one();
         }
         match answer {
-            HeartbeatOutcome::Take(reply) => Response::new(200, wire::encode(&reply)),
-            HeartbeatOutcome::Go(name) => {
+            HeartbeatOutcome::Respond(reply) => Response::new(200, wire::encode(&reply)),
+            HeartbeatOutcome::Redirect(name) => {
                 Response::new(421, wire::encode(&wire::Redirect { controller: Some(name) }))
             }
             HeartbeatOutcome::Refuse => Response::later(1),
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -31,11 +31,11 @@
 use heartbeat::NewestHeartbeat;
 use job_faults::JobFaults;
 use machine::Machine;
-use plan_following::ToldProgress;
+use plan_following::LeaderProgress;
 use term_state::TermState;
 
 /// Most machines of which the newest report is remembered.
-const LATEST_KEPT: usize = 8_192;
+const NEWEST_HEARTBEATS_MAX: usize = 8_192;
 
 /// The part.
 ///
@@ -46,32 +46,32 @@
     me: NodeId,
     incarnation: Incarnation,
     term_state: TermState,
-    told_progress: ToldProgress,
+    leader_progress: LeaderProgress,
     machines: BTreeMap<MachineId, Machine>,
     /// Newest report seen of any machine, against late copies.
-    latest: HashMap<MachineId, NewestHeartbeat>,
+    newest_heartbeats: HashMap<MachineId, NewestHeartbeat>,
     /// Machines of which an old report came: when they were asked, and whom to ask still.
-    doubted: HashMap<MachineId, MonotonicTime>,
-    doubts: Vec<(MachineId, AgentEpoch)>,
+    restart_checked_at: HashMap<MachineId, MonotonicTime>,
+    restart_checks_due: Vec<(MachineId, AgentEpoch)>,
     /// Machines that are to be told straight away to end tasks: of gangs that are being stopped, or
     /// of jobs that were cancelled.
-    stopping: BTreeSet<MachineId>,
+    kills_due: BTreeSet<MachineId>,
     /// Machines that were restarted and count from the start again.
     restarted: BTreeSet<MachineId>,
-    answered: BTreeMap<MachineId, MonotonicTime>,
-    released_workers: HashMap<MachineId, MonotonicTime>,
-    faults: HashMap<JobId, JobFaults>,
+    responded_at: BTreeMap<MachineId, MonotonicTime>,
+    sent_away_at: HashMap<MachineId, MonotonicTime>,
+    job_faults: HashMap<JobId, JobFaults>,
     /// Tasks that completed and whose outcome is not known to be durable yet.
     pub completed_tasks: BTreeMap<JobId, CompletedTasks>,
-    number: u64,
+    summary_number: u64,
     /// Summaries sent lately, with when they were made.
-    sent: VecDeque<(u64, MonotonicTime)>,
+    sent_summaries: VecDeque<(u64, MonotonicTime)>,
     /// When any worker last reported here.
-    heard: MonotonicTime,
+    last_heartbeat: MonotonicTime,
     /// Starts that were refused as another term had granted them.
     refused_starts: u64,
     /// Set when something happened that the leader should hear of soon.
-    pub news: bool,
+    pub summary_due: bool,
 }
 
 impl Shard {
@@ -81,22 +81,22 @@
             me,
             incarnation,
             term_state: TermState::begin(Term(0), me),
-            told_progress: ToldProgress::default(),
+            leader_progress: LeaderProgress::default(),
             machines: BTreeMap::new(),
-            latest: HashMap::new(),
-            doubted: HashMap::new(),
-            doubts: Vec::new(),
-            stopping: BTreeSet::new(),
+            newest_heartbeats: HashMap::new(),
+            restart_checked_at: HashMap::new(),
+            restart_checks_due: Vec::new(),
+            kills_due: BTreeSet::new(),
             restarted: BTreeSet::new(),
-            answered: BTreeMap::new(),
-            released_workers: HashMap::new(),
-            faults: HashMap::new(),
+            responded_at: BTreeMap::new(),
+            sent_away_at: HashMap::new(),
+            job_faults: HashMap::new(),
             completed_tasks: BTreeMap::new(),
-            number: 0,
-            sent: VecDeque::new(),
-            heard: MonotonicTime(0),
+            summary_number: 0,
+            sent_summaries: VecDeque::new(),
+            last_heartbeat: MonotonicTime(0),
             refused_starts: 0,
-            news: false,
+            summary_due: false,
         }
     }
 
@@ -117,14 +117,14 @@
             return false;
         }
         self.term_state = TermState::begin(term, self.me);
-        self.news = true;
+        self.summary_due = true;
         true
     }
 
     /// Sends all it knows with the next summary.
-    pub fn send_whole(&mut self) {
-        self.term_state.acknowledged = None;
-        self.news = true;
+    pub fn request_full_summary(&mut self) {
+        self.term_state.acknowledged_summary = None;
+        self.summary_due = true;
     }
 }
 
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -15,7 +15,7 @@
 }
 
 impl Shard {
-    pub(super) fn note_completions(
+    pub(super) fn record_completions(
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
@@ -23,13 +23,13 @@
     ) {
         for p in &heartbeat.tasks {
             if p.state == TaskState::Exited && p.exit_reason == Some(ExitReason::Done) {
-                self.note_done(now, replica, p.task);
+                self.record_completion(now, replica, p.task);
             }
         }
     }
 
     /// Notes a task that completed; if it is of a gang, all of its tasks did.
-    pub fn note_done(&mut self, now: MonotonicTime, replica: &Replica, task: TaskId) {
+    pub fn record_completion(&mut self, now: MonotonicTime, replica: &Replica, task: TaskId) {
         let Some(job) = replica.jobs.get(&task.job) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         if !gang && !replica.may_run(task) || task.index >= job.spec.task_count {
@@ -40,10 +40,10 @@
             .entry(task.job)
             .or_insert_with(|| CompletedTasks { tasks: Ranges::default(), since: now });
         if !gang {
-            self.news |= f.tasks.insert(task.index);
+            self.summary_due |= f.tasks.insert(task.index);
         } else if f.tasks.len() < job.spec.task_count {
             f.tasks = Ranges::span(0, job.spec.task_count);
-            self.news = true;
+            self.summary_due = true;
         }
     }
 
@@ -56,7 +56,7 @@
     ) {
         for (job, tasks) in completed_tasks {
             for index in tasks.iter() {
-                self.note_done(now, replica, TaskId { job: JobId(*job), index });
+                self.record_completion(now, replica, TaskId { job: JobId(*job), index });
             }
         }
     }
@@ -70,6 +70,6 @@
             }
             !f.tasks.is_empty()
         });
-        self.faults.retain(|job, _| replica.jobs.contains_key(job));
+        self.job_faults.retain(|job, _| replica.jobs.contains_key(job));
     }
 }
--- a/src/shard/context.rs
+++ b/src/shard/context.rs
@@ -22,7 +22,7 @@
     /// All controllers.
     pub nodes: &'a [NodeInfo],
     /// Whether this node has reached neither the store nor another controller for a while.
-    pub alone: bool,
+    pub isolated: bool,
     /// Milliseconds for which workers keep tasks without an answer.
     pub lease_ms: u64,
     /// How often workers report.
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -3,7 +3,7 @@
 use super::kills::is_cancelled;
 use super::machine::{HeldTask, Machine};
 use super::term_state::TermAnnouncement;
-use super::{DirectMessage, LATEST_KEPT, Shard, ShardContext};
+use super::{DirectMessage, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
 use crate::model::{AgentEpoch, JobId, MonotonicTime, TaskId};
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
@@ -15,23 +15,26 @@
 const ANNOUNCE_AGAIN_MS: u64 = 1_500;
 
 /// Least time between two questions to a machine of which old reports come.
-const DOUBT_AGAIN_MS: u64 = 10_000;
+const RESTART_CHECK_AGAIN_MS: u64 = 10_000;
 
 impl Shard {
     /// An old report is a late copy, or its machine was restarted and counts from the start again.
     /// Only the machine itself can tell.
-    pub(super) fn doubt(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
+    pub(super) fn check_for_restart(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let id = &heartbeat.machine;
         if self.restarted.contains(id)
-            || self.doubted.get(id).is_some_and(|at| now.since(*at) < DOUBT_AGAIN_MS)
+            || self
+                .restart_checked_at
+                .get(id)
+                .is_some_and(|at| now.since(*at) < RESTART_CHECK_AGAIN_MS)
         {
             return;
         }
-        if self.doubted.len() >= LATEST_KEPT {
-            self.doubted.retain(|_, at| now.since(*at) < DOUBT_AGAIN_MS);
+        if self.restart_checked_at.len() >= NEWEST_HEARTBEATS_MAX {
+            self.restart_checked_at.retain(|_, at| now.since(*at) < RESTART_CHECK_AGAIN_MS);
         }
-        self.doubted.insert(id.clone(), now);
-        self.doubts.push((id.clone(), heartbeat.agent_epoch));
+        self.restart_checked_at.insert(id.clone(), now);
+        self.restart_checks_due.push((id.clone(), heartbeat.agent_epoch));
     }
 
     /// Machines that are to be asked or told something straight away, up to `most`: those that may
@@ -44,17 +47,24 @@
         may_answer: bool,
         most: usize,
     ) -> Vec<DirectMessage> {
-        let mut out = self.stop_messages(replica, most);
+        let mut out = self.kill_messages(replica, most);
         if !may_answer {
             return out;
         }
         while out.len() < most
-            && let Some((machine, agent_epoch)) = self.doubts.pop()
+            && let Some((machine, agent_epoch)) = self.restart_checks_due.pop()
         {
-            if let Some(newest) = self.latest.get(&machine) {
-                let (endpoint, doubted) = (newest.endpoint.clone(), Some(newest.order));
+            if let Some(newest) = self.newest_heartbeats.get(&machine) {
+                let (endpoint, newest_known) = (newest.endpoint.clone(), Some(newest.order));
                 let (term, commands) = (self.term_state.term, Vec::new());
-                out.push(DirectMessage { machine, endpoint, term, agent_epoch, doubted, commands });
+                out.push(DirectMessage {
+                    machine,
+                    endpoint,
+                    term,
+                    agent_epoch,
+                    newest_known,
+                    commands,
+                });
             }
         }
         self.announce_term(now, replica, most, &mut out);
@@ -70,7 +80,7 @@
         out: &mut Vec<DirectMessage>,
     ) {
         let term = self.term_state.term;
-        if !self.term_state.announcing || !self.term_state.has_plan() {
+        if !self.term_state.announcements_pending || !self.term_state.has_plan() {
             return;
         }
         let mut open = false;
@@ -78,12 +88,12 @@
             if self.machines.get(id).is_some_and(|m| m.is_reconciled(term)) {
                 continue;
             }
-            let newest = self.latest.get(id).map(|n| (n.endpoint.clone(), n.order.0));
+            let newest = self.newest_heartbeats.get(id).map(|n| (n.endpoint.clone(), n.order.0));
             let known = || replica.machines.get(id).filter(|m| m.up && m.gone.is_none());
             let on_record = || known().map(|m| (m.endpoint.as_str().into(), AgentEpoch(1)));
             let Some((endpoint, agent_epoch)) = newest.or_else(on_record) else { continue };
             let TermAnnouncement { times, at } =
-                self.term_state.announced.get(id).copied().unwrap_or_default();
+                self.term_state.announcements.get(id).copied().unwrap_or_default();
             if endpoint.is_empty() || times >= ANNOUNCEMENTS {
                 continue;
             }
@@ -91,25 +101,32 @@
             let due = times == 0 || now.since(at) >= ANNOUNCE_AGAIN_MS << (times - 1);
             if due && out.len() < most {
                 let announced = TermAnnouncement { times: times + 1, at: now };
-                self.term_state.announced.insert(id.clone(), announced);
-                let (machine, doubted, commands) = (id.clone(), None, Vec::new());
-                out.push(DirectMessage { machine, endpoint, term, agent_epoch, doubted, commands });
+                self.term_state.announcements.insert(id.clone(), announced);
+                let (machine, newest_known, commands) = (id.clone(), None, Vec::new());
+                out.push(DirectMessage {
+                    machine,
+                    endpoint,
+                    term,
+                    agent_epoch,
+                    newest_known,
+                    commands,
+                });
             }
         }
-        self.term_state.announcing = open;
+        self.term_state.announcements_pending = open;
     }
 
     /// What machines are to end straight away, up to `most` of them: the next answer to their reports would
     /// tell them, but a machine may reach nobody, or this node may not answer any more. A kill that is
     /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
     /// later has a higher attempt.
-    fn stop_messages(&mut self, replica: &Replica, most: usize) -> Vec<DirectMessage> {
+    fn kill_messages(&mut self, replica: &Replica, most: usize) -> Vec<DirectMessage> {
         let mut out = Vec::new();
         while out.len() < most
-            && let Some(machine) = self.stopping.pop_first()
+            && let Some(machine) = self.kills_due.pop_first()
         {
             let Some(m) = self.machines.get(&machine) else { continue };
-            let order = |t: &TaskId, h: &HeldTask| self.stop(replica, &machine, *t, h.attempt);
+            let order = |t: &TaskId, h: &HeldTask| self.kill_for(replica, &machine, *t, h.attempt);
             let commands: Vec<WorkerCommand> =
                 m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
             if commands.is_empty() {
@@ -122,7 +139,7 @@
                 endpoint,
                 term,
                 agent_epoch,
-                doubted: None,
+                newest_known: None,
                 commands,
             });
         }
@@ -130,10 +147,10 @@
     }
 
     /// Jobs were cancelled: the machines of this part that have tasks of them are told straight away.
-    pub fn stop_cancelled(&mut self, jobs: &[JobId]) {
+    pub fn queue_cancellation_kills(&mut self, jobs: &[JobId]) {
         let has = |m: &Machine| m.tasks.keys().any(|t| jobs.contains(&t.job));
         let on = self.machines.iter().filter(|(_, m)| has(m)).map(|(id, _)| id.clone());
-        self.stopping.extend(on);
+        self.kills_due.extend(on);
     }
 
     /// Takes a machine's answer to an announcement: it shows the token and the machine's tasks as a
@@ -149,12 +166,14 @@
         if *id != asked.machine {
             return;
         }
-        self.note_completions(context.now, context.replica, heartbeat);
-        if asked.doubted.is_some_and(|newest| (heartbeat.agent_epoch, heartbeat.sequence) <= newest)
+        self.record_completions(context.now, context.replica, heartbeat);
+        if asked
+            .newest_known
+            .is_some_and(|newest| (heartbeat.agent_epoch, heartbeat.sequence) <= newest)
         {
             tracing::info!(machine = %id, "was restarted");
             self.restarted.insert(id.clone());
-            self.news = true;
+            self.summary_due = true;
             return;
         }
         if context.replica.machine_gone(id)
@@ -164,14 +183,14 @@
             return;
         }
         if heartbeat.token == self.term_state.term && self.term_state.owner(id) == Some(self.me) {
-            self.take_state(context, heartbeat);
+            self.record_state(context, heartbeat);
             // It may report to nobody, and then nobody's answer ends what is not wanted any more.
             if heartbeat.tasks.iter().any(|p| is_cancelled(context.replica, p.task.job)) {
-                self.stopping.insert(id.clone());
+                self.kills_due.insert(id.clone());
             }
             // Its session may have begun just now, without any answer: its lease counts from here.
-            self.answered.insert(id.clone(), context.now);
-        } else if let Some(told) = self.term_state.announced.get_mut(id) {
+            self.responded_at.insert(id.clone(), context.now);
+        } else if let Some(told) = self.term_state.announcements.get_mut(id) {
             // Its session was not known; now it is.
             told.at = told.at.less(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
         }
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -4,7 +4,7 @@
 
 use super::machine::Machine;
 use super::redirect::Route;
-use super::{HeartbeatOutcome, LATEST_KEPT, Shard, ShardContext};
+use super::{HeartbeatOutcome, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
 use crate::model::{AgentEpoch, MachineId, NodeId, Term};
 use crate::wire::{ExitReason, Heartbeat, HeartbeatResponse, TaskStatus, WorkerCommand};
 
@@ -32,9 +32,9 @@
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        self.heard = context.now;
+        self.last_heartbeat = context.now;
         // A completed task stays completed whoever reports it and however late.
-        self.note_completions(context.now, context.replica, heartbeat);
+        self.record_completions(context.now, context.replica, heartbeat);
         let term = self.term_state.term;
         if !context.may_answer || term == Term(0) || heartbeat.token > term {
             return HeartbeatOutcome::Refuse;
@@ -45,25 +45,25 @@
         // A late copy tells of a past that newer reports have overtaken. It settles nothing,
         // and its answer would reach nobody.
         if !self.is_newest(heartbeat) {
-            self.doubt(context.now, heartbeat);
+            self.check_for_restart(context.now, heartbeat);
             return HeartbeatOutcome::Refuse;
         }
-        if !self.accepts_answers(context, heartbeat) {
+        if !self.may_get_response(context, heartbeat) {
             return HeartbeatOutcome::Refuse;
         }
         match self.responsibility(&heartbeat.machine) {
             Responsibility::Own => {
                 // Whoever still reaches the store may have taken its machines over. A worker
                 // that comes back found nobody, as in an outage, and is kept alive here.
-                if context.alone && self.releases_worker(context.now, &heartbeat.machine) {
+                if context.isolated && self.may_send_away(context.now, &heartbeat.machine) {
                     let next = (usize::from(self.me.0) + 1) % context.nodes.len().max(1);
-                    return self.go(context, next);
+                    return self.redirect_to(context, next);
                 }
                 self.on_own_heartbeat(context, heartbeat)
             }
             Responsibility::Other(owner) => {
                 match self.route(context.now, &context.timing, &heartbeat.machine) {
-                    Route::Send => self.go(context, usize::from(owner.0)),
+                    Route::Send => self.redirect_to(context, usize::from(owner.0)),
                     Route::Keep => self.on_foreign_heartbeat(context, heartbeat, false),
                     Route::Cut => self.on_foreign_heartbeat(context, heartbeat, true),
                 }
@@ -88,7 +88,7 @@
     /// Whether a report is newer than all others of its machine; remembers it if so.
     pub(super) fn is_newest(&mut self, heartbeat: &Heartbeat) -> bool {
         let order = (heartbeat.agent_epoch, heartbeat.sequence);
-        if let Some(newest) = self.latest.get_mut(&heartbeat.machine) {
+        if let Some(newest) = self.newest_heartbeats.get_mut(&heartbeat.machine) {
             if order <= newest.order {
                 return false;
             }
@@ -99,42 +99,48 @@
             return true;
         }
         // Before the first plan of a term no machine has an owner, and forgetting them all would let late copies in.
-        if self.latest.len() >= LATEST_KEPT && self.term_state.has_plan() {
+        if self.newest_heartbeats.len() >= NEWEST_HEARTBEATS_MAX && self.term_state.has_plan() {
             let owners = &self.term_state.owners;
-            self.latest.retain(|id, _| owners.contains_key(id));
+            self.newest_heartbeats.retain(|id, _| owners.contains_key(id));
         }
         let newest = NewestHeartbeat { order, endpoint: heartbeat.endpoint.as_str().into() };
-        self.latest.insert(heartbeat.machine.clone(), newest);
+        self.newest_heartbeats.insert(heartbeat.machine.clone(), newest);
         true
     }
 
     /// Takes what a report of a machine of this part tells of it; says whether it has more room
     /// than before.
-    pub(super) fn take_state(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn record_state(
+        &mut self,
+        context: &ShardContext<'_>,
+        heartbeat: &Heartbeat,
+    ) -> bool {
         let now = context.now;
-        let next = self.number + 1;
+        let next = self.summary_number + 1;
         let machine = self
             .machines
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| Machine::new(heartbeat, now));
         let warned = heartbeat.spot_notice_s.is_some();
-        machine.leaves = heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
+        machine.reclaimed_at =
+            heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
         let shunned = machine.quarantined_until;
         let state = (heartbeat.agent_epoch, heartbeat.token, warned);
-        let turned = state != (machine.agent_epoch, machine.token, machine.warned);
-        (machine.agent_epoch, machine.token, machine.warned) = state;
-        machine.heard = now;
+        let turned = state != (machine.agent_epoch, machine.token, machine.reclaim_noticed);
+        (machine.agent_epoch, machine.token, machine.reclaim_noticed) = state;
+        machine.last_heartbeat = now;
         let before = machine.tasks.len();
-        let (changed, others, left) = machine.take_tasks(context, heartbeat);
-        let new = machine.changed == 0;
-        self.news |= others || turned || new;
+        let (changed, others, left) = machine.record_tasks(context, heartbeat);
+        let new = machine.changed_in_summary == 0;
+        self.summary_due |= others || turned || new;
         // Stages matter to the leader only in passing, so they are told without haste.
         if changed || turned || new || machine.quarantined_until != shunned {
-            machine.changed = next;
+            machine.changed_in_summary = next;
         }
         let freed = machine.tasks.len() < before || turned || machine.quarantined_until != shunned;
         // A start that was lost, or a task that failed, has to go somewhere else.
-        self.term_state.reassign |= left.iter().any(|t| self.may_start(context.replica, *t));
+        self.term_state.assignment_stale |=
+            left.iter().any(|t| self.may_start(context.replica, *t));
         if self.term_state.plan.has_gangs() {
             // A refused start never ran, and may be tried elsewhere.
             let refused = |p: &TaskStatus| {
@@ -160,13 +166,13 @@
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
         let now = context.now;
-        let freed = self.take_state(context, heartbeat);
+        let freed = self.record_state(context, heartbeat);
         let mut commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
         self.clear_ended(context, heartbeat, &mut commands);
         self.start_granted(context, &heartbeat.machine, freed, &mut commands);
-        self.answered.insert(heartbeat.machine.clone(), now);
+        self.responded_at.insert(heartbeat.machine.clone(), now);
         self.log_response(context, heartbeat, true, &commands);
-        HeartbeatOutcome::Take(HeartbeatResponse { token: self.term_state.term, commands })
+        HeartbeatOutcome::Respond(HeartbeatResponse { token: self.term_state.term, commands })
     }
 
     /// Logs why a report may be answered with 200.
--- a/src/shard/job_faults.rs
+++ b/src/shard/job_faults.rs
@@ -33,7 +33,7 @@
             commands.push(WorkerCommand::Clear { task: p.task, attempt: p.attempt });
             match p.exit_reason {
                 Some(ExitReason::Failed) => {
-                    self.note_error(context.now, p.task.job, &heartbeat.machine)
+                    self.record_failure(context.now, p.task.job, &heartbeat.machine)
                 }
                 Some(
                     ExitReason::InsufficientResources
@@ -42,14 +42,14 @@
                 ) => {
                     if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
                         m.quarantined_until = m.quarantined_until.max(context.now.plus(2_000));
-                        m.changed = self.number + 1;
+                        m.changed_in_summary = self.summary_number + 1;
                     }
                 }
                 Some(ExitReason::Done) => {
                     if let Some(m) = self.machines.get_mut(&heartbeat.machine) {
                         m.faults = 0;
                     }
-                    self.faults.remove(&p.task.job);
+                    self.job_faults.remove(&p.task.job);
                 }
                 _ => {}
             }
@@ -58,8 +58,8 @@
 
     /// Errors mostly mean a faulty machine, but a job that fails on several machines is
     /// faulty itself: then it backs off and the machines are not blamed.
-    fn note_error(&mut self, now: MonotonicTime, job: JobId, machine: &MachineId) {
-        let f = self.faults.entry(job).or_default();
+    fn record_failure(&mut self, now: MonotonicTime, job: JobId, machine: &MachineId) {
+        let f = self.job_faults.entry(job).or_default();
         f.machines.insert(machine.clone());
         f.count += 1;
         let faulty_job = f.machines.len() >= 3;
@@ -67,7 +67,7 @@
         f.until = now.plus(pause);
         if let Some(m) = self.machines.get_mut(machine) {
             m.faults += 1;
-            m.changed = self.number + 1;
+            m.changed_in_summary = self.summary_number + 1;
             if !faulty_job {
                 m.quarantined_until = now.plus(15_000u64 << m.faults.min(4));
             }
@@ -76,7 +76,7 @@
     }
 
     /// Whether the job fails everywhere it is tried.
-    pub(super) fn failing(&self, job: JobId) -> bool {
-        self.faults.get(&job).is_some_and(|f| f.machines.len() >= 3)
+    pub(super) fn is_failing_everywhere(&self, job: JobId) -> bool {
+        self.job_faults.get(&job).is_some_and(|f| f.machines.len() >= 3)
     }
 }
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -14,12 +14,12 @@
         tasks: &[TaskStatus],
     ) -> Vec<WorkerCommand> {
         let on = tasks.iter().filter(|p| p.state != TaskState::Exited);
-        on.filter_map(|p| self.stop(replica, machine, p.task, p.attempt)).collect()
+        on.filter_map(|p| self.kill_for(replica, machine, p.task, p.attempt)).collect()
     }
 
     /// The kill for a task that is to end: its job was cancelled, it is durably done already, or it is of a gang that is
     /// being stopped.
-    pub(super) fn stop(
+    pub(super) fn kill_for(
         &self,
         replica: &Replica,
         machine: &MachineId,
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -26,18 +26,18 @@
     pub(super) agent_epoch: AgentEpoch,
     /// The token that its newest report showed.
     pub(super) token: Term,
-    pub(super) heard: MonotonicTime,
-    pub(super) warned: bool,
+    pub(super) last_heartbeat: MonotonicTime,
+    pub(super) reclaim_noticed: bool,
     /// When the cloud takes it, if it gave notice.
-    pub(super) leaves: Option<MonotonicTime>,
+    pub(super) reclaimed_at: Option<MonotonicTime>,
     pub(super) tasks: BTreeMap<TaskId, HeldTask>,
     pub(super) images: Vec<(Rc<str>, f64)>,
     pub(super) faults: u32,
     pub(super) quarantined_until: MonotonicTime,
     /// Starts in a row that the next report did not show.
-    pub(super) missed: u32,
+    pub(super) missed_starts: u32,
     /// The first summary that tells of it as it is now.
-    pub(super) changed: u64,
+    pub(super) changed_in_summary: u64,
 }
 
 impl Machine {
@@ -49,15 +49,15 @@
             endpoint: heartbeat.endpoint.as_str().into(),
             agent_epoch: heartbeat.agent_epoch,
             token: Term(0),
-            heard: now,
-            warned: false,
-            leaves: None,
+            last_heartbeat: now,
+            reclaim_noticed: false,
+            reclaimed_at: None,
             tasks: BTreeMap::new(),
             images: Vec::new(),
             faults: 0,
             quarantined_until: MonotonicTime(0),
-            missed: 0,
-            changed: 0,
+            missed_starts: 0,
+            changed_in_summary: 0,
         }
     }
 
@@ -86,9 +86,9 @@
     /// Whether it may be given tasks in that term, as far as its own state tells.
     pub(super) fn usable(&self, term: Term, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
         self.is_reconciled(term)
-            && !self.warned
+            && !self.reclaim_noticed
             && self.quarantined_until <= now
-            && now.since(self.heard) < timing.silent_ms
+            && now.since(self.last_heartbeat) < timing.silent_ms
     }
 
     /// The room on it for tasks of that term; closed unless `open` and it may be given tasks.
@@ -113,7 +113,7 @@
 
     /// Takes the tasks of a report; says whether anything changed, whether other tasks are on
     /// the machine than before, and which are no longer.
-    pub(super) fn take_tasks(
+    pub(super) fn record_tasks(
         &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
@@ -135,11 +135,11 @@
             heartbeat.tasks.iter().any(|p| p.task == *t && p.attempt == h.attempt)
         };
         if self.tasks.iter().any(|(t, h)| ordered(h) && shown(t, h)) {
-            self.missed = 0;
+            self.missed_starts = 0;
         } else if self.tasks.values().any(ordered) {
-            self.missed += 1;
+            self.missed_starts += 1;
             self.quarantined_until =
-                self.quarantined_until.max(context.now.plus(1_000 << self.missed.min(5)));
+                self.quarantined_until.max(context.now.plus(1_000 << self.missed_starts.min(5)));
         }
         let tasks: BTreeMap<TaskId, HeldTask> =
             on().map(|p| (p.task, HeldTask { attempt: p.attempt, state: p.state })).collect();
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatOutcome {
     /// 200 with orders.
-    Take(HeartbeatResponse),
+    Respond(HeartbeatResponse),
     /// 421: report to that controller.
-    Go(String),
+    Redirect(String),
     /// 503: this node may not act, or the report is a late one.
     Refuse,
 }
@@ -29,7 +29,7 @@
     pub agent_epoch: AgentEpoch,
     /// The newest report known when this goes out, if an older one came since: a worker that
     /// answers with nothing newer counts from the start again.
-    pub doubted: Option<(AgentEpoch, u64)>,
+    pub newest_known: Option<(AgentEpoch, u64)>,
     /// What it is to do. Only kills: a start could run late.
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/shard/plan_following.rs
+++ b/src/shard/plan_following.rs
@@ -11,7 +11,7 @@
 /// How jobs stand as the newest plan told, for users. It grants nothing, so it stays when a term begins: completions
 /// are true forever, and the number of running tasks is of that time.
 #[derive(Debug, Default)]
-pub(super) struct ToldProgress {
+pub(super) struct LeaderProgress {
     pub(super) job_statuses: Vec<JobStatus>,
     /// Jobs and how many of their tasks have completed, where not all of that is on record.
     pub(super) completed: Vec<(u64, u32)>,
@@ -23,44 +23,45 @@
         if plan.term != self.term_state.term || plan.incarnation != self.incarnation {
             return false;
         }
-        if let Some(sent) = self.sent.iter().find(|s| s.0 == plan.heard) {
-            self.term_state.acknowledged = self.term_state.acknowledged.max(Some(*sent));
+        if let Some(sent) = self.sent_summaries.iter().find(|s| s.0 == plan.heard) {
+            self.term_state.acknowledged_summary =
+                self.term_state.acknowledged_summary.max(Some(*sent));
         }
         let active_plan_seq = self.term_state.plan.seq;
         if plan.seq == active_plan_seq {
-            self.term_state.clock_ms = self.term_state.clock_ms.max(plan.clock_ms);
+            self.term_state.leader_clock_ms = self.term_state.leader_clock_ms.max(plan.clock_ms);
             return false;
         }
         let is_next = plan.seq > active_plan_seq && plan.owners.base <= active_plan_seq;
         let Some(mut body) = plan.body.filter(|_| is_next) else {
             return false;
         };
-        self.follow_owners(plan.owners);
-        self.end_expired_agent_epochs(&body.expired_leases);
-        self.told_progress = ToldProgress {
+        self.apply_ownership(plan.owners);
+        self.apply_expired_leases(&body.expired_leases);
+        self.leader_progress = LeaderProgress {
             job_statuses: std::mem::take(&mut body.job_statuses),
             completed: std::mem::take(&mut body.completed),
         };
         let next = ActivePlan::new(plan.term, plan.seq, body);
         let before = std::mem::replace(&mut self.term_state.plan, next);
         if self.term_state.plan.stops_more_than(&before) {
-            self.note_stopped_gangs();
+            self.queue_gang_kills();
         }
-        self.term_state.clock_ms = plan.clock_ms;
-        self.term_state.reassign = true;
-        self.term_state.announcing = true;
+        self.term_state.leader_clock_ms = plan.clock_ms;
+        self.term_state.assignment_stale = true;
+        self.term_state.announcements_pending = true;
         tracing::debug!(term = %plan.term, plan = plan.seq.0, "follows a plan");
         true
     }
 
     /// Follows what a plan says of owners, and forgets what is no longer this part's to tell.
-    fn follow_owners(&mut self, news: OwnershipChanges) {
+    fn apply_ownership(&mut self, news: OwnershipChanges) {
         let term_state = &mut self.term_state;
         if news.base == PlanSeq(0) {
             let owners: BTreeMap<MachineId, NodeId> = news.set.into_iter().collect();
             let before = std::mem::replace(&mut term_state.owners, owners);
             let owners = &term_state.owners;
-            term_state.redirected.retain(|id, _| before.get(id) == owners.get(id));
+            term_state.redirects.retain(|id, _| before.get(id) == owners.get(id));
         } else {
             term_state.owners.extend(news.set);
             for id in &news.gone {
@@ -76,7 +77,7 @@
     }
 
     /// Forgets the tasks of sessions whose lease has run out.
-    fn end_expired_agent_epochs(&mut self, expired_leases: &[(MachineId, AgentEpoch)]) {
+    fn apply_expired_leases(&mut self, expired_leases: &[(MachineId, AgentEpoch)]) {
         for (id, agent_epoch) in expired_leases {
             if let Some(m) = self.machines.get_mut(id).filter(|m| m.agent_epoch <= *agent_epoch) {
                 m.tasks.clear();
@@ -86,20 +87,20 @@
 
     /// Machines with tasks of gangs that are being stopped are told straight away, and in the answers to their
     /// reports.
-    fn note_stopped_gangs(&mut self) {
+    fn queue_gang_kills(&mut self) {
         let plan = &self.term_state.plan;
         let has = |m: &Machine| m.tasks.iter().any(|(t, h)| plan.stop_of(*t, h.attempt).is_some());
         let on = self.machines.iter().filter(|(_, m)| has(m)).map(|(id, _)| id.clone());
-        self.stopping.extend(on);
+        self.kills_due.extend(on);
     }
 
     /// How a job stands as the leader last told.
     pub fn job_status(&self, job: JobId) -> Option<JobStatus> {
-        self.told_progress.job_statuses.iter().find(|s| s.job == job.0).copied()
+        self.leader_progress.job_statuses.iter().find(|s| s.job == job.0).copied()
     }
 
     /// How many tasks of a job have completed as the leader last told, if not all of that is on record.
     pub fn completed(&self, job: JobId) -> u32 {
-        self.told_progress.completed.iter().find(|c| c.0 == job.0).map_or(0, |c| c.1)
+        self.leader_progress.completed.iter().find(|c| c.0 == job.0).map_or(0, |c| c.1)
     }
 }
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -43,7 +43,7 @@
 
 /// How a machine that has not shown this term's token was answered in it.
 #[derive(Clone, Debug)]
-pub(super) struct Unacknowledged {
+pub(super) struct UnconfirmedToken {
     pub(super) first: MonotonicTime,
     pub(super) agent_epoch: AgentEpoch,
     pub(super) answers: u32,
@@ -63,35 +63,35 @@
 }
 
 impl Shard {
-    pub(super) fn go(&self, context: &ShardContext<'_>, node: usize) -> HeartbeatOutcome {
+    pub(super) fn redirect_to(&self, context: &ShardContext<'_>, node: usize) -> HeartbeatOutcome {
         let name = context.nodes.get(node).map(|n| n.name.clone());
-        name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Go)
+        name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Redirect)
     }
 
     /// Whether an isolated node sends a machine of its own away: not again for a while, as every
     /// try takes from the worker's lease.
-    pub(super) fn releases_worker(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
-        if self.released_workers.get(id).is_some_and(|at| now.since(*at) < RELEASED_MS) {
+    pub(super) fn may_send_away(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+        if self.sent_away_at.get(id).is_some_and(|at| now.since(*at) < RELEASED_MS) {
             return false;
         }
-        self.released_workers.insert(id.clone(), now);
+        self.sent_away_at.insert(id.clone(), now);
         true
     }
 
     /// Whether a machine may be taken to hear its answers. One that never shows the token is
     /// deaf, or somebody repeats old reports of it: it gets no answer for a whole lease, so
     /// that its tasks are proven gone and no proof waits for it.
-    pub(super) fn accepts_answers(
+    pub(super) fn may_get_response(
         &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> bool {
         if heartbeat.token == self.term_state.term {
-            self.term_state.unacknowledged.remove(&heartbeat.machine);
+            self.term_state.unconfirmed_tokens.remove(&heartbeat.machine);
             return true;
         }
         let now = context.now;
-        let fresh = Unacknowledged {
+        let fresh = UnconfirmedToken {
             first: now,
             agent_epoch: heartbeat.agent_epoch,
             answers: 0,
@@ -99,7 +99,7 @@
         };
         let u = self
             .term_state
-            .unacknowledged
+            .unconfirmed_tokens
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| fresh.clone());
         if u.refuse_until > now {
@@ -134,10 +134,10 @@
         {
             return Route::Cut;
         }
-        let Some(r) = self.term_state.redirected.get_mut(id).filter(|r| now.since(r.at) < again_ms)
+        let Some(r) = self.term_state.redirects.get_mut(id).filter(|r| now.since(r.at) < again_ms)
         else {
             self.term_state
-                .redirected
+                .redirects
                 .insert(id.clone(), Redirected { at: now, tries: 1, seen: false });
             return Route::Send;
         };
@@ -176,11 +176,11 @@
         if cut {
             record.back.get_or_insert(now);
         }
-        self.news |= hears && !record.hears;
+        self.summary_due |= hears && !record.hears;
         record.hears = hears;
-        self.answered.insert(heartbeat.machine.clone(), now);
+        self.responded_at.insert(heartbeat.machine.clone(), now);
         let commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
         self.log_response(context, heartbeat, false, &commands);
-        HeartbeatOutcome::Take(HeartbeatResponse { token: self.term_state.term, commands })
+        HeartbeatOutcome::Respond(HeartbeatResponse { token: self.term_state.term, commands })
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -29,7 +29,7 @@
         endpoint: m.endpoint.clone(),
         reconciled: m.is_reconciled(term),
         agent_epoch: m.agent_epoch,
-        leaving: m.warned,
+        leaving: m.reclaim_noticed,
         quarantine_ms: m.quarantined_until.since(now),
         tasks: m.tasks.iter().map(|(task, h)| TaskView { task: *task, state: h.state }).collect(),
         images: m.images.clone(),
@@ -45,19 +45,19 @@
         timing: &HeartbeatTiming,
         byte_budget: usize,
     ) -> Summary {
-        self.number += 1;
+        self.summary_number += 1;
         let kept_ms = timing.out_of_reach_ms + 7_000;
         self.term_state.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
-        self.term_state.redirected.retain(|_, r| now.since(r.at) < kept_ms);
-        self.released_workers.retain(|_, at| now.since(*at) < RELEASED_MS);
-        self.answered.retain(|_, at| now.since(*at) < timing.answers_ms);
-        self.sent.push_back((self.number, now));
-        if self.sent.len() > 64 {
-            self.sent.pop_front();
+        self.term_state.redirects.retain(|_, r| now.since(r.at) < kept_ms);
+        self.sent_away_at.retain(|_, at| now.since(*at) < RELEASED_MS);
+        self.responded_at.retain(|_, at| now.since(*at) < timing.answers_ms);
+        self.sent_summaries.push_back((self.summary_number, now));
+        if self.sent_summaries.len() > 64 {
+            self.sent_summaries.pop_front();
         }
-        let (base, since) = self.term_state.acknowledged.unwrap_or_default();
+        let (base, since) = self.term_state.acknowledged_summary.unwrap_or_default();
         let answered: Vec<(MachineId, u64)> = self
-            .answered
+            .responded_at
             .iter()
             .filter(|(_, at)| base == 0 || **at >= since)
             .map(|(id, at)| (id.clone(), now.since(*at)))
@@ -82,10 +82,12 @@
             + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
         let mut machines = Vec::new();
         let mut whole = true;
-        for (id, m) in self.machines.iter_mut().filter(|(_, m)| base == 0 || m.changed > base) {
+        for (id, m) in
+            self.machines.iter_mut().filter(|(_, m)| base == 0 || m.changed_in_summary > base)
+        {
             used += MACHINE_BYTES + m.tasks.len() * TASK_BYTES + m.images.len() * IMAGE_BYTES;
             if used > byte_budget && !machines.is_empty() {
-                m.changed = self.number + 1;
+                m.changed_in_summary = self.summary_number + 1;
                 whole = false;
             } else {
                 machines.push(view(id, m, self.term_state.term, now));
@@ -94,15 +96,15 @@
         Summary {
             node: self.me,
             incarnation: self.incarnation,
-            number: self.number,
+            number: self.summary_number,
             base,
             term: self.term_state.term,
             more: !whole,
             applied_plan: self.term_state.plan.seq,
-            echo_ms: self.term_state.clock_ms,
+            echo_ms: self.term_state.leader_clock_ms,
             up_ms: now.0,
             served_ms: 0,
-            heard_ms: now.since(self.heard),
+            heard_ms: now.since(self.last_heartbeat),
             machines,
             answered,
             foreign_machines,
@@ -115,10 +117,15 @@
             notices: self
                 .machines
                 .iter()
-                .filter_map(|(id, m)| Some((id.clone(), m.leaves?.since(now))))
+                .filter_map(|(id, m)| Some((id.clone(), m.reclaimed_at?.since(now))))
                 .collect(),
             follow: None,
-            failing: self.faults.keys().filter(|j| self.failing(**j)).map(|j| j.0).collect(),
+            failing: self
+                .job_faults
+                .keys()
+                .filter(|j| self.is_failing_everywhere(**j))
+                .map(|j| j.0)
+                .collect(),
         }
     }
 }
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -21,7 +21,7 @@
 const ASSIGN_LEAST_MS: u64 = 60;
 
 /// Granted tasks that are to start somewhere.
-struct Wanted<'a> {
+struct PendingStarts<'a> {
     tasks: Vec<(&'a Grant, Vec<TaskId>)>,
     /// Whether jobs that fail wait for their next try.
     pauses: bool,
@@ -58,8 +58,8 @@
         if self.is_assignment_due(context.now, freed) {
             self.assign_granted(context, id);
         }
-        let queue = self.term_state.queues.remove(id).unwrap_or_default();
-        if queue.is_empty() && self.term_state.backlog.is_empty() {
+        let queue = self.term_state.start_queues.remove(id).unwrap_or_default();
+        if queue.is_empty() && self.term_state.unassigned_ahead.is_empty() {
             return;
         }
         let (term, plan) = (self.term_state.term, &self.term_state.plan);
@@ -70,53 +70,57 @@
         target.reserved = plan.is_reserved(id);
         for start in queue {
             if !self.start(context, &mut target, &start, commands) {
-                self.term_state.unplaced = true;
+                self.term_state.has_unplaced = true;
             }
         }
-        self.start_backlog(context, &mut target, commands);
+        self.start_unassigned_ahead(context, &mut target, commands);
     }
 
     /// Whether granted tasks are to be given machines anew: something speaks for it, or some have waited.
     fn is_assignment_due(&self, now: MonotonicTime, freed: bool) -> bool {
         let term_state = &self.term_state;
-        let since = now.since(term_state.assigned);
-        let waiting =
-            term_state.unplaced || !term_state.queues.is_empty() || !term_state.backlog.is_empty();
-        term_state.reassign
-            || (freed && term_state.unplaced && since >= ASSIGN_LEAST_MS)
+        let since = now.since(term_state.assigned_at);
+        let waiting = term_state.has_unplaced
+            || !term_state.start_queues.is_empty()
+            || !term_state.unassigned_ahead.is_empty();
+        term_state.assignment_stale
+            || (freed && term_state.has_unplaced && since >= ASSIGN_LEAST_MS)
             || (waiting && since >= ASSIGN_MS)
     }
 
     /// Starts what is granted ahead on a machine that has room and the images for it. What would have
     /// to fetch its image first is left to the next look at all machines.
-    fn start_backlog(
+    fn start_unassigned_ahead(
         &mut self,
         context: &ShardContext<'_>,
         target: &mut PlacementTarget,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !target.open || target.free.cores == Cores(0) || self.term_state.backlog.is_empty() {
+        if !target.open
+            || target.free.cores == Cores(0)
+            || self.term_state.unassigned_ahead.is_empty()
+        {
             return;
         }
-        let mut backlog = std::mem::take(&mut self.term_state.backlog);
-        backlog.retain(|start| {
+        let mut unassigned_ahead = std::mem::take(&mut self.term_state.unassigned_ahead);
+        unassigned_ahead.retain(|start| {
             let job = context.replica.jobs.get(&start.task.job);
             let Some(job) = job.filter(|j| self.may_try(context.now, j.spec.id)) else {
                 return false;
             };
             if target.free.cores == Cores(0)
                 || !target.is_warm(&job.spec)
-                || !self.is_first(&job.spec, target)
+                || !self.is_most_urgent_for(&job.spec, target)
             {
                 return true;
             }
             !self.start(context, target, start, commands)
         });
-        self.term_state.backlog = backlog;
+        self.term_state.unassigned_ahead = unassigned_ahead;
     }
 
     /// Whether no job that is more urgent may use such machines.
-    fn is_first(&self, spec: &JobSpec, target: &PlacementTarget) -> bool {
+    fn is_most_urgent_for(&self, spec: &JobSpec, target: &PlacementTarget) -> bool {
         let kind = (target.machine_type.clone(), target.zone.clone(), target.spot);
         let highest_priority = self.term_state.highest_priority.get(&kind).copied().flatten();
         highest_priority.is_some_and(|priority| spec.priority <= priority)
@@ -151,8 +155,8 @@
         let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.give());
         machine.remember_image(&job.spec);
         machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
-        machine.changed = self.number + 1;
-        self.news = true;
+        machine.changed_in_summary = self.summary_number + 1;
+        self.summary_due = true;
         tracing::debug!(
             %task, machine = %target.id, %attempt, term = %granted.term, plan = granted.plan.0,
             grant = ?granted.kind, proof_ms = context.proof_ms, agent_epoch = machine.agent_epoch.0,
@@ -174,7 +178,7 @@
 
     /// Whether a job's tasks may be tried now: one that fails pauses.
     fn may_try(&self, now: MonotonicTime, job: JobId) -> bool {
-        self.faults.get(&job).is_none_or(|f| f.until <= now)
+        self.job_faults.get(&job).is_none_or(|f| f.until <= now)
     }
 
     /// Whether a task is neither done nor known here to have completed.
@@ -185,24 +189,24 @@
 
     /// Gives every granted task that is not on a machine the one where it is to start. It
     /// starts with that machine's next report, or in the answer to this one if it is the machine that
-    /// `reporting` names. What finds no machine stands in the backlog.
+    /// `reporting` names. What finds no machine stands in the unassigned_ahead.
     fn assign_granted(&mut self, context: &ShardContext<'_>, reporting: &MachineId) {
-        self.term_state.reassign = false;
-        self.term_state.assigned = context.now;
-        self.term_state.unplaced = false;
-        self.term_state.backlog.clear();
-        self.term_state.queues.clear();
-        let wanted = self.wanted(context, self.term_state.plan.grants());
-        let ahead = self.wanted(context, self.term_state.plan.ahead());
-        let mut unplaced = wanted.pauses;
-        if wanted.tasks.is_empty() && ahead.tasks.is_empty() {
-            self.term_state.unplaced = unplaced;
+        self.term_state.assignment_stale = false;
+        self.term_state.assigned_at = context.now;
+        self.term_state.has_unplaced = false;
+        self.term_state.unassigned_ahead.clear();
+        self.term_state.start_queues.clear();
+        let pending_starts = self.pending_starts(context, self.term_state.plan.grants());
+        let ahead = self.pending_starts(context, self.term_state.plan.ahead());
+        let mut has_unplaced = pending_starts.pauses;
+        if pending_starts.tasks.is_empty() && ahead.tasks.is_empty() {
+            self.term_state.has_unplaced = has_unplaced;
             return;
         }
-        let mut targets = self.open_rooms(context, reporting);
+        let mut targets = self.open_targets(context, reporting);
         let plan = &self.term_state.plan;
-        let mut queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
-        for (grant, tasks) in wanted.tasks {
+        let mut start_queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
+        for (grant, tasks) in pending_starts.tasks {
             let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
             let need = Resources::of(&job.spec);
             let zone = grant.zone.as_deref();
@@ -210,13 +214,13 @@
                 Some(_) => placement::pack_in(&job.spec, &need, &mut targets, zone, tasks.len()),
                 None => placement::spread(&job.spec, &need, &mut targets, zone, tasks.len()),
             };
-            unplaced |= chosen.len() < tasks.len();
+            has_unplaced |= chosen.len() < tasks.len();
             for (task, target) in tasks.into_iter().zip(chosen) {
                 let start = GrantedStart::of(plan, task, grant.attempt, false);
-                queues.entry(targets[target].id.clone()).or_default().push(start);
+                start_queues.entry(targets[target].id.clone()).or_default().push(start);
             }
         }
-        let mut backlog = Vec::new();
+        let mut unassigned_ahead = Vec::new();
         if !ahead.tasks.is_empty() {
             self.term_state.highest_priority = highest_priority_by_kind(context.replica, &targets);
         }
@@ -225,23 +229,27 @@
             let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
             let need = Resources::of(&job.spec);
             let mut first: Vec<PlacementTarget> =
-                targets.extract_if(.., |r| self.is_first(&job.spec, r)).collect();
+                targets.extract_if(.., |r| self.is_most_urgent_for(&job.spec, r)).collect();
             let chosen = placement::spread(&job.spec, &need, &mut first, None, tasks.len());
             let mut starts = tasks.iter().map(|task| GrantedStart::of(plan, *task, None, true));
             for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
-                queues.entry(first[target].id.clone()).or_default().push(start);
+                start_queues.entry(first[target].id.clone()).or_default().push(start);
             }
-            backlog.extend(starts);
+            unassigned_ahead.extend(starts);
             targets.append(&mut first);
         }
-        self.term_state.unplaced = unplaced;
-        self.term_state.backlog = backlog;
-        self.term_state.queues = queues;
+        self.term_state.has_unplaced = has_unplaced;
+        self.term_state.unassigned_ahead = unassigned_ahead;
+        self.term_state.start_queues = start_queues;
     }
 
     /// The granted tasks that are neither on a machine nor done, most urgent first. Within an urgency
     /// the order of the grants holds.
-    fn wanted<'a>(&self, context: &ShardContext<'_>, grants: &'a [Grant]) -> Wanted<'a> {
+    fn pending_starts<'a>(
+        &self,
+        context: &ShardContext<'_>,
+        grants: &'a [Grant],
+    ) -> PendingStarts<'a> {
         let held: FxHashSet<TaskId> =
             self.machines.values().flat_map(|m| m.tasks.keys()).copied().collect();
         let mut pauses = false;
@@ -266,11 +274,14 @@
             }
         }
         by_priority.sort_by_key(|w| w.0);
-        Wanted { tasks: by_priority.into_iter().map(|(_, g, tasks)| (g, tasks)).collect(), pauses }
+        PendingStarts {
+            tasks: by_priority.into_iter().map(|(_, g, tasks)| (g, tasks)).collect(),
+            pauses,
+        }
     }
 
     /// The machines that take new tasks now.
-    fn open_rooms(
+    fn open_targets(
         &self,
         context: &ShardContext<'_>,
         reporting: &MachineId,
@@ -282,7 +293,7 @@
             target.reserved = plan.is_reserved(id);
             target.delay_s = match id == reporting {
                 true => 0.0,
-                false => context.timing.delay_s(context.now.since(m.heard)),
+                false => context.timing.delay_s(context.now.since(m.last_heartbeat)),
             };
             Some(target).filter(|r| r.open)
         };
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -7,7 +7,7 @@
 
 use super::active_plan::ActivePlan;
 use super::granted_start::{GrantedStart, MachineKind};
-use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
+use super::redirect::{ForeignMachineRecord, Redirected, UnconfirmedToken};
 use crate::lease::AttemptAllocator;
 use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::wire::Priority;
@@ -30,32 +30,32 @@
     /// The newest plan.
     pub(super) plan: ActivePlan,
     /// The leader's clock as that plan or a later answer gave it.
-    pub(super) clock_ms: u64,
+    pub(super) leader_clock_ms: u64,
     /// Owners of machines; empty before the first plan.
     pub(super) owners: BTreeMap<MachineId, NodeId>,
     /// Attempts of gangs that a worker has shown in this term: they are never started again.
     pub(super) shown_gang_attempts: HashSet<(TaskId, Attempt)>,
     /// What is to start on a machine with its next report.
-    pub(super) queues: BTreeMap<MachineId, Vec<GrantedStart>>,
+    pub(super) start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
     /// What is granted ahead and found no machine: any may take it as soon as it has room, the first ones first.
-    pub(super) backlog: Vec<GrantedStart>,
+    pub(super) unassigned_ahead: Vec<GrantedStart>,
     /// The most urgent work that may use machines of a type, zone and kind.
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
     /// Whether granted tasks have to be given machines anew, and when they last were.
-    pub(super) reassign: bool,
-    pub(super) assigned: MonotonicTime,
+    pub(super) assignment_stale: bool,
+    pub(super) assigned_at: MonotonicTime,
     /// Whether granted tasks found no machine.
-    pub(super) unplaced: bool,
+    pub(super) has_unplaced: bool,
     /// The last summary that the leader is known to have taken, and when it was made.
-    pub(super) acknowledged: Option<(u64, MonotonicTime)>,
+    pub(super) acknowledged_summary: Option<(u64, MonotonicTime)>,
     /// Machines that were told of this term straight away.
-    pub(super) announced: HashMap<MachineId, TermAnnouncement>,
+    pub(super) announcements: HashMap<MachineId, TermAnnouncement>,
     /// Whether there may be machines that have to be.
-    pub(super) announcing: bool,
+    pub(super) announcements_pending: bool,
     /// Machines that have not shown this term's token.
-    pub(super) unacknowledged: HashMap<MachineId, Unacknowledged>,
+    pub(super) unconfirmed_tokens: HashMap<MachineId, UnconfirmedToken>,
     /// Machines that were sent to their owners.
-    pub(super) redirected: HashMap<MachineId, Redirected>,
+    pub(super) redirects: HashMap<MachineId, Redirected>,
     /// Machines of other parts that report here.
     pub(super) foreign_machines: BTreeMap<MachineId, ForeignMachineRecord>,
 }
@@ -67,20 +67,20 @@
             term,
             attempts: AttemptAllocator::new(term, me),
             plan: ActivePlan::none(term),
-            clock_ms: 0,
+            leader_clock_ms: 0,
             owners: BTreeMap::new(),
             shown_gang_attempts: HashSet::new(),
-            queues: BTreeMap::new(),
-            backlog: Vec::new(),
+            start_queues: BTreeMap::new(),
+            unassigned_ahead: Vec::new(),
             highest_priority: BTreeMap::new(),
-            reassign: false,
-            assigned: MonotonicTime(0),
-            unplaced: false,
-            acknowledged: None,
-            announced: HashMap::new(),
-            announcing: false,
-            unacknowledged: HashMap::new(),
-            redirected: HashMap::new(),
+            assignment_stale: false,
+            assigned_at: MonotonicTime(0),
+            has_unplaced: false,
+            acknowledged_summary: None,
+            announcements: HashMap::new(),
+            announcements_pending: false,
+            unconfirmed_tokens: HashMap::new(),
+            redirects: HashMap::new(),
             foreign_machines: BTreeMap::new(),
         }
     }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -4,7 +4,7 @@
 
 use super::active_plan::ActivePlan;
 use super::granted_start::{GrantKind, GrantedStart};
-use super::redirect::{ForeignMachineRecord, Redirected, Unacknowledged};
+use super::redirect::{ForeignMachineRecord, Redirected, UnconfirmedToken};
 use super::term_state::TermAnnouncement;
 use super::*;
 use crate::config::Settings;
@@ -92,7 +92,7 @@
     controller.rights.confirm_renewal(MonotonicTime(ms));
     controller.rights.confirm_sync(MonotonicTime(ms));
     match controller.on_heartbeat(MonotonicTime(ms), heartbeat) {
-        HeartbeatOutcome::Take(reply) => {
+        HeartbeatOutcome::Respond(reply) => {
             let starts = |o: &&WorkerCommand| matches!(o, WorkerCommand::Start { .. });
             (true, reply.commands.iter().filter(starts).count())
         }
@@ -120,7 +120,7 @@
         endpoint: "10.1.0.1:9000".into(),
         term: TERM,
         agent_epoch: AgentEpoch(1),
-        doubted: None,
+        newest_known: None,
         commands: vec![],
     };
     // (session, sequence, token, whether it is settled then); the session was not known at first.
@@ -185,7 +185,7 @@
     let timing = controller.settings.timing();
     for n in 0..40 {
         let mut machine = Machine::new(&heartbeat(1, 1, 3, None), MonotonicTime(0));
-        machine.changed = 1;
+        machine.changed_in_summary = 1;
         controller.shard.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
     }
     let mut told = BTreeSet::new();
@@ -196,7 +196,8 @@
         assert_eq!(piece.base == 0, pieces == 0);
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
-        controller.shard.term_state.acknowledged = Some((piece.number, MonotonicTime(1_000)));
+        controller.shard.term_state.acknowledged_summary =
+            Some((piece.number, MonotonicTime(1_000)));
         if !piece.more {
             break;
         }
@@ -276,9 +277,9 @@
     assert!(hear(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
     let mut answer =
         |ms, sequence| controller.on_heartbeat(MonotonicTime(ms), &heartbeat(1, sequence, 3, None));
-    assert!(matches!(answer(5_500, 2), HeartbeatOutcome::Take(_)), "not for long yet");
-    assert!(matches!(answer(7_000, 3), HeartbeatOutcome::Go(_)));
-    assert!(matches!(answer(9_000, 4), HeartbeatOutcome::Take(_)), "it found nobody");
+    assert!(matches!(answer(5_500, 2), HeartbeatOutcome::Respond(_)), "not for long yet");
+    assert!(matches!(answer(7_000, 3), HeartbeatOutcome::Redirect(_)));
+    assert!(matches!(answer(9_000, 4), HeartbeatOutcome::Respond(_)), "it found nobody");
 }
 
 #[test]
@@ -350,7 +351,7 @@
         let told = controller.direct_messages_due(MonotonicTime(200 + i as u64), 8);
         assert_eq!(told.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
         let shown = heartbeat(1, 2 + i as u64, 3, Some(TaskState::Running));
-        let HeartbeatOutcome::Take(reply) =
+        let HeartbeatOutcome::Respond(reply) =
             controller.on_heartbeat(MonotonicTime(300 + i as u64), &shown)
         else {
             panic!("refused");
@@ -440,7 +441,7 @@
         controller.rights.confirm_renewal(MonotonicTime(now));
         controller.rights.confirm_sync(MonotonicTime(synced));
         let got = match controller.on_heartbeat(MonotonicTime(now), &heartbeat(1, 5, 3, None)) {
-            HeartbeatOutcome::Take(reply) => (true, reply.commands.len()),
+            HeartbeatOutcome::Respond(reply) => (true, reply.commands.len()),
             _ => (false, 0),
         };
         assert_eq!(got, (answered, starts), "{synced} {now}");
@@ -594,7 +595,7 @@
     let shard = &mut controller.shard;
     let term_state = &mut shard.term_state;
     term_state.plan = ActivePlan::new(TERM, PlanSeq(2), body);
-    term_state.clock_ms = 5;
+    term_state.leader_clock_ms = 5;
     term_state.attempts.give();
     term_state.shown_gang_attempts.insert((TASK, attempt));
     let start = GrantedStart {
@@ -604,23 +605,23 @@
         plan: PlanSeq(2),
         kind: GrantKind::Ahead,
     };
-    term_state.queues.insert(machine(), vec![start]);
-    term_state.backlog.push(start);
+    term_state.start_queues.insert(machine(), vec![start]);
+    term_state.unassigned_ahead.push(start);
     term_state.highest_priority.insert(("small".into(), "a".into(), false), None);
-    (term_state.reassign, term_state.assigned, term_state.unplaced) =
+    (term_state.assignment_stale, term_state.assigned_at, term_state.has_unplaced) =
         (true, MonotonicTime(5), true);
-    term_state.acknowledged = Some((1, MonotonicTime(5)));
-    term_state.announced.insert(machine(), TermAnnouncement { times: 1, at: MonotonicTime(5) });
-    term_state.announcing = true;
-    let unacknowledged = Unacknowledged {
+    term_state.acknowledged_summary = Some((1, MonotonicTime(5)));
+    term_state.announcements.insert(machine(), TermAnnouncement { times: 1, at: MonotonicTime(5) });
+    term_state.announcements_pending = true;
+    let unconfirmed_tokens = UnconfirmedToken {
         first: MonotonicTime(5),
         agent_epoch: AgentEpoch(1),
         answers: 1,
         refuse_until: MonotonicTime(0),
     };
-    term_state.unacknowledged.insert(machine(), unacknowledged);
+    term_state.unconfirmed_tokens.insert(machine(), unconfirmed_tokens);
     let redirected = Redirected { at: MonotonicTime(5), tries: 1, seen: false };
-    term_state.redirected.insert(machine(), redirected);
+    term_state.redirects.insert(machine(), redirected);
     let stray = ForeignMachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -630,28 +631,28 @@
         hears: true,
     };
     term_state.foreign_machines.insert(MachineId::new("n-2"), stray);
-    shard.told_progress.job_statuses.push(JobStatus {
+    shard.leader_progress.job_statuses.push(JobStatus {
         job: 1,
         running: 1,
         wait_reason: WaitReason::No,
     });
-    shard.told_progress.completed.push((1, 1));
+    shard.leader_progress.completed.push((1, 1));
     shard.machines.insert(machine(), Machine::new(&shown, MonotonicTime(5)));
     shard.is_newest(&shown);
-    shard.doubted.insert(machine(), MonotonicTime(5));
-    shard.doubts.push((machine(), AgentEpoch(1)));
-    shard.stopping.insert(machine());
+    shard.restart_checked_at.insert(machine(), MonotonicTime(5));
+    shard.restart_checks_due.push((machine(), AgentEpoch(1)));
+    shard.kills_due.insert(machine());
     shard.restarted.insert(machine());
-    shard.answered.insert(machine(), MonotonicTime(5));
-    shard.released_workers.insert(machine(), MonotonicTime(5));
-    shard.faults.insert(JobId(1), JobFaults::default());
+    shard.responded_at.insert(machine(), MonotonicTime(5));
+    shard.sent_away_at.insert(machine(), MonotonicTime(5));
+    shard.job_faults.insert(JobId(1), JobFaults::default());
     let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: MonotonicTime(5) };
     shard.completed_tasks.insert(JobId(1), completed_tasks);
-    shard.number = 3;
-    shard.sent.push_back((3, MonotonicTime(5)));
-    shard.heard = MonotonicTime(5);
+    shard.summary_number = 3;
+    shard.sent_summaries.push_back((3, MonotonicTime(5)));
+    shard.last_heartbeat = MonotonicTime(5);
     shard.refused_starts = 1;
-    shard.news = true;
+    shard.summary_due = true;
     controller
 }
 
@@ -665,20 +666,20 @@
             term,
             attempts,
             plan,
-            clock_ms,
+            leader_clock_ms,
             owners,
             shown_gang_attempts,
-            queues,
-            backlog,
+            start_queues,
+            unassigned_ahead,
             highest_priority,
-            reassign,
-            assigned,
-            unplaced,
-            acknowledged,
-            announced,
-            announcing,
-            unacknowledged,
-            redirected,
+            assignment_stale,
+            assigned_at,
+            has_unplaced,
+            acknowledged_summary,
+            announcements,
+            announcements_pending,
+            unconfirmed_tokens,
+            redirects,
             foreign_machines,
         } = &controller.shard.term_state;
         assert_eq!(*term, TERM);
@@ -690,12 +691,19 @@
         assert!(!plan.grants().is_empty() && !plan.ahead().is_empty());
         assert!(plan.is_reserved(&kept_for_gangs) && plan.is_slow(&kept_for_gangs));
         assert!(plan.is_drained(&kept_for_gangs) && plan.grants_gang(Attempt(7)));
-        assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !queues.is_empty());
-        assert!(!backlog.is_empty() && !highest_priority.is_empty() && *reassign && *unplaced);
-        assert!(acknowledged.is_some() && !announced.is_empty() && *announcing);
-        assert!(*clock_ms > 0 && *assigned > MonotonicTime(0));
+        assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !start_queues.is_empty());
         assert!(
-            !unacknowledged.is_empty() && !redirected.is_empty() && !foreign_machines.is_empty()
+            !unassigned_ahead.is_empty()
+                && !highest_priority.is_empty()
+                && *assignment_stale
+                && *has_unplaced
+        );
+        assert!(
+            acknowledged_summary.is_some() && !announcements.is_empty() && *announcements_pending
+        );
+        assert!(*leader_clock_ms > 0 && *assigned_at > MonotonicTime(0));
+        assert!(
+            !unconfirmed_tokens.is_empty() && !redirects.is_empty() && !foreign_machines.is_empty()
         );
 
         begin_next_term(&mut controller, way);
@@ -704,43 +712,51 @@
             me: _,
             incarnation,
             term_state,
-            told_progress,
+            leader_progress,
             machines,
-            latest,
-            doubted,
-            doubts,
-            stopping,
+            newest_heartbeats,
+            restart_checked_at,
+            restart_checks_due,
+            kills_due,
             restarted,
-            answered,
-            released_workers,
-            faults,
+            responded_at,
+            sent_away_at,
+            job_faults,
             completed_tasks,
-            number,
-            sent,
-            heard,
+            summary_number,
+            sent_summaries,
+            last_heartbeat,
             refused_starts,
-            news,
+            summary_due,
         } = controller.shard;
         let void = TermState::begin(NEXT_TERM, me);
         assert_eq!(format!("{term_state:?}"), format!("{void:?}"), "{way:?}: all of it is void");
         assert_eq!(incarnation, INCARNATION);
         // Told to users only, and grants nothing.
-        assert_eq!((told_progress.job_statuses.len(), told_progress.completed.len()), (1, 1));
+        assert_eq!((leader_progress.job_statuses.len(), leader_progress.completed.len()), (1, 1));
         // Seen here: where tasks are, which reports are late copies, who counts from the start again.
-        assert_eq!((machines.len(), latest.len(), restarted.len()), (1, 1, 1), "{way:?}");
+        assert_eq!(
+            (machines.len(), newest_heartbeats.len(), restarted.len()),
+            (1, 1, 1),
+            "{way:?}"
+        );
         assert!(machines.values().all(|m| !m.is_reconciled(NEXT_TERM)), "{way:?}");
-        assert_eq!((doubted.len(), doubts.len(), stopping.len()), (1, 1, 1), "{way:?}");
+        assert_eq!(
+            (restart_checked_at.len(), restart_checks_due.len(), kills_due.len()),
+            (1, 1, 1),
+            "{way:?}"
+        );
         // Done here: leases count from these answers whoever leads.
         assert_eq!(
-            (answered.len(), released_workers.len(), heard),
+            (responded_at.len(), sent_away_at.len(), last_heartbeat),
             (1, 1, MonotonicTime(5)),
             "{way:?}"
         );
         // True whoever leads.
-        assert_eq!((completed_tasks.len(), faults.len()), (1, 1), "{way:?}");
+        assert_eq!((completed_tasks.len(), job_faults.len()), (1, 1), "{way:?}");
         // Summaries are numbered for the whole life of the process.
-        assert_eq!((number, sent.len(), refused_starts), (3, 1, 1), "{way:?}");
-        assert!(news, "{way:?}");
+        assert_eq!((summary_number, sent_summaries.len(), refused_starts), (3, 1, 1), "{way:?}");
+        assert!(summary_due, "{way:?}");
     }
 }
 
@@ -750,11 +766,12 @@
     type Outlives = fn(&mut TermState, TermState);
     let cases: [(&str, Outlives); 3] = [
         ("plan", |now, old| {
-            (now.plan, now.owners, now.reassign) = (old.plan, old.owners, true);
+            (now.plan, now.owners, now.assignment_stale) = (old.plan, old.owners, true);
         }),
-        ("queue", |now, old| now.queues = old.queues),
-        ("backlog", |now, old| {
-            (now.backlog, now.highest_priority) = (old.backlog, old.highest_priority)
+        ("queue", |now, old| now.start_queues = old.start_queues),
+        ("unassigned_ahead", |now, old| {
+            (now.unassigned_ahead, now.highest_priority) =
+                (old.unassigned_ahead, old.highest_priority)
         }),
     ];
     for (what, outlives) in cases {
@@ -768,8 +785,8 @@
         };
         let kind = ("small".into(), "a".into(), false);
         controller.shard.term_state.highest_priority.insert(kind, Some(Priority::Normal));
-        controller.shard.term_state.queues.insert(MachineId::new("n-1"), vec![start]);
-        controller.shard.term_state.backlog.push(start);
+        controller.shard.term_state.start_queues.insert(MachineId::new("n-1"), vec![start]);
+        controller.shard.term_state.unassigned_ahead.push(start);
         let before = heartbeat(1, 1, TERM.0, None);
         let mut machine = Machine::new(&before, MonotonicTime(0));
         if let Some(job) = controller.replica.jobs.get(&TASK.job) {
@@ -781,7 +798,7 @@
             TermState::begin(NEXT_TERM, NodeId(0)),
         );
         outlives(&mut controller.shard.term_state, old);
-        controller.shard.term_state.assigned = MonotonicTime(1_000);
+        controller.shard.term_state.assigned_at = MonotonicTime(1_000);
         let shown = heartbeat(1, 2, NEXT_TERM.0, None);
         assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
         assert_eq!(controller.shard.refused_starts(), 1, "{what}");
@@ -814,8 +831,8 @@
         machine: MachineId::new(&format!("n-{n}")),
         ..heartbeat(1, sequence, TERM.0, None)
     };
-    (0..LATEST_KEPT).for_each(|n| assert!(controller.shard.is_newest(&of(n, 2))));
+    (0..NEWEST_HEARTBEATS_MAX).for_each(|n| assert!(controller.shard.is_newest(&of(n, 2))));
     begin_next_term(&mut controller, Way::Watch);
-    assert!(controller.shard.is_newest(&of(LATEST_KEPT, 2)));
+    assert!(controller.shard.is_newest(&of(NEWEST_HEARTBEATS_MAX, 2)));
     assert!(!controller.shard.is_newest(&of(1, 1)), "a late copy");
 }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -579,8 +579,8 @@
                 self.reports.count += 1;
                 self.reports.total += began.elapsed();
                 let answer = match answer {
-                    HeartbeatOutcome::Take(reply) => Answer::Take(reply),
-                    HeartbeatOutcome::Go(name) => Answer::Go(
+                    HeartbeatOutcome::Respond(reply) => Answer::Take(reply),
+                    HeartbeatOutcome::Redirect(name) => Answer::Go(
                         node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
                     ),
                     HeartbeatOutcome::Refuse => Answer::Refuse,
