--- a/src/shard/active_plan.rs
+++ b/src/shard/active_plan.rs
@@ -1,11 +1,11 @@
-//! The newest plan that a part follows.
+//! The newest plan that a shard follows: what it may start, stop and use.
 
 use std::collections::HashSet;
 
 use crate::model::{Attempt, MachineId, PlanSeq, TaskId, Term};
 use crate::peer::{GangStop, Grant, PlanBody};
 
-/// The newest plan that a part follows, with the term that gave it.
+/// The newest plan that a shard follows, with the term of its leader.
 #[derive(Clone, Debug)]
 pub(super) struct ActivePlan {
     /// The term of the leader that made it.
@@ -13,16 +13,19 @@
     /// Its number; 0 before the first one of the term.
     pub(super) seq: PlanSeq,
     grants: Vec<Grant>,
+    /// Grants before there is room.
     ahead: Vec<Grant>,
     slow: Vec<MachineId>,
+    /// Sorted.
     reserved: Vec<MachineId>,
     stops: Vec<GangStop>,
     drained: HashSet<MachineId>,
+    /// The attempts of the gangs among the grants.
     gang_attempts: HashSet<Attempt>,
 }
 
 impl ActivePlan {
-    /// Before the first plan of a term: nothing is granted or ordered.
+    /// Before the first plan of a term: nothing is granted or stopped.
     pub(super) fn none(term: Term) -> Self {
         ActivePlan {
             term,
@@ -62,12 +65,12 @@
         &self.ahead
     }
 
-    /// Whether a machine is used last.
+    /// Whether a machine is used last, as tasks run slow on it.
     pub(super) fn is_slow(&self, machine: &MachineId) -> bool {
         self.slow.contains(machine)
     }
 
-    /// Whether a machine is kept for gangs.
+    /// Whether a machine is reserved for gangs.
     pub(super) fn is_reserved(&self, machine: &MachineId) -> bool {
         self.reserved.binary_search(machine).is_ok()
     }
@@ -82,9 +85,9 @@
         self.stops.iter().find(|s| s.job == task.job.0 && attempt < s.before)
     }
 
-    /// Whether it stops a gang that the plan before did not.
-    pub(super) fn stops_more_than(&self, before: &ActivePlan) -> bool {
-        self.stops.iter().any(|s| !before.stops.contains(s))
+    /// Whether it has a stop that the previous plan did not have.
+    pub(super) fn stops_more_than(&self, previous: &ActivePlan) -> bool {
+        self.stops.iter().any(|s| !previous.stops.contains(s))
     }
 
     /// Whether it grants a gang with that attempt.
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -1,4 +1,7 @@
-//! Completed tasks whose outcome may not be on record yet.
+//! Completed tasks whose outcome may not be durable yet.
+//!
+//! A completion is true forever, whoever reports it and however late (`docs/safety.md`, "Durable before said"). A task
+//! in here is not started again.
 
 use super::Shard;
 use crate::model::{JobId, MonotonicTime, Ranges, TaskId};
@@ -8,46 +11,48 @@
 /// Completed tasks of a job that are not known to be on record yet.
 #[derive(Clone, Debug, Default)]
 pub struct CompletedTasks {
-    /// The tasks.
+    /// Indexes of the tasks.
     pub tasks: Ranges,
-    /// When the first of them was heard of.
+    /// When the first of them was reported.
     pub since: MonotonicTime,
 }
 
 impl Shard {
+    /// Records the tasks that a heartbeat shows as completed.
     pub(super) fn record_completions(
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
         heartbeat: &Heartbeat,
     ) {
-        for p in &heartbeat.tasks {
-            if p.state == TaskState::Exited && p.exit_reason == Some(ExitReason::Done) {
-                self.record_completion(now, replica, p.task);
+        for status in &heartbeat.tasks {
+            if status.state == TaskState::Exited && status.exit_reason == Some(ExitReason::Done) {
+                self.record_completion(now, replica, status.task);
             }
         }
     }
 
-    /// Notes a task that completed; if it is of a gang, all of its tasks did.
+    /// Records a completed task; if it is of a gang, all of its tasks completed.
     pub fn record_completion(&mut self, now: MonotonicTime, replica: &Replica, task: TaskId) {
         let Some(job) = replica.jobs.get(&task.job) else { return };
-        let gang = job.spec.kind == JobKind::Gang;
-        if !gang && !replica.may_run(task) || task.index >= job.spec.task_count {
+        let is_gang = job.spec.kind == JobKind::Gang;
+        let task_count = job.spec.task_count;
+        if !is_gang && !replica.may_run(task) || task.index >= task_count {
             return;
         }
-        let f = self
+        let completed = self
             .completed_tasks
             .entry(task.job)
             .or_insert_with(|| CompletedTasks { tasks: Ranges::default(), since: now });
-        if !gang {
-            self.summary_due |= f.tasks.insert(task.index);
-        } else if f.tasks.len() < job.spec.task_count {
-            f.tasks = Ranges::span(0, job.spec.task_count);
+        if !is_gang {
+            self.summary_due |= completed.tasks.insert(task.index);
+        } else if completed.tasks.len() < task_count {
+            completed.tasks = Ranges::span(0, task_count);
             self.summary_due = true;
         }
     }
 
-    /// Takes completions that another controller heard of.
+    /// Merges completions that another controller knows of: jobs with the indexes of their tasks.
     pub fn merge_completions(
         &mut self,
         now: MonotonicTime,
@@ -61,14 +66,20 @@
         }
     }
 
-    /// Forgets finished tasks that are durable by now and faults of jobs that have ended.
+    /// Whether a task is neither done nor known here to have completed.
+    pub(super) fn may_start(&self, replica: &Replica, task: TaskId) -> bool {
+        let completed = self.completed_tasks.get(&task.job);
+        replica.may_run(task) && !completed.is_some_and(|c| c.tasks.contains(task.index))
+    }
+
+    /// Forgets completed tasks whose outcome is durable by now, and faults of jobs that have ended.
     pub fn tidy(&mut self, replica: &Replica) {
-        self.completed_tasks.retain(|job, f| {
-            let open = |i: &u32| replica.may_run(TaskId { job: *job, index: *i });
-            if !f.tasks.iter().all(|i| open(&i)) {
-                f.tasks = f.tasks.iter().filter(open).collect();
+        self.completed_tasks.retain(|job, completed| {
+            let is_open = |index: &u32| replica.may_run(TaskId { job: *job, index: *index });
+            if !completed.tasks.iter().all(|index| is_open(&index)) {
+                completed.tasks = completed.tasks.iter().filter(is_open).collect();
             }
-            !f.tasks.is_empty()
+            !completed.tasks.is_empty()
         });
         self.job_faults.retain(|job, _| replica.jobs.contains_key(job));
     }
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -1,176 +1,181 @@
-//! What machines are told or asked straight away, besides the answers to their reports.
+//! Messages to machines that do not wait for their heartbeats: kills, restart checks and the announcement of a term.
+//!
+//! They never start a task, as they may arrive late. The answer to one is a heartbeat of the machine, which reconciles
+//! it only if it is not reconciled yet: none of this term's starts can be on their way to it then (`docs/safety.md`, "Who
+//! may start").
+
+use std::rc::Rc;
 
 use super::kills::is_cancelled;
-use super::machine::{HeldTask, Machine};
-use super::term_state::TermAnnouncement;
-use super::{DirectMessage, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
-use crate::model::{AgentEpoch, JobId, MonotonicTime, TaskId};
+use super::{DirectMessage, HeartbeatOrder, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
+use crate::model::{AgentEpoch, MachineId, MonotonicTime};
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
 
-/// How often a machine is told of a term straight away, and the time before the second try, which
-/// doubles for the next.
-const ANNOUNCEMENTS: u32 = 4;
+/// Least time between two restart checks of a machine, in milliseconds.
+const RESTART_CHECK_AGAIN_MS: u64 = 10_000;
 
-const ANNOUNCE_AGAIN_MS: u64 = 1_500;
+/// A machine that is to be asked whether it was restarted.
+#[derive(Clone, Debug)]
+pub(super) struct RestartCheck {
+    pub(super) machine: MachineId,
+    /// The agent epoch of its old heartbeat.
+    pub(super) agent_epoch: AgentEpoch,
+}
 
-/// Least time between two questions to a machine of which old reports come.
-const RESTART_CHECK_AGAIN_MS: u64 = 10_000;
+/// Where a direct message reaches a worker.
+struct WorkerAddress {
+    endpoint: Rc<str>,
+    agent_epoch: AgentEpoch,
+}
 
 impl Shard {
-    /// An old report is a late copy, or its machine was restarted and counts from the start again.
-    /// Only the machine itself can tell.
+    /// Has a machine asked whether it was restarted, as an old heartbeat of it came. That is a late copy, or the
+    /// machine's epochs and sequences begin again; only the machine itself can tell.
     pub(super) fn check_for_restart(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let id = &heartbeat.machine;
-        if self.restarted.contains(id)
-            || self
-                .restart_checked_at
-                .get(id)
-                .is_some_and(|at| now.since(*at) < RESTART_CHECK_AGAIN_MS)
-        {
+        let is_recent = |at: &MonotonicTime| now.since(*at) < RESTART_CHECK_AGAIN_MS;
+        if self.restarted.contains(id) || self.restart_checked_at.get(id).is_some_and(is_recent) {
             return;
         }
         if self.restart_checked_at.len() >= NEWEST_HEARTBEATS_MAX {
-            self.restart_checked_at.retain(|_, at| now.since(*at) < RESTART_CHECK_AGAIN_MS);
+            self.restart_checked_at.retain(|_, at| is_recent(at));
         }
         self.restart_checked_at.insert(id.clone(), now);
-        self.restart_checks_due.push((id.clone(), heartbeat.agent_epoch));
+        let check = RestartCheck { machine: id.clone(), agent_epoch: heartbeat.agent_epoch };
+        self.restart_checks_due.push(check);
     }
 
-    /// Machines that are to be asked or told something straight away, up to `most`: those that may
-    /// have been restarted, and those of this part that have not shown the term's token, as
-    /// nothing starts on them before, and tasks of earlier terms wait for the proof.
+    /// Direct messages that are due, up to `limit`: kills; and, if this node may answer, restart checks and
+    /// announcements to machines of this shard that have not shown the term's token, as nothing starts on them before,
+    /// and tasks of earlier terms wait for the proof.
     pub fn direct_messages_due(
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
         may_answer: bool,
-        most: usize,
+        limit: usize,
     ) -> Vec<DirectMessage> {
-        let mut out = self.kill_messages(replica, most);
-        if !may_answer {
-            return out;
+        let mut messages = self.kill_messages(replica, limit);
+        if may_answer {
+            self.add_restart_checks(limit, &mut messages);
+            self.add_announcements(now, replica, limit, &mut messages);
         }
-        while out.len() < most
-            && let Some((machine, agent_epoch)) = self.restart_checks_due.pop()
+        messages
+    }
+
+    /// Kills that do not wait, up to `limit` messages: the response to the next heartbeat would carry
+    /// them, but a machine may reach nobody, or this node may not answer any more. A kill that is
+    /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
+    /// later has a higher attempt.
+    fn kill_messages(&mut self, replica: &Replica, limit: usize) -> Vec<DirectMessage> {
+        let mut messages = Vec::new();
+        while messages.len() < limit
+            && let Some(id) = self.kills_due.pop_first()
         {
-            if let Some(newest) = self.newest_heartbeats.get(&machine) {
-                let (endpoint, newest_known) = (newest.endpoint.clone(), Some(newest.order));
-                let (term, commands) = (self.term_state.term, Vec::new());
-                out.push(DirectMessage {
-                    machine,
-                    endpoint,
-                    term,
-                    agent_epoch,
-                    newest_known,
-                    commands,
-                });
+            let Some(machine) = self.machines.get(&id) else { continue };
+            let commands: Vec<WorkerCommand> = machine
+                .tasks
+                .iter()
+                .filter_map(|(task, held)| self.kill_for(replica, &id, *task, held.attempt))
+                .collect();
+            if commands.is_empty() {
+                continue;
             }
+            messages.push(DirectMessage {
+                endpoint: machine.endpoint.clone(),
+                term: self.term_state.term,
+                agent_epoch: machine.agent_epoch,
+                newest_known: None,
+                commands,
+                machine: id,
+            });
+        }
+        messages
+    }
+
+    /// Adds restart checks, up to `limit` messages in all.
+    fn add_restart_checks(&mut self, limit: usize, messages: &mut Vec<DirectMessage>) {
+        while messages.len() < limit
+            && let Some(check) = self.restart_checks_due.pop()
+        {
+            let Some(newest) = self.newest_heartbeats.get(&check.machine) else { continue };
+            messages.push(DirectMessage {
+                machine: check.machine,
+                endpoint: newest.endpoint.clone(),
+                term: self.term_state.term,
+                agent_epoch: check.agent_epoch,
+                newest_known: Some(newest.order),
+                commands: Vec::new(),
+            });
         }
-        self.announce_term(now, replica, most, &mut out);
-        out
     }
 
-    /// Tells machines of this part that have not shown the term's token of it, up to `most` in all.
-    fn announce_term(
+    /// Adds announcements of the term, up to `limit` messages in all.
+    fn add_announcements(
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
-        most: usize,
-        out: &mut Vec<DirectMessage>,
+        limit: usize,
+        messages: &mut Vec<DirectMessage>,
     ) {
         let term = self.term_state.term;
         if !self.term_state.announcements_pending || !self.term_state.has_plan() {
             return;
         }
-        let mut open = false;
+        let mut has_pending = false;
         for (id, _) in self.term_state.owners.iter().filter(|(_, owner)| **owner == self.me) {
-            if self.machines.get(id).is_some_and(|m| m.is_reconciled(term)) {
+            if self.machines.get(id).is_some_and(|machine| machine.is_reconciled(term)) {
                 continue;
             }
-            let newest = self.newest_heartbeats.get(id).map(|n| (n.endpoint.clone(), n.order.0));
-            let known = || replica.machines.get(id).filter(|m| m.up && m.gone.is_none());
-            let on_record = || known().map(|m| (m.endpoint.as_str().into(), AgentEpoch(1)));
-            let Some((endpoint, agent_epoch)) = newest.or_else(on_record) else { continue };
-            let TermAnnouncement { times, at } =
-                self.term_state.announcements.get(id).copied().unwrap_or_default();
-            if endpoint.is_empty() || times >= ANNOUNCEMENTS {
+            let Some(address) = self.address(replica, id) else { continue };
+            let announcement = self.term_state.announcements.get(id).copied().unwrap_or_default();
+            if announcement.is_exhausted() {
                 continue;
             }
-            open = true;
-            let due = times == 0 || now.since(at) >= ANNOUNCE_AGAIN_MS << (times - 1);
-            if due && out.len() < most {
-                let announced = TermAnnouncement { times: times + 1, at: now };
-                self.term_state.announcements.insert(id.clone(), announced);
-                let (machine, newest_known, commands) = (id.clone(), None, Vec::new());
-                out.push(DirectMessage {
-                    machine,
-                    endpoint,
+            has_pending = true;
+            if announcement.is_due(now) && messages.len() < limit {
+                self.term_state.announcements.insert(id.clone(), announcement.repeated(now));
+                messages.push(DirectMessage {
+                    machine: id.clone(),
+                    endpoint: address.endpoint,
                     term,
-                    agent_epoch,
-                    newest_known,
-                    commands,
+                    agent_epoch: address.agent_epoch,
+                    newest_known: None,
+                    commands: Vec::new(),
                 });
             }
         }
-        self.term_state.announcements_pending = open;
-    }
-
-    /// What machines are to end straight away, up to `most` of them: the next answer to their reports would
-    /// tell them, but a machine may reach nobody, or this node may not answer any more. A kill that is
-    /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
-    /// later has a higher attempt.
-    fn kill_messages(&mut self, replica: &Replica, most: usize) -> Vec<DirectMessage> {
-        let mut out = Vec::new();
-        while out.len() < most
-            && let Some(machine) = self.kills_due.pop_first()
-        {
-            let Some(m) = self.machines.get(&machine) else { continue };
-            let order = |t: &TaskId, h: &HeldTask| self.kill_for(replica, &machine, *t, h.attempt);
-            let commands: Vec<WorkerCommand> =
-                m.tasks.iter().filter_map(|(t, h)| order(t, h)).collect();
-            if commands.is_empty() {
-                continue;
-            }
-            let (endpoint, agent_epoch, term) =
-                (m.endpoint.clone(), m.agent_epoch, self.term_state.term);
-            out.push(DirectMessage {
-                machine,
-                endpoint,
-                term,
-                agent_epoch,
-                newest_known: None,
-                commands,
-            });
-        }
-        out
+        self.term_state.announcements_pending = has_pending;
     }
 
-    /// Jobs were cancelled: the machines of this part that have tasks of them are told straight away.
-    pub fn queue_cancellation_kills(&mut self, jobs: &[JobId]) {
-        let has = |m: &Machine| m.tasks.keys().any(|t| jobs.contains(&t.job));
-        let on = self.machines.iter().filter(|(_, m)| has(m)).map(|(id, _)| id.clone());
-        self.kills_due.extend(on);
+    /// Where a machine's worker listens, by its newest heartbeat or else by the record of the machine.
+    fn address(&self, replica: &Replica, id: &MachineId) -> Option<WorkerAddress> {
+        let by_heartbeat = self.newest_heartbeats.get(id).map(|newest| WorkerAddress {
+            endpoint: newest.endpoint.clone(),
+            agent_epoch: newest.order.agent_epoch,
+        });
+        let by_record = || {
+            let machine = replica.machines.get(id).filter(|m| m.up && m.gone.is_none())?;
+            let endpoint = machine.endpoint.as_str().into();
+            Some(WorkerAddress { endpoint, agent_epoch: AgentEpoch(1) })
+        };
+        by_heartbeat.or_else(by_record).filter(|address| !address.endpoint.is_empty())
     }
 
-    /// Takes a machine's answer to an announcement: it shows the token and the machine's tasks as a
-    /// report does. It counts only for a machine that has not settled: none of this term's
-    /// starts can be on its way to it then.
+    /// Handles a machine's answer to a direct message: it shows the token and the machine's tasks as a heartbeat does.
     pub fn on_direct_response(
         &mut self,
         context: &ShardContext<'_>,
-        asked: &DirectMessage,
+        sent: &DirectMessage,
         heartbeat: &Heartbeat,
     ) {
         let id = &heartbeat.machine;
-        if *id != asked.machine {
+        if *id != sent.machine {
             return;
         }
         self.record_completions(context.now, context.replica, heartbeat);
-        if asked
-            .newest_known
-            .is_some_and(|newest| (heartbeat.agent_epoch, heartbeat.sequence) <= newest)
-        {
+        if sent.newest_known.is_some_and(|newest| HeartbeatOrder::of(heartbeat) <= newest) {
             tracing::info!(machine = %id, "was restarted");
             self.restarted.insert(id.clone());
             self.summary_due = true;
@@ -183,16 +188,22 @@
             return;
         }
         if heartbeat.token == self.term_state.term && self.term_state.owner(id) == Some(self.me) {
-            self.record_state(context, heartbeat);
-            // It may report to nobody, and then nobody's answer ends what is not wanted any more.
-            if heartbeat.tasks.iter().any(|p| is_cancelled(context.replica, p.task.job)) {
-                self.kills_due.insert(id.clone());
-            }
-            // Its session may have begun just now, without any answer: its lease counts from here.
-            self.responded_at.insert(id.clone(), context.now);
-        } else if let Some(told) = self.term_state.announcements.get_mut(id) {
-            // Its session was not known; now it is.
-            told.at = told.at.less(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
+            self.reconcile_directly(context, heartbeat);
+        } else if let Some(announcement) = self.term_state.announcements.get_mut(id) {
+            // Its agent epoch was not known; now it is.
+            announcement.expedite();
+        }
+    }
+
+    /// Reconciles a machine of this shard by its answer to a direct message.
+    fn reconcile_directly(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) {
+        let id = &heartbeat.machine;
+        self.record_state(context, heartbeat);
+        // Its heartbeats may reach nobody, and then no response kills what is not wanted any more.
+        if heartbeat.tasks.iter().any(|s| is_cancelled(context.replica, s.task.job)) {
+            self.kills_due.insert(id.clone());
         }
+        // Its agent epoch may have begun just now, without any response: its lease counts from here.
+        self.responded_at.insert(id.clone(), context.now);
     }
 }
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -1,32 +1,32 @@
-//! How heartbeats are answered.
+//! How a heartbeat is handled: refused, redirected, or recorded and responded to.
 
 use std::rc::Rc;
 
+use super::job_faults::is_refused_start;
 use super::machine::Machine;
-use super::redirect::Route;
-use super::{HeartbeatOutcome, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
-use crate::model::{AgentEpoch, MachineId, NodeId, Term};
-use crate::wire::{ExitReason, Heartbeat, HeartbeatResponse, TaskStatus, WorkerCommand};
+use super::{HeartbeatOrder, HeartbeatOutcome, NEWEST_HEARTBEATS_MAX, Shard, ShardContext};
+use crate::model::{MachineId, NodeId, Term};
+use crate::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
-/// Whose a machine is.
+/// Who answers for a machine.
 enum Responsibility {
-    /// This part's.
+    /// This shard.
     Own,
-    /// That controller's.
+    /// That controller's shard.
     Other(NodeId),
-    /// Nobody's that is known here.
+    /// No shard that is known here.
     Unknown,
 }
 
-/// The newest report of a machine, and where its worker listens.
+/// The newest heartbeat of a machine, and where its worker listens.
 #[derive(Clone, Debug)]
 pub(super) struct NewestHeartbeat {
-    pub(super) order: (AgentEpoch, u64),
+    pub(super) order: HeartbeatOrder,
     pub(super) endpoint: Rc<str>,
 }
 
 impl Shard {
-    /// Answers a report.
+    /// Handles a heartbeat of any machine.
     pub fn on_heartbeat(
         &mut self,
         context: &ShardContext<'_>,
@@ -35,45 +35,45 @@
         self.last_heartbeat = context.now;
         // A completed task stays completed whoever reports it and however late.
         self.record_completions(context.now, context.replica, heartbeat);
+        if !self.may_respond(context, heartbeat) {
+            return HeartbeatOutcome::Refuse;
+        }
+        match self.responsibility(&heartbeat.machine) {
+            // Whoever still reaches the store may have taken its machines over. A worker
+            // that comes back found nobody, as in an outage, and is kept alive here.
+            Responsibility::Own
+                if context.isolated && self.may_send_away(context.now, &heartbeat.machine) =>
+            {
+                let next = (usize::from(self.me.0) + 1) % context.nodes.len().max(1);
+                self.redirect_to(context, next)
+            }
+            Responsibility::Own => self.on_own_heartbeat(context, heartbeat),
+            Responsibility::Other(owner) => self.on_heartbeat_of(owner, context, heartbeat),
+            Responsibility::Unknown => self.on_foreign_heartbeat(context, heartbeat, false),
+        }
+    }
+
+    /// Whether a heartbeat may get a response at all.
+    fn may_respond(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) -> bool {
         let term = self.term_state.term;
         if !context.may_answer || term == Term(0) || heartbeat.token > term {
-            return HeartbeatOutcome::Refuse;
+            return false;
         }
         if context.replica.machine_gone(&heartbeat.machine) {
-            return HeartbeatOutcome::Refuse;
+            return false;
         }
-        // A late copy tells of a past that newer reports have overtaken. It settles nothing,
-        // and its answer would reach nobody.
+        // A late copy tells of a past that newer heartbeats have overtaken. It reconciles nothing,
+        // and its response would reach nobody.
         if !self.is_newest(heartbeat) {
             self.check_for_restart(context.now, heartbeat);
-            return HeartbeatOutcome::Refuse;
-        }
-        if !self.may_get_response(context, heartbeat) {
-            return HeartbeatOutcome::Refuse;
-        }
-        match self.responsibility(&heartbeat.machine) {
-            Responsibility::Own => {
-                // Whoever still reaches the store may have taken its machines over. A worker
-                // that comes back found nobody, as in an outage, and is kept alive here.
-                if context.isolated && self.may_send_away(context.now, &heartbeat.machine) {
-                    let next = (usize::from(self.me.0) + 1) % context.nodes.len().max(1);
-                    return self.redirect_to(context, next);
-                }
-                self.on_own_heartbeat(context, heartbeat)
-            }
-            Responsibility::Other(owner) => {
-                match self.route(context.now, &context.timing, &heartbeat.machine) {
-                    Route::Send => self.redirect_to(context, usize::from(owner.0)),
-                    Route::Keep => self.on_foreign_heartbeat(context, heartbeat, false),
-                    Route::Cut => self.on_foreign_heartbeat(context, heartbeat, true),
-                }
-            }
-            Responsibility::Unknown => self.on_foreign_heartbeat(context, heartbeat, false),
+            return false;
         }
+        self.may_get_response(context, heartbeat)
     }
 
-    /// Whose a machine is. Before the first plan of a term nobody is known to own any: machines that were this part's
-    /// are still observed and kept alive, all others are kept alive, and none is sent to an owner of an earlier term.
+    /// Who answers for a machine. Before the first plan of a term nobody is known to own any: machines that were this
+    /// shard's are still observed and kept alive, all others are kept alive, and none is sent to an owner of an earlier
+    /// term.
     fn responsibility(&self, machine: &MachineId) -> Responsibility {
         match self.term_state.owner(machine) {
             Some(owner) if owner == self.me => Responsibility::Own,
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Whether a report is newer than all others of its machine; remembers it if so.
+    /// Whether a heartbeat is newer than all others of its machine; remembers it if so.
     pub(super) fn is_newest(&mut self, heartbeat: &Heartbeat) -> bool {
-        let order = (heartbeat.agent_epoch, heartbeat.sequence);
+        let order = HeartbeatOrder::of(heartbeat);
         if let Some(newest) = self.newest_heartbeats.get_mut(&heartbeat.machine) {
             if order <= newest.order {
                 return false;
@@ -108,85 +108,82 @@
         true
     }
 
-    /// Takes what a report of a machine of this part tells of it; says whether it has more room
-    /// than before.
+    /// Records the state of a machine of this shard, and responds with what it is to kill, clear and start.
+    fn on_own_heartbeat(
+        &mut self,
+        context: &ShardContext<'_>,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatOutcome {
+        let has_more_room = self.record_state(context, heartbeat);
+        let mut commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
+        self.clear_exited(context, heartbeat, &mut commands);
+        self.start_granted(context, &heartbeat.machine, has_more_room, &mut commands);
+        self.respond(context, heartbeat, true, commands)
+    }
+
+    /// Records what a heartbeat of a machine of this shard shows; says whether the machine may have more room than
+    /// before.
     pub(super) fn record_state(
         &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> bool {
-        let now = context.now;
-        let next = self.summary_number + 1;
+        let next_summary = self.summary_number + 1;
         let machine = self
             .machines
             .entry(heartbeat.machine.clone())
-            .or_insert_with(|| Machine::new(heartbeat, now));
-        let warned = heartbeat.spot_notice_s.is_some();
-        machine.reclaimed_at =
-            heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
-        let shunned = machine.quarantined_until;
-        let state = (heartbeat.agent_epoch, heartbeat.token, warned);
-        let turned = state != (machine.agent_epoch, machine.token, machine.reclaim_noticed);
-        (machine.agent_epoch, machine.token, machine.reclaim_noticed) = state;
-        machine.last_heartbeat = now;
-        let before = machine.tasks.len();
-        let (changed, others, left) = machine.record_tasks(context, heartbeat);
-        let new = machine.changed_in_summary == 0;
-        self.summary_due |= others || turned || new;
-        // Stages matter to the leader only in passing, so they are told without haste.
-        if changed || turned || new || machine.quarantined_until != shunned {
-            machine.changed_in_summary = next;
+            .or_insert_with(|| Machine::new(heartbeat, context.now));
+        let is_new = machine.is_new();
+        let task_count = machine.tasks.len();
+        let quarantined_until = machine.quarantined_until;
+        let standing_changed = machine.record_standing(context.now, heartbeat);
+        let changes = machine.record_tasks(context, heartbeat);
+        let quarantine_changed = machine.quarantined_until != quarantined_until;
+        // The leader needs the stages of tasks only in passing, so they wait for the next regular summary.
+        self.summary_due |= changes.task_set_changed || standing_changed || is_new;
+        if changes.any || standing_changed || is_new || quarantine_changed {
+            machine.changed_in_summary = next_summary;
         }
-        let freed = machine.tasks.len() < before || turned || machine.quarantined_until != shunned;
+        let has_more_room =
+            machine.tasks.len() < task_count || standing_changed || quarantine_changed;
         // A start that was lost, or a task that failed, has to go somewhere else.
         self.term_state.assignment_stale |=
-            left.iter().any(|t| self.may_start(context.replica, *t));
-        if self.term_state.plan.has_gangs() {
-            // A refused start never ran, and may be tried elsewhere.
-            let refused = |p: &TaskStatus| {
-                matches!(
-                    p.exit_reason,
-                    Some(
-                        ExitReason::InsufficientResources
-                            | ExitReason::AttemptConflict
-                            | ExitReason::Unknown
-                    )
-                )
-            };
-            let shown = heartbeat.tasks.iter().filter(|p| !refused(p)).map(|p| (p.task, p.attempt));
-            let plan = &self.term_state.plan;
-            self.term_state.shown_gang_attempts.extend(shown.filter(|p| plan.grants_gang(p.1)));
-        }
-        freed
+            changes.removed.iter().any(|task| self.may_start(context.replica, *task));
+        self.record_gang_attempts(heartbeat);
+        has_more_room
     }
 
-    fn on_own_heartbeat(
-        &mut self,
-        context: &ShardContext<'_>,
-        heartbeat: &Heartbeat,
-    ) -> HeartbeatOutcome {
-        let now = context.now;
-        let freed = self.record_state(context, heartbeat);
-        let mut commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
-        self.clear_ended(context, heartbeat, &mut commands);
-        self.start_granted(context, &heartbeat.machine, freed, &mut commands);
-        self.responded_at.insert(heartbeat.machine.clone(), now);
-        self.log_response(context, heartbeat, true, &commands);
-        HeartbeatOutcome::Respond(HeartbeatResponse { token: self.term_state.term, commands })
+    /// Remembers which attempts of granted gangs a worker has shown, as they are never started again. A refused start
+    /// never ran, and may be tried elsewhere.
+    fn record_gang_attempts(&mut self, heartbeat: &Heartbeat) {
+        let term_state = &mut self.term_state;
+        if !term_state.plan.has_gangs() {
+            return;
+        }
+        let shown = heartbeat
+            .tasks
+            .iter()
+            .filter(|status| !is_refused_start(status))
+            .filter(|status| term_state.plan.grants_gang(status.attempt))
+            .map(|status| (status.task, status.attempt));
+        term_state.shown_gang_attempts.extend(shown);
     }
 
-    /// Logs why a report may be answered with 200.
-    pub(super) fn log_response(
-        &self,
+    /// Responds with 200, which renews the worker's lease.
+    pub(super) fn respond(
+        &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
         own: bool,
-        commands: &[WorkerCommand],
-    ) {
+        commands: Vec<WorkerCommand>,
+    ) -> HeartbeatOutcome {
+        self.responded_at.insert(heartbeat.machine.clone(), context.now);
+        let (term, plan) = (self.term_state.term, self.term_state.plan.seq.0);
         tracing::debug!(
-            machine = %heartbeat.machine, own, term = %self.term_state.term, plan = self.term_state.plan.seq.0,
-            proof_ms = context.proof_ms, agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
+            machine = %heartbeat.machine, own, %term, plan, proof_ms = context.proof_ms,
+            agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
             commands = commands.len(), "answers"
         );
+        HeartbeatOutcome::Respond(HeartbeatResponse { token: term, commands })
     }
 }
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -1,20 +1,29 @@
-//! Which tasks are to end on a machine.
+//! Which tasks a machine is to kill. What is cancelled is killed by every controller, whoever owns the machine.
 
 use super::Shard;
+use super::machine::Machine;
 use crate::model::{Attempt, JobId, MachineId, TaskId};
 use crate::replica::Replica;
 use crate::wire::{JobState, TaskState, TaskStatus, WorkerCommand};
 
+/// Whether a job is durably cancelled.
+pub(super) fn is_cancelled(replica: &Replica, job: JobId) -> bool {
+    matches!(replica.ended.get(&job), Some((JobState::Cancelled, _)))
+}
+
 impl Shard {
-    /// Kills for what is to end on a machine.
+    /// Kills for the tasks that are to end on a machine.
     pub(super) fn kills(
         &self,
         replica: &Replica,
         machine: &MachineId,
         tasks: &[TaskStatus],
     ) -> Vec<WorkerCommand> {
-        let on = tasks.iter().filter(|p| p.state != TaskState::Exited);
-        on.filter_map(|p| self.kill_for(replica, machine, p.task, p.attempt)).collect()
+        tasks
+            .iter()
+            .filter(|status| status.state != TaskState::Exited)
+            .filter_map(|status| self.kill_for(replica, machine, status.task, status.attempt))
+            .collect()
     }
 
     /// The kill for a task that is to end: its job was cancelled, it is durably done already, or it is of a gang that is
@@ -39,8 +48,27 @@
         let grace_s = leeway_ms as f64 / 1000.0;
         Some(WorkerCommand::Kill { task, attempt, grace_s })
     }
-}
 
-pub(super) fn is_cancelled(replica: &Replica, job: JobId) -> bool {
-    matches!(replica.ended.get(&job), Some((JobState::Cancelled, _)))
+    /// Has the machines of this shard that have tasks of cancelled jobs get their kills without waiting for heartbeats.
+    pub fn queue_cancellation_kills(&mut self, jobs: &[JobId]) {
+        self.queue_kills(|_, machine| machine.tasks.keys().any(|task| jobs.contains(&task.job)));
+    }
+
+    /// The same for machines that have tasks of gangs that are being stopped.
+    pub(super) fn queue_gang_kills(&mut self) {
+        self.queue_kills(|shard, machine| {
+            let plan = &shard.term_state.plan;
+            machine.tasks.iter().any(|(task, held)| plan.stop_of(*task, held.attempt).is_some())
+        });
+    }
+
+    fn queue_kills(&mut self, is_concerned: impl Fn(&Shard, &Machine) -> bool) {
+        let concerned: Vec<MachineId> = self
+            .machines
+            .iter()
+            .filter(|(_, machine)| is_concerned(self, machine))
+            .map(|(id, _)| id.clone())
+            .collect();
+        self.kills_due.extend(concerned);
+    }
 }
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,186 +1,95 @@
-//! Machines of other parts that report here: sent to their owner, or kept alive if they cannot reach it.
+//! Where the heartbeats of other shards' machines go: to their owner, or nowhere if they cannot reach it.
 
-use super::{HeartbeatOutcome, Shard, ShardContext};
 use crate::config::HeartbeatTiming;
-use crate::model::{AgentEpoch, MachineId, MonotonicTime};
-use crate::wire::{Heartbeat, HeartbeatResponse};
+use crate::model::MonotonicTime;
 
-/// Answers that a machine gets without showing this term's token before it is taken for deaf.
-const DEAF_ANSWERS: u32 = 3;
-
-/// Least time over which it must have got them.
-const DEAF_MS: u64 = 3_500;
-
-/// A machine that is back from its owner before that was refused; others timed out.
+/// A machine that comes back from its owner sooner than this, in milliseconds, was refused there; later, its requests
+/// timed out.
 const REFUSED_MS: u64 = 3_500;
 
-/// How often a machine is sent to an owner that refuses it, and how long it waits in between.
+/// How often a machine is sent to an owner that refuses it.
 const REDIRECTS: u32 = 3;
 
-const AGAIN_MS: u64 = 1_500;
+/// Least time between two redirects of a machine to the same owner, in milliseconds.
+const REDIRECT_AGAIN_MS: u64 = 1_500;
+
+/// Time for which a redirect counts, beyond the time after which a machine is out of its owner's reach.
+const REDIRECT_MARGIN_MS: u64 = 5_000;
 
-/// Time for which an isolated node does not send a machine away again.
-pub(super) const RELEASED_MS: u64 = 20_000;
+/// The same for a machine that was found not to reach its owner.
+const UNREACHABLE_MARGIN_MS: u64 = 2_000;
 
-/// When a machine was last sent to its owner.
+/// What to do with the heartbeat of another shard's machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Route {
+    /// Redirect it to its owner.
+    ToOwner,
+    /// Keep the machine alive here until it is redirected again.
+    KeepAlive,
+    /// Keep the machine alive here: it cannot reach its owner.
+    OwnerUnreachable,
+}
+
+/// The redirects of a machine to its owner.
 #[derive(Clone, Debug)]
 pub(super) struct Redirected {
+    /// The last one.
     pub(super) at: MonotonicTime,
     pub(super) tries: u32,
-    /// Whether it has reported here since.
-    pub(super) seen: bool,
+    /// Whether a heartbeat came here since.
+    pub(super) came_back: bool,
 }
 
-/// What to do with a machine of another part.
-pub(super) enum Route {
-    /// Send it to its owner.
-    Send,
-    /// Keep it alive until it is sent again.
-    Keep,
-    /// Keep it alive: it cannot reach its owner.
-    Cut,
-}
+impl Redirected {
+    /// The first redirect.
+    pub(super) fn first(now: MonotonicTime) -> Self {
+        Redirected { at: now, tries: 1, came_back: false }
+    }
 
-/// How a machine that has not shown this term's token was answered in it.
-#[derive(Clone, Debug)]
-pub(super) struct UnconfirmedToken {
-    pub(super) first: MonotonicTime,
-    pub(super) agent_epoch: AgentEpoch,
-    pub(super) answers: u32,
-    pub(super) refuse_until: MonotonicTime,
+    /// Whether it still says something about the machine.
+    pub(super) fn counts(&self, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
+        now.since(self.at) < timing.out_of_reach_ms + REDIRECT_MARGIN_MS
+    }
+
+    /// What to do with a heartbeat that came in spite of the redirect.
+    ///
+    /// A machine that comes back late cannot reach its owner. One that comes back at once was refused, as by an owner
+    /// that has just started: it gets one response here and is then sent there again, `REDIRECTS` times at most.
+    pub(super) fn on_return(&mut self, now: MonotonicTime) -> Route {
+        let away_ms = now.since(self.at);
+        if (!self.came_back && away_ms >= REFUSED_MS) || self.tries >= REDIRECTS {
+            return Route::OwnerUnreachable;
+        }
+        if !std::mem::replace(&mut self.came_back, true) || away_ms < REDIRECT_AGAIN_MS {
+            return Route::KeepAlive;
+        }
+        *self = Redirected { at: now, tries: self.tries + 1, came_back: false };
+        Route::ToOwner
+    }
 }
 
+/// A machine of another shard, or of none that is known, that is kept alive here.
 #[derive(Clone, Debug)]
 pub(super) struct ForeignMachineRecord {
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    /// When it came back from being sent to its owner, which it cannot reach then.
-    pub(super) back: Option<MonotonicTime>,
-    pub(super) last: MonotonicTime,
-    /// Whether it showed this term's token, which no late copy from before does.
-    pub(super) hears: bool,
+    /// When it was found not to reach its owner.
+    pub(super) unreachable_since: Option<MonotonicTime>,
+    pub(super) last_heartbeat: MonotonicTime,
+    /// Whether it showed this term's token, which no late copy from an earlier term does. Only then is the leader told
+    /// of it.
+    pub(super) shows_token: bool,
 }
 
-impl Shard {
-    pub(super) fn redirect_to(&self, context: &ShardContext<'_>, node: usize) -> HeartbeatOutcome {
-        let name = context.nodes.get(node).map(|n| n.name.clone());
-        name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Redirect)
-    }
-
-    /// Whether an isolated node sends a machine of its own away: not again for a while, as every
-    /// try takes from the worker's lease.
-    pub(super) fn may_send_away(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
-        if self.sent_away_at.get(id).is_some_and(|at| now.since(*at) < RELEASED_MS) {
-            return false;
-        }
-        self.sent_away_at.insert(id.clone(), now);
-        true
-    }
-
-    /// Whether a machine may be taken to hear its answers. One that never shows the token is
-    /// deaf, or somebody repeats old reports of it: it gets no answer for a whole lease, so
-    /// that its tasks are proven gone and no proof waits for it.
-    pub(super) fn may_get_response(
-        &mut self,
-        context: &ShardContext<'_>,
-        heartbeat: &Heartbeat,
-    ) -> bool {
-        if heartbeat.token == self.term_state.term {
-            self.term_state.unconfirmed_tokens.remove(&heartbeat.machine);
-            return true;
-        }
-        let now = context.now;
-        let fresh = UnconfirmedToken {
-            first: now,
-            agent_epoch: heartbeat.agent_epoch,
-            answers: 0,
-            refuse_until: MonotonicTime(0),
-        };
-        let u = self
-            .term_state
-            .unconfirmed_tokens
-            .entry(heartbeat.machine.clone())
-            .or_insert_with(|| fresh.clone());
-        if u.refuse_until > now {
-            return false;
-        }
-        if u.refuse_until > MonotonicTime(0) {
-            *u = fresh; // It gets another chance.
-        }
-        let ignored = u.answers >= DEAF_ANSWERS && now.since(u.first) > DEAF_MS;
-        if ignored || (u.answers > 0 && heartbeat.agent_epoch > u.agent_epoch) {
-            u.refuse_until = now.plus(context.lease_ms + 4_000);
-            tracing::info!(machine = %heartbeat.machine, "does not hear its answers");
-            return false;
-        }
-        u.answers += 1;
-        true
-    }
-
-    /// What to do with a machine of another part: it is sent to its owner. If it comes back
-    /// late, the owner cannot be reached. If it comes back at once, the owner refuses, as one
-    /// does that has just started, so after an answer here it is sent there again.
-    pub(super) fn route(
-        &mut self,
+impl ForeignMachineRecord {
+    /// Whether it was found not to reach its owner, and has sent its heartbeats here since.
+    pub(super) fn is_owner_unreachable(
+        &self,
         now: MonotonicTime,
         timing: &HeartbeatTiming,
-        id: &MachineId,
-    ) -> Route {
-        let again_ms = timing.out_of_reach_ms + 5_000;
-        let stray = self.term_state.foreign_machines.get(id);
-        if stray
-            .is_some_and(|s| s.back.is_some() && now.since(s.last) < timing.out_of_reach_ms + 2_000)
-        {
-            return Route::Cut;
-        }
-        let Some(r) = self.term_state.redirects.get_mut(id).filter(|r| now.since(r.at) < again_ms)
-        else {
-            self.term_state
-                .redirects
-                .insert(id.clone(), Redirected { at: now, tries: 1, seen: false });
-            return Route::Send;
-        };
-        let gone_for = now.since(r.at);
-        if (!r.seen && gone_for >= REFUSED_MS) || r.tries >= REDIRECTS {
-            return Route::Cut;
-        }
-        if !std::mem::replace(&mut r.seen, true) || gone_for < AGAIN_MS {
-            return Route::Keep;
-        }
-        *r = Redirected { at: now, tries: r.tries + 1, seen: false };
-        Route::Send
-    }
-
-    /// Keeps a worker alive that this node does not own: no starts, but kills and news.
-    pub(super) fn on_foreign_heartbeat(
-        &mut self,
-        context: &ShardContext<'_>,
-        heartbeat: &Heartbeat,
-        cut: bool,
-    ) -> HeartbeatOutcome {
-        let now = context.now;
-        let hears = heartbeat.token == self.term_state.term;
-        let record =
-            self.term_state.foreign_machines.entry(heartbeat.machine.clone()).or_insert_with(
-                || ForeignMachineRecord {
-                    machine_type: heartbeat.machine_type.clone(),
-                    zone: heartbeat.zone.clone(),
-                    spot: heartbeat.spot,
-                    back: None,
-                    last: now,
-                    hears: false,
-                },
-            );
-        record.last = now;
-        if cut {
-            record.back.get_or_insert(now);
-        }
-        self.summary_due |= hears && !record.hears;
-        record.hears = hears;
-        self.responded_at.insert(heartbeat.machine.clone(), now);
-        let commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
-        self.log_response(context, heartbeat, false, &commands);
-        HeartbeatOutcome::Respond(HeartbeatResponse { token: self.term_state.term, commands })
+    ) -> bool {
+        self.unreachable_since.is_some()
+            && now.since(self.last_heartbeat) < timing.out_of_reach_ms + UNREACHABLE_MARGIN_MS
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -1,131 +1,181 @@
-//! What the leader is told of the part.
+//! The shard's summary for the leader: in full, or what changed since the last one that the leader applied.
 
 use super::Shard;
+use super::foreign_heartbeat::SENT_AWAY_MS;
 use super::machine::Machine;
-use super::redirect::RELEASED_MS;
+use super::term_state::SentSummary;
 use crate::config::HeartbeatTiming;
 use crate::model::{MachineId, MonotonicTime, Term};
 use crate::peer::{ForeignMachine, MachineView, Summary, TaskView};
 
-/// About how many bytes a summary takes, and each machine, task, image, answer and stray in it.
+/// About how many bytes a summary takes, and each machine, task, image, response and foreign machine in it.
 const SUMMARY_BYTES: usize = 1_024;
-
 const MACHINE_BYTES: usize = 96;
-
 const TASK_BYTES: usize = 16;
-
 const IMAGE_BYTES: usize = 24;
+const RESPONSE_BYTES: usize = 16;
+const FOREIGN_MACHINE_BYTES: usize = 64;
 
-const ANSWER_BYTES: usize = 16;
+/// Summaries whose times are remembered, until the leader acknowledges one of them.
+const SENT_SUMMARIES_MAX: usize = 64;
 
-const FOREIGN_MACHINE_BYTES: usize = 64;
+/// How much longer than a machine's way out of its owner's reach redirects and foreign machines are remembered, in
+/// milliseconds: longer than either counts for the routing of heartbeats.
+const FOREIGN_MARGIN_MS: u64 = 7_000;
+
+/// The machines of a summary.
+struct MachineViews {
+    views: Vec<MachineView>,
+    /// Whether others did not fit.
+    has_more: bool,
+}
 
-pub(super) fn view(id: &MachineId, m: &Machine, term: Term, now: MonotonicTime) -> MachineView {
+fn view(id: &MachineId, machine: &Machine, term: Term, now: MonotonicTime) -> MachineView {
     MachineView {
         id: id.clone(),
-        machine_type: m.machine_type.clone(),
-        zone: m.zone.clone(),
-        spot: m.spot,
-        endpoint: m.endpoint.clone(),
-        reconciled: m.is_reconciled(term),
-        agent_epoch: m.agent_epoch,
-        leaving: m.reclaim_noticed,
-        quarantine_ms: m.quarantined_until.since(now),
-        tasks: m.tasks.iter().map(|(task, h)| TaskView { task: *task, state: h.state }).collect(),
-        images: m.images.clone(),
+        machine_type: machine.machine_type.clone(),
+        zone: machine.zone.clone(),
+        spot: machine.spot,
+        endpoint: machine.endpoint.clone(),
+        reconciled: machine.is_reconciled(term),
+        agent_epoch: machine.agent_epoch,
+        leaving: machine.reclaim_noticed,
+        quarantine_ms: machine.quarantined_until.since(now),
+        tasks: machine
+            .tasks
+            .iter()
+            .map(|(task, held)| TaskView { task: *task, state: held.state })
+            .collect(),
+        images: machine.images.clone(),
     }
 }
 
+fn view_bytes(machine: &Machine) -> usize {
+    MACHINE_BYTES + machine.tasks.len() * TASK_BYTES + machine.images.len() * IMAGE_BYTES
+}
+
 impl Shard {
-    /// What the leader is told, in about `byte_budget` bytes. Machines that do not fit are told of next, and
-    /// the leader takes none of it before all is there.
+    /// The next summary, in about `byte_budget` bytes. Machines that do not fit come with the one after it, and the
+    /// leader applies none of them before all are there.
     pub fn summary(
         &mut self,
         now: MonotonicTime,
         timing: &HeartbeatTiming,
         byte_budget: usize,
     ) -> Summary {
-        self.summary_number += 1;
-        let kept_ms = timing.out_of_reach_ms + 7_000;
-        self.term_state.foreign_machines.retain(|_, s| now.since(s.last) < kept_ms);
-        self.term_state.redirects.retain(|_, r| now.since(r.at) < kept_ms);
-        self.sent_away_at.retain(|_, at| now.since(*at) < RELEASED_MS);
-        self.responded_at.retain(|_, at| now.since(*at) < timing.answers_ms);
-        self.sent_summaries.push_back((self.summary_number, now));
-        if self.sent_summaries.len() > 64 {
-            self.sent_summaries.pop_front();
-        }
-        let (base, since) = self.term_state.acknowledged_summary.unwrap_or_default();
-        let answered: Vec<(MachineId, u64)> = self
-            .responded_at
-            .iter()
-            .filter(|(_, at)| base == 0 || **at >= since)
-            .map(|(id, at)| (id.clone(), now.since(*at)))
-            .collect();
-        let foreign_machines: Vec<ForeignMachine> = self
-            .term_state
-            .foreign_machines
-            .iter()
-            .filter(|(_, s)| s.hears)
-            .take(byte_budget / 2 / FOREIGN_MACHINE_BYTES)
-            .map(|(id, s)| ForeignMachine {
-                id: id.clone(),
-                machine_type: s.machine_type.clone(),
-                zone: s.zone.clone(),
-                spot: s.spot,
-                silent_ms: now.since(s.last),
-                since_ms: s.back.map_or(0, |at| now.since(at)),
-            })
-            .collect();
-        let mut used = SUMMARY_BYTES
-            + answered.len() * ANSWER_BYTES
+        self.forget_outdated_contacts(now, timing);
+        self.number_summary(now);
+        let base = self.term_state.acknowledged_summary.unwrap_or_default();
+        let answered = self.response_ages(now, base);
+        let foreign_machines =
+            self.foreign_machine_views(now, byte_budget / 2 / FOREIGN_MACHINE_BYTES);
+        let used_bytes = SUMMARY_BYTES
+            + answered.len() * RESPONSE_BYTES
             + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
-        let mut machines = Vec::new();
-        let mut whole = true;
-        for (id, m) in
-            self.machines.iter_mut().filter(|(_, m)| base == 0 || m.changed_in_summary > base)
-        {
-            used += MACHINE_BYTES + m.tasks.len() * TASK_BYTES + m.images.len() * IMAGE_BYTES;
-            if used > byte_budget && !machines.is_empty() {
-                m.changed_in_summary = self.summary_number + 1;
-                whole = false;
-            } else {
-                machines.push(view(id, m, self.term_state.term, now));
-            }
-        }
+        let machines = self.machine_views(now, base, used_bytes, byte_budget);
         Summary {
             node: self.me,
             incarnation: self.incarnation,
             number: self.summary_number,
-            base,
+            base: base.number,
             term: self.term_state.term,
-            more: !whole,
+            more: machines.has_more,
             applied_plan: self.term_state.plan.seq,
             echo_ms: self.term_state.leader_clock_ms,
             up_ms: now.0,
             served_ms: 0,
             heard_ms: now.since(self.last_heartbeat),
-            machines,
+            machines: machines.views,
             answered,
             foreign_machines,
             completed_tasks: self
                 .completed_tasks
                 .iter()
-                .map(|(j, f)| (j.0, f.tasks.clone()))
+                .map(|(job, completed)| (job.0, completed.tasks.clone()))
                 .collect(),
             restarted: self.restarted.iter().cloned().collect(),
-            notices: self
-                .machines
-                .iter()
-                .filter_map(|(id, m)| Some((id.clone(), m.reclaimed_at?.since(now))))
-                .collect(),
+            notices: self.reclaim_notices(now),
             follow: None,
-            failing: self
-                .job_faults
-                .keys()
-                .filter(|j| self.is_failing_everywhere(**j))
-                .map(|j| j.0)
-                .collect(),
+            failing: self.faulty_jobs().map(|job| job.0).collect(),
         }
     }
+
+    /// Forgets contacts with workers that no longer decide anything.
+    fn forget_outdated_contacts(&mut self, now: MonotonicTime, timing: &HeartbeatTiming) {
+        let foreign_ms = timing.out_of_reach_ms + FOREIGN_MARGIN_MS;
+        let term_state = &mut self.term_state;
+        term_state
+            .foreign_machines
+            .retain(|_, record| now.since(record.last_heartbeat) < foreign_ms);
+        term_state.redirects.retain(|_, redirected| now.since(redirected.at) < foreign_ms);
+        self.sent_away_at.retain(|_, at| now.since(*at) < SENT_AWAY_MS);
+        self.responded_at.retain(|_, at| now.since(*at) < timing.answers_ms);
+    }
+
+    /// Gives the summary that is being made its number, and remembers it until it is acknowledged.
+    fn number_summary(&mut self, now: MonotonicTime) {
+        self.summary_number += 1;
+        self.sent_summaries.push_back(SentSummary { number: self.summary_number, at: now });
+        if self.sent_summaries.len() > SENT_SUMMARIES_MAX {
+            self.sent_summaries.pop_front();
+        }
+    }
+
+    /// Milliseconds since machines got their last response, for those that got one since the base.
+    fn response_ages(&self, now: MonotonicTime, base: SentSummary) -> Vec<(MachineId, u64)> {
+        self.responded_at
+            .iter()
+            .filter(|(_, at)| base.number == 0 || **at >= base.at)
+            .map(|(id, at)| (id.clone(), now.since(*at)))
+            .collect()
+    }
+
+    /// The first `count` machines of other shards that are kept alive here and show the term's token.
+    fn foreign_machine_views(&self, now: MonotonicTime, count: usize) -> Vec<ForeignMachine> {
+        self.term_state
+            .foreign_machines
+            .iter()
+            .filter(|(_, record)| record.shows_token)
+            .take(count)
+            .map(|(id, record)| ForeignMachine {
+                id: id.clone(),
+                machine_type: record.machine_type.clone(),
+                zone: record.zone.clone(),
+                spot: record.spot,
+                silent_ms: now.since(record.last_heartbeat),
+                since_ms: record.unreachable_since.map_or(0, |at| now.since(at)),
+            })
+            .collect()
+    }
+
+    /// The machines that changed since the base, at least one and no more than fit.
+    fn machine_views(
+        &mut self,
+        now: MonotonicTime,
+        base: SentSummary,
+        mut used_bytes: usize,
+        byte_budget: usize,
+    ) -> MachineViews {
+        let is_changed = |m: &Machine| base.number == 0 || m.changed_in_summary > base.number;
+        let mut views = Vec::new();
+        let mut has_more = false;
+        for (id, machine) in self.machines.iter_mut().filter(|(_, machine)| is_changed(machine)) {
+            used_bytes += view_bytes(machine);
+            if used_bytes > byte_budget && !views.is_empty() {
+                machine.changed_in_summary = self.summary_number + 1;
+                has_more = true;
+            } else {
+                views.push(view(id, machine, self.term_state.term, now));
+            }
+        }
+        MachineViews { views, has_more }
+    }
+
+    /// Milliseconds until the cloud takes machines of which it gave notice.
+    fn reclaim_notices(&self, now: MonotonicTime) -> Vec<(MachineId, u64)> {
+        let notice = |(id, machine): (&MachineId, &Machine)| {
+            Some((id.clone(), machine.reclaimed_at?.since(now)))
+        };
+        self.machines.iter().filter_map(notice).collect()
+    }
 }
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -1,73 +1,36 @@
-//! Which granted task starts on which machine of the part.
+//! Starts: which granted tasks go into the response to a machine's heartbeat.
+//!
+//! All starts go through [`Shard::start`], which refuses what another term granted (`docs/safety.md`, "Who may start").
 
-use std::collections::BTreeMap;
-
-use rustc_hash::FxHashSet;
-
-use super::granted_start::{GrantedStart, MachineKind};
-use super::machine::{HeldTask, Machine};
+use super::assignment::is_most_urgent;
+use super::granted_start::GrantedStart;
+use super::machine::HeldTask;
 use super::{Shard, ShardContext};
-use crate::model::{Cores, JobId, MachineId, MonotonicTime, TaskId};
-use crate::peer::Grant;
-use crate::placement;
+use crate::model::{Cores, MachineId, TaskId};
 use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Replica;
-use crate::wire::{JobSpec, Priority, TaskState, WorkerCommand};
-
-/// Longest time between two looks at where granted tasks are to start.
-const ASSIGN_MS: u64 = 700;
-
-/// Shortest time between two such looks that only a report asks for.
-const ASSIGN_LEAST_MS: u64 = 60;
-
-/// Granted tasks that are to start somewhere.
-struct PendingStarts<'a> {
-    tasks: Vec<(&'a Grant, Vec<TaskId>)>,
-    /// Whether jobs that fail wait for their next try.
-    pauses: bool,
-}
-
-/// For each kind of these machines, the most urgent open work that may use it.
-fn highest_priority_by_kind(
-    replica: &Replica,
-    targets: &[PlacementTarget],
-) -> BTreeMap<MachineKind, Option<Priority>> {
-    let specs = || replica.jobs.values().map(|j| &j.spec);
-    let mut kinds = BTreeMap::new();
-    for r in targets {
-        kinds.entry((r.machine_type.clone(), r.zone.clone(), r.spot)).or_insert_with(|| {
-            placement::highest_priority(specs(), &r.machine_type, &r.zone, r.spot)
-        });
-    }
-    kinds
-}
+use crate::wire::{JobSpec, TaskState, WorkerCommand};
 
 impl Shard {
-    /// Starts what is meant for a machine, after having looked anew where granted tasks are
-    /// to go if anything speaks for that.
+    /// Starts what is assigned to a machine, after granted tasks were assigned anew if that is due.
     pub(super) fn start_granted(
         &mut self,
         context: &ShardContext<'_>,
         id: &MachineId,
-        freed: bool,
+        has_more_room: bool,
         commands: &mut Vec<WorkerCommand>,
     ) {
         if !context.may_start {
             return;
         }
-        if self.is_assignment_due(context.now, freed) {
+        if self.is_assignment_due(context.now, has_more_room) {
             self.assign_granted(context, id);
         }
         let queue = self.term_state.start_queues.remove(id).unwrap_or_default();
         if queue.is_empty() && self.term_state.unassigned_ahead.is_empty() {
             return;
         }
-        let (term, plan) = (self.term_state.term, &self.term_state.plan);
-        let open = !plan.is_drained(id);
-        let target =
-            self.machines.get(id).and_then(|m| m.placement_target(id, context, term, open));
-        let Some(mut target) = target else { return };
-        target.reserved = plan.is_reserved(id);
+        let Some(mut target) = self.start_target(context, id) else { return };
         for start in queue {
             if !self.start(context, &mut target, &start, commands) {
                 self.term_state.has_unplaced = true;
@@ -76,84 +39,91 @@
         self.start_unassigned_ahead(context, &mut target, commands);
     }
 
-    /// Whether granted tasks are to be given machines anew: something speaks for it, or some have waited.
-    fn is_assignment_due(&self, now: MonotonicTime, freed: bool) -> bool {
-        let term_state = &self.term_state;
-        let since = now.since(term_state.assigned_at);
-        let waiting = term_state.has_unplaced
-            || !term_state.start_queues.is_empty()
-            || !term_state.unassigned_ahead.is_empty();
-        term_state.assignment_stale
-            || (freed && term_state.has_unplaced && since >= ASSIGN_LEAST_MS)
-            || (waiting && since >= ASSIGN_MS)
+    /// The room on a machine of this shard.
+    fn start_target(&self, context: &ShardContext<'_>, id: &MachineId) -> Option<PlacementTarget> {
+        let (term, plan) = (self.term_state.term, &self.term_state.plan);
+        let machine = self.machines.get(id)?;
+        let mut target = machine.placement_target(id, context, term, !plan.is_drained(id))?;
+        target.reserved = plan.is_reserved(id);
+        Some(target)
     }
 
     /// Starts what is granted ahead on a machine that has room and the images for it. What would have
-    /// to fetch its image first is left to the next look at all machines.
+    /// to fetch its image first is left to the next assignment over all machines.
     fn start_unassigned_ahead(
         &mut self,
         context: &ShardContext<'_>,
         target: &mut PlacementTarget,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !target.open
-            || target.free.cores == Cores(0)
-            || self.term_state.unassigned_ahead.is_empty()
-        {
+        let has_none = self.term_state.unassigned_ahead.is_empty();
+        if !target.open || target.free.cores == Cores(0) || has_none {
             return;
         }
-        let mut unassigned_ahead = std::mem::take(&mut self.term_state.unassigned_ahead);
-        unassigned_ahead.retain(|start| {
+        let mut waiting = std::mem::take(&mut self.term_state.unassigned_ahead);
+        waiting.retain(|start| {
             let job = context.replica.jobs.get(&start.task.job);
-            let Some(job) = job.filter(|j| self.may_try(context.now, j.spec.id)) else {
+            let Some(job) = job.filter(|job| self.may_try(context.now, job.spec.id)) else {
                 return false;
             };
             if target.free.cores == Cores(0)
                 || !target.is_warm(&job.spec)
-                || !self.is_most_urgent_for(&job.spec, target)
+                || !is_most_urgent(&self.term_state.highest_priority, &job.spec, target)
             {
                 return true;
             }
             !self.start(context, target, start, commands)
         });
-        self.term_state.unassigned_ahead = unassigned_ahead;
-    }
-
-    /// Whether no job that is more urgent may use such machines.
-    fn is_most_urgent_for(&self, spec: &JobSpec, target: &PlacementTarget) -> bool {
-        let kind = (target.machine_type.clone(), target.zone.clone(), target.spot);
-        let highest_priority = self.term_state.highest_priority.get(&kind).copied().flatten();
-        highest_priority.is_some_and(|priority| spec.priority <= priority)
+        self.term_state.unassigned_ahead = waiting;
     }
 
-    /// Orders a granted task to start on a machine, unless it has no room for it or the task is anywhere. True if the
+    /// Starts a granted task on a machine, unless it has no room for it or the task is anywhere. True if the
     /// grant needs no other machine any more.
     ///
     /// All starts come through here: the right to start a task ends with the term that granted it.
-    pub(super) fn start(
+    fn start(
         &mut self,
         context: &ShardContext<'_>,
         target: &mut PlacementTarget,
         granted: &GrantedStart,
         commands: &mut Vec<WorkerCommand>,
     ) -> bool {
-        let task = granted.task;
         if granted.term != self.term_state.term {
             self.refuse_start(target, granted);
             return true;
         }
-        let Some(job) = context.replica.jobs.get(&task.job) else { return true };
-        let need = Resources::of(&job.spec);
-        if !self.may_start(context.replica, task)
-            || !target.takes(&job.spec, &need, None)
-            || self.machines.values().any(|m| m.tasks.contains_key(&task))
-        {
-            return false;
-        }
+        let Some(job) = context.replica.jobs.get(&granted.task.job) else { return true };
+        self.is_startable(context.replica, target, granted.task, &job.spec)
+            && self.add_start(context, target, granted, &job.spec, commands)
+    }
+
+    /// Whether a task is not done, is on no machine, and has room on that one.
+    fn is_startable(
+        &self,
+        replica: &Replica,
+        target: &PlacementTarget,
+        task: TaskId,
+        spec: &JobSpec,
+    ) -> bool {
+        self.may_start(replica, task)
+            && target.takes(spec, &Resources::of(spec), None)
+            && !self.machines.values().any(|machine| machine.tasks.contains_key(&task))
+    }
+
+    /// Puts the start into the response, and the task on the machine. False if the machine is not this shard's.
+    fn add_start(
+        &mut self,
+        context: &ShardContext<'_>,
+        target: &mut PlacementTarget,
+        granted: &GrantedStart,
+        spec: &JobSpec,
+        commands: &mut Vec<WorkerCommand>,
+    ) -> bool {
+        let task = granted.task;
         let Some(machine) = self.machines.get_mut(&target.id) else { return false };
-        target.add(&job.spec, &need);
+        target.add(spec, &Resources::of(spec));
         let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.give());
-        machine.remember_image(&job.spec);
+        machine.remember_image(spec);
         machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
         machine.changed_in_summary = self.summary_number + 1;
         self.summary_due = true;
@@ -166,7 +136,7 @@
         true
     }
 
-    /// Notes a start that another term granted: something of that term outlived it.
+    /// Counts and logs a start that another term granted: something of that term outlived it.
     fn refuse_start(&mut self, target: &PlacementTarget, granted: &GrantedStart) {
         self.refused_starts += 1;
         tracing::error!(
@@ -175,128 +145,4 @@
             "a start is refused: another term granted it"
         );
     }
-
-    /// Whether a job's tasks may be tried now: one that fails pauses.
-    fn may_try(&self, now: MonotonicTime, job: JobId) -> bool {
-        self.job_faults.get(&job).is_none_or(|f| f.until <= now)
-    }
-
-    /// Whether a task is neither done nor known here to have completed.
-    pub(super) fn may_start(&self, replica: &Replica, task: TaskId) -> bool {
-        replica.may_run(task)
-            && !self.completed_tasks.get(&task.job).is_some_and(|f| f.tasks.contains(task.index))
-    }
-
-    /// Gives every granted task that is not on a machine the one where it is to start. It
-    /// starts with that machine's next report, or in the answer to this one if it is the machine that
-    /// `reporting` names. What finds no machine stands in the unassigned_ahead.
-    fn assign_granted(&mut self, context: &ShardContext<'_>, reporting: &MachineId) {
-        self.term_state.assignment_stale = false;
-        self.term_state.assigned_at = context.now;
-        self.term_state.has_unplaced = false;
-        self.term_state.unassigned_ahead.clear();
-        self.term_state.start_queues.clear();
-        let pending_starts = self.pending_starts(context, self.term_state.plan.grants());
-        let ahead = self.pending_starts(context, self.term_state.plan.ahead());
-        let mut has_unplaced = pending_starts.pauses;
-        if pending_starts.tasks.is_empty() && ahead.tasks.is_empty() {
-            self.term_state.has_unplaced = has_unplaced;
-            return;
-        }
-        let mut targets = self.open_targets(context, reporting);
-        let plan = &self.term_state.plan;
-        let mut start_queues: BTreeMap<MachineId, Vec<GrantedStart>> = BTreeMap::new();
-        for (grant, tasks) in pending_starts.tasks {
-            let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
-            let need = Resources::of(&job.spec);
-            let zone = grant.zone.as_deref();
-            let chosen = match grant.attempt {
-                Some(_) => placement::pack_in(&job.spec, &need, &mut targets, zone, tasks.len()),
-                None => placement::spread(&job.spec, &need, &mut targets, zone, tasks.len()),
-            };
-            has_unplaced |= chosen.len() < tasks.len();
-            for (task, target) in tasks.into_iter().zip(chosen) {
-                let start = GrantedStart::of(plan, task, grant.attempt, false);
-                start_queues.entry(targets[target].id.clone()).or_default().push(start);
-            }
-        }
-        let mut unassigned_ahead = Vec::new();
-        if !ahead.tasks.is_empty() {
-            self.term_state.highest_priority = highest_priority_by_kind(context.replica, &targets);
-        }
-        let plan = &self.term_state.plan;
-        for (grant, tasks) in ahead.tasks {
-            let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
-            let need = Resources::of(&job.spec);
-            let mut first: Vec<PlacementTarget> =
-                targets.extract_if(.., |r| self.is_most_urgent_for(&job.spec, r)).collect();
-            let chosen = placement::spread(&job.spec, &need, &mut first, None, tasks.len());
-            let mut starts = tasks.iter().map(|task| GrantedStart::of(plan, *task, None, true));
-            for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
-                start_queues.entry(first[target].id.clone()).or_default().push(start);
-            }
-            unassigned_ahead.extend(starts);
-            targets.append(&mut first);
-        }
-        self.term_state.has_unplaced = has_unplaced;
-        self.term_state.unassigned_ahead = unassigned_ahead;
-        self.term_state.start_queues = start_queues;
-    }
-
-    /// The granted tasks that are neither on a machine nor done, most urgent first. Within an urgency
-    /// the order of the grants holds.
-    fn pending_starts<'a>(
-        &self,
-        context: &ShardContext<'_>,
-        grants: &'a [Grant],
-    ) -> PendingStarts<'a> {
-        let held: FxHashSet<TaskId> =
-            self.machines.values().flat_map(|m| m.tasks.keys()).copied().collect();
-        let mut pauses = false;
-        let mut by_priority: Vec<(Priority, &Grant, Vec<TaskId>)> = Vec::new();
-        for g in grants {
-            let Some(job) = context.replica.jobs.get(&g.job()) else { continue };
-            if !self.may_try(context.now, g.job()) {
-                pauses = true;
-                continue;
-            }
-            let shown = |t: &TaskId| {
-                g.attempt.is_some_and(|a| self.term_state.shown_gang_attempts.contains(&(*t, a)))
-            };
-            let tasks: Vec<TaskId> = g
-                .tasks
-                .iter()
-                .map(|index| TaskId { job: g.job(), index })
-                .filter(|t| !held.contains(t) && self.may_start(context.replica, *t) && !shown(t))
-                .collect();
-            if !tasks.is_empty() {
-                by_priority.push((job.spec.priority, g, tasks));
-            }
-        }
-        by_priority.sort_by_key(|w| w.0);
-        PendingStarts {
-            tasks: by_priority.into_iter().map(|(_, g, tasks)| (g, tasks)).collect(),
-            pauses,
-        }
-    }
-
-    /// The machines that take new tasks now.
-    fn open_targets(
-        &self,
-        context: &ShardContext<'_>,
-        reporting: &MachineId,
-    ) -> Vec<PlacementTarget> {
-        let target = |(id, m): (&MachineId, &Machine)| {
-            let (term, plan) = (self.term_state.term, &self.term_state.plan);
-            let mut target = m.placement_target(id, context, term, !plan.is_drained(id))?;
-            target.slow = plan.is_slow(id);
-            target.reserved = plan.is_reserved(id);
-            target.delay_s = match id == reporting {
-                true => 0.0,
-                false => context.timing.delay_s(context.now.since(m.last_heartbeat)),
-            };
-            Some(target).filter(|r| r.open)
-        };
-        self.machines.iter().filter_map(target).collect()
-    }
 }
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -1,25 +1,30 @@
-//! What a part follows on the word of one term's leader.
+//! What a shard follows on the word of one term's leader.
 //!
 //! All of it is one value that is replaced as a whole when a term begins. A field added here is therefore void in the
-//! next term; what has to survive a term is a field of [`Shard`](super::Part) and an observation of its own.
+//! next term; what has to survive a term is a field of [`Shard`](super::Shard) and an observation of its own
+//! (`docs/safety.md`, "What a new term voids").
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use super::active_plan::ActivePlan;
 use super::granted_start::{GrantedStart, MachineKind};
-use super::redirect::{ForeignMachineRecord, Redirected, UnconfirmedToken};
+use super::redirect::{ForeignMachineRecord, Redirected};
+use super::term_announcement::TermAnnouncement;
+use super::unconfirmed_token::UnconfirmedToken;
 use crate::lease::AttemptAllocator;
 use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::wire::Priority;
 
-/// How often a machine was told of the term straight away, and when last.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct TermAnnouncement {
-    pub(super) times: u32,
+/// A summary that was sent. The derived order is that of the numbers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SentSummary {
+    /// 0 stands for none.
+    pub(super) number: u64,
+    /// When it was made.
     pub(super) at: MonotonicTime,
 }
 
-/// All that a part does on the word of one term's leader, what it derives from that, and how machines took this
+/// All that a shard does on the word of one term's leader, what it derives from that, and how machines took this
 /// term's token.
 #[derive(Debug)]
 pub(super) struct TermState {
@@ -29,34 +34,35 @@
     pub(super) attempts: AttemptAllocator,
     /// The newest plan.
     pub(super) plan: ActivePlan,
-    /// The leader's clock as that plan or a later answer gave it.
+    /// The leader's clock as that plan or a later response gave it.
     pub(super) leader_clock_ms: u64,
     /// Owners of machines; empty before the first plan.
     pub(super) owners: BTreeMap<MachineId, NodeId>,
     /// Attempts of gangs that a worker has shown in this term: they are never started again.
     pub(super) shown_gang_attempts: HashSet<(TaskId, Attempt)>,
-    /// What is to start on a machine with its next report.
+    /// What is to start on a machine in the response to its next heartbeat.
     pub(super) start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
-    /// What is granted ahead and found no machine: any may take it as soon as it has room, the first ones first.
+    /// What is granted ahead and was assigned no machine: any may get it as soon as it has room, the first ones first.
     pub(super) unassigned_ahead: Vec<GrantedStart>,
-    /// The most urgent work that may use machines of a type, zone and kind.
+    /// The most urgent open work that may use machines of a kind; `None` if there is none.
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
-    /// Whether granted tasks have to be given machines anew, and when they last were.
+    /// Whether granted tasks have to be assigned anew, whenever that was last done.
     pub(super) assignment_stale: bool,
+    /// When granted tasks were last assigned to machines.
     pub(super) assigned_at: MonotonicTime,
     /// Whether granted tasks found no machine.
     pub(super) has_unplaced: bool,
-    /// The last summary that the leader is known to have taken, and when it was made.
-    pub(super) acknowledged_summary: Option<(u64, MonotonicTime)>,
-    /// Machines that were told of this term straight away.
+    /// The last summary that the leader is known to have applied.
+    pub(super) acknowledged_summary: Option<SentSummary>,
+    /// Machines that got this term's token in direct messages.
     pub(super) announcements: HashMap<MachineId, TermAnnouncement>,
-    /// Whether there may be machines that have to be.
+    /// Whether there may be machines that are still to get it so.
     pub(super) announcements_pending: bool,
     /// Machines that have not shown this term's token.
     pub(super) unconfirmed_tokens: HashMap<MachineId, UnconfirmedToken>,
-    /// Machines that were sent to their owners.
+    /// Machines that were redirected to their owners.
     pub(super) redirects: HashMap<MachineId, Redirected>,
-    /// Machines of other parts that report here.
+    /// Machines of other shards that send heartbeats here.
     pub(super) foreign_machines: BTreeMap<MachineId, ForeignMachineRecord>,
 }
 
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -1,17 +1,18 @@
-//! Tables of cases for what a part answers and tells.
+//! Tables of cases for how a shard handles heartbeats and what its summaries show.
 
 use std::rc::Rc;
 
 use super::active_plan::ActivePlan;
-use super::granted_start::{GrantKind, GrantedStart};
-use super::redirect::{ForeignMachineRecord, Redirected, UnconfirmedToken};
-use super::term_state::TermAnnouncement;
+use super::granted_start::{GrantKind, GrantedStart, MachineKind};
+use super::redirect::{ForeignMachineRecord, Redirected};
+use super::term_announcement::TermAnnouncement;
+use super::unconfirmed_token::UnconfirmedToken;
 use super::*;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{
-    Attempt, ClockReading, PlanSeq, Ranges, Revision, StoreLease, TaskId, WallTime,
+    AgentEpoch, Attempt, ClockReading, PlanSeq, Ranges, Revision, StoreLease, TaskId, WallTime,
 };
 use crate::peer::{GangStop, Grant, JobStatus, OwnershipChanges, Plan, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
@@ -67,7 +68,7 @@
 }
 
 fn heartbeat(agent_epoch: u64, sequence: u64, token: u64, state: Option<TaskState>) -> Heartbeat {
-    let piece = |state| TaskStatus {
+    let status = |state| TaskStatus {
         task: TASK,
         attempt: Attempt(7),
         state,
@@ -83,12 +84,12 @@
         sequence,
         token: Term(token),
         spot_notice_s: None,
-        tasks: state.map(piece).into_iter().collect(),
+        tasks: state.map(status).into_iter().collect(),
     }
 }
 
-/// Has a report answered at that time; says whether with 200, and how many tasks it starts.
-fn hear(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
+/// Sends a heartbeat at that time; says whether the response is 200, and how many tasks it starts.
+fn send(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
     controller.rights.confirm_renewal(MonotonicTime(ms));
     controller.rights.confirm_sync(MonotonicTime(ms));
     match controller.on_heartbeat(MonotonicTime(ms), heartbeat) {
@@ -106,14 +107,14 @@
     let mut controller = node(0);
     controller.rights.confirm_renewal(MonotonicTime(1_000));
     controller.rights.confirm_sync(MonotonicTime(1_000));
-    // It reported before the term: told at once, then after growing pauses, then no more.
+    // Its heartbeat came before the term: an announcement at once, then after growing pauses, then no more.
     assert!(controller.shard.is_newest(&heartbeat(1, 5, 2, Some(Running))));
-    let told = |controller: &mut Controller, ms| {
+    let announcements = |controller: &mut Controller, ms| {
         controller.direct_messages_due(MonotonicTime(ms), 8).len()
     };
     let times = [(1_000, 1), (1_100, 0), (2_500, 1), (4_000, 0), (5_500, 1)];
     for (ms, count) in times {
-        assert_eq!(told(&mut controller, ms), count, "{ms}");
+        assert_eq!(announcements(&mut controller, ms), count, "{ms}");
     }
     let asked = DirectMessage {
         machine: MachineId::new("n-1"),
@@ -123,7 +124,7 @@
         newest_known: None,
         commands: vec![],
     };
-    // (session, sequence, token, whether it is settled then); the session was not known at first.
+    // (agent epoch, sequence, token, whether it is reconciled then); the epoch was not known at first.
     for (agent_epoch, sequence, token, reconciled) in
         [(2, 6, 2, false), (2, 6, 3, false), (2, 7, 3, true)]
     {
@@ -135,11 +136,11 @@
         let now = controller.summary(MonotonicTime(6_000), 900_000);
         let is = now.machines.iter().any(|m| m.reconciled && m.tasks.len() == 1);
         assert_eq!(is, reconciled, "{agent_epoch} {sequence} {token}");
-        // Seen on a bench day: a machine whose session had begun just now counted as silent
-        // since it was rented, so what ran on it was started again.
+        // Seen on a bench day: a machine whose agent epoch had begun just now counted as silent
+        // since its scale-out, so what ran on it was started again.
         assert_eq!(now.answered.len(), usize::from(reconciled), "{agent_epoch} {sequence} {token}");
     }
-    assert_eq!(told(&mut controller, 9_000), 0);
+    assert_eq!(announcements(&mut controller, 9_000), 0);
     // A later answer may be older than a start on its way: it changes nothing any more.
     controller.on_direct_response(MonotonicTime(6_500), &asked, &heartbeat(2, 8, 3, None));
     assert!(
@@ -159,12 +160,12 @@
     // (order of its answer to the question, whether it was restarted)
     for (agent_epoch, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
         let mut controller = node(0);
-        hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
+        send(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
         assert!(controller.direct_messages_due(MonotonicTime(1_000), 8).is_empty());
-        assert!(!hear(&mut controller, 1_100, &heartbeat(1, 3, 0, None)).0);
+        assert!(!send(&mut controller, 1_100, &heartbeat(1, 3, 0, None)).0);
         let asked = controller.direct_messages_due(MonotonicTime(1_100), 8);
         assert_eq!(asked.len(), 1);
-        hear(&mut controller, 1_200, &heartbeat(1, 2, 0, None));
+        send(&mut controller, 1_200, &heartbeat(1, 2, 0, None));
         assert!(
             controller.direct_messages_due(MonotonicTime(1_200), 8).is_empty(),
             "it is asked once in a while"
@@ -197,7 +198,7 @@
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
         controller.shard.term_state.acknowledged_summary =
-            Some((piece.number, MonotonicTime(1_000)));
+            Some(SentSummary { number: piece.number, at: MonotonicTime(1_000) });
         if !piece.more {
             break;
         }
@@ -209,7 +210,7 @@
 fn late_copies_change_nothing_but_what_they_completed() {
     use TaskState::{Exited, Running};
     let mut controller = node(0);
-    assert!(hear(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
+    assert!(send(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
     let told = controller.summary(MonotonicTime(2_000), 900_000);
     let copies = [
         heartbeat(2, 9, 3, Some(Running)),
@@ -218,21 +219,21 @@
         heartbeat(2, 3, 2, Some(Exited)),
     ];
     for copy in &copies {
-        assert_eq!(hear(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
+        assert_eq!(send(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
     }
     let now = controller.summary(MonotonicTime(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
     assert_eq!(now.completed_tasks, [(1, Ranges::span(0, 1))], "a completed task stays completed");
-    assert!(hear(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
+    assert!(send(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
 }
 
 #[test]
 fn a_machine_that_never_shows_the_token_gets_no_answer_for_a_lease() {
-    // Seen as a deaf machine: its reports kept it alive in the leader's eyes, so that
+    // Seen with a machine that did not receive its responses: its heartbeats kept it alive in the leader's eyes, so that
     // every proof of where a task is waited for it. (ms, session, sequence, token, answered)
-    type Reports = &'static [(u64, u64, u64, u64, bool)];
-    let cases: [Reports; 3] = [
+    type Heartbeats = &'static [(u64, u64, u64, u64, bool)];
+    let cases: [Heartbeats; 3] = [
         &[
             (0, 1, 1, 2, true),
             (1_500, 1, 2, 2, true),
@@ -248,7 +249,7 @@
         let mut controller = node(0);
         for (ms, agent_epoch, sequence, token, want) in *case {
             let got =
-                hear(&mut controller, *ms, &heartbeat(*agent_epoch, *sequence, *token, None)).0;
+                send(&mut controller, *ms, &heartbeat(*agent_epoch, *sequence, *token, None)).0;
             assert_eq!(got, *want, "{n}: {ms}");
         }
     }
@@ -257,16 +258,16 @@
 #[test]
 fn starts_go_to_machines_that_hear_and_not_twice_to_one_that_misses_them() {
     let mut controller = node(0);
-    assert_eq!(hear(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
-    assert_eq!(hear(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
-    assert_eq!(hear(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
+    assert_eq!(send(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
+    assert_eq!(send(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
+    assert_eq!(send(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
     let view = controller.summary(MonotonicTime(1_500), 900_000).machines.remove(0);
     assert!(view.quarantine_ms > 0 && view.tasks.is_empty(), "{view:?}");
-    assert_eq!(hear(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
+    assert_eq!(send(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
     let shown = heartbeat(1, 5, 3, Some(TaskState::Exited));
-    assert_eq!(hear(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
+    assert_eq!(send(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
     let again = heartbeat(1, 6, 3, Some(TaskState::Exited));
-    assert_eq!(hear(&mut controller, 30_000, &again), (true, 0), "and stays so");
+    assert_eq!(send(&mut controller, 30_000, &again), (true, 0), "and stays so");
 }
 
 #[test]
@@ -274,7 +275,7 @@
     // With the store out and connections between controllers refused, all nodes are alone:
     // then workers come back and must not lose their leases.
     let mut controller = node(0);
-    assert!(hear(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
+    assert!(send(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
     let mut answer =
         |ms, sequence| controller.on_heartbeat(MonotonicTime(ms), &heartbeat(1, sequence, 3, None));
     assert!(matches!(answer(5_500, 2), HeartbeatOutcome::Respond(_)), "not for long yet");
@@ -289,7 +290,7 @@
     for (ms, sequence, token, told) in
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
-        hear(&mut controller, ms, &heartbeat(1, sequence, token, None));
+        send(&mut controller, ms, &heartbeat(1, sequence, token, None));
         assert_eq!(
             controller.summary(MonotonicTime(ms), 900_000).foreign_machines.len(),
             told,
@@ -309,7 +310,7 @@
     for case in [refused, cut] {
         let mut controller = node(1);
         for (n, (ms, kept, told)) in case.iter().enumerate() {
-            let got = hear(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
+            let got = send(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
             assert_eq!(got, *kept, "{ms}");
             let foreign_machines =
                 controller.summary(MonotonicTime(*ms + 3_000), 900_000).foreign_machines;
@@ -387,17 +388,17 @@
 fn tasks_of_a_cancelled_job_are_ended_straight_away() {
     // A machine may reach nobody (mute), and its owner may not be allowed to answer any more.
     use TaskState::{Exited, Running};
-    // (its last report's task and token, when that was, when the job is cancelled, whether it is told)
+    // (its last heartbeat's task and token, when that was, when the job is cancelled, whether it is told)
     let cases = [
         (Some(Running), 3, 1_000, 1_100, true),
-        (Some(Running), 2, 1_000, 1_100, true), // it has not settled
+        (Some(Running), 2, 1_000, 1_100, true), // it is not reconciled
         (Some(Running), 3, 1_000, 60_000, true), // no right to answer is left
         (Some(Exited), 3, 1_000, 1_100, false),
         (None, 3, 1_000, 1_100, true), // it was to start with the answer, which may be on its way
     ];
     for (state, token, heard, cancelled, told) in cases {
         let mut controller = node(0);
-        hear(&mut controller, heard, &heartbeat(1, 5, token, state));
+        send(&mut controller, heard, &heartbeat(1, 5, token, state));
         while !controller.direct_messages_due(MonotonicTime(heard), 8).is_empty() {}
         cancel(&mut controller, cancelled);
         let out = controller.direct_messages_due(MonotonicTime(cancelled), 8);
@@ -414,7 +415,7 @@
 
 #[test]
 fn a_machine_that_only_commands_reach_is_told_of_earlier_cancellations() {
-    // The leader changed after the cancellation, and no report of the machine reaches the new owner.
+    // The leader changed after the cancellation, and no heartbeat of the machine reaches the new owner.
     let mut controller = node(0);
     controller.rights.confirm_renewal(MonotonicTime(1_000));
     controller.rights.confirm_sync(MonotonicTime(1_000));
@@ -446,13 +447,13 @@
         };
         assert_eq!(got, (answered, starts), "{synced} {now}");
         // It starts once the store serves this node again.
-        assert_eq!(hear(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1, 1 - starts);
+        assert_eq!(send(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1, 1 - starts);
     }
 }
 
 #[test]
 fn a_place_is_filled_in_the_answer_to_the_report_that_shows_it_empty() {
-    // Without that, each place stays empty for a report and more, see the leader's test.
+    // Without that, each place stays empty for a heartbeat and more, see the leader's test.
     type Edit = fn(&mut wire::JobSpec);
     // (what, the urgent job, the image of the task that ends, starts in the answer)
     let cases: [(&str, Option<Edit>, &str, usize); 4] = [
@@ -501,14 +502,14 @@
         let ended = vec![of(TaskState::Exited, Some(ExitReason::Done))];
         let full = Heartbeat { tasks: runs, ..heartbeat(1, 1, TERM.0, None) };
         let empty = Heartbeat { tasks: ended, ..heartbeat(1, 2, TERM.0, None) };
-        assert_eq!(hear(&mut controller, 1_000, &full), (true, 0), "{what}: there is no room");
-        assert_eq!(hear(&mut controller, 1_030, &empty), (true, starts), "{what}");
+        assert_eq!(send(&mut controller, 1_000, &full), (true, 0), "{what}: there is no room");
+        assert_eq!(send(&mut controller, 1_030, &empty), (true, starts), "{what}");
         let again = Heartbeat { sequence: 3, ..empty };
-        assert_eq!(hear(&mut controller, 1_040, &again), (true, 0), "{what}: once only");
+        assert_eq!(send(&mut controller, 1_040, &again), (true, 0), "{what}: once only");
     }
 }
 
-/// How a controller learns of a new term.
+/// By what a controller knows of a new term.
 #[derive(Clone, Copy, Debug)]
 enum Way {
     /// A watch shows another controller's election.
@@ -569,15 +570,19 @@
             }));
             begin_next_term(&mut controller, way);
             assert_eq!(controller.shard.term(), NEXT_TERM, "{way:?}");
-            // Its new owner has told the machine of the term; its report waited here meanwhile.
+            // Its new owner has told the machine of the term; its heartbeat waited here meanwhile.
             let shown = heartbeat(1, 1, NEXT_TERM.0, None);
-            assert_eq!(hear(&mut controller, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
+            assert_eq!(send(&mut controller, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
         }
     }
 }
 
-/// A part in which every field holds something.
-fn filled_part() -> Controller {
+fn machine_kind() -> MachineKind {
+    MachineKind { machine_type: "small".into(), zone: "a".into(), spot: false }
+}
+
+/// A shard in which every field holds something.
+fn filled_shard() -> Controller {
     let mut controller = node(0);
     let machine = || MachineId::new("n-1");
     let shown = heartbeat(1, 1, TERM.0, Some(TaskState::Running));
@@ -607,30 +612,29 @@
     };
     term_state.start_queues.insert(machine(), vec![start]);
     term_state.unassigned_ahead.push(start);
-    term_state.highest_priority.insert(("small".into(), "a".into(), false), None);
+    term_state.highest_priority.insert(machine_kind(), None);
     (term_state.assignment_stale, term_state.assigned_at, term_state.has_unplaced) =
         (true, MonotonicTime(5), true);
-    term_state.acknowledged_summary = Some((1, MonotonicTime(5)));
+    term_state.acknowledged_summary = Some(SentSummary { number: 1, at: MonotonicTime(5) });
     term_state.announcements.insert(machine(), TermAnnouncement { times: 1, at: MonotonicTime(5) });
     term_state.announcements_pending = true;
-    let unconfirmed_tokens = UnconfirmedToken {
-        first: MonotonicTime(5),
+    let unconfirmed = UnconfirmedToken::Probing {
+        since: MonotonicTime(5),
         agent_epoch: AgentEpoch(1),
-        answers: 1,
-        refuse_until: MonotonicTime(0),
+        responses: 1,
     };
-    term_state.unconfirmed_tokens.insert(machine(), unconfirmed_tokens);
-    let redirected = Redirected { at: MonotonicTime(5), tries: 1, seen: false };
+    term_state.unconfirmed_tokens.insert(machine(), unconfirmed);
+    let redirected = Redirected { at: MonotonicTime(5), tries: 1, came_back: false };
     term_state.redirects.insert(machine(), redirected);
-    let stray = ForeignMachineRecord {
+    let foreign = ForeignMachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        back: None,
-        last: MonotonicTime(5),
-        hears: true,
+        unreachable_since: None,
+        last_heartbeat: MonotonicTime(5),
+        shows_token: true,
     };
-    term_state.foreign_machines.insert(MachineId::new("n-2"), stray);
+    term_state.foreign_machines.insert(MachineId::new("n-2"), foreign);
     shard.leader_progress.job_statuses.push(JobStatus {
         job: 1,
         running: 1,
@@ -640,7 +644,7 @@
     shard.machines.insert(machine(), Machine::new(&shown, MonotonicTime(5)));
     shard.is_newest(&shown);
     shard.restart_checked_at.insert(machine(), MonotonicTime(5));
-    shard.restart_checks_due.push((machine(), AgentEpoch(1)));
+    shard.restart_checks_due.push(RestartCheck { machine: machine(), agent_epoch: AgentEpoch(1) });
     shard.kills_due.insert(machine());
     shard.restarted.insert(machine());
     shard.responded_at.insert(machine(), MonotonicTime(5));
@@ -649,7 +653,7 @@
     let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: MonotonicTime(5) };
     shard.completed_tasks.insert(JobId(1), completed_tasks);
     shard.summary_number = 3;
-    shard.sent_summaries.push_back((3, MonotonicTime(5)));
+    shard.sent_summaries.push_back(SentSummary { number: 3, at: MonotonicTime(5) });
     shard.last_heartbeat = MonotonicTime(5);
     shard.refused_starts = 1;
     shard.summary_due = true;
@@ -660,7 +664,7 @@
 fn a_term_voids_all_that_was_followed_and_keeps_what_was_observed() {
     // Both structs are taken apart whole: a new field has to be given its place here.
     for way in WAYS {
-        let mut controller = filled_part();
+        let mut controller = filled_shard();
         let fresh = TermState::begin(TERM, controller.me);
         let TermState {
             term,
@@ -685,12 +689,12 @@
         assert_eq!(*term, TERM);
         assert_ne!(format!("{attempts:?}"), format!("{:?}", fresh.attempts));
         assert_ne!(format!("{plan:?}"), format!("{:?}", fresh.plan));
-        let kept_for_gangs = MachineId::new("n-1");
+        let listed_machine = MachineId::new("n-1");
         let stopped = TaskId { job: JobId(9), index: 0 };
         assert!(plan.stop_of(stopped, Attempt(1)).is_some());
         assert!(!plan.grants().is_empty() && !plan.ahead().is_empty());
-        assert!(plan.is_reserved(&kept_for_gangs) && plan.is_slow(&kept_for_gangs));
-        assert!(plan.is_drained(&kept_for_gangs) && plan.grants_gang(Attempt(7)));
+        assert!(plan.is_reserved(&listed_machine) && plan.is_slow(&listed_machine));
+        assert!(plan.is_drained(&listed_machine) && plan.grants_gang(Attempt(7)));
         assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !start_queues.is_empty());
         assert!(
             !unassigned_ahead.is_empty()
@@ -732,9 +736,9 @@
         let void = TermState::begin(NEXT_TERM, me);
         assert_eq!(format!("{term_state:?}"), format!("{void:?}"), "{way:?}: all of it is void");
         assert_eq!(incarnation, INCARNATION);
-        // Told to users only, and grants nothing.
+        // For users only, and grants nothing.
         assert_eq!((leader_progress.job_statuses.len(), leader_progress.completed.len()), (1, 1));
-        // Seen here: where tasks are, which reports are late copies, who counts from the start again.
+        // Observed here: where tasks are, which heartbeats are late copies, which machines were restarted.
         assert_eq!(
             (machines.len(), newest_heartbeats.len(), restarted.len()),
             (1, 1, 1),
@@ -746,7 +750,7 @@
             (1, 1, 1),
             "{way:?}"
         );
-        // Done here: leases count from these answers whoever leads.
+        // Done here: leases count from these responses whoever leads.
         assert_eq!(
             (responded_at.len(), sent_away_at.len(), last_heartbeat),
             (1, 1, MonotonicTime(5)),
@@ -754,7 +758,7 @@
         );
         // True whoever leads.
         assert_eq!((completed_tasks.len(), job_faults.len()), (1, 1), "{way:?}");
-        // Summaries are numbered for the whole life of the process.
+        // Summaries are numbered for the whole incarnation of the process.
         assert_eq!((summary_number, sent_summaries.len(), refused_starts), (3, 1, 1), "{way:?}");
         assert!(summary_due, "{way:?}");
     }
@@ -783,8 +787,7 @@
             plan: PlanSeq(1),
             kind: GrantKind::WithRoom,
         };
-        let kind = ("small".into(), "a".into(), false);
-        controller.shard.term_state.highest_priority.insert(kind, Some(Priority::Normal));
+        controller.shard.term_state.highest_priority.insert(machine_kind(), Some(Priority::Normal));
         controller.shard.term_state.start_queues.insert(MachineId::new("n-1"), vec![start]);
         controller.shard.term_state.unassigned_ahead.push(start);
         let before = heartbeat(1, 1, TERM.0, None);
@@ -800,7 +803,7 @@
         outlives(&mut controller.shard.term_state, old);
         controller.shard.term_state.assigned_at = MonotonicTime(1_000);
         let shown = heartbeat(1, 2, NEXT_TERM.0, None);
-        assert_eq!(hear(&mut controller, 1_000, &shown), (true, 0), "{what}");
+        assert_eq!(send(&mut controller, 1_000, &shown), (true, 0), "{what}");
         assert_eq!(controller.shard.refused_starts(), 1, "{what}");
     }
 }
@@ -812,12 +815,12 @@
         for way in WAYS {
             let mut controller = node(owner);
             assert_eq!(
-                !hear(&mut controller, 500, &heartbeat(1, 1, TERM.0, None)).0,
+                !send(&mut controller, 500, &heartbeat(1, 1, TERM.0, None)).0,
                 before,
                 "{owner}"
             );
             begin_next_term(&mut controller, way);
-            let answer = hear(&mut controller, 1_000, &heartbeat(1, 2, TERM.0, None));
+            let answer = send(&mut controller, 1_000, &heartbeat(1, 2, TERM.0, None));
             assert_eq!(answer, (!after, 0), "{owner} {way:?}: kept alive, and nothing starts");
         }
     }
@@ -825,7 +828,7 @@
 
 #[test]
 fn late_copies_are_known_before_the_first_plan_of_a_term_whatever_the_size_of_the_fleet() {
-    // Without owners, room made for a new machine would have meant forgetting all reports.
+    // Without owners, room made for a new machine would have meant forgetting all heartbeats.
     let mut controller = node(0);
     let of = |n: usize, sequence| Heartbeat {
         machine: MachineId::new(&format!("n-{n}")),
