--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -231,7 +231,7 @@
 #[test]
 fn a_machine_that_never_shows_the_token_gets_no_answer_for_a_lease() {
     // Seen with a machine that did not receive its responses: its heartbeats kept it alive in the leader's eyes, so that
-    // every proof of where a task is waited for it. (ms, session, sequence, token, answered)
+    // every proof of where a task is waited for it. (ms, agent epoch, sequence, token, responded)
     type Heartbeats = &'static [(u64, u64, u64, u64, bool)];
     let cases: [Heartbeats; 3] = [
         &[
