--- a/src/api.rs
+++ b/src/api.rs
@@ -15,7 +15,7 @@
 use crate::wire::{self, JobAnswer, JobKind, JobSpec, JobState};
 
 /// Most user requests served at a time; more are told to come back.
-const MOST_AT_ONCE: usize = 256;
+const MAX_USER_REQUESTS: usize = 256;
 
 /// A request that counts as being served for as long as this lives, however it ends.
 struct Served<'a>(&'a Cell<usize>);
@@ -51,7 +51,7 @@
             ("/v1/report" | "/ready", _) => return Response::empty(405),
             _ => {}
         }
-        if self.serving.get() >= MOST_AT_ONCE {
+        if self.serving.get() >= MAX_USER_REQUESTS {
             return Response::later(1);
         }
         let _served = Served::one(&self.serving);
@@ -119,7 +119,7 @@
 
     /// Hands a request over to controllers that may reach the store; the first useful answer
     /// counts. If there is none, the user is told at once to come back.
-    async fn hand_over(&self, request: PeerRequest) -> Response {
+    async fn forward(&self, request: PeerRequest) -> Response {
         let deadline = Instant::now() + Duration::from_millis(900);
         for node in self.others() {
             let told = timeout_at(deadline, self.call_peer(node, &request, 450)).await;
@@ -159,7 +159,7 @@
             return answer;
         }
         if !self.store_ok() {
-            return self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await;
+            return self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await;
         }
         let known = self.controller.borrow().replica.jobs.contains_key(&id);
         if !known {
@@ -193,18 +193,18 @@
                 }
                 SubmissionOutcome::Known => {}
                 SubmissionOutcome::Failed => {
-                    return self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await;
+                    return self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await;
                 }
             }
         }
         match self.lookup(id).await {
             Some(answer) if answer.status == 200 => answer,
-            _ => self.or_hand_over(may_hand_over, PeerRequest::Submit(spec)).await,
+            _ => self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await,
         }
     }
 
-    async fn or_hand_over(&self, may: bool, request: PeerRequest) -> Response {
-        if may { self.hand_over(request).await } else { Response::later(1) }
+    async fn forward_if_allowed(&self, may: bool, request: PeerRequest) -> Response {
+        if may { self.forward(request).await } else { Response::later(1) }
     }
 
     fn fitness(&self, spec: &JobSpec) -> Fitness {
@@ -248,7 +248,7 @@
         if let Some(answer) = self.final_answer(id) {
             return Some(answer);
         }
-        if !self.confirm().await {
+        if !self.confirm_replica().await {
             return None;
         }
         if let Some(answer) = self.final_answer(id).or_else(|| self.open_answer(id)) {
@@ -285,7 +285,7 @@
         {
             return answer;
         }
-        self.or_hand_over(may_hand_over, PeerRequest::Query(id)).await
+        self.forward_if_allowed(may_hand_over, PeerRequest::Query(id)).await
     }
 
     /// Cancels a job.
@@ -308,7 +308,7 @@
             match self.write_cancelled(id).await {
                 Ok(true) => continue,
                 Ok(false) => {
-                    if !self.confirm().await {
+                    if !self.confirm_replica().await {
                         break;
                     }
                 }
@@ -320,7 +320,7 @@
         }
         match self.final_answer(id) {
             Some(answer) => answer,
-            None => self.or_hand_over(may_hand_over, PeerRequest::Abort(id)).await,
+            None => self.forward_if_allowed(may_hand_over, PeerRequest::Abort(id)).await,
         }
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -25,22 +25,22 @@
 
 /// Least and longest time over which the completions of a job that goes on are gathered. Until they
 /// are on record their workers keep them, so nothing is lost by waiting.
-const GATHER_MS: u64 = 1_200;
-const LONGEST_GATHER_MS: u64 = 8_000;
+const MIN_COMPLETION_BATCH_MS: u64 = 1_200;
+const MAX_COMPLETION_BATCH_MS: u64 = 8_000;
 /// Part of the leader's changes in the store that the progress of jobs that go on takes. Epochs
 /// and the ends of jobs are what others wait for.
-const PROGRESS_PART: f64 = 0.25;
+const PROGRESS_WRITE_SHARE: f64 = 0.25;
 /// Most changes of that kind in one transaction, in seconds of what the leader may write: whatever is to be
 /// written next has to wait for them.
-const PROGRESS_AT_ONCE_S: f64 = 0.2;
+const MAX_PROGRESS_TXN_S: f64 = 0.2;
 /// Time that the leader has to write what other nodes tell it of, beyond what it gathers.
-const LEFT_TO_LEADER_MS: u64 = 3_000;
+const FOLLOWER_WRITE_DELAY_MS: u64 = 3_000;
 
 /// How long a node reaches nobody before it sends its workers to others.
-const ALONE_MS: u64 = 5_000;
+const ISOLATION_MS: u64 = 5_000;
 
 /// How long what the store told counts as fresh for peers.
-const FRESH_MS: u64 = 2_500;
+const LEADER_FRESHNESS_MS: u64 = 2_500;
 
 /// A controller's state.
 pub struct Controller {
@@ -67,7 +67,7 @@
     /// Whether the last request to the store was served.
     pub store_ok: bool,
     /// When another controller was last heard.
-    pub peer_heard: MonotonicTime,
+    pub last_peer_contact: MonotonicTime,
     /// Limits of the state service that writes keep to.
     pub limits: StoreLimits,
     /// A leader of a later term than the replica knows, as a peer told.
@@ -88,7 +88,7 @@
             catalog: MachineCatalog::new(),
             loaded: false,
             store_ok: false,
-            peer_heard: MonotonicTime(0),
+            last_peer_contact: MonotonicTime(0),
             leader_from_peer: None,
             standby: None,
             limits: settings.params.state.clone(),
@@ -101,7 +101,7 @@
 
     /// The store called a write malformed that is not: its limits are lower than the settings say.
     /// Writes become smaller until they fit.
-    pub fn tighten(&mut self) {
+    pub fn lower_store_limits(&mut self) {
         let limits = &mut self.limits;
         limits.txn_ops = (limits.txn_ops / 2).max(2);
         limits.value_kb = (limits.value_kb / 2.0).max(1.0);
@@ -150,11 +150,11 @@
     pub fn load(&mut self, items: &[KeyValue], revision: Revision) {
         let mut replica = Replica::new(self.me);
         items.iter().for_each(|item| replica.load(item, &mut ReplicaChanges::default()));
-        self.take_replica(replica, revision);
+        self.install_replica(replica, revision);
     }
 
     /// The same for a replica into which it was read.
-    pub fn take_replica(&mut self, replica: Replica, revision: Revision) {
+    pub fn install_replica(&mut self, replica: Replica, revision: Revision) {
         self.replica.replace(replica);
         self.replica.revision = revision;
         self.loaded = true;
@@ -182,7 +182,7 @@
     }
 
     /// Takes over what a transaction of this node made durable at that revision.
-    pub fn apply_own(&mut self, txn: &Txn, version: Revision) -> ReplicaChanges {
+    pub fn apply_committed(&mut self, txn: &Txn, version: Revision) -> ReplicaChanges {
         let mut replica_changes = ReplicaChanges::default();
         for change in &txn.changes {
             if let Change::Put { key, value, .. } = change {
@@ -266,7 +266,7 @@
             }
             (None, None) => {}
         }
-        self.follow_other_leader(now.steady);
+        self.follow_another_leader(now.steady);
     }
 
     /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
@@ -275,7 +275,8 @@
         let leader = self.replica.leader.as_ref().map(|(record, _)| record);
         let leader = leader.filter(|record| record.term == term);
         let leader_name = leader.map_or("unknown", |record| self.name_of(record.node));
-        let learned = if leader.is_some_and(|r| self.is_me(r)) { "own election" } else { "watch" };
+        let learned =
+            if leader.is_some_and(|r| self.is_this_process(r)) { "own election" } else { "watch" };
         let (proof_ms, revision) = (self.rights.sync_age(now), self.replica.revision.0);
         info!(%term, leader = leader_name, learned, proof_ms, revision, "a term begins");
     }
@@ -295,14 +296,14 @@
 
     /// Who leads, as the store told just now; what peers are told that it does not serve.
     pub fn leader_for_peer(&self, now: MonotonicTime) -> Option<LeaderRecord> {
-        let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_MS);
+        let fresh = self.rights.sync_age(now).is_some_and(|age| age < LEADER_FRESHNESS_MS);
         let leader = self.replica.leader.as_ref().map(|(r, _)| r);
         leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
     }
 
     /// Takes a peer's word for who leads. A node that the store refuses would else keep its
     /// workers under an old token until its right ends, and nothing could start on them.
-    pub fn learn_leader_from_peer(&mut self, leader: LeaderRecord) {
+    pub fn adopt_leader_from_peer(&mut self, leader: LeaderRecord) {
         if !self.loaded || leader.term <= self.shard.term() || leader.node == self.me {
             return;
         }
@@ -372,8 +373,8 @@
     /// cannot tell that from an outage in which connections between controllers fail, too.
     pub fn alone(&self, now: MonotonicTime) -> bool {
         self.nodes.len() > 1
-            && now.since(self.peer_heard) > ALONE_MS
-            && self.rights.synced_at().is_some_and(|at| now.since(at) > ALONE_MS)
+            && now.since(self.last_peer_contact) > ISOLATION_MS
+            && self.rights.synced_at().is_some_and(|at| now.since(at) > ISOLATION_MS)
     }
 
     /// Does something with the part and what it needs to see.
@@ -414,7 +415,7 @@
 
     /// Takes a peer's word for a cancellation that is on record. The store may not tell this node, and
     /// whoever heard of the cancellation counts on no task of the job being started.
-    pub fn hear_ended(
+    pub fn apply_cancellation_notice(
         &mut self,
         job: JobId,
         progress: &replica::Progress,
@@ -444,7 +445,11 @@
 
     /// As the leader, takes a summary and answers with the plan; also says whether an epoch
     /// should look at it soon.
-    pub fn take_summary(&mut self, now: MonotonicTime, summary: Summary) -> (PeerResponse, bool) {
+    pub fn receive_summary(
+        &mut self,
+        now: MonotonicTime,
+        summary: Summary,
+    ) -> (PeerResponse, bool) {
         let term = self.replica.term;
         let Some(leader) = &mut self.leader else {
             return (PeerResponse::NotLeading(term), false);
@@ -463,7 +468,7 @@
     }
 
     /// Follows the leader's answer to a summary; says whether it brought a new plan.
-    pub fn take_answer(&mut self, response: PeerResponse) -> bool {
+    pub fn apply_leader_response(&mut self, response: PeerResponse) -> bool {
         match response {
             PeerResponse::Plan(plan) => self.shard.follow(*plan),
             PeerResponse::SendWhole => {
@@ -528,13 +533,13 @@
     /// the oldest first.
     fn completions_due(&self, now: MonotonicTime) -> Vec<JobId> {
         let leads = self.leader.is_some();
-        let gather_ms = self.gather_ms();
+        let completion_batch_ms = self.completion_batch_ms();
         let (mut ending, mut going_on) = (Vec::new(), Vec::new());
         for (id, f) in &self.shard.completed_tasks {
             let Some(job) = self.replica.jobs.get(id) else { continue };
             let ends = job.remaining() <= f.tasks.len();
-            let gathers = if ends { 0 } else { gather_ms };
-            let wait = gathers + if leads { 0 } else { LEFT_TO_LEADER_MS };
+            let gathers = if ends { 0 } else { completion_batch_ms };
+            let wait = gathers + if leads { 0 } else { FOLLOWER_WRITE_DELAY_MS };
             if now.since(f.since) >= wait {
                 let due = if ends { &mut ending } else { &mut going_on };
                 due.push((f.since, *id));
@@ -542,7 +547,7 @@
         }
         ending.sort();
         going_on.sort();
-        let at_once = leaders_writes_per_s(&self.limits) * PROGRESS_AT_ONCE_S;
+        let at_once = leaders_writes_per_s(&self.limits) * MAX_PROGRESS_TXN_S;
         going_on.truncate((at_once as usize).max(1));
         let due = ending.into_iter().chain(going_on).map(|(_, id)| id);
         due.take(self.limits.txn_ops).collect()
@@ -550,10 +555,10 @@
 
     /// Time over which the completions of jobs that go on are gathered: the more such jobs there are, the
     /// longer, so that they take their part of the store's budget and no more.
-    fn gather_ms(&self) -> u64 {
+    fn completion_batch_ms(&self) -> u64 {
         let jobs = self.shard.completed_tasks.len() as f64;
-        let per_s = leaders_writes_per_s(&self.limits) * PROGRESS_PART;
-        ((jobs / per_s * 1_000.0) as u64).clamp(GATHER_MS, LONGEST_GATHER_MS)
+        let per_s = leaders_writes_per_s(&self.limits) * PROGRESS_WRITE_SHARE;
+        ((jobs / per_s * 1_000.0) as u64).clamp(MIN_COMPLETION_BATCH_MS, MAX_COMPLETION_BATCH_MS)
     }
 
     /// What a user is told of a job that has ended, which nothing can change any more.
@@ -577,7 +582,8 @@
             0 => wire::JobState::Pending,
             _ => wire::JobState::Running,
         };
-        let reason = job_status.and_then(|s| why_it_waits(s.wait_reason, job.spec.kind, running));
+        let reason =
+            job_status.and_then(|s| wait_reason_text(s.wait_reason, job.spec.kind, running));
         Some(wire::JobAnswer { job: id, state, done, running, reason: reason.map(str::to_string) })
     }
 
@@ -598,7 +604,7 @@
     }
 }
 
-fn why_it_waits(
+fn wait_reason_text(
     wait_reason: WaitReason,
     kind: wire::JobKind,
     running: u32,
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -17,7 +17,7 @@
 
 /// How fresh the replica has to be for this controller to suspect the leader: one that does not know of a newer term
 /// would ask about the wrong one, and one that the store refuses could not replace anybody.
-const FRESH_REPLICA_MS: u64 = 2_500;
+const REPLICA_FRESHNESS_MS: u64 = 2_500;
 
 impl Controller {
     /// Enables the warm standby.
@@ -26,23 +26,23 @@
     }
 
     /// Whether the process of that record is this one.
-    pub(super) fn is_me(&self, record: &LeaderRecord) -> bool {
+    pub(super) fn is_this_process(&self, record: &LeaderRecord) -> bool {
         record.node == self.me && record.incarnation == self.incarnation
     }
 
     /// The leader answered a request that was sent then.
-    pub fn heard_leader(&mut self, sent: MonotonicTime, response: &PeerResponse) {
+    pub fn record_leader_response(&mut self, sent: MonotonicTime, response: &PeerResponse) {
         let Some(standby) = &mut self.standby else { return };
         match response {
             PeerResponse::Plan(plan) => {
-                standby.heard_plan(sent, plan.term, plan.decisions.as_ref())
+                standby.receive_plan(sent, plan.term, plan.decisions.as_ref())
             }
             // A leader that has no plan yet, or misses a summary, says so and is alive.
             PeerResponse::NotLeading(term) => {
-                standby.heard_leader(sent, *term);
+                standby.record_heartbeat(sent, *term);
             }
             PeerResponse::SendWhole => {
-                standby.heard_leader(sent, self.replica.term);
+                standby.record_heartbeat(sent, self.replica.term);
             }
             _ => {}
         }
@@ -57,12 +57,12 @@
     /// This controller's rank among those that may replace the leader now.
     fn rank(&self, now: MonotonicTime) -> Option<u64> {
         let standby = self.standby.as_ref()?;
-        let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_REPLICA_MS);
+        let fresh = self.rights.sync_age(now).is_some_and(|age| age < REPLICA_FRESHNESS_MS);
         if !self.loaded || !fresh || !self.rights.may_lead(now) {
             return None;
         }
         let (leader, _) = self.replica.leader.as_ref()?;
-        if self.is_me(leader) || leader.term != self.replica.term {
+        if self.is_this_process(leader) || leader.term != self.replica.term {
             return None;
         }
         let candidate = |n: usize| {
@@ -88,39 +88,47 @@
     }
 
     /// The question to the leader itself has an outcome.
-    pub fn leader_probed(&mut self, now: MonotonicTime, outcome: ProbeOutcome) -> Option<Command> {
+    pub fn on_probe_outcome(
+        &mut self,
+        now: MonotonicTime,
+        outcome: ProbeOutcome,
+    ) -> Option<Command> {
         self.standby.as_mut()?.step(now, Event::LeaderProbed(outcome))
     }
 
     /// A plan of the leader came through the store. It was alive when it wrote that; what it had decided is not told
     /// this way.
-    pub fn heard_leader_through_store(&mut self, now: MonotonicTime, response: &PeerResponse) {
+    pub fn record_leader_message_from_store(
+        &mut self,
+        now: MonotonicTime,
+        response: &PeerResponse,
+    ) {
         if let (Some(standby), PeerResponse::Plan(plan)) = (&mut self.standby, response) {
-            standby.heard_leader(now, plan.term);
+            standby.record_heartbeat(now, plan.term);
         }
     }
 
     /// Another controller answered when it heard the leader.
-    pub fn peer_answered(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
+    pub fn on_peer_answer(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
         self.standby.as_mut()?.step(now, Event::PeerAnswered(answer))
     }
 
     /// The leader's key is gone, and this controller takes the next term.
-    pub fn lease_of_leader_ended(&mut self, now: MonotonicTime) {
+    pub fn on_leader_lease_ended(&mut self, now: MonotonicTime) {
         if let Some(standby) = &mut self.standby {
             standby.step(now, Event::LeaseEnded);
         }
     }
 
     /// The transaction that takes the next term has an outcome; `None` if it is not known.
-    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: Option<&Committed>) {
+    pub fn on_fence_outcome(&mut self, now: MonotonicTime, outcome: Option<&Committed>) {
         let outcome = match outcome {
             Some(Committed::Yes(revision)) => FenceOutcome::Done(*revision),
             Some(Committed::No(_)) => FenceOutcome::Conflict,
             None => FenceOutcome::Unknown,
         };
         if let Some(standby) = &mut self.standby {
-            standby.fence_answered(now, outcome);
+            standby.on_fence_outcome(now, outcome);
         }
     }
 
@@ -133,9 +141,9 @@
     }
 
     /// The replica shows that another process leads.
-    pub(super) fn follow_other_leader(&mut self, now: MonotonicTime) {
+    pub(super) fn follow_another_leader(&mut self, now: MonotonicTime) {
         let known = self.replica.leader.as_ref().map(|(record, _)| record);
-        let leader = known.filter(|r| r.term == self.replica.term && !self.is_me(r));
+        let leader = known.filter(|r| r.term == self.replica.term && !self.is_this_process(r));
         let leader = leader.map(|r| FollowedLeader { node: r.node, term: r.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
             standby.follow(now, leader);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -38,7 +38,7 @@
     controller.follow(now, &leader);
     assert!(controller.leader.is_some());
     for (node, term, then, leader) in cases {
-        controller.learn_leader_from_peer(record(node, term));
+        controller.adopt_leader_from_peer(record(node, term));
         assert_eq!(controller.shard.term(), Term(then), "{node} {term}");
         assert_eq!(controller.leader(), Some(NodeId(leader)), "{node} {term}");
         assert_eq!(controller.leader.is_some(), leader == 0, "{node} {term}");
@@ -92,9 +92,9 @@
         most = most.max(txn.changes.len());
         written.extend(txn.changes.iter().map(|c| c.key().to_string()));
         revision += 1;
-        controller.apply_own(&txn, Revision(revision));
+        controller.apply_committed(&txn, Revision(revision));
     }
-    let allowed = leaders_writes_per_s(&controller.limits) * PROGRESS_PART * SECONDS as f64;
+    let allowed = leaders_writes_per_s(&controller.limits) * PROGRESS_WRITE_SHARE * SECONDS as f64;
     assert!((changes as f64) < allowed * 1.2, "{changes} changes, {allowed:.0} allowed");
     assert!(most <= controller.limits.txn_ops);
     assert!(written.contains(&replica::progress_key(last)), "the job that ends is written at once");
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -100,7 +100,7 @@
         notices: vec![],
         follow: None,
     };
-    controller.take_summary(MonotonicTime(ms), summary);
+    controller.receive_summary(MonotonicTime(ms), summary);
     let (epoch, term) = controller.epoch(at(ms)).unwrap();
     let grants = !epoch.is_empty();
     controller.publish(at(ms), epoch, term);
@@ -220,7 +220,7 @@
         if alive {
             s.answered.push((MachineId::new("n-1"), 0));
         }
-        controller.take_summary(MonotonicTime(ms), s);
+        controller.receive_summary(MonotonicTime(ms), s);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         controller.publish(at(ms), epoch, term);
         let leader = controller.leader.as_ref().unwrap();
@@ -282,7 +282,7 @@
             applied_plan: PlanSeq(1),
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(MonotonicTime(number), piece);
+        controller.receive_summary(MonotonicTime(number), piece);
         let (epoch, _) = controller.epoch(at(number)).unwrap();
         assert!(epoch.is_empty(), "{number}");
         let leader = controller.leader.as_ref().unwrap();
@@ -317,7 +317,7 @@
                 machines: vec![],
                 ..summary(1, 0, INCARNATION)
             };
-            controller.take_summary(now, told);
+            controller.receive_summary(now, told);
             let leader = controller.leader.as_ref().unwrap();
             assert_eq!(leader.fleet.unreconciled.len(), 2, "{what}: not before all have told");
         }
@@ -379,7 +379,7 @@
     // What a missed summary told could be a task on a machine, or an answer to a worker.
     let other = Incarnation(8);
     let mut controller = leader();
-    let mut take = |s| controller.take_summary(MonotonicTime(1_000), s).0;
+    let mut take = |s| controller.receive_summary(MonotonicTime(1_000), s).0;
     assert!(
         matches!(take(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
         "nothing is known yet"
@@ -396,7 +396,7 @@
         controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
     };
     assert_eq!(told(&controller), Some(6), "a late one changes nothing");
-    controller.take_summary(MonotonicTime(1_100), summary(1, 0, other));
+    controller.receive_summary(MonotonicTime(1_100), summary(1, 0, other));
     let leader = controller.leader.as_ref().unwrap();
     assert!(leader.renew_term.is_some(), "a new life needs a new term");
     assert_eq!(told(&controller), Some(6));
@@ -618,7 +618,7 @@
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, INCARNATION)
             };
-            controller.take_summary(MonotonicTime(ms), told);
+            controller.receive_summary(MonotonicTime(ms), told);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
                 assert!(
@@ -644,7 +644,7 @@
                     let item = KeyValue { key: key.clone(), value: value.clone(), version };
                     store.insert(key.clone(), item);
                 }
-                controller.apply_own(&txn, Revision(revision));
+                controller.apply_committed(&txn, Revision(revision));
             }
             granted.extend(epoch.grants.iter().map(|g| g.0));
             controller.publish(at(ms), epoch, term);
@@ -699,7 +699,7 @@
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(MonotonicTime(ms), told);
+        controller.receive_summary(MonotonicTime(ms), told);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.changes);
@@ -707,7 +707,7 @@
         assert!(paths.len() <= CHANGES, "{} jobs in {paths:?}", jobs.len());
         granted += jobs.len();
         if let Some(txn) = epoch.txn.clone() {
-            controller.apply_own(&txn, Revision(10 + step));
+            controller.apply_committed(&txn, Revision(10 + step));
         }
         controller.publish(at(ms), epoch, term);
     }
@@ -868,7 +868,7 @@
             notices: vec![(MachineId::new("n-2"), ms)],
             ..summary(1, 0, INCARNATION)
         };
-        controller.take_summary(MonotonicTime(1_300), told);
+        controller.receive_summary(MonotonicTime(1_300), told);
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(
--- a/src/message_chunks.rs
+++ b/src/message_chunks.rs
@@ -7,21 +7,21 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 
 /// Bytes of a text that are left for its part of the message.
-fn room(limit: usize) -> usize {
+fn payload_bytes(limit: usize) -> usize {
     limit.saturating_sub(64).max(64)
 }
 
 /// The largest message that fits into so many texts of up to `limit` bytes.
 pub fn capacity(limit: usize, texts: usize) -> usize {
-    room(limit) * texts / 4 * 3
+    payload_bytes(limit) * texts / 4 * 3
 }
 
 /// Cuts a message into texts of up to `limit` bytes.
 pub fn split(message: &[u8], limit: usize) -> Vec<String> {
     let text = BASE64.encode(message);
-    let room = room(limit);
+    let payload_bytes = payload_bytes(limit);
     let id = checksum(message);
-    let pieces: Vec<&[u8]> = text.as_bytes().chunks(room).collect();
+    let pieces: Vec<&[u8]> = text.as_bytes().chunks(payload_bytes).collect();
     let count = pieces.len();
     pieces
         .into_iter()
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -39,7 +39,7 @@
         let began = Instant::now();
         let done = act();
         let took = began.elapsed().as_micros() as u64;
-        self.note(work, took);
+        self.record(work, took);
         (done, took)
     }
 
@@ -48,7 +48,7 @@
         self.timed(work, act).0
     }
 
-    fn note(&self, work: Operation, took: u64) {
+    fn record(&self, work: Operation, took: u64) {
         let mut kinds = self.kinds.borrow_mut();
         kinds.resize_with(NAMES.len(), || None);
         let slot = &mut kinds[work as usize];
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -6,9 +6,9 @@
 fn a_line_tells_what_came_since_the_last() {
     let metrics = LatencyMetrics::default();
     assert_eq!(metrics.line(), "");
-    metrics.note(Operation::Epoch, 100);
-    metrics.note(Operation::Epoch, 300);
-    metrics.note(Operation::Watch, u64::MAX);
+    metrics.record(Operation::Epoch, 100);
+    metrics.record(Operation::Epoch, 300);
+    metrics.record(Operation::Watch, u64::MAX);
     let line = metrics.line();
     assert!(line.starts_with("epoch 2 x 200 us (p99 30"), "{line}");
     assert!(line.contains("watch 1 x"), "{line}");
--- a/src/service.rs
+++ b/src/service.rs
@@ -37,11 +37,11 @@
 /// Time between two messages through the store.
 const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
 /// Most transactions that a message through the store takes, and how many a summary fills.
-const MAX_TXNS_PER_MESSAGE: usize = 16;
-const TXNS_PER_SUMMARY: usize = 2;
+const MAX_TXNS_PER_STORE_MESSAGE: usize = 16;
+const TXNS_PER_STORE_SUMMARY: usize = 2;
 /// Most bytes of a message between controllers, and about how many of them a summary fills.
-const PEER_BYTES: usize = 1 << 20;
-const DIRECT_BYTES: usize = PEER_BYTES * 3 / 4;
+const MAX_PEER_MESSAGE_BYTES: usize = 1 << 20;
+const MAX_SUMMARY_BYTES: usize = MAX_PEER_MESSAGE_BYTES * 3 / 4;
 
 type Waiter = oneshot::Sender<bool>;
 
@@ -60,7 +60,7 @@
 }
 
 /// Machines that are told of a term at a time, so that the rest of the sockets is left alone.
-fn announcements(sockets: usize) -> usize {
+fn max_direct_commands(sockets: usize) -> usize {
     (sockets / 40).clamp(8, 64)
 }
 
@@ -98,21 +98,21 @@
     cloud: CloudClient,
     peers: Vec<Rc<Client>>,
     wake_epoch: Notify,
-    wake_shard_report: Notify,
+    wake_summary: Notify,
     wake_election: Notify,
     wake_completions: Notify,
-    wake_accept: Notify,
-    wake_confirm: Notify,
-    confirms: RefCell<Vec<Waiter>>,
-    accepts: RefCell<Vec<Submission>>,
+    wake_submissions: Notify,
+    wake_confirmations: Notify,
+    confirmations: RefCell<Vec<Waiter>>,
+    submissions: RefCell<Vec<Submission>>,
     responses_through_store: RefCell<HashMap<NodeId, (MonotonicTime, PeerResponse)>>,
     /// User requests being served.
     pub(crate) serving: Cell<usize>,
-    announcing: Cell<usize>,
+    direct_commands_in_flight: Cell<usize>,
     /// Controllers' names.
     names: Vec<String>,
     /// When operators were last told of a message that was not understood.
-    told_unread: Cell<Option<MonotonicTime>>,
+    warned_unreadable_at: Cell<Option<MonotonicTime>>,
     metrics: LatencyMetrics,
     /// Microseconds that the last epoch took.
     epoch_us: Cell<u64>,
@@ -143,17 +143,17 @@
             settings,
             started: Instant::now(),
             wake_epoch: Notify::new(),
-            wake_shard_report: Notify::new(),
+            wake_summary: Notify::new(),
             wake_election: Notify::new(),
             wake_completions: Notify::new(),
-            wake_accept: Notify::new(),
-            wake_confirm: Notify::new(),
-            confirms: RefCell::default(),
-            accepts: RefCell::default(),
+            wake_submissions: Notify::new(),
+            wake_confirmations: Notify::new(),
+            confirmations: RefCell::default(),
+            submissions: RefCell::default(),
             responses_through_store: RefCell::default(),
             serving: Cell::new(0),
-            announcing: Cell::new(0),
-            told_unread: Cell::new(None),
+            direct_commands_in_flight: Cell::new(0),
+            warned_unreadable_at: Cell::new(None),
             metrics: LatencyMetrics::default(),
             epoch_us: Cell::new(0),
         }
@@ -186,29 +186,29 @@
         let s = self.clone();
         spawn_local(http::serve(
             api,
-            public_limits(sockets.saturating_sub(80 + announcements(sockets)).max(32)),
+            public_limits(sockets.saturating_sub(80 + max_direct_commands(sockets)).max(32)),
             move |request| {
                 let s = s.clone();
                 async move { s.answer(request).await }
             },
         ));
         let s = self.clone();
-        let limits = ServerLimits { body: PEER_BYTES, ..ServerLimits::of(24) };
+        let limits = ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(24) };
         spawn_local(http::serve(back, limits, move |request| {
             let s = s.clone();
-            async move { s.answer_peer(&request.path, &request.body).await }
+            async move { s.handle_peer_request(&request.path, &request.body).await }
         }));
         spawn_local(self.clone().keep_lease());
-        spawn_local(self.clone().elect());
-        spawn_local(self.clone().report_shard());
+        spawn_local(self.clone().run_elections());
+        spawn_local(self.clone().send_summaries());
         spawn_local(self.clone().run_epochs());
-        spawn_local(self.clone().scale_out_and_in());
+        spawn_local(self.clone().run_scaling());
         spawn_local(self.clone().write_completions());
-        spawn_local(self.clone().write_accepted());
-        spawn_local(self.clone().serve_confirms());
-        spawn_local(self.clone().describe());
-        spawn_local(self.clone().ask_who_leads());
-        spawn_local(self.clone().announce_term());
+        spawn_local(self.clone().write_submissions());
+        spawn_local(self.clone().serve_confirmations());
+        spawn_local(self.clone().log_measurements());
+        spawn_local(self.clone().learn_term_from_peers());
+        spawn_local(self.clone().send_direct_commands());
         if self.controller.borrow().standby.is_some() {
             info!("the warm standby is enabled");
             spawn_local(self.clone().watch_leader());
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -13,17 +13,17 @@
 use crate::wire::Txn;
 
 /// Longest wait between two epochs; arrivals and reports bring them sooner.
-const EPOCH: Duration = Duration::from_millis(1_000);
+const MAX_EPOCH_WAIT: Duration = Duration::from_millis(1_000);
 /// Shortest time between two epochs.
-const EPOCH_LEAST: Duration = Duration::from_millis(60);
+const MIN_EPOCH_PAUSE: Duration = Duration::from_millis(60);
 /// Longest rest after an epoch that cost much.
-const EPOCH_REST: Duration = Duration::from_millis(250);
+const MAX_EPOCH_PAUSE: Duration = Duration::from_millis(250);
 
 impl Service {
     pub(super) async fn run_epochs(self: Rc<Self>) {
         let mut sent_through_store = self.now();
         loop {
-            let _ = timeout(EPOCH, self.wake_epoch.notified()).await;
+            let _ = timeout(MAX_EPOCH_WAIT, self.wake_epoch.notified()).await;
             self.run_epoch().await;
             let now = self.now();
             if now.since(sent_through_store) >= STORE_MESSAGE_PERIOD.as_millis() as u64 {
@@ -33,12 +33,12 @@
             // The leader always has time for its workers and users: an epoch that costs much
             // makes the next one wait.
             let pause = Duration::from_micros(self.epoch_us.get() * 80);
-            sleep(pause.clamp(EPOCH_LEAST, EPOCH_REST)).await;
+            sleep(pause.clamp(MIN_EPOCH_PAUSE, MAX_EPOCH_PAUSE)).await;
         }
     }
 
     /// Tells operators now and then what is done and how long it takes.
-    pub(super) async fn describe(self: Rc<Self>) {
+    pub(super) async fn log_measurements(self: Rc<Self>) {
         loop {
             sleep(Duration::from_secs(10)).await;
             let refused_starts = self.controller.borrow().shard.refused_starts();
@@ -71,15 +71,15 @@
         }
         if let Some(txn) = &epoch.txn {
             match self.store.commit(txn).await {
-                Ok(Committed::Yes(version)) => self.apply_own(txn, version),
+                Ok(Committed::Yes(version)) => self.apply_committed(txn, version),
                 Ok(Committed::No(failed)) => {
                     debug!(?failed, "epoch not written");
-                    let _ = self.pull(Duration::ZERO).await;
+                    let _ = self.sync_replica(Duration::ZERO).await;
                     return;
                 }
                 Err(e) => {
                     debug!(error = %e, "epoch not written");
-                    self.note_refused_write(&e);
+                    self.lower_limits_if_malformed(&e);
                     return;
                 }
             }
@@ -90,20 +90,20 @@
         self.metrics.time(Operation::Publish, || controller.publish(moment, epoch, term));
         drop(controller);
         if granted {
-            self.wake_shard_report.notify_one();
+            self.wake_summary.notify_one();
         }
     }
 
     /// Writes less at once when the store calls a write malformed.
-    pub(super) fn note_refused_write(&self, e: &StoreError) {
+    pub(super) fn lower_limits_if_malformed(&self, e: &StoreError) {
         if matches!(e, StoreError::Malformed(400)) {
-            self.controller.borrow_mut().tighten();
+            self.controller.borrow_mut().lower_store_limits();
         }
     }
 
     /// Takes over what a transaction of this node just made durable.
-    pub(super) fn apply_own(&self, txn: &Txn, version: Revision) {
-        let replica_changes = self.controller.borrow_mut().apply_own(txn, version);
-        self.note(&replica_changes);
+    pub(super) fn apply_committed(&self, txn: &Txn, version: Revision) {
+        let replica_changes = self.controller.borrow_mut().apply_committed(txn, version);
+        self.follow_changes(&replica_changes);
     }
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -15,19 +15,19 @@
 use crate::store_client::Committed;
 
 /// Time between two looks at the leader.
-const WATCH: Duration = Duration::from_millis(100);
+const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 /// How long another controller has to answer when it heard the leader.
-const ASK_LIMIT_MS: u64 = 300;
+const PEER_ANSWER_LIMIT: u64 = 300;
 /// How long the leader itself has to answer once it is suspected.
 const PROBE_LIMIT: Duration = Duration::from_millis(700);
 /// After that long without an answer, the transaction that takes a term is sent once more.
-pub(super) const FENCE_AGAIN: Duration = Duration::from_millis(150);
+pub(super) const FENCE_HEDGE_AFTER: Duration = Duration::from_millis(150);
 
 impl Service {
     /// Watches the leader while the warm standby is enabled.
     pub(super) async fn watch_leader(self: Rc<Self>) {
         loop {
-            sleep(WATCH).await;
+            sleep(LEADER_CHECK_PERIOD).await;
             let command = self.controller.borrow_mut().standby_tick(self.now());
             self.carry_out(command).await;
         }
@@ -63,7 +63,7 @@
                 Err(CallError::Connect) => ProbeOutcome::Refused,
                 Err(_) => ProbeOutcome::Silent,
             };
-            let command = service.controller.borrow_mut().leader_probed(service.now(), outcome);
+            let command = service.controller.borrow_mut().on_probe_outcome(service.now(), outcome);
             service.carry_out(command).await;
         });
     }
@@ -75,11 +75,12 @@
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
             let service = self.clone();
             spawn_local(async move {
-                let response =
-                    service.call_peer(node, &PeerRequest::LeaderSilence(term), ASK_LIMIT_MS).await;
+                let response = service
+                    .call_peer(node, &PeerRequest::LeaderSilence(term), PEER_ANSWER_LIMIT)
+                    .await;
                 let Some(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
                 let answer = PeerAnswer { node, silence_ms };
-                let command = service.controller.borrow_mut().peer_answered(service.now(), answer);
+                let command = service.controller.borrow_mut().on_peer_answer(service.now(), answer);
                 service.carry_out(command).await;
             });
         }
@@ -90,7 +91,7 @@
         if self.controller.borrow().replica.term != term {
             self.controller
                 .borrow_mut()
-                .fence_answered(self.now(), Some(&Committed::No(Vec::new())));
+                .on_fence_outcome(self.now(), Some(&Committed::No(Vec::new())));
             return;
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
@@ -110,7 +111,7 @@
             Ok(Committed::No(_)) => {
                 warn!("an action as leader is given up: another controller leads");
                 if let Some(standby) = &mut self.controller.borrow_mut().standby {
-                    standby.note_refused_action();
+                    standby.record_refused_action();
                 }
                 false
             }
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -17,14 +17,14 @@
 use crate::wire::JobSpec;
 
 /// Least time between two writes of completions.
-const GATHER: Duration = Duration::from_millis(150);
+const COMPLETION_WRITE_PAUSE: Duration = Duration::from_millis(150);
 
 impl Service {
     /// Writes finished tasks to the store, many jobs at a time.
     pub(super) async fn write_completions(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake_completions.notified()).await;
-            sleep(GATHER).await;
+            sleep(COMPLETION_WRITE_PAUSE).await;
             let now = self.now();
             self.store.set_leading(self.controller.borrow().leader.is_some());
             let next = self.controller.borrow_mut().completions_txn(now);
@@ -33,14 +33,14 @@
             for _ in 0..3 {
                 match self.store.commit(&txn).await {
                     Ok(Committed::Yes(version)) => {
-                        self.apply_own(&txn, version);
+                        self.apply_committed(&txn, version);
                         break;
                     }
                     Ok(Committed::No(failed)) => txn.leave_out(&failed),
                     Err(e) => {
                         debug!(error = %e, "completions not written");
-                        self.note_refused_write(&e);
-                        let _ = self.pull(Duration::ZERO).await;
+                        self.lower_limits_if_malformed(&e);
+                        let _ = self.sync_replica(Duration::ZERO).await;
                         break;
                     }
                 }
@@ -54,17 +54,17 @@
     /// Queues a submission for the next group commit and waits for what becomes of it.
     pub(crate) async fn accept(&self, spec: JobSpec) -> SubmissionOutcome {
         let (tx, rx) = oneshot::channel();
-        self.accepts.borrow_mut().push((spec, tx));
-        self.wake_accept.notify_one();
+        self.submissions.borrow_mut().push((spec, tx));
+        self.wake_submissions.notify_one();
         rx.await.unwrap_or(SubmissionOutcome::Failed)
     }
 
-    pub(super) async fn write_accepted(self: Rc<Self>) {
+    pub(super) async fn write_submissions(self: Rc<Self>) {
         loop {
-            self.wake_accept.notified().await;
+            self.wake_submissions.notified().await;
             loop {
                 let batch: Vec<Submission> = {
-                    let mut queue = self.accepts.borrow_mut();
+                    let mut queue = self.submissions.borrow_mut();
                     let n = queue.len().min(self.controller.borrow().limits.txn_ops);
                     queue.drain(..n).collect()
                 };
@@ -92,7 +92,7 @@
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
                 Ok(Committed::Yes(version)) => {
-                    self.apply_own(&txn, version);
+                    self.apply_committed(&txn, version);
                     for (spec, tx) in batch {
                         debug!(job = %spec.id, class = %spec.class, tasks = spec.task_count, "accepted");
                         let _ = tx.send(SubmissionOutcome::New);
@@ -111,7 +111,7 @@
                 }
                 Err(e) => {
                     debug!(error = %e, "submissions not written");
-                    self.note_refused_write(&e);
+                    self.lower_limits_if_malformed(&e);
                     break;
                 }
             }
@@ -129,8 +129,8 @@
         };
         match self.store.commit_hedged(&txn, Duration::from_millis(150)).await? {
             Committed::Yes(version) => {
-                self.apply_own(&txn, version);
-                self.tell_ended(id, progress, version);
+                self.apply_committed(&txn, version);
+                self.send_cancellation_notices(id, progress, version);
                 Ok(true)
             }
             Committed::No(_) => Ok(false),
@@ -139,7 +139,12 @@
 
     /// Tells the other controllers of a cancellation, as the store may refuse one of them alone: it
     /// would start tasks of the job until its right to do that ends. The user's answer does not wait for it.
-    fn tell_ended(self: &Rc<Self>, id: JobId, progress: replica::Progress, version: Revision) {
+    fn send_cancellation_notices(
+        self: &Rc<Self>,
+        id: JobId,
+        progress: replica::Progress,
+        version: Revision,
+    ) {
         let request = Rc::new(PeerRequest::Ended(id, progress, version));
         for node in self
             .others()
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -8,7 +8,7 @@
 use tracing::{debug, warn};
 
 use super::Service;
-use super::failover::FENCE_AGAIN;
+use super::failover::FENCE_HEDGE_AFTER;
 use crate::lease::LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
 use crate::store_client::{Committed, StoreError};
@@ -61,13 +61,13 @@
                 Ok(())
             }
             Committed::No(_) => {
-                self.pull(Duration::ZERO).await?;
+                self.sync_replica(Duration::ZERO).await?;
                 Err(StoreError::Unknown)
             }
         }
     }
 
-    pub(super) async fn elect(self: Rc<Self>) {
+    pub(super) async fn run_elections(self: Rc<Self>) {
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake_election.notified()).await;
             let Some(own) = self.controller.borrow().may_run_for_leader(self.now()) else {
@@ -80,7 +80,7 @@
                     continue;
                 }
             }
-            self.controller.borrow_mut().lease_of_leader_ended(self.now());
+            self.controller.borrow_mut().on_leader_lease_ended(self.now());
             if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "election undecided");
                 sleep(Duration::from_millis(100)).await;
@@ -89,7 +89,7 @@
     }
 
     /// While the store does not tell, asks peers whether there is a new term.
-    pub(super) async fn ask_who_leads(self: Rc<Self>) {
+    pub(super) async fn learn_term_from_peers(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(500)).await;
             let age = self.controller.borrow().rights.sync_age(self.now());
@@ -100,8 +100,8 @@
                 if let Some(PeerResponse::Leader(Some(leader))) =
                     self.call_peer(node, &PeerRequest::Leader, 300).await
                 {
-                    self.controller.borrow_mut().learn_leader_from_peer(leader);
-                    self.wake_shard_report.notify_one();
+                    self.controller.borrow_mut().adopt_leader_from_peer(leader);
+                    self.wake_summary.notify_one();
                     break;
                 }
             }
@@ -113,12 +113,12 @@
         let txn = self.controller.borrow().election_txn().ok_or(StoreError::NoLease)?;
         let standby = self.controller.borrow().standby.is_some();
         let outcome = match standby {
-            true => self.store.commit_hedged(&txn, FENCE_AGAIN).await,
+            true => self.store.commit_hedged(&txn, FENCE_HEDGE_AFTER).await,
             false => self.store.commit(&txn).await,
         };
         debug!(?outcome, "election");
-        self.controller.borrow_mut().fence_answered(self.now(), outcome.as_ref().ok());
+        self.controller.borrow_mut().on_fence_outcome(self.now(), outcome.as_ref().ok());
         outcome?;
-        self.pull(Duration::ZERO).await
+        self.sync_replica(Duration::ZERO).await
     }
 }
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -9,7 +9,7 @@
 use tracing::warn;
 
 use super::{
-    DIRECT_BYTES, STORE_MESSAGE_PERIOD, Service, TXNS_PER_SUMMARY, announcements,
+    MAX_SUMMARY_BYTES, STORE_MESSAGE_PERIOD, Service, TXNS_PER_STORE_SUMMARY, max_direct_commands,
     message_chunk_bytes,
 };
 use crate::http::{Client, Response};
@@ -21,30 +21,30 @@
 use crate::wire::{self, DirectCommand};
 
 /// Longest wait between two summaries of a part; news bring them sooner.
-const SUMMARY: Duration = Duration::from_millis(200);
+const MAX_SUMMARY_WAIT: Duration = Duration::from_millis(200);
 /// Shortest time between two summaries.
-const SUMMARY_LEAST: Duration = Duration::from_millis(60);
+const MIN_SUMMARY_PAUSE: Duration = Duration::from_millis(60);
 /// Failures after which the leader is told through the store, and how often it is still
 /// tried directly then.
-const DIRECT_FAILURES: u32 = 2;
-const DIRECT_AGAIN_MS: u64 = 2_500;
+const FAILURES_BEFORE_STORE: u32 = 2;
+const DIRECT_RETRY_MS: u64 = 2_500;
 /// Time between two looks at who is to be told of a term, and how long telling may take.
-const ANNOUNCE: Duration = Duration::from_millis(100);
-const ANNOUNCE_LIMIT: Duration = Duration::from_millis(1_000);
+const DIRECT_COMMAND_PERIOD: Duration = Duration::from_millis(100);
+const DIRECT_COMMAND_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Where a controller tells operators of its part in the warm standby, on its address for the other controllers.
 pub const STATUS_PATH: &str = "/standby";
 
 impl Service {
-    pub(super) async fn report_shard(self: Rc<Self>) {
+    pub(super) async fn send_summaries(self: Rc<Self>) {
         let mut failures = 0u32;
         let mut before: Option<NodeId> = None;
         let (mut relayed, mut tried) = (MonotonicTime(0), MonotonicTime(0));
         loop {
-            let _ = timeout(SUMMARY, self.wake_shard_report.notified()).await;
+            let _ = timeout(MAX_SUMMARY_WAIT, self.wake_summary.notified()).await;
             let leader = self.controller.borrow().leader();
             let Some(leader) = leader else {
-                sleep(SUMMARY_LEAST).await;
+                sleep(MIN_SUMMARY_PAUSE).await;
                 continue;
             };
             if before.replace(leader) != Some(leader) {
@@ -52,14 +52,14 @@
             }
             let now = self.now();
             let told = if leader == self.me {
-                Some(self.take_summary(self.summary(usize::MAX)))
-            } else if failures < DIRECT_FAILURES || now.since(tried) >= DIRECT_AGAIN_MS {
+                Some(self.receive_summary(self.summary(usize::MAX)))
+            } else if failures < FAILURES_BEFORE_STORE || now.since(tried) >= DIRECT_RETRY_MS {
                 tried = now;
                 let told = self
-                    .call_peer(leader, &PeerRequest::Summary(self.summary(DIRECT_BYTES)), 600)
+                    .call_peer(leader, &PeerRequest::Summary(self.summary(MAX_SUMMARY_BYTES)), 600)
                     .await;
                 if let Some(response) = &told {
-                    self.controller.borrow_mut().heard_leader(now, response);
+                    self.controller.borrow_mut().record_leader_response(now, response);
                 }
                 failures = if told.is_some() { 0 } else { failures + 1 };
                 told
@@ -69,7 +69,7 @@
                     let limits = &self.settings.params.state;
                     let byte_budget = message_chunks::capacity(
                         message_chunk_bytes(limits),
-                        limits.txn_ops * TXNS_PER_SUMMARY,
+                        limits.txn_ops * TXNS_PER_STORE_SUMMARY,
                     );
                     let summary = self.summary(byte_budget);
                     self.send_summary_through_store(leader, &summary).await;
@@ -78,9 +78,9 @@
             };
             if let Some(response) = told {
                 let mut controller = self.controller.borrow_mut();
-                self.metrics.time(Operation::Plan, || controller.take_answer(response));
+                self.metrics.time(Operation::Plan, || controller.apply_leader_response(response));
             }
-            sleep(SUMMARY_LEAST).await;
+            sleep(MIN_SUMMARY_PAUSE).await;
         }
     }
 
@@ -93,24 +93,25 @@
 
     /// Tells machines of a new term straight away, so that what they may still run and what may
     /// start on them does not wait for their next report.
-    pub(super) async fn announce_term(self: Rc<Self>) {
-        let most = announcements(self.settings.params.limits.sockets);
+    pub(super) async fn send_direct_commands(self: Rc<Self>) {
+        let most = max_direct_commands(self.settings.params.limits.sockets);
         loop {
-            sleep(ANNOUNCE).await;
-            let room = most.saturating_sub(self.announcing.get());
+            sleep(DIRECT_COMMAND_PERIOD).await;
+            let room = most.saturating_sub(self.direct_commands_in_flight.get());
             let due = self.controller.borrow_mut().direct_messages_due(self.now(), room);
             for a in due {
                 let s = self.clone();
-                s.announcing.set(s.announcing.get() + 1);
+                s.direct_commands_in_flight.set(s.direct_commands_in_flight.get() + 1);
                 spawn_local(async move {
-                    s.announce(&a).await;
-                    s.announcing.set(s.announcing.get().saturating_sub(1));
+                    s.send_direct_command(&a).await;
+                    s.direct_commands_in_flight
+                        .set(s.direct_commands_in_flight.get().saturating_sub(1));
                 });
             }
         }
     }
 
-    async fn announce(&self, a: &DirectMessage) {
+    async fn send_direct_command(&self, a: &DirectMessage) {
         let Ok(addr) = a.endpoint.parse() else { return };
         let body = wire::encode(&DirectCommand {
             token: a.term,
@@ -118,7 +119,9 @@
             commands: a.commands.clone(),
         });
         let client = Client::new(addr, wire::BODY_LIMIT * 4);
-        let Ok(answer) = client.call("POST", "/do", &body, ANNOUNCE_LIMIT).await else { return };
+        let Ok(answer) = client.call("POST", "/do", &body, DIRECT_COMMAND_LIMIT).await else {
+            return;
+        };
         if !matches!(answer.status, 200 | 409) {
             return;
         }
@@ -128,17 +131,18 @@
             self.metrics
                 .time(Operation::Heartbeat, || controller.on_direct_response(now, a, &heartbeat));
             if controller.shard.summary_due {
-                self.wake_shard_report.notify_one();
+                self.wake_summary.notify_one();
             }
         }
     }
 
     /// As the leader, takes a summary and answers with the plan.
-    pub(super) fn take_summary(&self, summary: Summary) -> PeerResponse {
+    pub(super) fn receive_summary(&self, summary: Summary) -> PeerResponse {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
-        let (response, changed) =
-            self.metrics.time(Operation::SummaryOutcome, || controller.take_summary(now, summary));
+        let (response, changed) = self
+            .metrics
+            .time(Operation::SummaryOutcome, || controller.receive_summary(now, summary));
         drop(controller);
         if changed {
             self.wake_epoch.notify_one();
@@ -162,10 +166,10 @@
         let told = answer.ok().filter(|a| a.status == 200);
         let response = told.as_ref().and_then(|a| peer::decode(&a.body));
         if told.is_some() && response.is_none() {
-            self.unread(self.name_of(node));
+            self.warn_unreadable(self.name_of(node));
         }
         if response.is_some() {
-            self.controller.borrow_mut().peer_heard = self.now();
+            self.controller.borrow_mut().last_peer_contact = self.now();
         }
         response
     }
@@ -175,15 +179,15 @@
     }
 
     /// Tells operators of a message that this version does not read, not more often than they need it.
-    pub(super) fn unread(&self, from: &str) {
+    pub(super) fn warn_unreadable(&self, from: &str) {
         let now = self.now();
-        if self.told_unread.get().is_none_or(|at| now.since(at) >= 10_000) {
-            self.told_unread.set(Some(now));
+        if self.warned_unreadable_at.get().is_none_or(|at| now.since(at) >= 10_000) {
+            self.warned_unreadable_at.set(Some(now));
             warn!(from, "a message that this version does not read is refused");
         }
     }
 
-    pub(super) async fn answer_peer(self: &Rc<Self>, path: &str, body: &[u8]) -> Response {
+    pub(super) async fn handle_peer_request(self: &Rc<Self>, path: &str, body: &[u8]) -> Response {
         if path == STATUS_PATH {
             return self.answer_status();
         }
@@ -191,17 +195,17 @@
             return Response::empty(404);
         }
         let Some(request) = peer::decode::<PeerRequest>(body) else {
-            self.unread("a controller that does not say its name");
+            self.warn_unreadable("a controller that does not say its name");
             return Response { close: true, ..Response::empty(400) };
         };
-        self.controller.borrow_mut().peer_heard = self.now();
+        self.controller.borrow_mut().last_peer_contact = self.now();
         let response = match request {
             PeerRequest::Summary(s) => {
                 if usize::from(s.node.0) >= self.nodes || s.node == self.me {
                     return Response::empty(400);
                 }
                 self.responses_through_store.borrow_mut().remove(&s.node);
-                self.take_summary(s)
+                self.receive_summary(s)
             }
             PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
             PeerRequest::LeaderSilence(term) => PeerResponse::LeaderSilence(
@@ -210,20 +214,20 @@
             PeerRequest::Leader => {
                 PeerResponse::Leader(self.controller.borrow().leader_for_peer(self.now()))
             }
-            PeerRequest::Submit(spec) => self.handed(self.submit(spec, false).await),
-            PeerRequest::Query(job) => self.handed(self.query(job, false).await),
-            PeerRequest::Abort(job) => self.handed(self.abort(job, false).await),
+            PeerRequest::Submit(spec) => self.forwarded_answer(self.submit(spec, false).await),
+            PeerRequest::Query(job) => self.forwarded_answer(self.query(job, false).await),
+            PeerRequest::Abort(job) => self.forwarded_answer(self.abort(job, false).await),
             PeerRequest::Ended(job, progress, version) => {
                 let replica_changes =
-                    self.controller.borrow_mut().hear_ended(job, &progress, version);
-                self.note(&replica_changes);
+                    self.controller.borrow_mut().apply_cancellation_notice(job, &progress, version);
+                self.follow_changes(&replica_changes);
                 PeerResponse::Reach(self.controller.borrow().store_ok)
             }
         };
         Response::new(200, peer::encode(&response))
     }
 
-    fn handed(&self, response: Response) -> PeerResponse {
+    fn forwarded_answer(&self, response: Response) -> PeerResponse {
         PeerResponse::Answer(response.status, response.body)
     }
 
@@ -235,14 +239,14 @@
         let mut controller = self.controller.borrow_mut();
         if heartbeat.token > controller.shard.term() {
             // Somebody leads that this node does not know of yet.
-            self.confirms.borrow_mut().push(oneshot::channel().0);
-            self.wake_confirm.notify_one();
+            self.confirmations.borrow_mut().push(oneshot::channel().0);
+            self.wake_confirmations.notify_one();
         }
         let now = self.now();
         let answer =
             self.metrics.time(Operation::Heartbeat, || controller.on_heartbeat(now, &heartbeat));
         if controller.shard.summary_due {
-            self.wake_shard_report.notify_one();
+            self.wake_summary.notify_one();
         }
         if !controller.shard.completed_tasks.is_empty() {
             self.wake_completions.notify_one();
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -19,7 +19,7 @@
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 impl Service {
-    pub(super) async fn scale_out_and_in(self: Rc<Self>) {
+    pub(super) async fn run_scaling(self: Rc<Self>) {
         let mut priced: Option<MonotonicTime> = None;
         let mut listed = MonotonicTime(0);
         let mut open: VecDeque<(ScaleOutRequest, MachineOffer)> = VecDeque::new();
@@ -49,16 +49,16 @@
                 open.clear();
                 continue;
             };
-            self.return_machines().await;
+            self.scale_in().await;
             if open.is_empty() {
                 open = self.next_scale_out_requests(term, &mut counter);
             }
             // A rental whose outcome is not known is repeated under its name, after the others.
             if let Some((request, offer)) = open.pop_front() {
-                if !self.rent(&request, &offer).await {
+                if !self.scale_out(&request, &offer).await {
                     unknown.insert(request.idempotency_key.clone());
                     open.push_back((request, offer));
-                } else if self.is_refused(&offer) {
+                } else if self.is_out_of_capacity(&offer) {
                     // Nor would the rest of what was wanted of it be had. What went out already
                     // has to go out again until its outcome is known.
                     open.retain(|(r, o)| *o != offer || unknown.contains(&r.idempotency_key));
@@ -75,7 +75,7 @@
             let lag = (self.settings.params.cloud.list_lag_s * 1000.0) as u64;
             if self.now().since(listed) > lag.clamp(2_000, 10_000) {
                 listed = self.now();
-                self.read_list().await;
+                self.read_machine_list().await;
             }
         }
     }
@@ -134,13 +134,13 @@
         out
     }
 
-    fn is_refused(&self, offer: &MachineOffer) -> bool {
+    fn is_out_of_capacity(&self, offer: &MachineOffer) -> bool {
         let controller = self.controller.borrow();
         controller.leader.as_ref().is_some_and(|l| !l.market.open(offer, self.now()))
     }
 
     /// Makes a rental; true once its outcome is known.
-    async fn rent(&self, request: &ScaleOutRequest, offer: &MachineOffer) -> bool {
+    async fn scale_out(&self, request: &ScaleOutRequest, offer: &MachineOffer) -> bool {
         if !self.still_leads().await {
             return false;
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    async fn return_machines(&self) {
+    async fn scale_in(&self) {
         let ids = self
             .controller
             .borrow_mut()
@@ -193,7 +193,7 @@
         }
     }
 
-    async fn read_list(&self) {
+    async fn read_machine_list(&self) {
         let mut after = None;
         loop {
             let Ok(page) = self.cloud.list(after.as_ref()).await else {
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -2,7 +2,7 @@
 
 use tracing::{debug, warn};
 
-use super::{MAX_TXNS_PER_MESSAGE, Service, message_chunk_bytes};
+use super::{MAX_TXNS_PER_STORE_MESSAGE, Service, message_chunk_bytes};
 use crate::message_chunks;
 use crate::model::NodeId;
 use crate::peer::{self, PeerResponse, StoreMessage, Summary};
@@ -32,7 +32,7 @@
     async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
         let limits = &self.settings.params.state;
         let chunks = message_chunks::split(message, message_chunk_bytes(limits));
-        if chunks.len() > MAX_TXNS_PER_MESSAGE * limits.txn_ops {
+        if chunks.len() > MAX_TXNS_PER_STORE_MESSAGE * limits.txn_ops {
             warn!(chunks = chunks.len(), "message too large for the store");
             return;
         }
@@ -77,16 +77,18 @@
                     if summary.node == NodeId(from)
                         && self.controller.borrow().leader.is_some() =>
                 {
-                    let response = self.take_summary(*summary);
+                    let response = self.receive_summary(*summary);
                     self.responses_through_store
                         .borrow_mut()
                         .insert(NodeId(from), (self.now(), response));
                 }
                 Some(StoreMessage::PeerResponse(response)) => {
-                    self.controller.borrow_mut().heard_leader_through_store(self.now(), &response);
-                    self.controller.borrow_mut().take_answer(response);
+                    self.controller
+                        .borrow_mut()
+                        .record_leader_message_from_store(self.now(), &response);
+                    self.controller.borrow_mut().apply_leader_response(response);
                 }
-                None => self.unread(self.name_of(NodeId(from))),
+                None => self.warn_unreadable(self.name_of(NodeId(from))),
                 _ => {}
             }
         }
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -25,7 +25,7 @@
                 }
                 info!("the store has been read");
             }
-            match self.pull(self.watch_for()).await {
+            match self.sync_replica(self.watch_for()).await {
                 Ok(()) => sleep(Duration::from_millis(40)).await,
                 Err(StoreError::TooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
@@ -66,9 +66,9 @@
                 }
             }
         }
-        self.controller.borrow_mut().take_replica(replica, first.unwrap_or_default());
+        self.controller.borrow_mut().install_replica(replica, first.unwrap_or_default());
         debug!(items, sent = sent.0, "loaded");
-        self.pull(Duration::ZERO).await?;
+        self.sync_replica(Duration::ZERO).await?;
         let all = ReplicaChanges {
             jobs: true,
             progress: true,
@@ -76,12 +76,12 @@
             peer_messages: true,
             ..ReplicaChanges::default()
         };
-        self.note(&all);
+        self.follow_changes(&all);
         Ok(())
     }
 
     /// Takes changes, waiting for some for up to `wait`.
-    pub(super) async fn pull(&self, wait: Duration) -> Result<(), StoreError> {
+    pub(super) async fn sync_replica(&self, wait: Duration) -> Result<(), StoreError> {
         let sent = self.now();
         let after = self.controller.borrow().changes_from().ok_or(StoreError::Unknown)?;
         let got = self.store.changes(after, wait).await;
@@ -93,16 +93,16 @@
                 .time(Operation::Watch, || controller.apply(&got, sent))
                 .ok_or(StoreError::TooOld)?
         };
-        self.note(&replica_changes);
+        self.follow_changes(&replica_changes);
         Ok(())
     }
 
     /// Follows a change and wakes the loops that it concerns.
-    pub(super) fn note(&self, replica_changes: &ReplicaChanges) {
+    pub(super) fn follow_changes(&self, replica_changes: &ReplicaChanges) {
         self.controller.borrow_mut().follow(self.moment(), replica_changes);
         if replica_changes.leader {
             self.wake_election.notify_one();
-            self.wake_shard_report.notify_one();
+            self.wake_summary.notify_one();
         }
         if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
             self.wake_epoch.notify_one();
@@ -114,25 +114,25 @@
 
     /// Waits until the replica is known to be as current as this moment; false if the store
     /// does not say so. Callers that come together share one request.
-    pub async fn confirm(&self) -> bool {
+    pub async fn confirm_replica(&self) -> bool {
         if !self.controller.borrow().loaded {
             return false;
         }
         let (tx, rx) = oneshot::channel();
-        self.confirms.borrow_mut().push(tx);
-        self.wake_confirm.notify_one();
+        self.confirmations.borrow_mut().push(tx);
+        self.wake_confirmations.notify_one();
         matches!(timeout(Duration::from_millis(900), rx).await, Ok(Ok(true)))
     }
 
-    pub(super) async fn serve_confirms(self: Rc<Self>) {
+    pub(super) async fn serve_confirmations(self: Rc<Self>) {
         loop {
-            self.wake_confirm.notified().await;
+            self.wake_confirmations.notified().await;
             loop {
-                let waiting = std::mem::take(&mut *self.confirms.borrow_mut());
+                let waiting = std::mem::take(&mut *self.confirmations.borrow_mut());
                 if waiting.is_empty() {
                     break;
                 }
-                let ok = self.pull(Duration::ZERO).await.is_ok();
+                let ok = self.sync_replica(Duration::ZERO).await.is_ok();
                 for w in waiting {
                     let _ = w.send(ok);
                 }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -379,7 +379,7 @@
 /// Makes job 1 cancelled, as a peer tells or the store.
 fn cancel(controller: &mut Controller, ms: u64) {
     let gone = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
-    let replica_changes = controller.hear_ended(JobId(1), &gone, Revision(12));
+    let replica_changes = controller.apply_cancellation_notice(JobId(1), &gone, Revision(12));
     controller
         .follow(ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) }, &replica_changes);
 }
@@ -528,7 +528,7 @@
     let leader = |node, incarnation| LeaderRecord { node, incarnation, term: NEXT_TERM };
     let other = leader(NodeId(2), Incarnation(11));
     let leader = match way {
-        Way::Peer => return controller.learn_leader_from_peer(other),
+        Way::Peer => return controller.adopt_leader_from_peer(other),
         Way::Watch => other,
         Way::OwnElection => leader(controller.me, INCARNATION),
     };
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -13,7 +13,7 @@
 use crate::model::{ClockReading, MonotonicTime, NodeId, Term, WallTime};
 
 /// Least time between two records of the leader's decisions, in milliseconds.
-const RECORD_MS: u64 = 200;
+const RECORD_PERIOD_MS: u64 = 200;
 
 /// The leader that a controller follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     machine: FailoverMachine,
     mirror: Mirror,
     log: Option<DecisionLog>,
-    recorded: Option<MonotonicTime>,
+    last_record: Option<MonotonicTime>,
     followed: Option<FollowedLeader>,
     verification: VerificationCounts,
     refused_actions: u64,
@@ -50,7 +50,7 @@
             settings,
             mirror: Mirror::default(),
             log: None,
-            recorded: None,
+            last_record: None,
             followed: None,
             verification: VerificationCounts::default(),
             refused_actions: 0,
@@ -99,8 +99,8 @@
     }
 
     /// The leader answered with a plan to a request that was sent then, with decisions if there were new ones.
-    pub fn heard_plan(&mut self, sent: MonotonicTime, term: Term, batch: Option<&Batch>) {
-        if !self.heard_leader(sent, term) {
+    pub fn receive_plan(&mut self, sent: MonotonicTime, term: Term, batch: Option<&Batch>) {
+        if !self.record_heartbeat(sent, term) {
             return;
         }
         let Some(batch) = batch else {
@@ -120,7 +120,7 @@
     }
 
     /// The leader of that term answered a request that was sent then; false if it is not the one that is followed.
-    pub fn heard_leader(&mut self, sent: MonotonicTime, term: Term) -> bool {
+    pub fn record_heartbeat(&mut self, sent: MonotonicTime, term: Term) -> bool {
         let followed = self.followed.is_some_and(|f| f.term == term);
         if followed {
             self.detector.heartbeat(sent);
@@ -165,7 +165,7 @@
         verification: Option<VerificationCounts>,
     ) {
         self.log = Some(DecisionLog::new(term, &self.settings));
-        self.recorded = None;
+        self.last_record = None;
         self.followed = None;
         if let Some(counts) = verification {
             self.verification = counts;
@@ -177,13 +177,13 @@
 
     /// Whether the leader's decisions are to be recorded now.
     pub fn is_record_due(&self, now: MonotonicTime) -> bool {
-        self.log.is_some() && self.recorded.is_none_or(|at| now.since(at) >= RECORD_MS)
+        self.log.is_some() && self.last_record.is_none_or(|at| now.since(at) >= RECORD_PERIOD_MS)
     }
 
     /// As the leader, records what the decisions add up to.
     pub fn record(&mut self, now: ClockReading, target: &DecisionTarget) {
         if let Some(log) = &mut self.log {
-            self.recorded = Some(now.steady);
+            self.last_record = Some(now.steady);
             log.record(now.wall, target);
         }
     }
@@ -194,7 +194,7 @@
     }
 
     /// An action as the leader was given up, as this process leads no longer.
-    pub fn note_refused_action(&mut self) {
+    pub fn record_refused_action(&mut self) {
         self.refused_actions += 1;
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// The outcome of taking the next term.
-    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
+    pub fn on_fence_outcome(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         self.step(now, Event::FenceAnswered(outcome));
     }
 
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -648,8 +648,8 @@
             Message::Summary(from, to, summary, sent) => {
                 let Ok(node) = &mut self.nodes[to] else { return };
                 let steady = node.moment(now).steady;
-                node.controller.peer_heard = steady;
-                let (mut tell, _) = node.controller.take_summary(steady, *summary);
+                node.controller.last_peer_contact = steady;
+                let (mut tell, _) = node.controller.receive_summary(steady, *summary);
                 if let PeerResponse::Plan(plan) = &mut tell
                     && now < self.log_lags_until
                 {
@@ -672,27 +672,28 @@
                     return;
                 };
                 let moment = node.moment(now);
-                let replica_changes = node.controller.hear_ended(job, &progress, version);
+                let replica_changes =
+                    node.controller.apply_cancellation_notice(job, &progress, version);
                 node.controller.follow(moment, &replica_changes);
             }
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
                 let steady = node.moment(now).steady;
-                if let Some(Command::Fence(_)) = node.controller.leader_probed(steady, outcome) {
+                if let Some(Command::Fence(_)) = node.controller.on_probe_outcome(steady, outcome) {
                     self.replace_leader(n);
                 }
             }
             Message::PeerResponse(to, tell, sent) => {
                 if let Ok(node) = &mut self.nodes[to] {
                     match sent {
-                        Some(sent) => node.controller.heard_leader(sent, &tell),
+                        Some(sent) => node.controller.record_leader_response(sent, &tell),
                         None => {
                             let steady = node.moment(now).steady;
-                            node.controller.heard_leader_through_store(steady, &tell);
+                            node.controller.record_leader_message_from_store(steady, &tell);
                         }
                     }
-                    node.controller.peer_heard = node.moment(now).steady;
-                    node.controller.take_answer(tell);
+                    node.controller.last_peer_contact = node.moment(now).steady;
+                    node.controller.apply_leader_response(tell);
                 }
             }
         }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -217,7 +217,7 @@
             if let Some(trace) = &mut self.trace {
                 trace.note_stands(now);
             }
-            controller.lease_of_leader_ended(moment.steady);
+            controller.on_leader_lease_ended(moment.steady);
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
@@ -233,7 +233,7 @@
             let Some(peer) = self.awake(m) else { continue };
             let leader = peer.controller.leader_for_peer(peer.moment(self.now).steady);
             if let (true, Some(leader), Ok(node)) = (reached, leader, &mut self.nodes[n]) {
-                node.controller.learn_leader_from_peer(leader);
+                node.controller.adopt_leader_from_peer(leader);
             }
         }
     }
@@ -250,8 +250,8 @@
         };
         if leader == n {
             let summary = node.controller.summary(steady, usize::MAX);
-            let (tell, _) = node.controller.take_summary(steady, summary);
-            node.controller.take_answer(tell);
+            let (tell, _) = node.controller.receive_summary(steady, summary);
+            node.controller.apply_leader_response(tell);
             return;
         }
         // Peers that cannot reach each other go through the store, which takes longer.
@@ -283,7 +283,7 @@
         }
         let Ok(leader) = &mut self.nodes[leader] else { return };
         let steady = leader.moment(now).steady;
-        let (tell, _) = leader.controller.take_summary(steady, summary);
+        let (tell, _) = leader.controller.receive_summary(steady, summary);
         self.sent += 1;
         self.messages.insert((now + 600, self.sent), Message::PeerResponse(n, tell, None));
     }
@@ -322,7 +322,7 @@
         }
         let Ok(node) = &mut self.nodes[n] else { return };
         if let Some((txn, version)) = durable {
-            let replica_changes = node.controller.apply_own(&txn, version);
+            let replica_changes = node.controller.apply_committed(&txn, version);
             node.controller.follow(moment, &replica_changes);
         }
         let began = Instant::now();
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/succession.rs
@@ -12,7 +12,7 @@
         }
         if let Ok(node) = &mut self.nodes[n] {
             let steady = node.moment(now).steady;
-            node.controller.fence_answered(steady, outcome.as_ref());
+            node.controller.on_fence_outcome(steady, outcome.as_ref());
         }
     }
 
@@ -64,7 +64,7 @@
             let answer = PeerAnswer { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
             let steady = node.moment(now).steady;
-            if let Some(Command::Fence(_)) = node.controller.peer_answered(steady, answer) {
+            if let Some(Command::Fence(_)) = node.controller.on_peer_answer(steady, answer) {
                 return self.replace_leader(n);
             }
         }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -166,7 +166,7 @@
                 Committed::Yes(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
-                    let replica_changes = controller.apply_own(&txn, version);
+                    let replica_changes = controller.apply_committed(&txn, version);
                     controller.follow(moment, &replica_changes);
                     let answer = controller.final_answer(job);
                     return Some(answer.map_or(Told::Open, |a| told(a.state)));
@@ -195,7 +195,7 @@
                 Committed::Yes(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
-                    let replica_changes = controller.apply_own(&txn, version);
+                    let replica_changes = controller.apply_committed(&txn, version);
                     controller.follow(moment, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
                         if self.old[to] || !self.tells_ends {
