--- /dev/null
+++ b/src/controller/coordination.rs
@@ -0,0 +1,80 @@
+//! What the leader and the controllers' shards exchange: summaries, plans and the epochs that they come from.
+//!
+//! An epoch is worked out, written to the store, and published to the shards only after it is durable.
+
+use super::Controller;
+use crate::leader::Epoch;
+use crate::model::{ClockReading, MonotonicTime, NodeId, Term};
+use crate::peer::{PeerResponse, Plan, Summary};
+use crate::standby::Standby;
+use crate::wire::Condition;
+
+impl Controller {
+    /// The summary of this shard for the leader, in about `byte_budget` bytes.
+    pub fn summary(&mut self, now: MonotonicTime, byte_budget: usize) -> Summary {
+        let (served_ms, timing) = (self.rights.served_age(now), self.settings.timing());
+        let is_follower = self.leader.is_none();
+        let follow = self.standby.as_ref().filter(|_| is_follower).map(Standby::request);
+        Summary { served_ms, follow, ..self.shard.summary(now, &timing, byte_budget) }
+    }
+
+    /// As the leader, merges a controller's summary and answers with its plan; also says whether the next epoch should be
+    /// brought forward.
+    pub fn receive_summary(
+        &mut self,
+        now: MonotonicTime,
+        summary: Summary,
+    ) -> (PeerResponse, bool) {
+        let term = self.replica.term;
+        let Some(leader) = &mut self.leader else {
+            return (PeerResponse::NotLeading(term), false);
+        };
+        if summary.node != self.me {
+            self.shard.merge_completions(now, &self.replica, &summary.completed_tasks);
+        }
+        let (follow, term) = (summary.follow, leader.term);
+        let (mut response, changed) = leader.on_summary(now, summary);
+        if let (PeerResponse::Plan(plan), Some(request), Some(standby)) =
+            (&mut response, &follow, &mut self.standby)
+        {
+            plan.decisions = standby.batch_for(term, request);
+        }
+        (response, changed)
+    }
+
+    /// Applies the leader's answer to a summary; true if it brought a new plan.
+    pub fn apply_leader_response(&mut self, response: PeerResponse) -> bool {
+        match response {
+            PeerResponse::Plan(plan) => self.shard.follow(*plan),
+            PeerResponse::SendWhole => {
+                self.shard.request_full_summary();
+                false
+            }
+            _ => false,
+        }
+    }
+
+    /// Works out an epoch, if this controller may lead.
+    pub fn epoch(&mut self, now: ClockReading) -> Option<(Epoch, Term)> {
+        if !self.rights.may_lead(now.steady) {
+            return None;
+        }
+        self.with_leader(now, |leader, cluster| (leader.epoch(cluster), leader.term))
+    }
+
+    /// Publishes an epoch that is durable by now, unless the term has ended meanwhile.
+    pub fn publish(&mut self, now: ClockReading, epoch: Epoch, term: Term) {
+        self.with_leader(now, |leader, cluster| {
+            if leader.term == term {
+                leader.publish(cluster, epoch);
+            }
+        });
+        self.record_decisions(now);
+    }
+
+    /// A controller's plan, for messages through the store, with the condition that this process still leads.
+    pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<(Plan, Condition)> {
+        let plan = self.leader.as_ref()?.plan_for(node, now)?;
+        Some((plan, self.replica.leader_condition()?))
+    }
+}
--- /dev/null
+++ b/src/controller/jobs.rs
@@ -0,0 +1,120 @@
+//! Submissions, cancellations and what users are answered.
+//!
+//! A job is accepted, done or cancelled when the store says so; answers may run ahead of the store only in counts.
+
+use super::Controller;
+use crate::model::{JobId, Revision, WallTime};
+use crate::peer::WaitReason;
+use crate::placement::MachineCatalog;
+use crate::replica::{self, ReplicaChanges};
+use crate::wire::{self, Change, Condition, KeyValue, Txn};
+
+impl Controller {
+    /// The answer for a job that has ended, which nothing can change any more; `None` for any other.
+    pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
+        let (state, done) = self.replica.ended.get(&id).copied()?;
+        let reason = match state {
+            wire::JobState::Cancelled => Some("cancelled by its user".to_string()),
+            _ => None,
+        };
+        Some(wire::JobAnswer { job: id, state, done, running: 0, reason })
+    }
+
+    /// The answer for a job that has not ended, as the replica shows it; `None` if it shows no such job.
+    pub fn open_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
+        let job = self.replica.jobs.get(&id)?;
+        let job_status = self.shard.job_status(id);
+        // A job is done when the store says so; the count may be ahead of what is on record.
+        let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.task_count);
+        let running = job_status.map_or(0, |s| s.running).min(job.spec.task_count - done);
+        let state = match running {
+            0 => wire::JobState::Pending,
+            _ => wire::JobState::Running,
+        };
+        let reason =
+            job_status.and_then(|s| wait_reason_text(s.wait_reason, job.spec.kind, running));
+        Some(wire::JobAnswer { job: id, state, done, running, reason: reason.map(str::to_string) })
+    }
+
+    /// The transaction that cancels a job, if it has not ended, and the progress record it writes.
+    pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, replica::Progress)> {
+        let job = self.replica.jobs.get(&id)?;
+        let progress = replica::Progress {
+            end: Some(wire::JobState::Cancelled),
+            done: job.progress.done.fitting(self.limits.value_bytes()),
+            gang: None,
+        };
+        let key = replica::progress_key(id);
+        let txn = Txn {
+            conditions: vec![Condition { key: key.clone(), version: job.progress_version }],
+            changes: vec![Change::Put { key, value: wire::to_value(&progress), lease: None }],
+        };
+        Some((txn, progress))
+    }
+
+    /// Applies a cancellation that a peer reports as recorded. The store may not serve this controller, and whoever was
+    /// answered that the job is cancelled relies on no task of it being started.
+    pub fn apply_cancellation_notice(
+        &mut self,
+        job: JobId,
+        progress: &replica::Progress,
+        version: Revision,
+    ) -> ReplicaChanges {
+        let mut replica_changes = ReplicaChanges::default();
+        if self.loaded && progress.end.is_some() {
+            let item = KeyValue {
+                key: replica::progress_key(job),
+                value: wire::to_value(progress),
+                version,
+            };
+            self.replica.load(&item, &mut replica_changes);
+        }
+        replica_changes
+    }
+}
+
+/// The text that users see for a wait reason; `None` if nothing holds the job back.
+fn wait_reason_text(
+    wait_reason: WaitReason,
+    kind: wire::JobKind,
+    running: u32,
+) -> Option<&'static str> {
+    let waiting_gang = kind == wire::JobKind::Gang && running == 0;
+    match wait_reason {
+        WaitReason::No if waiting_gang => Some("waits: its tasks begin once all of them can"),
+        WaitReason::No => None,
+        WaitReason::ForMachines if waiting_gang => Some(
+            "waits: machines that hold all its tasks at once are not free, or are being rented",
+        ),
+        WaitReason::BelowWaterline => Some("waits: more urgent jobs need the machines"),
+        WaitReason::TeamLimit => Some("waits: its team's limit is used up"),
+        WaitReason::ForMachines => Some("waits: machines are full, more are being rented"),
+        WaitReason::Failing => {
+            Some("its tasks fail on every machine; it is tried again after pauses")
+        }
+        WaitReason::Unproven => {
+            Some("waits: a machine was lost and its tasks may still be running")
+        }
+    }
+}
+
+/// The transaction that accepts jobs which are not known yet, `at` being the time of acceptance and `bytes` the largest
+/// value that the store takes.
+pub fn submission_txn<'a>(
+    specs: impl Iterator<Item = &'a wire::JobSpec>,
+    at: WallTime,
+    catalog: &MachineCatalog,
+    bytes: usize,
+) -> Txn {
+    let mut txn = Txn::default();
+    for spec in specs {
+        let key = replica::job_key(spec.id);
+        if txn.conditions.iter().any(|condition| condition.key == key) {
+            continue;
+        }
+        txn.conditions.push(Condition { key: key.clone(), version: Revision(0) });
+        let accepted = replica::Accepted { spec: replica::kept_spec(spec, catalog, bytes), at };
+        txn.changes.push(Change::Put { key, value: wire::to_value(&accepted), lease: None });
+    }
+    txn
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,9 +1,12 @@
 //! Tables of cases for `controller`.
 
+use super::completions::PROGRESS_WRITE_SHARE;
 use super::*;
 use crate::config::tests::EXAMPLE;
-use crate::model::Ranges;
-use crate::wire::KeyValue;
+use crate::model::{JobId, Ranges, Term, WallTime};
+use crate::peer::Plan;
+use crate::replica::{self, TermRecord};
+use crate::store_client::leaders_writes_per_s;
 use crate::wire::tests::spec;
 
 #[test]
