--- a/src/api.rs
+++ b/src/api.rs
@@ -4,6 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 use tracing::debug;
 
@@ -11,10 +12,12 @@
 use crate::model::{JobId, NodeId};
 use crate::peer::{PeerRequest, PeerResponse};
 use crate::placement;
-use crate::service::{Service, SubmissionOutcome};
+use crate::replica::{self, ReplicaChanges};
+use crate::service::{CancellationOutcome, ConfirmError, Service, SubmissionOutcome};
+use crate::store_client::StoreError;
 use crate::wire::{self, JobAnswer, JobKind, JobSpec, JobState};
 
-/// Most user requests served at a time; more are told to come back.
+/// Most user requests served at a time; more are answered with 503.
 const MAX_USER_REQUESTS: usize = 256;
 
 /// A request that counts as being served for as long as this lives, however it ends.
@@ -33,12 +36,59 @@
     }
 }
 
-/// Whether a job can ever run, as far as its team and the machine types tell.
+/// Age, in milliseconds, of the proof that the replica is current from which on this controller is ready only if no peer
+/// reaches the store: three watches without an answer.
+const READY_PROOF_MS: u64 = 3_000;
+/// How long a peer has to answer whether it reaches the store.
+const REACH_LIMIT: Duration = Duration::from_millis(300);
+/// How long forwarding takes at most, over all peers: a user's request is answered within a second.
+const FORWARDING_LIMIT: Duration = Duration::from_millis(900);
+/// How long one peer has to answer a forwarded request, so that two can be tried.
+const PEER_FORWARDING_LIMIT: Duration = Duration::from_millis(450);
+/// Attempts of one cancellation while the job's progress changes.
+const CANCELLATION_ATTEMPTS: usize = 4;
+
+/// Whether a request may be forwarded to another controller. A forwarded one is not forwarded again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Forwarding {
+    /// It came from a user.
+    Allowed,
+    /// It came from another controller.
+    Forbidden,
+}
+
+/// Whether a job can ever run, by its team and the machine types.
 #[derive(Debug, PartialEq, Eq)]
-enum Fitness {
-    Fits,
-    Never(&'static str),
-    NotKnown,
+enum Feasibility {
+    /// It can, once machines are free.
+    Feasible,
+    /// It never can, for this reason.
+    Infeasible(&'static str),
+    /// The machine types are not known yet.
+    Unknown,
+}
+
+/// What is known of a job when the replica is current.
+#[derive(Debug)]
+enum Lookup {
+    /// The job is known; the answer to its user.
+    Known(Response),
+    /// No such job was ever accepted.
+    Unknown,
+}
+
+/// Why a job could not be looked up.
+#[derive(Debug, Error)]
+enum LookupError {
+    /// The replica was not confirmed to be current.
+    #[error(transparent)]
+    NotConfirmed(#[from] ConfirmError),
+    /// The store did not answer for the job's records.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// The job's records do not suffice for an answer.
+    #[error("the job's records are incomplete")]
+    Incomplete,
 }
 
 impl Service {
@@ -83,16 +133,20 @@
         let Some(id) = JobId::parse(id) else {
             return Response::empty(404);
         };
-        if abort { self.abort(id, true).await } else { self.query(id, true).await }
+        if abort {
+            self.abort(id, Forwarding::Allowed).await
+        } else {
+            self.query(id, Forwarding::Allowed).await
+        }
     }
 
-    /// Ready while requests can be served here or handed over. When nobody reaches the
+    /// Ready while requests can be served here or forwarded. When nobody reaches the
     /// store, being unready would help nobody: requests are answered with 503 at once.
     async fn ready(&self) -> Response {
         let (loaded, stale) = {
             let controller = self.controller.borrow();
             let age = controller.rights.sync_age(self.now());
-            (controller.loaded, age.is_none_or(|a| a > 3_000))
+            (controller.loaded, age.is_none_or(|age_ms| age_ms > READY_PROOF_MS))
         };
         if !loaded || (stale && self.reaching_peer().await.is_some()) {
             return Response::later(1);
@@ -104,7 +158,7 @@
     async fn reaching_peer(&self) -> Option<NodeId> {
         for node in self.others() {
             if let Some(PeerResponse::Reach(true)) =
-                self.call_peer(node, &PeerRequest::Reach, 300).await
+                self.call_peer(node, &PeerRequest::Reach, REACH_LIMIT).await
             {
                 return Some(node);
             }
@@ -112,21 +166,17 @@
         None
     }
 
-    pub(crate) fn others(&self) -> impl Iterator<Item = NodeId> + use<> {
-        let me = self.me;
-        (0..self.settings.params.nodes as u8).map(NodeId).filter(move |n| *n != me)
-    }
-
-    /// Hands a request over to controllers that may reach the store; the first useful answer
-    /// counts. If there is none, the user is told at once to come back.
+    /// Forwards a request to controllers that may reach the store; the first answer other than 503 counts. If there is
+    /// none, the answer is 503.
     async fn forward(&self, request: PeerRequest) -> Response {
-        let deadline = Instant::now() + Duration::from_millis(900);
+        let deadline = Instant::now() + FORWARDING_LIMIT;
         for node in self.others() {
-            let told = timeout_at(deadline, self.call_peer(node, &request, 450)).await;
-            if let Ok(Some(PeerResponse::Answer(status, body))) = told
+            let answer =
+                timeout_at(deadline, self.call_peer(node, &request, PEER_FORWARDING_LIMIT)).await;
+            if let Ok(Some(PeerResponse::Answer(status, body))) = answer
                 && status != 503
             {
-                debug!(node = node.0, status, "handed over");
+                debug!(node = node.0, status, "forwarded");
                 return Response::new(status, body);
             }
         }
@@ -149,36 +199,36 @@
         if let Err(e) = spec.check() {
             return refusal(400, &e.to_string());
         }
-        self.submit(spec, true).await
+        self.submit(spec, Forwarding::Allowed).await
     }
 
-    /// Takes a submission, or hands it over if this node cannot write and may do that.
-    pub(crate) async fn submit(&self, spec: JobSpec, may_hand_over: bool) -> Response {
+    /// Accepts a submission, or forwards it if this controller cannot write.
+    pub(crate) async fn submit(&self, spec: JobSpec, forwarding: Forwarding) -> Response {
         let id = spec.id;
         if let Some(answer) = self.final_answer(id) {
             return answer;
         }
         if !self.store_ok() {
-            return self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await;
+            return self.forward_if_allowed(forwarding, PeerRequest::Submit(spec)).await;
         }
         let known = self.controller.borrow().replica.jobs.contains_key(&id);
         if !known {
-            match self.fitness(&spec) {
-                Fitness::NotKnown => return Response::later(1),
-                // Whoever asks again about an accepted job never hears that it cannot run.
-                Fitness::Never(why) => {
+            match self.feasibility(&spec) {
+                Feasibility::Unknown => return Response::later(1),
+                // An accepted job that is submitted again is never answered that it cannot run.
+                Feasibility::Infeasible(why) => {
                     return match self.lookup(id).await {
-                        Some(answer) if answer.status == 404 => refusal(422, why),
-                        Some(answer) => answer,
-                        None => Response::later(1),
+                        Ok(Lookup::Unknown) => refusal(422, why),
+                        Ok(Lookup::Known(answer)) => answer,
+                        Err(_) => Response::later(1),
                     };
                 }
-                Fitness::Fits => {}
+                Feasibility::Feasible => {}
             }
             match self.accept(spec.clone()).await {
                 SubmissionOutcome::New => {
-                    // While the store's answer was on its way, others may have read the job, told of it
-                    // and cancelled it.
+                    // While the store's answer was on its way, others may have read the job, answered for it and
+                    // cancelled it.
                     if let Some(answer) = self.final_answer(id) {
                         return answer;
                     }
@@ -193,33 +243,41 @@
                 }
                 SubmissionOutcome::Known => {}
                 SubmissionOutcome::Failed => {
-                    return self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await;
+                    return self.forward_if_allowed(forwarding, PeerRequest::Submit(spec)).await;
                 }
             }
         }
         match self.lookup(id).await {
-            Some(answer) if answer.status == 200 => answer,
-            _ => self.forward_if_allowed(may_hand_over, PeerRequest::Submit(spec)).await,
+            Ok(Lookup::Known(answer)) => answer,
+            Ok(Lookup::Unknown) | Err(_) => {
+                self.forward_if_allowed(forwarding, PeerRequest::Submit(spec)).await
+            }
         }
     }
 
-    async fn forward_if_allowed(&self, may: bool, request: PeerRequest) -> Response {
-        if may { self.forward(request).await } else { Response::later(1) }
+    async fn forward_if_allowed(&self, forwarding: Forwarding, request: PeerRequest) -> Response {
+        match forwarding {
+            Forwarding::Allowed => self.forward(request).await,
+            Forwarding::Forbidden => Response::later(1),
+        }
     }
 
-    fn fitness(&self, spec: &JobSpec) -> Fitness {
+    /// Whether a job can ever run.
+    fn feasibility(&self, spec: &JobSpec) -> Feasibility {
         let Some(team) = self.settings.team(&spec.team) else {
-            return Fitness::Never("unknown team");
+            return Feasibility::Infeasible("unknown team");
         };
         let controller = self.controller.borrow();
         if controller.catalog.is_empty() {
-            return Fitness::NotKnown;
+            return Feasibility::Unknown;
         }
         if !placement::can_ever_run(spec, &controller.catalog) {
-            return Fitness::Never("a task fits no allowed machine type");
+            return Feasibility::Infeasible("a task fits no allowed machine type");
         }
         if !placement::zones_allow_all(spec, &controller.catalog) {
-            return Fitness::Never("its tasks can't all run at once in the zones it may use");
+            return Feasibility::Infeasible(
+                "its tasks can't all run at once in the zones it may use",
+            );
         }
         let tasks = match spec.kind {
             JobKind::Array => 1,
@@ -232,9 +290,9 @@
         if over(team.core_limit(), need.cores.0)
             || over(team.accelerator_limit(), need.accelerators.0)
         {
-            return Fitness::Never("beyond the team's limit");
+            return Feasibility::Infeasible("beyond the team's limit");
         }
-        Fitness::Fits
+        Feasibility::Feasible
     }
 
     /// The answer for a job that has ended, which nothing can change any more.
@@ -243,31 +301,32 @@
         Some(Response::new(200, wire::encode(&answer)))
     }
 
-    /// The answer for a job as it is now; `None` if the store does not confirm it.
-    async fn lookup(&self, id: JobId) -> Option<Response> {
+    /// Looks a job up as it is now.
+    async fn lookup(&self, id: JobId) -> Result<Lookup, LookupError> {
         if let Some(answer) = self.final_answer(id) {
-            return Some(answer);
-        }
-        if !self.confirm_replica().await {
-            return None;
+            return Ok(Lookup::Known(answer));
         }
+        self.confirm_replica().await?;
         if let Some(answer) = self.final_answer(id).or_else(|| self.open_answer(id)) {
-            return Some(answer);
+            return Ok(Lookup::Known(answer));
         }
         // Jobs that ended long ago are no longer in memory, and one that came just now may be missing:
         // an accepted job stays known whatever went wrong.
         let mut known = false;
-        for key in [crate::replica::progress_key(id), crate::replica::job_key(id)] {
-            if let Some(item) = self.store.get(&key).await.ok()? {
+        for key in [replica::progress_key(id), replica::job_key(id)] {
+            if let Some(item) = self.store.get(&key).await? {
                 known = true;
-                let mut replica_changes = crate::replica::ReplicaChanges::default();
+                let mut replica_changes = ReplicaChanges::default();
                 self.controller.borrow_mut().replica.load(&item, &mut replica_changes);
                 if let Some(answer) = self.final_answer(id) {
-                    return Some(answer);
+                    return Ok(Lookup::Known(answer));
                 }
             }
         }
-        if known { self.open_answer(id) } else { Some(Response::empty(404)) }
+        if !known {
+            return Ok(Lookup::Unknown);
+        }
+        self.open_answer(id).map(Lookup::Known).ok_or(LookupError::Incomplete)
     }
 
     fn open_answer(&self, id: JobId) -> Option<Response> {
@@ -275,22 +334,24 @@
         Some(Response::new(200, wire::encode(&answer)))
     }
 
-    /// Answers a query.
-    pub(crate) async fn query(&self, id: JobId, may_hand_over: bool) -> Response {
+    /// Answers a query for a job.
+    pub(crate) async fn query(&self, id: JobId, forwarding: Forwarding) -> Response {
         if let Some(answer) = self.final_answer(id) {
             return answer;
         }
-        if self.store_ok()
-            && let Some(answer) = self.lookup(id).await
-        {
-            return answer;
+        if self.store_ok() {
+            match self.lookup(id).await {
+                Ok(Lookup::Known(answer)) => return answer,
+                Ok(Lookup::Unknown) => return Response::empty(404),
+                Err(e) => debug!(error = %e, job = %id, "job not looked up"),
+            }
         }
-        self.forward_if_allowed(may_hand_over, PeerRequest::Query(id)).await
+        self.forward_if_allowed(forwarding, PeerRequest::Query(id)).await
     }
 
-    /// Cancels a job.
-    pub(crate) async fn abort(self: &Rc<Self>, id: JobId, may_hand_over: bool) -> Response {
-        for _ in 0..4 {
+    /// Cancels a job and answers how it ended; one that has ended before stays as it is.
+    pub(crate) async fn abort(self: &Rc<Self>, id: JobId, forwarding: Forwarding) -> Response {
+        for _ in 0..CANCELLATION_ATTEMPTS {
             if let Some(answer) = self.final_answer(id) {
                 return answer;
             }
@@ -300,15 +361,15 @@
             let known = self.controller.borrow().replica.jobs.contains_key(&id);
             if !known {
                 match self.lookup(id).await {
-                    Some(answer) if answer.status == 404 => return answer,
-                    Some(_) => continue,
-                    None => break,
+                    Ok(Lookup::Unknown) => return Response::empty(404),
+                    Ok(Lookup::Known(_)) => continue,
+                    Err(_) => break,
                 }
             }
-            match self.write_cancelled(id).await {
-                Ok(true) => continue,
-                Ok(false) => {
-                    if !self.confirm_replica().await {
+            match self.write_cancellation(id).await {
+                Ok(CancellationOutcome::Cancelled) => continue,
+                Ok(CancellationOutcome::NotOpen | CancellationOutcome::Conflict) => {
+                    if self.confirm_replica().await.is_err() {
                         break;
                     }
                 }
@@ -320,11 +381,12 @@
         }
         match self.final_answer(id) {
             Some(answer) => answer,
-            None => self.forward_if_allowed(may_hand_over, PeerRequest::Abort(id)).await,
+            None => self.forward_if_allowed(forwarding, PeerRequest::Abort(id)).await,
         }
     }
 }
 
+/// A refusal with its reason, as users see it.
 fn refusal(status: u16, why: &str) -> Response {
     let body = ciborium::Value::Map(vec![("error".into(), why.into())]);
     Response::new(status, wire::encode(&body))
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -33,6 +33,7 @@
 mod jobs;
 mod workers;
 
+pub use election::Candidacy;
 pub use jobs::submission_txn;
 
 /// A controller's state.
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -16,6 +16,26 @@
 /// brings nothing is answered within a second, so a served controller stays below this.
 const LEADER_FRESHNESS_MS: u64 = 2_500;
 
+/// Whether a controller may run for leader, and why.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Candidacy {
+    /// It may not: it has not read the store, or its lease does not allow it to lead.
+    NotEligible,
+    /// It may not: another process leads, or this one does already.
+    LeaderExists,
+    /// It may: nobody leads.
+    Vacant,
+    /// It may, at once: the leader on record is an earlier process of this controller, which is certainly dead.
+    OwnPredecessor,
+}
+
+impl Candidacy {
+    /// Whether the controller may run.
+    pub fn may_run(self) -> bool {
+        matches!(self, Candidacy::Vacant | Candidacy::OwnPredecessor)
+    }
+}
+
 impl Controller {
     /// Follows changes of term and leader, and begins or ends this process's leadership.
     pub(super) fn follow_leader_key(&mut self, now: ClockReading) {
@@ -111,16 +131,19 @@
         }
     }
 
-    /// Whether this node may stand for leader: nobody leads, or (`Some(true)`) its own
-    /// predecessor, which is certainly dead.
-    pub fn may_run_for_leader(&self, now: MonotonicTime) -> Option<bool> {
+    /// Whether this controller may run for leader now.
+    pub fn candidacy(&self, now: MonotonicTime) -> Candidacy {
         if !self.loaded || !self.rights.may_lead(now) {
-            return None;
+            return Candidacy::NotEligible;
         }
         match &self.replica.leader {
-            None => Some(false),
-            Some((r, _)) if r.node == self.me && r.incarnation != self.incarnation => Some(true),
-            Some(_) => None,
+            None => Candidacy::Vacant,
+            Some((leader, _))
+                if leader.node == self.me && leader.incarnation != self.incarnation =>
+            {
+                Candidacy::OwnPredecessor
+            }
+            Some(_) => Candidacy::LeaderExists,
         }
     }
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,4 +1,11 @@
 //! One controller: its state, and the loops that keep what is close to what is wanted.
+//!
+//! [`Service::run`] starts all loops and lists what each does; each lives in a module named for its job, with the queue
+//! or the wake-up that it serves. Everything runs on one thread, and the loops share [`Controller`] through a `RefCell`.
+//!
+//! Invariant: no `RefCell` borrow is held across an `await`. A loop borrows the controller, takes what it needs out, and
+//! drops the borrow before it waits; after the wait the state may have changed, so it looks again. What a loop decides
+//! takes effect only once the store has confirmed it; see `docs/safety.md`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,70 +14,72 @@
 
 use rand::Rng;
 use tokio::net::TcpListener;
-use tokio::sync::{Notify, oneshot};
+use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 use tracing::info;
 
+use self::confirmations::ConfirmationQueue;
+use self::direct_commands::max_direct_commands;
+use self::peers::Peers;
+use self::submissions::SubmissionQueue;
 use crate::cloud::CloudClient;
 use crate::config::{Settings, StoreLimits};
 use crate::controller::Controller;
 use crate::feature_flags::FeatureFlags;
-use crate::http::{self, Client, ClientKind, ServerLimits};
+use crate::http::{self, ClientKind, ServerLimits};
 use crate::metrics::LatencyMetrics;
 use crate::model::{ClockReading, Incarnation, MonotonicTime, NodeId, WallTime};
 use crate::peer::PeerResponse;
 use crate::store_client::StoreClient;
-use crate::wire::JobSpec;
 
-pub use reporting::STATUS_PATH;
+pub(crate) use cancellations::CancellationOutcome;
+pub use confirmations::ConfirmError;
+pub(crate) use submissions::SubmissionOutcome;
 
+mod cancellations;
+mod completions;
+mod confirmations;
+mod direct_commands;
 mod epochs;
 mod failover;
-mod job_writes;
+mod heartbeats;
 mod leader_election;
-mod reporting;
+mod peers;
 mod scaling;
 mod store_messages;
 mod store_watch;
+mod submissions;
+mod summaries;
 
-/// Time between two messages through the store.
+/// Where a controller shows operators the state of its warm standby, on its address for the other controllers.
+pub const STATUS_PATH: &str = "/standby";
+
+/// Time between two messages through the store to one controller: they share the store's budget with all other writes.
 const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
-/// Most transactions that a message through the store takes, and how many a summary fills.
-const MAX_TXNS_PER_STORE_MESSAGE: usize = 16;
-const TXNS_PER_STORE_SUMMARY: usize = 2;
-/// Most bytes of a message between controllers, and about how many of them a summary fills.
+/// Most bytes of a message between controllers.
 const MAX_PEER_MESSAGE_BYTES: usize = 1 << 20;
+/// Most bytes that a summary fills of such a message, with room for what its estimate leaves out.
 const MAX_SUMMARY_BYTES: usize = MAX_PEER_MESSAGE_BYTES * 3 / 4;
-
-type Waiter = oneshot::Sender<bool>;
-
-/// A submission that waits for the next group commit, and where its outcome goes.
-pub(crate) type Submission = (JobSpec, oneshot::Sender<SubmissionOutcome>);
-
-/// What became of a submission.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SubmissionOutcome {
-    /// It is durable, and was not there before.
-    New,
-    /// The job was known already.
-    Known,
-    /// The store did not take it.
-    Failed,
-}
-
-/// Machines that are told of a term at a time, so that the rest of the sockets is left alone.
-fn max_direct_commands(sockets: usize) -> usize {
-    (sockets / 40).clamp(8, 64)
-}
+/// Bytes of a message's chunk for each kilobyte that a value in the store may have; the rest is for the value's own
+/// encoding.
+const CHUNK_BYTES_PER_VALUE_KB: f64 = 900.0;
+/// Sockets kept for the store, the cloud, the other controllers and the process itself.
+const RESERVED_SOCKETS: usize = 80;
+/// Fewest connections that the public address takes, however few sockets there are.
+const MIN_PUBLIC_CONNECTIONS: usize = 32;
+/// Connections that the address for the other controllers takes.
+const PEER_CONNECTIONS: usize = 24;
 
 /// Bytes of a message through the store that go into one value.
 fn message_chunk_bytes(limits: &StoreLimits) -> usize {
-    (limits.value_kb * 900.0) as usize
+    (limits.value_kb * CHUNK_BYTES_PER_VALUE_KB) as usize
 }
 
-/// Bounds of the public address: all workers of a fleet must fit in, whatever users do.
-fn public_limits(connections: usize) -> ServerLimits {
+/// Bounds of the public address, within so many sockets: all workers of a fleet must fit in, whatever users do.
+fn public_limits(sockets: usize) -> ServerLimits {
+    let reserved = RESERVED_SOCKETS + max_direct_commands(sockets);
+    let connections = sockets.saturating_sub(reserved).max(MIN_PUBLIC_CONNECTIONS);
     let kind = |path: &str| match path.starts_with("/api/") {
         true => ClientKind::User,
         false => ClientKind::Worker,
@@ -83,36 +92,47 @@
     }
 }
 
+/// Wake-ups of loops that otherwise look at their work from time to time.
+#[derive(Default)]
+struct WakeUps {
+    /// For [`Service::run_epochs`]: jobs, progress or a summary changed what the leader decides on.
+    epoch: Notify,
+    /// For [`Service::send_summaries`]: the shard or the leader changed.
+    summary: Notify,
+    /// For [`Service::run_elections`]: the leader's key or this controller's lease changed.
+    election: Notify,
+    /// For [`Service::write_completions`]: tasks completed.
+    completions: Notify,
+}
+
 /// One controller.
 pub struct Service {
     /// Settings.
     pub settings: Rc<Settings>,
-    /// This one's place among all controllers.
+    /// This controller's index among all controllers.
     pub me: NodeId,
+    /// How many controllers the site has.
     nodes: usize,
+    /// When the process started; [`Service::now`] counts from here.
     started: Instant,
-    /// State.
+    /// What this controller knows and decides.
     pub controller: RefCell<Controller>,
     /// The state service.
     pub store: StoreClient,
     cloud: CloudClient,
-    peers: Vec<Rc<Client>>,
-    wake_epoch: Notify,
-    wake_summary: Notify,
-    wake_election: Notify,
-    wake_completions: Notify,
-    wake_submissions: Notify,
-    wake_confirmations: Notify,
-    confirmations: RefCell<Vec<Waiter>>,
-    submissions: RefCell<Vec<Submission>>,
+    /// The other controllers, and how they are reached.
+    peers: Peers,
+    wake_ups: WakeUps,
+    /// Callers that wait until the replica is confirmed to be current.
+    confirmations: ConfirmationQueue,
+    /// Submissions that wait for the next group commit.
+    submissions: SubmissionQueue,
+    /// As the leader, when each controller's last summary came through the store, and the answer to it.
     responses_through_store: RefCell<HashMap<NodeId, (MonotonicTime, PeerResponse)>>,
     /// User requests being served.
     pub(crate) serving: Cell<usize>,
+    /// Direct commands that machines have not answered yet.
     direct_commands_in_flight: Cell<usize>,
-    /// Controllers' names.
-    names: Vec<String>,
-    /// When operators were last told of a message that was not understood.
-    warned_unreadable_at: Cell<Option<MonotonicTime>>,
     metrics: LatencyMetrics,
     /// Microseconds that the last epoch took.
     epoch_us: Cell<u64>,
@@ -129,10 +149,9 @@
             controller.enable_standby(standby);
         }
         Service {
-            names: controller.nodes.iter().map(|n| n.name.clone()).collect(),
             me: controller.me,
             nodes: controller.nodes.len(),
-            peers: controller.nodes.iter().map(|n| Rc::new(Client::new(n.back, 4 << 20))).collect(),
+            peers: Peers::new(&controller.nodes),
             store: StoreClient::new(
                 settings.external.state,
                 &settings.params.state,
@@ -142,18 +161,12 @@
             controller: RefCell::new(controller),
             settings,
             started: Instant::now(),
-            wake_epoch: Notify::new(),
-            wake_summary: Notify::new(),
-            wake_election: Notify::new(),
-            wake_completions: Notify::new(),
-            wake_submissions: Notify::new(),
-            wake_confirmations: Notify::new(),
-            confirmations: RefCell::default(),
-            submissions: RefCell::default(),
+            wake_ups: WakeUps::default(),
+            confirmations: ConfirmationQueue::default(),
+            submissions: SubmissionQueue::default(),
             responses_through_store: RefCell::default(),
             serving: Cell::new(0),
             direct_commands_in_flight: Cell::new(0),
-            warned_unreadable_at: Cell::new(None),
             metrics: LatencyMetrics::default(),
             epoch_us: Cell::new(0),
         }
@@ -182,38 +195,56 @@
         let incarnation = self.controller.borrow().incarnation;
         let version = env!("CARGO_PKG_VERSION");
         info!(node = %self.settings.node_name, %incarnation, version, "serving");
-        let sockets = self.settings.params.limits.sockets;
-        let s = self.clone();
-        spawn_local(http::serve(
-            api,
-            public_limits(sockets.saturating_sub(80 + max_direct_commands(sockets)).max(32)),
-            move |request| {
-                let s = s.clone();
-                async move { s.answer(request).await }
-            },
-        ));
-        let s = self.clone();
-        let limits = ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(24) };
+        self.clone().spawn_servers(api, back);
+        self.clone().spawn_loops();
+        self.follow_store().await;
+        Ok(())
+    }
+
+    /// Serves the public address and the one for the other controllers.
+    fn spawn_servers(self: Rc<Self>, api: TcpListener, back: TcpListener) {
+        let limits = public_limits(self.settings.params.limits.sockets);
+        let service = self.clone();
+        spawn_local(http::serve(api, limits, move |request| {
+            let service = service.clone();
+            async move { service.answer(request).await }
+        }));
+        let limits =
+            ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(PEER_CONNECTIONS) };
         spawn_local(http::serve(back, limits, move |request| {
-            let s = s.clone();
-            async move { s.handle_peer_request(&request.path, &request.body).await }
+            let service = self.clone();
+            async move { service.handle_peer_request(&request.path, &request.body).await }
         }));
+    }
+
+    /// Starts the loops. [`Service::follow_store`], which keeps the replica current, runs besides them.
+    fn spawn_loops(self: Rc<Self>) {
+        // Renews the lease in the store and registers this process as a member.
         spawn_local(self.clone().keep_lease());
+        // Runs for leader when nobody leads.
         spawn_local(self.clone().run_elections());
+        // Sends the shard's summaries to the leader and applies its plans.
         spawn_local(self.clone().send_summaries());
+        // As the leader, works out epochs, writes and publishes them.
         spawn_local(self.clone().run_epochs());
+        // As the leader, scales the fleet out and in.
         spawn_local(self.clone().run_scaling());
+        // Writes completed tasks to the store.
         spawn_local(self.clone().write_completions());
+        // Writes submissions to the store in group commits.
         spawn_local(self.clone().write_submissions());
+        // Confirms that the replica is current to those that wait for it.
         spawn_local(self.clone().serve_confirmations());
+        // Logs counts and times of what is done.
         spawn_local(self.clone().log_measurements());
+        // While the store does not serve this controller, learns of new terms from peers.
         spawn_local(self.clone().learn_term_from_peers());
+        // Sends machines what cannot wait for their next heartbeat.
         spawn_local(self.clone().send_direct_commands());
         if self.controller.borrow().standby.is_some() {
             info!("the warm standby is enabled");
-            spawn_local(self.clone().watch_leader());
+            // Watches the leader, and replaces it when a majority does not hear it.
+            spawn_local(self.watch_leader());
         }
-        self.follow_store().await;
-        Ok(())
     }
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -14,13 +14,13 @@
 use crate::peer::{self, PeerRequest, PeerResponse};
 use crate::store_client::Committed;
 
-/// Time between two looks at the leader.
+/// Time between two steps of the failure detector.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// How long another controller has to answer when it heard the leader.
-const PEER_ANSWER_LIMIT: u64 = 300;
-/// How long the leader itself has to answer once it is suspected.
+/// How long another controller has to answer when it last heard from the leader.
+const PEER_ANSWER_LIMIT: Duration = Duration::from_millis(300);
+/// How long the leader itself has to answer once it is suspected: more than for a summary, as it may only be slow.
 const PROBE_LIMIT: Duration = Duration::from_millis(700);
-/// After that long without an answer, the transaction that takes a term is sent once more.
+/// Time without the store's answer after which the transaction that takes a term is sent a second time.
 pub(super) const FENCE_HEDGE_AFTER: Duration = Duration::from_millis(150);
 
 impl Service {
@@ -33,32 +33,32 @@
         }
     }
 
+    /// Carries out what the failover's state machine commands.
     async fn carry_out(self: &Rc<Self>, command: Option<Command>) {
         match command {
             Some(Command::ProbeLeader(term)) => self.probe_leader(term),
-            Some(Command::AskPeers(term)) => self.ask_when_leader_was_heard(term),
+            Some(Command::AskPeers(term)) => self.ask_peers_for_leader_silence(term),
             Some(Command::Fence(term)) => self.replace_leader(term).await,
             // The replica is compared where it shows the new term.
             Some(Command::Verify(_)) | None => {}
         }
     }
 
-    /// Asks the leader itself, with more time than a summary has.
+    /// Asks the leader itself whether it is alive.
     fn probe_leader(self: &Rc<Self>, term: Term) {
         let leader =
             self.controller.borrow().replica.leader.as_ref().map(|(record, _)| record.node);
-        let Some(client) = leader.and_then(|node| self.peers.get(usize::from(node.0))) else {
+        let Some(client) = leader.and_then(|node| self.peers.client(node)) else {
             return;
         };
-        let call = client.clone();
         let service = self.clone();
         spawn_local(async move {
             let body = peer::encode(&PeerRequest::LeaderSilence(term));
-            let answer = call.call("POST", "/peer", &body, PROBE_LIMIT).await;
+            let answer = client.call("POST", "/peer", &body, PROBE_LIMIT).await;
             let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
-                // The process there is another one than the leader's.
+                // Another process than the leader's answers there.
                 Ok(Some(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
-                // Whatever it says: a version that does not know the question is there as well.
+                // Whatever it answers: a version that does not know the request is alive as well.
                 Ok(_) => ProbeOutcome::Answered,
                 Err(CallError::Connect) => ProbeOutcome::Refused,
                 Err(_) => ProbeOutcome::Silent,
@@ -68,8 +68,8 @@
         });
     }
 
-    /// Asks all others but the leader at once, as one that is gone must not hold up the rest.
-    fn ask_when_leader_was_heard(self: &Rc<Self>, term: Term) {
+    /// Asks all others but the leader at once, as one that is down must not delay the rest.
+    fn ask_peers_for_leader_silence(self: &Rc<Self>, term: Term) {
         let leader = self.controller.borrow().leader();
         let knows = |node: &NodeId| self.controller.borrow().replica.knows_standby(*node);
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes the term after that one, whose leader a majority does not hear.
+    /// Takes the term after that one, whose leader a majority no longer hears.
     async fn replace_leader(&self, term: Term) {
         if self.controller.borrow().replica.term != term {
             self.controller
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Whether this process still leads, as the store says now. Asked right before what cannot be guarded.
+    /// Whether this process still leads, as the store says now. Asked right before actions on the cloud, which cannot be
+    /// fenced by a condition in the store. False as well if the store does not say.
     pub(super) async fn still_leads(&self) -> bool {
         if self.controller.borrow().standby.is_none() {
             return true;
--- /dev/null
+++ b/src/service/peers.rs
@@ -0,0 +1,146 @@
+//! Requests between controllers, both ways, on the address that only controllers use.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tracing::warn;
+
+use super::{STATUS_PATH, Service};
+use crate::api::Forwarding;
+use crate::config::NodeInfo;
+use crate::http::{Client, Response};
+use crate::model::{MonotonicTime, NodeId};
+use crate::peer::{self, PeerRequest, PeerResponse};
+
+/// Least time, in milliseconds, between two warnings of messages that this version does not read: while versions are
+/// exchanged, such messages may come many times a second.
+const UNREADABLE_WARNING_MS: u64 = 10_000;
+/// Most bytes of a peer's answer: a plan with decisions is larger than any request.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+
+/// The other controllers, by index, this one included.
+pub(super) struct Peers {
+    clients: Vec<Rc<Client>>,
+    names: Vec<String>,
+    /// When operators were last warned of a message that was not understood.
+    warned_unreadable_at: Cell<Option<MonotonicTime>>,
+}
+
+impl Peers {
+    /// Clients for all controllers; they connect when they are first used.
+    pub(super) fn new(nodes: &[NodeInfo]) -> Self {
+        let client = |node: &NodeInfo| Rc::new(Client::new(node.back, MAX_RESPONSE_BYTES));
+        Peers {
+            clients: nodes.iter().map(client).collect(),
+            names: nodes.iter().map(|node| node.name.clone()).collect(),
+            warned_unreadable_at: Cell::new(None),
+        }
+    }
+
+    /// The client for a controller; `None` for an index that the site does not have.
+    pub(super) fn client(&self, node: NodeId) -> Option<Rc<Client>> {
+        self.clients.get(usize::from(node.0)).cloned()
+    }
+}
+
+/// What a user's answer becomes for the controller that forwarded the request.
+fn forwarded_answer(response: Response) -> PeerResponse {
+    PeerResponse::Answer(response.status, response.body)
+}
+
+impl Service {
+    /// All controllers but this one.
+    pub(crate) fn others(&self) -> impl Iterator<Item = NodeId> + use<> {
+        let me = self.me;
+        (0..self.settings.params.nodes as u8).map(NodeId).filter(move |node| *node != me)
+    }
+
+    /// Sends a request to another controller; `None` if it does not answer within `limit`, or not in a way that this version
+    /// reads.
+    pub(crate) async fn call_peer(
+        &self,
+        node: NodeId,
+        request: &PeerRequest,
+        limit: Duration,
+    ) -> Option<PeerResponse> {
+        let client = self.peers.clients.get(usize::from(node.0))?;
+        let body = peer::encode(request);
+        let answer = client.call("POST", "/peer", &body, limit).await;
+        let accepted = answer.ok().filter(|answer| answer.status == 200);
+        let response = accepted.as_ref().and_then(|answer| peer::decode(&answer.body));
+        if accepted.is_some() && response.is_none() {
+            self.warn_unreadable(self.name_of(node));
+        }
+        if response.is_some() {
+            self.controller.borrow_mut().last_peer_contact = self.now();
+        }
+        response
+    }
+
+    /// The name of a controller, for logs.
+    pub(super) fn name_of(&self, node: NodeId) -> &str {
+        self.peers.names.get(usize::from(node.0)).map_or("an unknown controller", String::as_str)
+    }
+
+    /// Warns operators of a message that this version does not read, at most once per [`UNREADABLE_WARNING_MS`].
+    pub(super) fn warn_unreadable(&self, from: &str) {
+        let now = self.now();
+        if self
+            .peers
+            .warned_unreadable_at
+            .get()
+            .is_none_or(|at| now.since(at) >= UNREADABLE_WARNING_MS)
+        {
+            self.peers.warned_unreadable_at.set(Some(now));
+            warn!(from, "a message that this version does not read is refused");
+        }
+    }
+
+    /// Answers a request on the address for the other controllers.
+    pub(super) async fn handle_peer_request(self: &Rc<Self>, path: &str, body: &[u8]) -> Response {
+        if path == STATUS_PATH {
+            return self.answer_status();
+        }
+        if path != "/peer" {
+            return Response::empty(404);
+        }
+        let Some(request) = peer::decode::<PeerRequest>(body) else {
+            self.warn_unreadable("a controller that does not say its name");
+            return Response { close: true, ..Response::empty(400) };
+        };
+        self.controller.borrow_mut().last_peer_contact = self.now();
+        let response = match request {
+            PeerRequest::Summary(summary) => {
+                if usize::from(summary.node.0) >= self.nodes || summary.node == self.me {
+                    return Response::empty(400);
+                }
+                self.responses_through_store.borrow_mut().remove(&summary.node);
+                self.receive_summary(summary)
+            }
+            PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
+            PeerRequest::LeaderSilence(term) => PeerResponse::LeaderSilence(
+                self.controller.borrow().leader_silence_ms(self.now(), term),
+            ),
+            PeerRequest::Leader => {
+                PeerResponse::Leader(self.controller.borrow().leader_for_peer(self.now()))
+            }
+            PeerRequest::Submit(spec) => {
+                forwarded_answer(self.submit(spec, Forwarding::Forbidden).await)
+            }
+            PeerRequest::Query(job) => {
+                forwarded_answer(self.query(job, Forwarding::Forbidden).await)
+            }
+            PeerRequest::Abort(job) => {
+                forwarded_answer(self.abort(job, Forwarding::Forbidden).await)
+            }
+            PeerRequest::Ended(job, progress, version) => {
+                let replica_changes =
+                    self.controller.borrow_mut().apply_cancellation_notice(job, &progress, version);
+                self.follow_changes(&replica_changes);
+                PeerResponse::Reach(self.controller.borrow().store_ok)
+            }
+        };
+        Response::new(200, peer::encode(&response))
+    }
+}
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -2,7 +2,7 @@
 
 use tracing::{debug, warn};
 
-use super::{MAX_TXNS_PER_STORE_MESSAGE, Service, message_chunk_bytes};
+use super::{Service, message_chunk_bytes};
 use crate::message_chunks;
 use crate::model::NodeId;
 use crate::peer::{self, PeerResponse, StoreMessage, Summary};
@@ -10,15 +10,20 @@
 use crate::store_client::Committed;
 use crate::wire::{self, Change, Condition, Txn};
 
+/// Most transactions that a message through the store takes.
+const MAX_TXNS_PER_STORE_MESSAGE: usize = 16;
+/// Milliseconds after its last summary through the store for which a controller is still sent plans this way.
+const SEND_PLANS_FOR_MS: u64 = 5_000;
+
 impl Service {
+    /// Sends a summary to the leader through the store, under the condition that this process is still the member.
     pub(super) async fn send_summary_through_store(&self, leader: NodeId, summary: &Summary) {
         let condition = {
             let controller = self.controller.borrow();
-            controller
-                .replica
-                .members
-                .get(&self.me)
-                .map(|m| Condition { key: replica::member_key(self.me), version: m.1 })
+            controller.replica.members.get(&self.me).map(|(_, version)| Condition {
+                key: replica::member_key(self.me),
+                version: *version,
+            })
         };
         let Some(condition) = condition else { return };
         self.send_through_store(
@@ -29,6 +34,7 @@
         .await;
     }
 
+    /// Writes a message for another controller in chunks, each under the condition.
     async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
         let limits = &self.settings.params.state;
         let chunks = message_chunks::split(message, message_chunk_bytes(limits));
@@ -41,8 +47,8 @@
             value: wire::Value::Text(text),
             lease: None,
         });
-        // What does not fit into one transaction follows in others. The receiver takes the message
-        // once it has all its parts; while some are of another one, it waits.
+        // What does not fit into one transaction follows in others. The receiver reads the message once it has all of its
+        // chunks; while some belong to another message, it waits.
         loop {
             let changes: Vec<Change> = puts.by_ref().take(limits.txn_ops).collect();
             if changes.is_empty() {
@@ -60,7 +66,7 @@
         }
     }
 
-    /// Takes messages that came through the store.
+    /// Handles messages that came through the store.
     pub(super) fn receive_store_messages(&self) {
         let mut senders: Vec<u8> =
             self.controller.borrow().replica.peer_messages.keys().map(|(from, _)| *from).collect();
@@ -94,18 +100,18 @@
         }
     }
 
-    /// As the leader, sends plans through the store to those that sent their summaries so.
+    /// As the leader, sends plans through the store to the controllers that sent their summaries this way.
     pub(super) async fn send_plans_through_store(&self) {
         let now = self.now();
-        let to: Vec<(NodeId, bool)> = {
+        let receivers: Vec<(NodeId, bool)> = {
             let mut responses_through_store = self.responses_through_store.borrow_mut();
-            responses_through_store.retain(|_, (at, _)| now.since(*at) < 5_000);
+            responses_through_store.retain(|_, (at, _)| now.since(*at) < SEND_PLANS_FOR_MS);
             responses_through_store
                 .iter()
-                .map(|(n, (_, t))| (*n, matches!(t, PeerResponse::SendWhole)))
+                .map(|(node, (_, response))| (*node, matches!(response, PeerResponse::SendWhole)))
                 .collect()
         };
-        for (node, whole) in to {
+        for (node, whole) in receivers {
             let message = self.controller.borrow().plan_for(node, now);
             if let Some((plan, condition)) = message {
                 let response = if whole {
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -1,10 +1,8 @@
-//! The replica of the store: read whole, kept current by watches, and confirmed on request.
+//! The replica of the store: read whole, then kept current by watches.
 
-use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::sync::oneshot;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 use tracing::{debug, info};
 
 use super::Service;
@@ -13,6 +11,16 @@
 use crate::replica::{self, Replica, ReplicaChanges};
 use crate::store_client::{PageSize, StoreError};
 
+/// Pause before the store is read again after that failed.
+const LOAD_RETRY: Duration = Duration::from_millis(200);
+/// Pause between two watches, so that changes that come together share an answer.
+const WATCH_PAUSE: Duration = Duration::from_millis(40);
+/// Pause after a watch that failed.
+const WATCH_RETRY: Duration = Duration::from_millis(150);
+/// Bounds, in milliseconds, of how long a watch waits for changes: the store is not asked more often than ten times a
+/// second, and its answer proves something at least once a second.
+const WATCH_WAIT_MS: (u64, u64) = (100, 1_000);
+
 impl Service {
     /// Keeps the replica current.
     pub(super) async fn follow_store(&self) {
@@ -20,17 +28,17 @@
             if !self.controller.borrow().loaded {
                 if let Err(e) = self.load().await {
                     debug!(error = %e, "the store cannot be read yet");
-                    sleep(Duration::from_millis(200)).await;
+                    sleep(LOAD_RETRY).await;
                     continue;
                 }
                 info!("the store has been read");
             }
-            match self.sync_replica(self.watch_for()).await {
-                Ok(()) => sleep(Duration::from_millis(40)).await,
+            match self.sync_replica(self.watch_wait()).await {
+                Ok(()) => sleep(WATCH_PAUSE).await,
                 Err(StoreError::TooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
                     debug!(error = %e, "cannot follow the store");
-                    sleep(Duration::from_millis(150)).await;
+                    sleep(WATCH_RETRY).await;
                 }
             }
         }
@@ -38,15 +46,16 @@
 
     /// How long a watch waits for changes. Its answer proves that the replica was current when it was
     /// asked for, so the wait has to be well within what such a proof is good for.
-    fn watch_for(&self) -> Duration {
-        Duration::from_millis((self.settings.keep_alive_ms() / 4).clamp(100, 1_000))
+    fn watch_wait(&self) -> Duration {
+        let (least_ms, most_ms) = WATCH_WAIT_MS;
+        Duration::from_millis((self.settings.keep_alive_ms() / 4).clamp(least_ms, most_ms))
     }
 
     /// Reads the whole store.
     pub(super) async fn load(&self) -> Result<(), StoreError> {
         let sent = self.now();
         let mut first: Option<Revision> = None;
-        // Pages as they were read take many times what the replica keeps of them, so each is taken at once.
+        // Pages take many times the memory that the replica needs for them, so each is loaded as it arrives.
         let mut replica = Replica::new(self.me);
         let mut items = 0;
         for prefix in replica::KEY_PREFIXES {
@@ -80,7 +89,8 @@
         Ok(())
     }
 
-    /// Takes changes, waiting for some for up to `wait`.
+    /// Applies the changes since the last ones, waiting for some for up to `wait`. Its success proves that the replica was
+    /// current when this was called.
     pub(super) async fn sync_replica(&self, wait: Duration) -> Result<(), StoreError> {
         let sent = self.now();
         let after = self.controller.borrow().changes_from().ok_or(StoreError::Unknown)?;
@@ -97,47 +107,18 @@
         Ok(())
     }
 
-    /// Follows a change and wakes the loops that it concerns.
+    /// Acts on changes in the replica and wakes the loops that they concern.
     pub(super) fn follow_changes(&self, replica_changes: &ReplicaChanges) {
         self.controller.borrow_mut().follow(self.moment(), replica_changes);
         if replica_changes.leader {
-            self.wake_election.notify_one();
-            self.wake_summary.notify_one();
+            self.wake_ups.election.notify_one();
+            self.wake_ups.summary.notify_one();
         }
         if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
-            self.wake_epoch.notify_one();
+            self.wake_ups.epoch.notify_one();
         }
         if replica_changes.peer_messages {
             self.receive_store_messages();
         }
     }
-
-    /// Waits until the replica is known to be as current as this moment; false if the store
-    /// does not say so. Callers that come together share one request.
-    pub async fn confirm_replica(&self) -> bool {
-        if !self.controller.borrow().loaded {
-            return false;
-        }
-        let (tx, rx) = oneshot::channel();
-        self.confirmations.borrow_mut().push(tx);
-        self.wake_confirmations.notify_one();
-        matches!(timeout(Duration::from_millis(900), rx).await, Ok(Ok(true)))
-    }
-
-    pub(super) async fn serve_confirmations(self: Rc<Self>) {
-        loop {
-            self.wake_confirmations.notified().await;
-            loop {
-                let waiting = std::mem::take(&mut *self.confirmations.borrow_mut());
-                if waiting.is_empty() {
-                    break;
-                }
-                let ok = self.sync_replica(Duration::ZERO).await.is_ok();
-                for w in waiting {
-                    let _ = w.send(ok);
-                }
-                sleep(Duration::from_millis(20)).await;
-            }
-        }
-    }
 }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -211,7 +211,7 @@
         if let Some(replica_changes) = controller.apply(&changes, moment.steady) {
             controller.follow(moment, &replica_changes);
         }
-        if controller.may_run_for_leader(moment.steady).is_some()
+        if controller.candidacy(moment.steady).may_run()
             && let Some(txn) = controller.election_txn()
         {
             if let Some(trace) = &mut self.trace {
