--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -42,15 +42,14 @@
         (response, changed)
     }
 
-    /// Applies the leader's answer to a summary; true if it brought a new plan.
-    pub fn apply_leader_response(&mut self, response: PeerResponse) -> bool {
+    /// Applies the leader's answer to a summary.
+    pub fn apply_leader_response(&mut self, response: PeerResponse) {
         match response {
-            PeerResponse::Plan(plan) => self.shard.follow(*plan),
-            PeerResponse::SendWhole => {
-                self.shard.request_full_summary();
-                false
+            PeerResponse::Plan(plan) => {
+                self.shard.follow(*plan);
             }
-            _ => false,
+            PeerResponse::SendWhole => self.shard.request_full_summary(),
+            _ => {}
         }
     }
 
--- a/src/message_chunks/tests.rs
+++ b/src/message_chunks/tests.rs
@@ -1,7 +1,9 @@
-//! Tables of cases for `relay`.
+//! Tables of cases for `message_chunks`.
 
 use super::*;
 
+type Joined = Result<Vec<u8>, ChunkError>;
+
 #[test]
 fn messages_come_back_whole_or_not_at_all() {
     let long: Vec<u8> = (0..2_000u32).map(|n| n as u8).collect();
@@ -12,15 +14,30 @@
     let mixed: Vec<String> = short.iter().chain(&chunks[1..]).cloned().collect();
     let mut torn = texts(&chunks);
     torn[1] = split(&long[1..], 500)[1].clone();
-    let cases: Vec<(Vec<String>, Option<Vec<u8>>)> = vec![
-        (texts(&chunks), Some(long)),
-        (texts(&chunks[..2]), None),
-        (mixed, Some(b"short".to_vec())),
-        (torn, None),
-        (vec!["rubbish".into()], None),
-        (vec![], None),
+    let malformed = Err(ChunkError::Malformed { index: 0 });
+    let cases: Vec<(Vec<String>, Joined)> = vec![
+        (texts(&chunks), Ok(long)),
+        (texts(&chunks[..2]), Err(ChunkError::Incomplete)),
+        (mixed, Ok(b"short".to_vec())),
+        (torn, Err(ChunkError::Foreign { index: 1 })),
+        (vec!["rubbish".into()], malformed.clone()),
+        (vec!["00:x:1:".into()], malformed.clone()),
+        (vec!["00:0:-1:".into()], malformed),
+        (vec!["00:0:0:".into()], Err(ChunkError::Foreign { index: 0 })),
+        (vec!["00:1:2:".into()], Err(ChunkError::Foreign { index: 0 })),
+        (vec!["00:0:1:!!".into()], Err(ChunkError::Encoding)),
+        (vec!["0000000000000000:0:1:AAAA".into()], Err(ChunkError::Checksum)),
+        (vec![], Err(ChunkError::Incomplete)),
     ];
     for (chunks, want) in cases {
         assert_eq!(join(chunks.iter().map(String::as_str)), want);
     }
 }
+
+#[test]
+fn the_form_of_a_chunk_is_that_of_earlier_versions() {
+    // (message, its only chunk); the checksum of nothing is the hash's offset basis, and nothing has no chunk.
+    assert_eq!(split(b"", 500), Vec::<String>::new());
+    let chunks = split(b"a", 500);
+    assert_eq!(chunks, ["af63dc4c8601ec8c:0:1:YQ"]);
+}
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -6,70 +6,102 @@
 
 use hdrhistogram::Histogram;
 
-/// What is measured.
+/// What is measured. The order is that of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A worker's report.
+    /// A worker's heartbeat answered.
     Heartbeat,
-    /// An epoch, as far as it is worked out.
+    /// An epoch worked out, without its write.
     Epoch,
-    /// Plans made of an epoch.
+    /// Plans made from an epoch.
     Publish,
     /// A summary made.
     Summary,
-    /// A summary taken.
-    SummaryOutcome,
-    /// A plan followed.
+    /// As the leader, a summary merged.
+    SummaryMerge,
+    /// A plan applied.
     Plan,
-    /// Changes taken from the store.
+    /// Changes from the store applied.
     Watch,
 }
 
-const NAMES: [&str; 7] = ["report", "epoch", "publish", "summary", "taken", "plan", "watch"];
+impl Operation {
+    /// All operations; each stands at the index that its discriminant says.
+    const ALL: [Operation; 7] = [
+        Operation::Heartbeat,
+        Operation::Epoch,
+        Operation::Publish,
+        Operation::Summary,
+        Operation::SummaryMerge,
+        Operation::Plan,
+        Operation::Watch,
+    ];
+
+    /// The name in the log line `measured`, which operators read; it stays when the operation's own name changes.
+    const fn name(self) -> &'static str {
+        match self {
+            Operation::Heartbeat => "report",
+            Operation::Epoch => "epoch",
+            Operation::Publish => "publish",
+            Operation::Summary => "summary",
+            Operation::SummaryMerge => "taken",
+            Operation::Plan => "plan",
+            Operation::Watch => "watch",
+        }
+    }
+}
+
+/// The longest time that is told apart, in microseconds: a minute.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Significant digits of a recorded time: with two, a histogram takes a few kilobytes.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Times since the last line in the log, in microseconds.
 #[derive(Debug, Default)]
 pub struct LatencyMetrics {
-    kinds: RefCell<Vec<Option<Histogram<u64>>>>,
+    /// By operation; one that has not been measured has no histogram.
+    histograms: RefCell<[Option<Histogram<u64>>; Operation::ALL.len()]>,
 }
 
 impl LatencyMetrics {
-    /// Does something and notes how long it took; says that too, in microseconds.
-    pub fn timed<T>(&self, work: Operation, act: impl FnOnce() -> T) -> (T, u64) {
+    /// Does something and records how long it took; returns that too, in microseconds.
+    pub fn timed<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> (T, u64) {
         let began = Instant::now();
         let done = act();
-        let took = began.elapsed().as_micros() as u64;
-        self.record(work, took);
-        (done, took)
+        let took_us = began.elapsed().as_micros() as u64;
+        self.record(operation, took_us);
+        (done, took_us)
     }
 
-    /// Does something and notes how long it took.
-    pub fn time<T>(&self, work: Operation, act: impl FnOnce() -> T) -> T {
-        self.timed(work, act).0
+    /// Does something and records how long it took.
+    pub fn time<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> T {
+        self.timed(operation, act).0
     }
 
-    fn record(&self, work: Operation, took: u64) {
-        let mut kinds = self.kinds.borrow_mut();
-        kinds.resize_with(NAMES.len(), || None);
-        let slot = &mut kinds[work as usize];
+    /// Records a time in microseconds.
+    fn record(&self, operation: Operation, took_us: u64) {
+        let mut histograms = self.histograms.borrow_mut();
+        let slot = &mut histograms[operation as usize];
         if slot.is_none() {
-            // A minute, to two digits: a few kilobytes.
-            *slot = Histogram::new_with_max(60_000_000, 2).ok();
+            *slot = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok();
         }
-        if let Some(h) = slot {
-            h.saturating_record(took);
+        if let Some(histogram) = slot {
+            histogram.saturating_record(took_us);
         }
     }
 
-    /// A line with counts, means and high values since the last one.
+    /// A line with counts, means and 99th percentiles since the last one.
     pub fn line(&self) -> String {
         let mut line = String::new();
-        for (name, h) in NAMES.iter().zip(self.kinds.borrow_mut().iter_mut()) {
-            let Some(h) = h.as_mut().filter(|h| !h.is_empty()) else { continue };
-            let (n, mean, high) = (h.len(), h.mean(), h.value_at_quantile(0.99));
+        let mut histograms = self.histograms.borrow_mut();
+        for (operation, histogram) in Operation::ALL.iter().zip(histograms.iter_mut()) {
+            let Some(histogram) = histogram.as_mut().filter(|h| !h.is_empty()) else { continue };
+            let (count, mean) = (histogram.len(), histogram.mean());
+            let p99 = histogram.value_at_quantile(0.99);
+            let name = operation.name();
             // Writing to a string does not fail.
-            let _ = write!(line, "{name} {n} x {mean:.0} us (p99 {high}); ");
-            h.reset();
+            let _ = write!(line, "{name} {count} x {mean:.0} us (p99 {p99}); ");
+            histogram.reset();
         }
         line.trim_end_matches("; ").to_string()
     }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -14,3 +14,12 @@
     assert!(line.contains("watch 1 x"), "{line}");
     assert_eq!(metrics.line(), "");
 }
+
+#[test]
+fn every_operation_stands_at_its_index() {
+    for (index, operation) in Operation::ALL.iter().enumerate() {
+        assert_eq!(*operation as usize, index, "{operation:?}");
+    }
+    let names: Vec<&str> = Operation::ALL.iter().map(|operation| operation.name()).collect();
+    assert_eq!(names, ["report", "epoch", "publish", "summary", "taken", "plan", "watch"]);
+}
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -77,7 +77,8 @@
                 let chunks = controller.replica.peer_messages.range((from, 0)..=(from, u32::MAX));
                 message_chunks::join(chunks.map(|(_, (text, _))| text.as_str()))
             };
-            let Some(message) = message else { continue };
+            // Chunks of a message that is still being written are not one yet; they are looked at again when more come.
+            let Ok(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
                 Some(StoreMessage::Summary(summary))
                     if summary.node == NodeId(from)
--- a/src/service/summaries.rs
+++ b/src/service/summaries.rs
@@ -88,7 +88,7 @@
         if route.tries_directly(now) {
             route.last_direct_attempt = now;
             let request = PeerRequest::Summary(self.summary(MAX_SUMMARY_BYTES));
-            let response = self.call_peer(leader, &request, ANSWER_LIMIT).await;
+            let response = self.call_peer(leader, &request, ANSWER_LIMIT).await.ok();
             if let Some(response) = &response {
                 self.controller.borrow_mut().record_leader_response(now, response);
             }
@@ -118,9 +118,8 @@
     pub(super) fn receive_summary(&self, summary: Summary) -> PeerResponse {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
-        let (response, changed) = self
-            .metrics
-            .time(Operation::SummaryOutcome, || controller.receive_summary(now, summary));
+        let (response, changed) =
+            self.metrics.time(Operation::SummaryMerge, || controller.receive_summary(now, summary));
         drop(controller);
         if changed {
             self.wake_ups.epoch.notify_one();
