--- a/src/api.rs
+++ b/src/api.rs
@@ -157,7 +157,7 @@
     /// Another controller that reaches the store.
     async fn reaching_peer(&self) -> Option<NodeId> {
         for node in self.others() {
-            if let Some(PeerResponse::Reach(true)) =
+            if let Ok(PeerResponse::Reach(true)) =
                 self.call_peer(node, &PeerRequest::Reach, REACH_LIMIT).await
             {
                 return Some(node);
@@ -173,7 +173,7 @@
         for node in self.others() {
             let answer =
                 timeout_at(deadline, self.call_peer(node, &request, PEER_FORWARDING_LIMIT)).await;
-            if let Ok(Some(PeerResponse::Answer(status, body))) = answer
+            if let Ok(Ok(PeerResponse::Answer(status, body))) = answer
                 && status != 503
             {
                 debug!(node = node.0, status, "forwarded");
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,4 +1,8 @@
-//! How a controller follows the leader and replaces it, with the warm standby enabled.
+//! How a controller follows the leader and replaces it, with the warm standby enabled. Without it, all of this does
+//! nothing.
+//!
+//! Whoever suspects the leader asks the others first, and takes the next term only through the store; `docs/safety.md` has
+//! the argument.
 
 use willowshore_standby::failover::{
     Cause, Command, Event, FenceOutcome, PeerAnswer, ProbeOutcome,
@@ -8,6 +12,7 @@
 use willowshore_standby::status::{Status, VerificationCounts};
 
 use super::Controller;
+use crate::config::NodeInfo;
 use crate::model::{ClockReading, MonotonicTime, NodeId, Term};
 use crate::peer::PeerResponse;
 use crate::replica::LeaderRecord;
@@ -15,7 +20,7 @@
 use crate::store_client::Committed;
 use crate::wire::Txn;
 
-/// How fresh the replica has to be for this controller to suspect the leader: one that does not know of a newer term
+/// How old, in milliseconds, the proof may be that the replica is current for this controller to suspect the leader: one that does not know of a newer term
 /// would ask about the wrong one, and one that the store refuses could not replace anybody.
 const REPLICA_FRESHNESS_MS: u64 = 2_500;
 
@@ -25,12 +30,12 @@
         self.standby = Some(Standby::new(settings, self.nodes.len()));
     }
 
-    /// Whether the process of that record is this one.
+    /// Whether that record is of this very process.
     pub(super) fn is_this_process(&self, record: &LeaderRecord) -> bool {
         record.node == self.me && record.incarnation == self.incarnation
     }
 
-    /// The leader answered a request that was sent then.
+    /// The leader answered a request that was sent at `sent`.
     pub fn record_leader_response(&mut self, sent: MonotonicTime, response: &PeerResponse) {
         let Some(standby) = &mut self.standby else { return };
         match response {
@@ -48,7 +53,7 @@
         }
     }
 
-    /// Lets the standby see that time passes.
+    /// Advances the standby to this time; what it commands is to be carried out.
     pub fn standby_tick(&mut self, now: MonotonicTime) -> Option<Command> {
         let rank = self.rank(now);
         self.standby.as_mut()?.tick(now, rank)
@@ -65,9 +70,8 @@
         if self.is_this_process(leader) || leader.term != self.replica.term {
             return None;
         }
-        let candidate = |n: usize| {
-            let node = NodeId(n as u8);
-            let info = &self.nodes[n];
+        let candidate = |(index, info): (usize, &NodeInfo)| {
+            let node = NodeId(index as u8);
             let member = self.replica.members.contains_key(&node);
             Candidate {
                 node,
@@ -75,11 +79,12 @@
                 eligible: member && standby.settings().allows(&info.name),
             }
         };
-        let candidates: Vec<Candidate> = (0..self.nodes.len()).map(candidate).collect();
+        let candidates: Vec<Candidate> = self.nodes.iter().enumerate().map(candidate).collect();
         rank_of(self.me, leader.node, &candidates)
     }
 
-    /// What another controller is told that asks when the leader of a term was heard.
+    /// Milliseconds since the leader of a term was last heard, for another controller that asks; 0 from the leader itself,
+    /// `None` if this controller does not follow it.
     pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
         if self.leader.as_ref().is_some_and(|leader| leader.term == term) {
             return Some(0);
@@ -87,7 +92,7 @@
         self.standby.as_ref()?.leader_silence_ms(now, term)
     }
 
-    /// The question to the leader itself has an outcome.
+    /// The probe of the leader itself has an outcome.
     pub fn on_probe_outcome(
         &mut self,
         now: MonotonicTime,
@@ -96,8 +101,7 @@
         self.standby.as_mut()?.step(now, Event::LeaderProbed(outcome))
     }
 
-    /// A plan of the leader came through the store. It was alive when it wrote that; what it had decided is not told
-    /// this way.
+    /// A plan of the leader came through the store: it was alive when it wrote that. Decisions do not come this way.
     pub fn record_leader_message_from_store(
         &mut self,
         now: MonotonicTime,
@@ -108,12 +112,12 @@
         }
     }
 
-    /// Another controller answered when it heard the leader.
+    /// Another controller answered when it last heard the leader.
     pub fn on_peer_answer(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
         self.standby.as_mut()?.step(now, Event::PeerAnswered(answer))
     }
 
-    /// The leader's key is gone, and this controller takes the next term.
+    /// The leader's key has ended with its lease, and this controller runs for the next term.
     pub fn on_leader_lease_ended(&mut self, now: MonotonicTime) {
         if let Some(standby) = &mut self.standby {
             standby.step(now, Event::LeaseEnded);
@@ -132,26 +136,27 @@
         }
     }
 
-    /// The transaction without changes that tells whether this process still leads; `None` if it does not, as far as
-    /// it knows.
+    /// A transaction without changes that succeeds only while this process leads; `None` if it already knows that it does
+    /// not.
     pub fn leadership_check(&self) -> Option<Txn> {
         self.leader.as_ref()?;
         let condition = self.replica.leader_condition()?;
         Some(Txn { conditions: vec![condition], changes: Vec::new() })
     }
 
-    /// The replica shows that another process leads.
+    /// Has the standby follow the leader that the replica shows, if that is another process.
     pub(super) fn follow_another_leader(&mut self, now: MonotonicTime) {
         let known = self.replica.leader.as_ref().map(|(record, _)| record);
-        let leader = known.filter(|r| r.term == self.replica.term && !self.is_this_process(r));
-        let leader = leader.map(|r| FollowedLeader { node: r.node, term: r.term });
+        let leader = known
+            .filter(|record| record.term == self.replica.term && !self.is_this_process(record));
+        let leader = leader.map(|record| FollowedLeader { node: record.node, term: record.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
             standby.follow(now, leader);
         }
     }
 
-    /// This process leads a new term: compares what was mirrored with the replica, gives the leadership what is left
-    /// of it, and names the leader that was replaced as it was not heard.
+    /// This process leads a new term: compares what was mirrored with the replica, gives the new leader what holds of it,
+    /// and names the previous leader if it was replaced because it was not heard.
     pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
         let followed = standby.followed();
@@ -171,7 +176,7 @@
         self.standby = Some(standby);
     }
 
-    /// As the leader, records the decisions that hold from now on.
+    /// As the leader, records the decisions that hold now for the standbys.
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
@@ -185,14 +190,14 @@
         self.standby = Some(standby);
     }
 
-    /// What operators are shown of the standby.
+    /// The status of the standby for operators; `None` if it is not enabled.
     pub fn standby_status(&self, now: ClockReading) -> Option<Status> {
-        let names: Vec<String> = self.nodes.iter().map(|n| n.name.clone()).collect();
+        let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let standby = self.standby.as_ref()?;
         Some(standby.status(now.steady, now.wall, self.me, &names))
     }
 
-    /// What the last takeover found of the mirrored records.
+    /// What the last failover found of the mirrored records.
     pub fn verification(&self) -> Option<VerificationCounts> {
         self.standby.as_ref().map(Standby::verification)
     }
--- a/src/feature_flags.rs
+++ b/src/feature_flags.rs
@@ -1,4 +1,4 @@
-//! What is enabled besides the scheduler itself, by files under `deploy/`.
+//! Features that are enabled besides the scheduler itself, by files such as those under `deploy/`.
 
 use std::path::Path;
 
@@ -8,11 +8,11 @@
 use crate::config::{ConfigError, Settings};
 use crate::lease::LEASE_MS;
 
-/// Longest usual time between two summaries, which are the heartbeats that the standby watches: their period, their
-/// least distance, and a slow answer.
+/// Longest usual time, in milliseconds, between two summaries, which are what the standby hears the leader by: the
+/// longest wait for a summary (200) and the shortest pause after it (60).
 const HEARTBEAT_MS: u64 = 260;
 
-/// What is enabled.
+/// The features that are enabled.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FeatureFlags {
@@ -21,7 +21,7 @@
 }
 
 impl FeatureFlags {
-    /// Reads the files that enable something; each part may be enabled once.
+    /// Reads the files that enable features; each may be enabled once. Errors name the file.
     pub fn load<'a>(paths: impl IntoIterator<Item = &'a Path>) -> Result<Self, ConfigError> {
         let mut all = FeatureFlags::default();
         for path in paths {
@@ -33,7 +33,7 @@
         Ok(all)
     }
 
-    /// Parses one file.
+    /// Parses the text of one file; an unknown field is an error.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         toml::from_str(text)
             .map_err(|e| ConfigError::Parse(e.to_string().trim().replace('\n', " ")))
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Checks what is enabled against the settings of the site.
+    /// Checks the features against the settings of the site. Errors name the field.
     pub fn check(&self, settings: &Settings) -> Result<(), ConfigError> {
         let Some(standby) = &self.standby else { return Ok(()) };
         let (nodes, _) = settings.all_nodes();
@@ -66,7 +66,7 @@
     ConfigError::Field { field: field.into(), why: why.into() }
 }
 
-/// Names the file in front of what is wrong with it.
+/// Puts the file in front of what is wrong with it.
 fn in_file(path: &Path, error: ConfigError) -> ConfigError {
     ConfigError::Parse(format!("{}: {error}", path.display()))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,17 @@
 //! willowshore: a cluster scheduler.
 //!
-//! In every epoch the leading controller admits jobs by a rank-legal waterline and sizes
-//! their core shares to maximize summed importance; controllers place tasks within those
-//! shares on their hashed parts of the machines. See `docs/design.md` and `docs/safety.md`.
+//! Controllers share the machines by hashing: each owns a shard, answers its workers' heartbeats and places tasks on its
+//! machines. One of them leads. In every epoch the leader admits jobs down to a waterline in the order of their ranks, and
+//! sizes their core shares to maximize summed importance; it grants these to the shards. What must survive a failure is in
+//! the state store, of which every controller keeps a replica. See `docs/design.md` and `docs/safety.md`.
+//!
+//! - A controller: [`service`] runs its loops around [`controller`], which decides without connections; [`lease`] says
+//!   what it may do, [`standby`] follows the leader and replaces it.
+//! - The leader: [`leader`] works out epochs on a [`cluster_view`], with [`admission`], [`autoscaler`] and [`fleet`].
+//! - A shard: [`shard`] owns machines; [`placement`] chooses among them.
+//! - The store: [`store_client`] talks to it, [`replica`] mirrors it, [`message_chunks`] sends messages through it.
+//! - Interfaces: [`api`] serves users and workers, [`peer`] other controllers, [`cloud`] rents machines, [`wire`] and
+//!   [`http`] carry all of it.
 
 pub mod admission;
 pub mod api;
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -78,7 +78,7 @@
                 let response = service
                     .call_peer(node, &PeerRequest::LeaderSilence(term), PEER_ANSWER_LIMIT)
                     .await;
-                let Some(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
+                let Ok(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
                 let answer = PeerAnswer { node, silence_ms };
                 let command = service.controller.borrow_mut().on_peer_answer(service.now(), answer);
                 service.carry_out(command).await;
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -121,7 +121,7 @@
                 continue;
             }
             for node in self.others() {
-                if let Some(PeerResponse::Leader(Some(leader))) =
+                if let Ok(PeerResponse::Leader(Some(leader))) =
                     self.call_peer(node, &PeerRequest::Leader, PEER_ANSWER_LIMIT).await
                 {
                     self.controller.borrow_mut().adopt_leader_from_peer(leader);
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -4,12 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use thiserror::Error;
 use tracing::warn;
 
 use super::{STATUS_PATH, Service};
 use crate::api::Forwarding;
 use crate::config::NodeInfo;
-use crate::http::{Client, Response};
+use crate::http::{CallError, Client, Response};
 use crate::model::{MonotonicTime, NodeId};
 use crate::peer::{self, PeerRequest, PeerResponse};
 
@@ -19,7 +20,24 @@
 /// Most bytes of a peer's answer: a plan with decisions is larger than any request.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// The other controllers, by index, this one included.
+/// Why a request to another controller brought no response.
+#[derive(Debug, Error)]
+pub(crate) enum PeerCallError {
+    /// The site has no controller of that index.
+    #[error("no such controller")]
+    UnknownController,
+    /// There was no answer; the request may have been carried out unless no connection was made.
+    #[error(transparent)]
+    NoAnswer(#[from] CallError),
+    /// The controller did not accept the request and answered with this status.
+    #[error("refused with status {0}")]
+    Refused(u16),
+    /// This version does not read the response.
+    #[error("the response is of a form that this version does not read")]
+    Unreadable,
+}
+
+/// All controllers by index, this one included.
 pub(super) struct Peers {
     clients: Vec<Rc<Client>>,
     names: Vec<String>,
@@ -56,26 +74,25 @@
         (0..self.settings.params.nodes as u8).map(NodeId).filter(move |node| *node != me)
     }
 
-    /// Sends a request to another controller; `None` if it does not answer within `limit`, or not in a way that this version
-    /// reads.
+    /// Sends a request to another controller, which has `limit` to answer.
     pub(crate) async fn call_peer(
         &self,
         node: NodeId,
         request: &PeerRequest,
         limit: Duration,
-    ) -> Option<PeerResponse> {
-        let client = self.peers.clients.get(usize::from(node.0))?;
+    ) -> Result<PeerResponse, PeerCallError> {
+        let client = self.peers.client(node).ok_or(PeerCallError::UnknownController)?;
         let body = peer::encode(request);
-        let answer = client.call("POST", "/peer", &body, limit).await;
-        let accepted = answer.ok().filter(|answer| answer.status == 200);
-        let response = accepted.as_ref().and_then(|answer| peer::decode(&answer.body));
-        if accepted.is_some() && response.is_none() {
-            self.warn_unreadable(self.name_of(node));
-        }
-        if response.is_some() {
-            self.controller.borrow_mut().last_peer_contact = self.now();
+        let answer = client.call("POST", "/peer", &body, limit).await?;
+        if answer.status != 200 {
+            return Err(PeerCallError::Refused(answer.status));
         }
-        response
+        let Some(response) = peer::decode(&answer.body) else {
+            self.warn_unreadable(self.name_of(node));
+            return Err(PeerCallError::Unreadable);
+        };
+        self.controller.borrow_mut().last_peer_contact = self.now();
+        Ok(response)
     }
 
     /// The name of a controller, for logs.
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -1,5 +1,9 @@
-//! The warm standby as part of a controller: what it holds of the state machines of `willowshore-standby`, and how
-//! events reach them. The rules that it keeps are in `docs/safety.md`.
+//! The warm standby within a controller: it owns the state machines of `willowshore-standby` (failure detector, failover,
+//! mirror, decision log), passes events to them, and logs their steps.
+//!
+//! Invariants: a controller has a decision log only while it leads, and follows a leader only while it does not. What is
+//! mirrored is a hint until the replica confirms it; leadership itself is taken only through the store. The argument is
+//! in `docs/safety.md`, operation in `docs/standby.md`.
 
 use tracing::{info, warn};
 use willowshore_standby::decision_log::{Batch, DecisionLog, FollowRequest};
@@ -12,9 +16,12 @@
 
 use crate::model::{ClockReading, MonotonicTime, NodeId, Term, WallTime};
 
-/// Least time between two records of the leader's decisions, in milliseconds.
+/// Least time between two records of the leader's decisions, in milliseconds: about that of summaries, which fetch them.
 const RECORD_PERIOD_MS: u64 = 200;
 
+/// The largest phi that operators are shown: beyond it the leader is as good as certainly down, and JSON has no infinity.
+const MAX_SHOWN_PHI: f64 = 999.0;
+
 /// The leader that a controller follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowedLeader {
@@ -24,25 +31,31 @@
     pub term: Term,
 }
 
-/// A controller's part in the warm standby.
+/// A controller's warm standby.
 pub struct Standby {
     settings: StandbySettings,
     detector: HeartbeatDetector,
-    machine: FailoverMachine,
+    failover: FailoverMachine,
+    /// The copy of the followed leader's decisions.
     mirror: Mirror,
+    /// This controller's decisions, while it leads.
     log: Option<DecisionLog>,
+    /// When the decisions were last recorded in the log.
     last_record: Option<MonotonicTime>,
+    /// The leader that is followed; `None` while this controller leads.
     followed: Option<FollowedLeader>,
+    /// What the last failover found of the mirrored records.
     verification: VerificationCounts,
+    /// Actions as leader that were given up, as another controller led by then.
     refused_actions: u64,
 }
 
 impl Standby {
-    /// The standby of a site of so many controllers.
+    /// The standby in a site of so many controllers.
     pub fn new(settings: StandbySettings, controllers: usize) -> Self {
         Standby {
             detector: HeartbeatDetector::new(&settings),
-            machine: FailoverMachine::new(
+            failover: FailoverMachine::new(
                 controllers,
                 settings.suspect_after_min_ms,
                 settings.rank_delay_ms,
@@ -62,32 +75,32 @@
         &self.settings
     }
 
-    /// Where it stands on the way to leading.
+    /// The phase of the failover.
     pub fn phase(&self) -> Phase {
-        self.machine.phase()
+        self.failover.phase()
     }
 
-    /// The leader that it follows.
+    /// The leader that is followed; `None` while this controller leads, and before one is known.
     pub fn followed(&self) -> Option<FollowedLeader> {
         self.followed
     }
 
-    /// The copy of the leader's decisions.
+    /// The copy of the followed leader's decisions.
     pub fn mirror(&self) -> &Mirror {
         &self.mirror
     }
 
-    /// The log, while this controller leads.
+    /// The decision log, while this controller leads.
     pub fn log(&self) -> Option<&DecisionLog> {
         self.log.as_ref()
     }
 
-    /// What is asked of the leader.
+    /// The request for decisions that goes to the leader with each summary.
     pub fn request(&self) -> FollowRequest {
         self.mirror.request()
     }
 
-    /// The replica shows another leader than this process.
+    /// The replica shows that another process leads: follows it, and gives up the own decision log.
     pub fn follow(&mut self, now: MonotonicTime, leader: FollowedLeader) {
         if self.followed.replace(leader) == Some(leader) {
             return;
@@ -98,7 +111,7 @@
         self.step(now, Event::ReplicaShows { term: leader.term, mine: false });
     }
 
-    /// The leader answered with a plan to a request that was sent then, with decisions if there were new ones.
+    /// The leader answered a request, sent at `sent`, with a plan: a sign of life, and decisions if there were new ones.
     pub fn receive_plan(&mut self, sent: MonotonicTime, term: Term, batch: Option<&Batch>) {
         if !self.record_heartbeat(sent, term) {
             return;
@@ -119,31 +132,32 @@
         }
     }
 
-    /// The leader of that term answered a request that was sent then; false if it is not the one that is followed.
+    /// The leader of that term answered a request that was sent at `sent`; false if another leader is followed, whose silence
+    /// this does not end.
     pub fn record_heartbeat(&mut self, sent: MonotonicTime, term: Term) -> bool {
-        let followed = self.followed.is_some_and(|f| f.term == term);
-        if followed {
+        let is_followed = self.followed.is_some_and(|leader| leader.term == term);
+        if is_followed {
             self.detector.heartbeat(sent);
         }
-        followed
+        is_followed
     }
 
-    /// Time passes; `rank` as [`Event::Tick`] has it.
+    /// Advances the failure detector and the failover; `rank` as in [`Event::Tick`].
     pub fn tick(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<Command> {
         self.detector.tick(now);
         let suspected = self.followed.is_some() && self.detector.suspects(now);
         self.step(now, Event::Tick { suspected, rank })
     }
 
-    /// Takes an event to the takeover's state machine and logs where that leads.
+    /// Passes an event to the failover's state machine and logs a change of phase.
     pub fn step(&mut self, now: MonotonicTime, event: Event) -> Option<Command> {
-        let before = self.machine.phase();
-        let command = self.machine.step(now, event);
-        let after = self.machine.phase();
+        let before = self.failover.phase();
+        let command = self.failover.step(now, event);
+        let after = self.failover.phase();
         if before != after {
-            let term = self.machine.term();
-            let back = self.machine.last_back().filter(|_| after == Phase::Following);
-            match back {
+            let term = self.failover.term();
+            let returned = self.failover.last_back().filter(|_| after == Phase::Following);
+            match returned {
                 Some(reason) => info!(%term, from = %before, %reason, "standby: following again"),
                 None => info!(%term, from = %before, to = %after, "standby"),
             }
@@ -151,13 +165,14 @@
         command
     }
 
-    /// Milliseconds since the leader of that term was heard; `None` if this controller does not follow it.
+    /// Milliseconds since the leader of that term was last heard; `None` if it is not followed.
     pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
-        self.followed.filter(|f| f.term == term)?;
+        self.followed.filter(|leader| leader.term == term)?;
         self.detector.silence_ms(now)
     }
 
-    /// This process leads that term from now on. The old leader's decisions are compared before that.
+    /// This process leads that term from now on. `verification` counts what the replica confirmed of the previous leader's
+    /// decisions, if they were compared.
     pub fn begin_leading(
         &mut self,
         now: MonotonicTime,
@@ -170,7 +185,7 @@
         if let Some(counts) = verification {
             self.verification = counts;
             self.step(now, Event::Verified);
-            let taken = self.machine.last_failover().map(FailoverStatus::from);
+            let taken = self.failover.last_failover().map(FailoverStatus::from);
             info!(%term, ?taken, ?counts, "standby: took over");
         }
     }
@@ -180,7 +195,7 @@
         self.log.is_some() && self.last_record.is_none_or(|at| now.since(at) >= RECORD_PERIOD_MS)
     }
 
-    /// As the leader, records what the decisions add up to.
+    /// As the leader, records the decisions that hold now.
     pub fn record(&mut self, now: ClockReading, target: &DecisionTarget) {
         if let Some(log) = &mut self.log {
             self.last_record = Some(now.steady);
@@ -188,37 +203,40 @@
         }
     }
 
-    /// As the leader, what a standby gets in the answer to its summary.
+    /// As the leader, the decisions for a standby that asked for them; `None` in another term than that of the log, or if
+    /// there are no new ones.
     pub fn batch_for(&mut self, term: Term, request: &FollowRequest) -> Option<Batch> {
         self.log.as_mut().filter(|log| log.term() == term)?.batch_for(request)
     }
 
-    /// An action as the leader was given up, as this process leads no longer.
+    /// Counts an action as leader that was given up, as this process no longer leads.
     pub fn record_refused_action(&mut self) {
         self.refused_actions += 1;
     }
 
-    /// Actions that were given up.
+    /// Actions as leader that were given up.
     pub fn refused_actions(&self) -> u64 {
         self.refused_actions
     }
 
-    /// The outcome of taking the next term.
+    /// The transaction that takes the next term has an outcome.
     pub fn on_fence_outcome(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         self.step(now, Event::FenceAnswered(outcome));
     }
 
-    /// Whether the last takeover was that of this term and had that cause.
+    /// Whether the last failover led to this term and had that cause.
     pub fn failed_over_by(&self, cause: Cause, term: Term) -> bool {
-        self.machine.last_failover().is_some_and(|t| t.term == term && t.cause == cause)
+        self.failover
+            .last_failover()
+            .is_some_and(|failover| failover.term == term && failover.cause == cause)
     }
 
-    /// What the last takeover found of the mirrored records.
+    /// What the last failover found of the mirrored records.
     pub fn verification(&self) -> VerificationCounts {
         self.verification
     }
 
-    /// What operators are shown; `names` are those of all controllers.
+    /// The status for operators; `names` are those of all controllers, by index.
     pub fn status(
         &self,
         now: MonotonicTime,
@@ -235,24 +253,25 @@
             (false, false) => Role::Observer,
         };
         let leader = if leads { Some(me) } else { self.followed.map(|f| f.node) };
-        let silence = self.detector.silence_ms(now).filter(|_| !leads && self.followed.is_some());
+        let silence_ms =
+            self.detector.silence_ms(now).filter(|_| !leads && self.followed.is_some());
         let state = self.log.as_ref().map_or(self.mirror.state(), DecisionLog::state);
         let counts = self.mirror.counts();
         Status {
             controller,
             role,
-            phase: self.machine.phase().to_string(),
-            term: self.log.as_ref().map_or(self.machine.term(), DecisionLog::term).0,
+            phase: self.failover.phase().to_string(),
+            term: self.log.as_ref().map_or(self.failover.term(), DecisionLog::term).0,
             leader: leader.map(name),
-            leader_silent_ms: silence,
-            phi: if leads { 0.0 } else { self.detector.phi(now).min(999.0) },
+            leader_silent_ms: silence_ms,
+            phi: if leads { 0.0 } else { self.detector.phi(now).min(MAX_SHOWN_PHI) },
             lag_records: if leads { 0 } else { self.mirror.lag_records() },
             lag_s: if leads { 0.0 } else { self.mirror.lag_ms(wall) as f64 / 1_000.0 },
             entries: state.len(),
             divergences: counts.divergences,
             malformed: counts.malformed,
-            last_back: self.machine.last_back().map(|reason| reason.to_string()),
-            last_failover: self.machine.last_failover().map(FailoverStatus::from),
+            last_back: self.failover.last_back().map(|reason| reason.to_string()),
+            last_failover: self.failover.last_failover().map(FailoverStatus::from),
             verification: self.verification,
             refused_actions: self.refused_actions,
         }
