--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,8 @@
-//! The interface for users, workers and health checks.
+//! The HTTP interface for users, workers and health checks.
+//!
+//! A job is answered as accepted, cancelled or unknown only when the store has confirmed it. A controller that the store
+//! does not serve forwards users' requests to its peers, once; if none of them can answer, the user gets 503 at once and
+//! may repeat the request, as all requests are idempotent by the job's id.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -108,6 +112,7 @@
         self.answer_user(path, &request).await
     }
 
+    /// Answers a user's request.
     async fn answer_user(self: &Rc<Self>, path: &str, request: &Request) -> Response {
         let method = request.method.as_str();
         if path == "/api/jobs" {
@@ -119,21 +124,21 @@
         let Some(rest) = path.strip_prefix("/api/jobs/") else {
             return Response::empty(404);
         };
-        let (id, wanted, abort) = match rest.strip_suffix("/abort") {
+        let (id, allowed_method, aborts) = match rest.strip_suffix("/abort") {
             Some(id) => (id, "POST", true),
             None => (rest, "GET", false),
         };
         if id.contains('/') {
             return Response::empty(404);
         }
-        if method != wanted {
+        if method != allowed_method {
             return Response::empty(405);
         }
         // No job can have an id of another form.
         let Some(id) = JobId::parse(id) else {
             return Response::empty(404);
         };
-        if abort {
+        if aborts {
             self.abort(id, Forwarding::Allowed).await
         } else {
             self.query(id, Forwarding::Allowed).await
@@ -188,6 +193,7 @@
         controller.loaded && controller.store_ok
     }
 
+    /// Decodes and checks a submission.
     async fn on_submit(&self, body: &[u8]) -> Response {
         if !wire::is_map(body) {
             return Response::empty(400);
@@ -213,33 +219,14 @@
         }
         let known = self.controller.borrow().replica.jobs.contains_key(&id);
         if !known {
-            match self.feasibility(&spec) {
-                Feasibility::Unknown => return Response::later(1),
-                // An accepted job that is submitted again is never answered that it cannot run.
-                Feasibility::Infeasible(why) => {
-                    return match self.lookup(id).await {
-                        Ok(Lookup::Unknown) => refusal(422, why),
-                        Ok(Lookup::Known(answer)) => answer,
-                        Err(_) => Response::later(1),
-                    };
-                }
-                Feasibility::Feasible => {}
+            if let Some(refusal) = self.refuse_infeasible(&spec).await {
+                return refusal;
             }
             match self.accept(spec.clone()).await {
+                // While the store's answer was on its way, others may have read the job, answered for it and
+                // cancelled it.
                 SubmissionOutcome::New => {
-                    // While the store's answer was on its way, others may have read the job, answered for it and
-                    // cancelled it.
-                    if let Some(answer) = self.final_answer(id) {
-                        return answer;
-                    }
-                    let answer = JobAnswer {
-                        job: id,
-                        state: JobState::Pending,
-                        done: 0,
-                        running: 0,
-                        reason: None,
-                    };
-                    return Response::new(201, wire::encode(&answer));
+                    return self.final_answer(id).unwrap_or_else(|| accepted_answer(id));
                 }
                 SubmissionOutcome::Known => {}
                 SubmissionOutcome::Failed => {
@@ -255,6 +242,22 @@
         }
     }
 
+    /// The answer to a submission of a job that can never run, or of which that is not known yet; `None` if the job is
+    /// to be accepted.
+    async fn refuse_infeasible(&self, spec: &JobSpec) -> Option<Response> {
+        match self.feasibility(spec) {
+            Feasibility::Feasible => None,
+            Feasibility::Unknown => Some(Response::later(1)),
+            // An accepted job that is submitted again is never answered that it cannot run.
+            Feasibility::Infeasible(why) => Some(match self.lookup(spec.id).await {
+                Ok(Lookup::Unknown) => refusal(422, why),
+                Ok(Lookup::Known(answer)) => answer,
+                Err(_) => Response::later(1),
+            }),
+        }
+    }
+
+    /// Forwards a request if it may be; the answer is 503 if not.
     async fn forward_if_allowed(&self, forwarding: Forwarding, request: PeerRequest) -> Response {
         match forwarding {
             Forwarding::Allowed => self.forward(request).await,
@@ -386,6 +389,12 @@
     }
 }
 
+/// The answer to a submission that has just become durable.
+fn accepted_answer(job: JobId) -> Response {
+    let answer = JobAnswer { job, state: JobState::Pending, done: 0, running: 0, reason: None };
+    Response::new(201, wire::encode(&answer))
+}
+
 /// A refusal with its reason, as users see it.
 fn refusal(status: u16, why: &str) -> Response {
     let body = ciborium::Value::Map(vec![("error".into(), why.into())]);
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -47,13 +47,13 @@
         if self.leader_from_peer.is_some() {
             return; // What the replica shows is of an earlier term.
         }
-        let own_record = self.replica.leader.as_ref().map(|(r, _)| r).filter(|r| {
-            r.node == self.me && r.incarnation == self.incarnation && r.term == self.replica.term
-        });
+        let own_record = self.replica.leader.as_ref().map(|(record, _)| record);
+        let own_record =
+            own_record.filter(|r| self.is_this_process(r) && r.term == self.replica.term);
         match (own_record, &self.leader) {
-            (Some(r), Some(leader)) if leader.term == r.term => {}
-            (Some(r), _) => {
-                let term = r.term;
+            (Some(record), Some(leader)) if leader.term == record.term => {}
+            (Some(record), _) => {
+                let term = record.term;
                 info!(%term, "leading");
                 self.with_cluster_view(now, |leader, cluster| {
                     let previous = leader.take();
