--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -12,7 +12,7 @@
 use crate::replica::tests::group;
 use crate::replica::{self, Accepted, EpochRecord, LeaderRecord, ReplicaChanges, TermRecord};
 use crate::wire::tests::spec;
-use crate::wire::{self, Change, KeyValue, Priority, TaskState};
+use crate::wire::{self, Change, JobKind, KeyValue, Priority, TaskState};
 
 const INCARNATION: Incarnation = Incarnation(5);
 
