--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,37 +1,48 @@
-//! The leader's work: gather part summaries, admit, divide shares and task ranges over
-//! parts, write the epoch, and only then hand out plans.
+//! The leader's work: gather the shards' summaries, admit jobs, divide shares and task ranges over
+//! shards, write the epoch, and only then hand out plans.
 //!
-//! A term begins with nothing granted. Whatever an earlier term granted and is not done may
-//! be running, and is unresolved until every machine that may hold it has reported with the new
-//! token, and so refuses older orders, or is proven gone. Owners are fixed within a term;
-//! losing a controller or moving a machine takes a new term of the same leader.
+//! Invariants (argued in `docs/safety.md`):
+//!
+//! - **What an earlier term granted is unresolved until proven.** A term begins with nothing granted.
+//!   Whatever an earlier term granted and is not done may be running, until every machine that may
+//!   hold it has reported with the new token, and so refuses older commands, or is proven gone. The
+//!   `ledger` module keeps this ("When a task is free").
+//! - **Durable before said.** An [`Epoch`] holds only once its transaction is carried out:
+//!   [`Leader::epoch`] works it out, [`Leader::publish`] makes it hold.
+//! - **Owners are fixed within a term.** Losing a controller or moving a machine takes a new term of
+//!   the same leader ([`Leader::renew_term`]).
+//! - **A new term voids what the last one said.** Of a [`Leader`], only its machines, [`Remembered`] and
+//!   what the ledger turns into unresolved tasks reach its next term.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use rustc_hash::{FxHashMap, FxHashSet};
+use rustc_hash::FxHashMap;
 
 use crate::autoscaler::{self, MarketState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, SummaryOutcome};
-use crate::lease::AttemptAllocator;
-use crate::model::{
-    Attempt, Cores, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges, TaskId, Term,
-};
+use crate::model::{Cores, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges, TaskId, Term};
 use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::Txn;
 
-/// Least time between two new terms that only balance the parts.
+/// Least time between two new terms that only balance the shards: a new term costs a round of
+/// reconciliation.
 const REBALANCE_MS: u64 = 30_000;
 
 mod allocation;
 mod describe;
 mod epoch_transaction;
 mod expected_releases;
+mod gang_presence;
+mod gang_reservation;
 mod gang_scheduling;
+mod grant_groups;
 mod grant_records;
 mod granting;
 mod importance;
+mod inputs;
+mod ledger;
 mod machine_speed;
 mod plans;
 mod quotas;
@@ -42,87 +53,123 @@
 mod term_start;
 
 use allocation::EpochAllocation;
-use machine_speed::Speed;
+use inputs::EpochInputs;
+use ledger::{GrantLedger, TaskGrant};
+use machine_speed::{ClassRunTimes, JobRunTimes, RunningSince, Speed};
 use scaling::SCALING_PERIOD_MS;
 
-#[derive(Clone)]
-struct TaskGrant {
-    node: NodeId,
-    attempt: Option<Attempt>,
-    at: MonotonicTime,
-    zone: Option<String>,
-    /// Whether a worker has shown it; followed for gangs only.
-    seen: bool,
-    /// Whether it waits for a place that another task is about to leave.
-    ahead: bool,
-}
-
-struct RevokedGrant {
-    node: NodeId,
-    seq: PlanSeq,
-    zone: Option<String>,
-}
-
 /// One epoch's outcome, to be written before it is published.
 #[derive(Default)]
 pub struct Epoch {
     /// The transaction, unless nothing durable changes.
     pub txn: Option<Txn>,
     grants: Vec<(TaskId, TaskGrant)>,
-    /// What is on record of jobs' grants once the transaction is carried out, by key.
+    /// What is on record of jobs' grants once the transaction is carried out.
     recorded: Vec<(JobId, Ranges)>,
     /// Tasks that this adds to the record without granting them.
-    ahead: Vec<TaskId>,
+    recorded_ahead: Vec<TaskId>,
 }
 
 /// The leader's state in one term.
 pub struct Leader {
     /// Its term.
     pub term: Term,
+    /// When the term began.
     began: MonotonicTime,
-    seq: PlanSeq,
-    /// The machines.
-    pub fleet: Fleet,
-    granted: BTreeMap<TaskId, TaskGrant>,
-    revoked: FxHashMap<TaskId, RevokedGrant>,
-    attempts: AttemptAllocator,
-    unresolved: FxHashSet<TaskId>,
-    /// Grants on record, in the store.
-    recorded: FxHashMap<JobId, Ranges>,
-    /// Tasks that two machines show.
-    duplicated: FxHashSet<TaskId>,
-    /// Tasks on record that were never granted: this leader put them there ahead of time.
-    ahead: FxHashSet<TaskId>,
-    bodies: BTreeMap<NodeId, PlanBody>,
-    job_statuses_sent: MonotonicTime,
     /// Set when a new term is needed, with the reason.
     pub renew_term: Option<&'static str>,
-    rebalanced: MonotonicTime,
-    /// What is remembered of the market.
+    /// The machines. Those stay in the next term; what controllers told of them does not.
+    pub fleet: Fleet,
+    /// What stays in this leader's next term.
+    pub remembered: Remembered,
+    /// Which tasks may be running. The next term takes all of them as unresolved.
+    ledger: GrantLedger,
+    /// Void in the next term.
+    plans: PublishedPlans,
+    /// Void in the next term.
+    jobs: JobObservations,
+    /// Void in the next term.
+    gangs: GangStates,
+    /// Void in the next term.
+    scaling: ScalingState,
+    /// Void in the next term.
+    last_writes: LastWrites,
+}
+
+/// What a leader remembers from one of its terms to the next. None of it says where a task is.
+#[derive(Default)]
+pub struct Remembered {
+    /// The market and the load.
     pub market: MarketState,
+    /// When a term was last renewed only to balance the shards.
+    rebalanced: MonotonicTime,
+    /// How long tasks ran compared with their owners' estimates, by class of jobs.
+    class_run_times: HashMap<String, ClassRunTimes>,
+    /// How fast machines are.
+    machine_speeds: FxHashMap<MachineId, Speed>,
+    /// Images of gangs, and when one that needs it was last open.
+    gang_images: FxHashMap<Rc<str>, MonotonicTime>,
+}
+
+/// The plans of this term.
+#[derive(Default)]
+struct PublishedPlans {
+    /// The plan that was published last; 0 before the first epoch holds.
+    seq: PlanSeq,
+    /// What that plan tells each controller.
+    bodies: BTreeMap<NodeId, PlanBody>,
+    /// When controllers were last told how jobs stand.
+    job_statuses_sent: MonotonicTime,
+}
+
+/// What is seen of jobs in this term.
+#[derive(Default)]
+struct JobObservations {
+    /// Why jobs wait, as of the last epoch.
     wait_reasons: HashMap<JobId, WaitReason>,
-    /// Shares of the last epoch.
+    /// Tasks that the last epoch admitted.
     shares: BTreeMap<JobId, u32>,
-    runs: HashMap<String, (f64, f64)>,
-    seen_running: FxHashMap<TaskId, (MonotonicTime, MachineId)>,
-    /// Seconds that a job's tasks ran in all, and their number.
-    job_runs: FxHashMap<JobId, (f64, u32)>,
-    speeds: FxHashMap<MachineId, Speed>,
-    decision: autoscaler::ScalingDecision,
-    decided: Option<MonotonicTime>,
-    machines_written: MonotonicTime,
-    load_written: MonotonicTime,
+    /// Where and since when tasks run.
+    running_since: FxHashMap<TaskId, RunningSince>,
+    /// How long tasks of open jobs ran.
+    run_times: FxHashMap<JobId, JobRunTimes>,
     /// Since when open jobs have had no task on a machine or on its way there.
-    idle: FxHashMap<JobId, MonotonicTime>,
-    /// Gangs granted in this term, and those that are being stopped.
-    gangs: FxHashMap<JobId, gang_scheduling::Gang>,
+    idle_since: FxHashMap<JobId, MonotonicTime>,
+}
+
+/// Gangs in this term.
+#[derive(Default)]
+struct GangStates {
+    /// Gangs granted in this term.
+    granted: FxHashMap<JobId, gang_scheduling::Gang>,
+    /// Gangs that are being stopped.
     pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
-    /// Machines that are kept for gangs.
+    /// Machines that are reserved for gangs, sorted.
     reserved: Vec<MachineId>,
-    /// Images of gangs, and when one that needs it was last open.
-    gang_images: FxHashMap<Rc<str>, MonotonicTime>,
     /// When a gang that has to be spread over zones was last open.
-    spread_gangs: Option<MonotonicTime>,
+    spread_seen: Option<MonotonicTime>,
+}
+
+/// What was decided last about renting and returning machines.
+#[derive(Default)]
+struct ScalingState {
+    decision: autoscaler::ScalingDecision,
+    /// When; `None` if a decision is due.
+    decided_at: Option<MonotonicTime>,
+}
+
+/// When what is not written with every epoch was last written.
+#[derive(Default)]
+struct LastWrites {
+    machines: MonotonicTime,
+    load: MonotonicTime,
+}
+
+impl PublishedPlans {
+    /// The plan that the next publication brings.
+    fn next(&self) -> PlanSeq {
+        PlanSeq(self.seq.0 + 1)
+    }
 }
 
 impl Epoch {
@@ -133,14 +180,15 @@
 }
 
 impl Leader {
-    /// Takes a summary and returns the answer, and whether the summary tells anything that an
+    /// Applies a summary and returns the answer, and whether the summary tells anything that an
     /// epoch should look at soon.
-    pub fn on_summary(&mut self, now: MonotonicTime, s: Summary) -> (PeerResponse, bool) {
-        if s.term != self.term {
+    pub fn on_summary(&mut self, now: MonotonicTime, summary: Summary) -> (PeerResponse, bool) {
+        if summary.term != self.term {
             return (PeerResponse::NotLeading(self.term), false);
         }
-        let (node, applied_plan) = (s.node, if s.more { PlanSeq(0) } else { s.applied_plan });
-        match self.fleet.on_summary(now, s) {
+        let node = summary.node;
+        let applied_plan = if summary.more { PlanSeq(0) } else { summary.applied_plan };
+        match self.fleet.on_summary(now, summary) {
             SummaryOutcome::NewIncarnation => {
                 self.renew_term.get_or_insert("a controller restarted");
                 (PeerResponse::NotLeading(self.term), true)
@@ -148,12 +196,12 @@
             SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
             SummaryOutcome::Gap => (PeerResponse::SendWhole, false),
             SummaryOutcome::Yes(changed) => {
-                if !self.revoked.is_empty() {
-                    self.free_revoked(node, applied_plan);
+                if !self.ledger.revoked.is_empty() {
+                    self.ledger.free_revoked(&self.fleet, node, applied_plan);
                 }
                 let plan = self.plan_for(node, now);
-                let response = plan.map_or(PeerResponse::NotLeading(self.term), |p| {
-                    PeerResponse::Plan(Box::new(p))
+                let response = plan.map_or(PeerResponse::NotLeading(self.term), |plan| {
+                    PeerResponse::Plan(Box::new(plan))
                 });
                 (response, changed)
             }
@@ -162,43 +210,28 @@
 
     /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
-        self.fleet.follow_members(cluster);
-        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
-        self.check_nodes(cluster);
-        self.fleet.assign(cluster, PlanSeq(self.seq.0 + 1));
-        self.fleet.learn(cluster.now);
-        self.fleet.expire_leases(cluster);
+        self.follow_fleet(cluster);
         // What is on machines borrows the fleet, which nothing below changes.
         let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
         let on_machines = fleet.on_machines();
-        self.learn(cluster, &on_machines);
-        self.log_duplicated_tasks(&fleet, &on_machines);
-        self.reconcile(cluster, &fleet, &on_machines);
-        self.supervise_gangs(cluster, &fleet, &on_machines);
-        let mut targets = self.targets(cluster, &fleet);
-        let mut expected_releases = self.expected_releases(cluster, &fleet, &on_machines, &targets);
-        let extra =
-            expected_releases.iter().fold(Cores(0), |sum, t| Cores(sum.0 + t.free_cores().0));
-        self.place_granted(cluster, &fleet, &on_machines, &mut targets, &mut expected_releases);
-        self.reserve_for_gangs(cluster, &fleet, &on_machines, &mut targets);
-        let allocation = EpochAllocation {
-            used: self.team_use(cluster, &fleet, &on_machines),
-            targets,
-            expected_releases,
-            extra,
-            grants: Vec::new(),
-            counts: self.counts(&on_machines),
-        };
-        let allocation = self.grant(cluster, &fleet, &on_machines, allocation);
-        let mut epoch = Epoch { grants: allocation.grants, ..Epoch::default() };
-        let due = self.decided.is_none_or(|at| cluster.now.since(at) >= SCALING_PERIOD_MS);
+        let inputs = EpochInputs { cluster, fleet: &fleet, on_machines: &on_machines };
+        self.observe_run_times(&inputs);
+        self.log_duplicated_tasks(&inputs);
+        self.reconcile(&inputs);
+        self.supervise_gangs(&inputs);
+        let mut allocation = self.allocation(&inputs);
+        self.grant(&inputs, &mut allocation);
+        let EpochAllocation { grants, targets, .. } = allocation;
+        let mut epoch = Epoch { grants, ..Epoch::default() };
+        let decided_at = self.scaling.decided_at;
+        let due = decided_at.is_none_or(|at| cluster.now.since(at) >= SCALING_PERIOD_MS);
         if due {
-            self.decided = Some(cluster.now);
-            self.decide_scaling(cluster, &fleet, &on_machines, &allocation.targets, &epoch);
+            self.scaling.decided_at = Some(cluster.now);
+            self.decide_scaling(&inputs, &targets, &epoch);
         }
         drop(on_machines);
         self.fleet = fleet;
-        self.fleet.reconciliation_awaited = !self.unresolved.is_empty();
+        self.fleet.reconciliation_awaited = !self.ledger.unresolved.is_empty();
         if due {
             self.drain_for_scale_in();
         }
@@ -206,8 +239,36 @@
         epoch
     }
 
+    /// Brings machines, their owners and leases up to now.
+    fn follow_fleet(&mut self, cluster: &ClusterView<'_>) {
+        self.fleet.follow_members(cluster);
+        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
+        self.check_nodes(cluster);
+        self.fleet.assign(cluster, self.plans.next());
+        self.fleet.learn(cluster.now);
+        self.fleet.expire_leases(cluster);
+    }
+
+    /// What this epoch may fill, with grants under way counted in.
+    fn allocation(&mut self, inputs: &EpochInputs<'_>) -> EpochAllocation {
+        let mut targets = self.targets(inputs);
+        let mut expected_releases = self.expected_releases(inputs, &targets);
+        let expected_cores = expected_releases
+            .iter()
+            .fold(Cores(0), |sum, release| Cores(sum.0 + release.free_cores().0));
+        self.place_granted(inputs, &mut targets, &mut expected_releases);
+        self.reserve_for_gangs(inputs, &mut targets);
+        EpochAllocation {
+            team_use: self.team_use(inputs),
+            targets,
+            expected_releases,
+            expected_cores,
+            grants: Vec::new(),
+        }
+    }
+
     /// Asks for a new term when an owner is lost, machines cannot reach their owner, or the
-    /// parts are out of balance.
+    /// shards are out of balance.
     fn check_nodes(&mut self, cluster: &ClusterView<'_>) {
         let now = cluster.now;
         if self.renew_term.is_some() {
@@ -215,7 +276,7 @@
         }
         self.renew_term =
             self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
-        let calm = now.since(self.rebalanced.max(self.began)) > REBALANCE_MS;
+        let calm = now.since(self.remembered.rebalanced.max(self.began)) > REBALANCE_MS;
         if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
             let live = self.fleet.eligible_owners(now);
             let owners = &self.fleet.owners;
@@ -225,7 +286,7 @@
                     && owners.keys().any(|m| self.fleet.owner_for(cluster, m, &live) == Some(*id))
             });
             if idle {
-                self.rebalanced = now;
+                self.remembered.rebalanced = now;
                 self.renew_term = Some("a controller came back and has no part");
             }
         }
@@ -233,13 +294,13 @@
 
     /// The number of the plan that was published last; 0 before the first epoch holds.
     pub fn published(&self) -> PlanSeq {
-        self.seq
+        self.plans.seq
     }
 
     /// The cloud confirmed that these machines and all on them are gone.
     pub fn machines_gone(&mut self, ids: &[MachineId]) {
-        self.fleet.machines_gone(ids, PlanSeq(self.seq.0 + 1));
-        self.speeds.retain(|id, _| !ids.contains(id));
+        self.fleet.machines_gone(ids, self.plans.next());
+        self.remembered.machine_speeds.retain(|id, _| !ids.contains(id));
     }
 }
 
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -1,144 +1,230 @@
 //! What an epoch fills: cores of teams, room on machines and places about to be left, and the grants
-//! that come of it.
+//! that come of it. It is worked out anew in each epoch and holds nothing that a task's safety rests on.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use rustc_hash::FxHashMap;
-
+use super::Leader;
 use super::expected_releases::{ExpectedRelease, take_expected_releases};
+use super::grant_groups::GrantGroup;
+use super::inputs::EpochInputs;
+use super::ledger::TaskGrant;
 use super::machine_speed::Speed;
-use super::{ClusterView, Leader, TaskGrant};
-use crate::fleet::{Fleet, TasksOnMachines};
-use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
+use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::{self, PlacementTarget, Resources};
 use crate::replica::Job;
-use crate::{placement, wire};
+use crate::wire::JobSpec;
+
+/// What a team may be using.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct TeamUse {
+    /// Cores.
+    pub(super) cores: Cores,
+    /// Accelerators.
+    pub(super) accelerators: Cores,
+}
+
+impl TeamUse {
+    /// Counts tasks in that take `need` each.
+    pub(super) fn add(&mut self, need: &Resources, tasks: u64) {
+        self.cores.0 += need.cores.0 * tasks;
+        self.accelerators.0 += need.accelerators.0 * tasks;
+    }
+}
 
 /// What an epoch fills: teams' use of cores and accelerators, room on machines, and grants.
-#[derive(Clone)]
 pub(super) struct EpochAllocation {
-    pub(super) used: Vec<(Cores, Cores)>,
+    /// What each team may be using.
+    pub(super) team_use: Vec<TeamUse>,
+    /// The machines.
     pub(super) targets: Vec<PlacementTarget>,
-    /// Places that tasks are about to leave, and their cores, granted ones included.
+    /// Places that tasks are about to leave.
     pub(super) expected_releases: Vec<ExpectedRelease>,
-    pub(super) extra: Cores,
+    /// Their cores, granted ones included.
+    pub(super) expected_cores: Cores,
+    /// What this epoch grants.
     pub(super) grants: Vec<(TaskId, TaskGrant)>,
-    /// How many tasks of each job are held, and how many may be running somewhere.
-    pub(super) counts: FxHashMap<JobId, (u32, u32)>,
+}
+
+/// What is to be granted of a job.
+pub(super) struct GrantRequest<'a> {
+    /// The job.
+    pub(super) job: &'a Job,
+    /// What each of its tasks takes.
+    pub(super) need: Resources,
+    /// Its team, by number.
+    pub(super) team: usize,
+    /// Tasks that it holds already.
+    pub(super) held: u32,
+    /// Tasks to grant at most.
+    pub(super) count: usize,
+    /// Whether they may also wait for places that others are about to leave.
+    pub(super) may_await_release: bool,
+}
+
+/// Where a task is granted.
+pub(super) struct GrantedPlace {
+    /// The controller.
+    pub(super) node: NodeId,
+    /// Whether another task is about to leave it.
+    pub(super) awaits_release: bool,
+    /// Set for jobs that are bound to zones.
+    pub(super) zone: Option<String>,
 }
 
 impl EpochAllocation {
-    /// Takes places for up to `count` tasks of a job: on machines with room, and, if `ahead`,
-    /// where others are about to end.
+    /// Takes places for up to `count` tasks of a job: on machines with room, and, if they may await
+    /// a release, where others are about to end.
     fn choose_places(
         &mut self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        job: &Job,
-        mut zones: ZoneRule,
+        inputs: &EpochInputs<'_>,
+        request: &GrantRequest<'_>,
+        zones: ZoneRule,
         count: usize,
-        ahead: bool,
     ) -> Vec<GrantedPlace> {
-        let need = Resources::of(&job.spec);
+        if zones.binds() {
+            return self.choose_places_in_zones(inputs, request, zones, count);
+        }
+        let GrantRequest { job, need, .. } = request;
         let mut places = Vec::new();
-        if !zones.binds() {
-            for i in placement::spread(&job.spec, &need, &mut self.targets, None, count) {
-                places.extend(self.place_on(fleet, i, false));
-            }
-            let left = if ahead { count - places.len() } else { 0 };
-            let expected_releases = &mut self.expected_releases;
-            for i in take_expected_releases(expected_releases, &job.spec, &need, None, left) {
-                places.push(GrantedPlace {
-                    node: expected_releases[i].owner,
-                    ahead: true,
-                    zone: None,
-                });
-            }
-            return places;
+        for i in placement::spread(&job.spec, need, &mut self.targets, None, count) {
+            places.extend(self.place_on(inputs, i, false));
         }
+        let missing = if request.may_await_release { count - places.len() } else { 0 };
+        let releases = &mut self.expected_releases;
+        for i in take_expected_releases(releases, &job.spec, need, None, missing) {
+            let node = releases[i].owner;
+            places.push(GrantedPlace { node, awaits_release: true, zone: None });
+        }
+        places
+    }
+
+    /// The same for a job that is bound to zones, one task after the other.
+    fn choose_places_in_zones(
+        &mut self,
+        inputs: &EpochInputs<'_>,
+        request: &GrantRequest<'_>,
+        mut zones: ZoneRule,
+        count: usize,
+    ) -> Vec<GrantedPlace> {
+        let GrantRequest { job, need, .. } = request;
+        let mut places = Vec::new();
         while places.len() < count {
-            let open = zones.open(&cluster.settings.params.zones);
+            let open = zones.open(&inputs.cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
-                placement::choose(&job.spec, &need, &self.targets, Some(zone.as_str()))
+                placement::choose(&job.spec, need, &self.targets, Some(zone.as_str()))
             }) else {
                 break;
             };
-            self.targets[i].add(&job.spec, &need);
+            self.targets[i].add(&job.spec, need);
             zones.count(&self.targets[i].zone);
-            places.extend(self.place_on(fleet, i, true));
+            places.extend(self.place_on(inputs, i, true));
         }
         places
     }
 
     /// Whether there is a place for a task at all.
-    fn may_hold(&self, spec: &wire::JobSpec, need: &Resources, ahead: bool) -> bool {
-        self.targets.iter().any(|r| r.takes(spec, need, None))
-            || ahead && self.expected_releases.iter().any(|t| t.takes(spec, need))
+    fn may_hold(&self, request: &GrantRequest<'_>) -> bool {
+        let GrantRequest { job: Job { spec, .. }, need, .. } = request;
+        self.targets.iter().any(|target| target.takes(spec, need, None))
+            || request.may_await_release
+                && self.expected_releases.iter().any(|release| release.takes(spec, need))
     }
 
-    fn place_on(&self, fleet: &Fleet, target: usize, bound: bool) -> Option<GrantedPlace> {
+    /// The place on a machine; `None` if nobody owns it. `bound` if the job is bound to zones.
+    pub(super) fn place_on(
+        &self,
+        inputs: &EpochInputs<'_>,
+        target: usize,
+        bound: bool,
+    ) -> Option<GrantedPlace> {
         let target = &self.targets[target];
-        let (node, _) = fleet.owners.get(&target.id).copied()?;
-        Some(GrantedPlace { node, ahead: false, zone: bound.then(|| target.zone.to_string()) })
+        let node = inputs.owner(&target.id)?;
+        let zone = bound.then(|| target.zone.to_string());
+        Some(GrantedPlace { node, awaits_release: false, zone })
     }
-}
 
-/// Where a task is granted.
-struct GrantedPlace {
-    node: NodeId,
-    /// Whether another task is about to leave it.
-    ahead: bool,
-    /// Set for jobs that are bound to zones.
-    zone: Option<String>,
+    /// Grants a task and counts it for its team.
+    pub(super) fn push_grant(
+        &mut self,
+        now: MonotonicTime,
+        request: &GrantRequest<'_>,
+        task: TaskId,
+        place: GrantedPlace,
+        attempt: Option<Attempt>,
+    ) {
+        if let Some(used) = self.team_use.get_mut(request.team) {
+            used.add(&request.need, 1);
+        }
+        let GrantedPlace { node, awaits_release, zone } = place;
+        let grant = TaskGrant { node, attempt, at: now, zone, seen: false, awaits_release };
+        self.grants.push((task, grant));
+    }
 }
 
 /// Where a job's tasks may be in relation to each other.
 pub(super) struct ZoneRule {
+    /// Whether all have to be in one.
     pub(super) one: bool,
-    pub(super) most_per_zone: Option<u32>,
-    pub(super) counts: BTreeMap<String, u32>,
+    /// Tasks that a zone may hold if they have to be spread.
+    most_per_zone: Option<u32>,
+    /// Tasks that are there, by zone.
+    counts: BTreeMap<String, u32>,
 }
 
 impl ZoneRule {
-    pub(super) fn of(spec: &wire::JobSpec) -> Self {
+    /// The rule of a job, before any of its tasks is counted in.
+    pub(super) fn of(spec: &JobSpec) -> Self {
         ZoneRule {
             one: spec.one_zone,
             most_per_zone: spec.spread_zones.then(|| spec.task_count.div_ceil(2)),
             counts: BTreeMap::new(),
         }
     }
+
+    /// Whether it restricts anything.
     pub(super) fn binds(&self) -> bool {
         self.one || self.most_per_zone.is_some()
     }
+
+    /// Counts a task in.
     pub(super) fn count(&mut self, zone: &str) {
         *self.counts.entry(zone.to_string()).or_default() += 1;
     }
+
+    /// How many more tasks a zone may take as far as spreading goes.
+    pub(super) fn room(&self, zone: &str) -> u32 {
+        let limit = self.most_per_zone.unwrap_or(u32::MAX);
+        limit.saturating_sub(self.counts.get(zone).copied().unwrap_or(0))
+    }
+
     /// Zones that may take another task, emptiest first.
     pub(super) fn open(&self, zones: &[String]) -> Vec<String> {
         let mut open: Vec<String> = zones
             .iter()
-            .filter(|z| {
-                let here = self.counts.get(*z).copied().unwrap_or(0);
-                let others = self.counts.iter().any(|(o, n)| o != *z && *n > 0);
-                !(self.one && others) && self.most_per_zone.is_none_or(|m| here < m)
+            .filter(|zone| {
+                let others = self.counts.iter().any(|(other, tasks)| other != *zone && *tasks > 0);
+                !(self.one && others) && self.room(zone) > 0
             })
             .cloned()
             .collect();
-        open.sort_by_key(|z| self.counts.get(z).copied().unwrap_or(0));
+        open.sort_by_key(|zone| self.counts.get(zone).copied().unwrap_or(0));
         open
     }
 }
 
-/// Where the rooms of each controller's part are. They come part by part. Looked up for each job anew, the owners of
-/// all rooms took most of an epoch at 4,000 machines.
-fn shard_ranges(fleet: &Fleet, targets: &[PlacementTarget]) -> BTreeMap<NodeId, Range<usize>> {
+/// Where the machines of each controller's shard are among the targets. They come shard by shard. Looked
+/// up for each job anew, the owners of all machines took most of an epoch at 4,000 machines.
+fn shard_ranges(
+    inputs: &EpochInputs<'_>,
+    targets: &[PlacementTarget],
+) -> BTreeMap<NodeId, Range<usize>> {
     let mut shards: BTreeMap<NodeId, Range<usize>> = BTreeMap::new();
     for (at, target) in targets.iter().enumerate() {
-        let Some((owner, _)) = fleet.owners.get(&target.id) else { continue };
-        let shard = shards.entry(*owner).or_insert(at..at);
-        // What is behind a gap is not taken for this part's.
+        let Some(owner) = inputs.owner(&target.id) else { continue };
+        let shard = shards.entry(owner).or_insert(at..at);
+        // What is behind a gap is not taken for this shard's.
         if shard.end == at {
             shard.end = at + 1;
         }
@@ -148,115 +234,91 @@
 
 impl Leader {
     /// Machines as placement sees them.
-    pub(super) fn targets(&self, cluster: &ClusterView<'_>, fleet: &Fleet) -> Vec<PlacementTarget> {
-        let mut targets = fleet.targets(cluster);
+    pub(super) fn targets(&self, inputs: &EpochInputs<'_>) -> Vec<PlacementTarget> {
+        let mut targets = inputs.fleet.targets(inputs.cluster);
+        let speeds = &self.remembered.machine_speeds;
         for target in &mut targets {
-            target.slow = self.speeds.get(&target.id).is_some_and(Speed::is_slow);
+            target.slow = speeds.get(&target.id).is_some_and(Speed::is_slow);
         }
         targets
     }
 
-    /// Counts grants under way in where their parts would place them, first on machines with room.
+    /// Counts grants under way in where their shards would place them, first on machines with room.
     pub(super) fn place_granted(
         &self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        on_machines: &TasksOnMachines<'_>,
+        inputs: &EpochInputs<'_>,
         targets: &mut [PlacementTarget],
         expected_releases: &mut [ExpectedRelease],
     ) {
-        type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
-        let mut under_way: BTreeMap<Alike<'_>, usize> = BTreeMap::new();
-        for (t, g) in self.granted.iter().filter(|(t, _)| !on_machines.contains_key(t)) {
-            let alike = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
-            *under_way.entry(alike).or_default() += 1;
+        let mut under_way: BTreeMap<GrantGroup<'_>, usize> = BTreeMap::new();
+        let granted = self.ledger.granted.iter();
+        for (task, grant) in granted.filter(|(task, _)| !inputs.on_machines.contains_key(task)) {
+            *under_way.entry(GrantGroup::of(task, grant)).or_default() += 1;
         }
-        let shards = shard_ranges(fleet, targets);
-        for ((node, job, zone, attempt, ahead), count) in under_way {
-            let Some(job) = cluster.replica.jobs.get(&job) else { continue };
-            if ahead {
-                let need = Resources::of(&job.spec);
-                take_expected_releases(expected_releases, &job.spec, &need, Some(node), count);
+        let shards = shard_ranges(inputs, targets);
+        for (group, count) in under_way {
+            let Some(job) = inputs.cluster.replica.jobs.get(&group.job) else { continue };
+            let need = Resources::of(&job.spec);
+            if group.awaits_release {
+                let owner = Some(group.node);
+                take_expected_releases(expected_releases, &job.spec, &need, owner, count);
                 continue;
             }
-            let shard = shards.get(&node).and_then(|shard| targets.get_mut(shard.clone()));
+            let shard = shards.get(&group.node).and_then(|shard| targets.get_mut(shard.clone()));
             let shard = shard.unwrap_or_default();
-            let need = Resources::of(&job.spec);
-            if attempt.is_some() {
-                placement::pack_in(&job.spec, &need, shard, zone, count);
+            if group.attempt.is_some() {
+                placement::pack_in(&job.spec, &need, shard, group.zone, count);
             } else {
-                placement::spread(&job.spec, &need, shard, zone, count);
+                placement::spread(&job.spec, &need, shard, group.zone, count);
             }
         }
     }
 
-    /// Grants up to `more` tasks of a job, as far as its team's limit, its zones and the
-    /// machines allow; `ahead` if they may also wait for places that others are about to leave.
-    #[allow(clippy::too_many_arguments)]
+    /// Grants tasks of an array or a service, as far as its team's limit, its zones and the machines
+    /// allow.
     pub(super) fn grant_job(
         &mut self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        on_machines: &TasksOnMachines<'_>,
-        job: &Job,
-        team: usize,
-        more: usize,
-        ahead: bool,
+        inputs: &EpochInputs<'_>,
+        request: &GrantRequest<'_>,
         allocation: &mut EpochAllocation,
     ) {
-        let id = job.spec.id;
-        let need = Resources::of(&job.spec);
-        if more == 0 || !allocation.may_hold(&job.spec, &need, ahead) {
+        let spec = &request.job.spec;
+        if request.count == 0 || !allocation.may_hold(request) {
             return;
         }
-        let fits = self.within_limit(cluster, team, &need, allocation);
-        if fits < more {
-            self.wait_reasons.insert(id, WaitReason::TeamLimit);
+        let within_limit =
+            self.within_limit(inputs.cluster, request.team, &request.need, allocation);
+        if within_limit < request.count {
+            self.jobs.wait_reasons.insert(spec.id, WaitReason::TeamLimit);
         }
-        let mut zones = ZoneRule::of(&job.spec);
+        let mut zones = ZoneRule::of(spec);
         if zones.binds() {
-            if self.unresolved.iter().any(|t| t.job == id) {
+            if self.ledger.unresolved.iter().any(|task| task.job == spec.id) {
                 return; // Where the others are is not known.
             }
-            self.count_zones(id, on_machines, &mut zones);
+            self.count_zones(inputs, spec.id, &mut zones);
         }
-        let free: Vec<TaskId> = (0..job.spec.task_count)
-            .map(|index| TaskId { job: id, index })
-            .filter(|t| self.is_free(cluster, on_machines, *t))
-            .take(more.min(fits))
-            .collect();
-        let chosen = allocation.choose_places(cluster, fleet, job, zones, free.len(), ahead);
-        for (task, place) in free.into_iter().zip(chosen) {
-            if let Some(u) = allocation.used.get_mut(team) {
-                u.0.0 += need.cores.0;
-                u.1.0 += need.accelerators.0;
-            }
-            let GrantedPlace { node, zone, ahead } = place;
-            allocation.grants.push((
-                task,
-                TaskGrant { node, attempt: None, at: cluster.now, zone, seen: false, ahead },
-            ));
+        let count = request.count.min(within_limit);
+        let free: Vec<TaskId> = self.ledger.free_tasks(inputs, spec).take(count).collect();
+        let places = allocation.choose_places(inputs, request, zones, free.len());
+        for (task, place) in free.into_iter().zip(places) {
+            allocation.push_grant(inputs.cluster.now, request, task, place, None);
         }
     }
 
     /// Counts where a job's tasks are by zone.
-    pub(super) fn count_zones(
-        &self,
-        id: JobId,
-        on_machines: &TasksOnMachines<'_>,
-        zones: &mut ZoneRule,
-    ) {
-        for (_, s) in on_machines.iter().filter(|(t, _)| t.job == id) {
-            zones.count(&s.machine.zone);
+    pub(super) fn count_zones(&self, inputs: &EpochInputs<'_>, id: JobId, zones: &mut ZoneRule) {
+        for (_, seen) in inputs.on_machines.iter().filter(|(task, _)| task.job == id) {
+            zones.count(&seen.machine.zone);
         }
-        let granted = self.granted.iter().map(|(t, g)| (t, &g.zone));
-        let revoked = self.revoked.iter().map(|(t, r)| (t, &r.zone));
-        for (t, zone) in granted.chain(revoked) {
-            if t.job == id
-                && !on_machines.contains_key(t)
-                && let Some(z) = zone
+        let granted = self.ledger.granted.iter().map(|(task, grant)| (task, &grant.zone));
+        let revoked = self.ledger.revoked.iter().map(|(task, revoked)| (task, &revoked.zone));
+        for (task, zone) in granted.chain(revoked) {
+            if task.job == id
+                && !inputs.on_machines.contains_key(task)
+                && let Some(zone) = zone
             {
-                zones.count(z);
+                zones.count(zone);
             }
         }
     }
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -27,20 +27,20 @@
         let ops = cluster.limits.txn_ops;
         let mut changes = Vec::new();
         let due =
-            cluster.now.since(self.machines_written) >= MACHINES_MS || !epoch.grants.is_empty();
+            cluster.now.since(self.last_writes.machines) >= MACHINES_MS || !epoch.grants.is_empty();
         if due {
             // Nothing starts on a machine that is not on record, so grants leave room for some.
             self.machine_changes(cluster, MACHINE_KEYS.min(ops / 2).max(1), &mut changes);
             if !changes.is_empty() {
-                self.machines_written = cluster.now;
+                self.last_writes.machines = cluster.now;
             }
         }
         self.record_grants(cluster, epoch, ops - changes.len(), &mut changes);
-        if cluster.now.since(self.load_written) >= LOAD_MS && changes.len() < ops {
-            self.load_written = cluster.now;
+        if cluster.now.since(self.last_writes.load) >= LOAD_MS && changes.len() < ops {
+            self.last_writes.load = cluster.now;
             changes.push(Change::Put {
                 key: replica::LOAD_KEY.into(),
-                value: wire::to_value(&self.market.load),
+                value: wire::to_value(&self.remembered.market.load),
                 lease: None,
             });
         }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -1,7 +1,7 @@
 //! Places that running tasks are about to leave. Tasks are granted to them ahead of time, so that a
-//! controller fills such a place in the very response to the report that shows it empty. Without
-//! that, a place stays empty until the leader has heard of it and its machine has
-//! reported once more, which is much of the run time of short tasks.
+//! controller fills such a place in the very response to the heartbeat that shows it empty. Without
+//! that, a place stays empty until the leader knows of it and its machine has sent
+//! another heartbeat, which is much of the run time of short tasks.
 //!
 //! Such a grant names no machine; it is kept, counted for limits and taken back as any other. Where more
 //! urgent work may go, nothing is granted ahead: small tasks would fill every core as it gets free, and
@@ -12,15 +12,15 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{ClusterView, Leader};
-use crate::fleet::{Fleet, TasksOnMachines};
+use super::Leader;
+use super::inputs::EpochInputs;
 use crate::model::{Cores, MachineId, NodeId};
 use crate::placement::{self, PlacementTarget, Resources};
 use crate::wire::{JobKind, JobSpec, Priority, TaskState};
 
 /// Seconds of expected completions that are granted ahead: some epochs, so that there is always
 /// something to start, and little enough to be used before it is taken back.
-const AHEAD_S: f64 = 1.5;
+const RELEASE_HORIZON_S: f64 = 1.5;
 
 /// How many urgencies there are.
 const PRIORITIES: usize = Priority::BestEffort as usize + 1;
@@ -54,25 +54,39 @@
     }
 
     /// Grants a place to a task of that urgency.
-    fn take(&mut self, need: &Resources, priority: Priority) {
+    fn count_in(&mut self, need: &Resources, priority: Priority) {
         for free in &mut self.free[priority as usize..] {
             need.take_from(free);
         }
     }
 }
 
-/// Machines that count as one, and the size of tasks as a power of two of their cores.
-type Alike<'a> = (NodeId, &'a str, &'a str, bool, u32);
+/// What machines have in common that jobs care for.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MachineClass<'a> {
+    machine_type: &'a str,
+    zone: &'a str,
+    spot: bool,
+}
+
+/// Places that count as one kind. They are visited in the order of these fields.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ReleaseGroup<'a> {
+    owner: NodeId,
+    class: MachineClass<'a>,
+    /// The size of the tasks that leave: the power of two of their cores.
+    size: u32,
+}
 
 /// What is expected to end on alike machines.
 #[derive(Default)]
-struct Ending {
+struct ExpectedEnds {
     each: Resources,
     /// Cores, accelerators and memory in thousandths.
     sum: [f64; 3],
 }
 
-impl Ending {
+impl ExpectedEnds {
     fn add(&mut self, need: &Resources, tasks: f64) {
         self.each.cores = self.each.cores.max(need.cores);
         self.each.accelerators = self.each.accelerators.max(need.accelerators);
@@ -93,40 +107,62 @@
     /// The places that tasks are expected to leave soon, on machines that take new ones.
     pub(super) fn expected_releases(
         &self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        on_machines: &TasksOnMachines<'_>,
+        inputs: &EpochInputs<'_>,
         targets: &[PlacementTarget],
     ) -> Vec<ExpectedRelease> {
-        let reserved = |r: &PlacementTarget| self.reserved.binary_search(&r.id).is_ok();
+        let specs = || inputs.cluster.replica.jobs.values().map(|job| &job.spec);
+        let mut most_urgent: BTreeMap<MachineClass<'_>, Option<Priority>> = BTreeMap::new();
+        let groups = self.expected_ends(inputs, targets);
+        let mut releases = Vec::with_capacity(groups.len());
+        for (ReleaseGroup { owner, class, .. }, ends) in groups {
+            let MachineClass { machine_type, zone, spot } = class;
+            let highest_priority = *most_urgent
+                .entry(class)
+                .or_insert_with(|| placement::highest_priority(specs(), machine_type, zone, spot));
+            let mut free = [Resources::default(); PRIORITIES];
+            let until = highest_priority.map_or(PRIORITIES, |priority| priority as usize + 1);
+            free[..until].fill(ends.free());
+            releases.push(ExpectedRelease {
+                owner,
+                zone: zone.into(),
+                machine_type: machine_type.into(),
+                spot,
+                each: ends.each,
+                free,
+            });
+        }
+        releases
+    }
+
+    /// What running tasks of arrays are expected to leave within [`RELEASE_HORIZON_S`], on open machines
+    /// whose owners start what is granted ahead.
+    fn expected_ends<'a>(
+        &self,
+        inputs: &EpochInputs<'_>,
+        targets: &'a [PlacementTarget],
+    ) -> BTreeMap<ReleaseGroup<'a>, ExpectedEnds> {
+        let replica = inputs.cluster.replica;
+        let reserved =
+            |target: &PlacementTarget| self.gangs.reserved.binary_search(&target.id).is_ok();
+        let open = targets.iter().filter(|target| target.open && !reserved(target));
         let open: FxHashMap<&MachineId, &PlacementTarget> =
-            targets.iter().filter(|r| r.open && !reserved(r)).map(|r| (&r.id, r)).collect();
-        let mut ending: BTreeMap<Alike<'_>, Ending> = BTreeMap::new();
-        for (task, seen) in on_machines.iter().filter(|(_, s)| s.state == TaskState::Running) {
-            let Some(target) = open.get(&seen.machine.id) else { continue };
-            let owner = fleet.owners.get(&target.id).map(|(owner, _)| *owner);
-            let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
-            let job = cluster.replica.jobs.get(&task.job);
-            let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else { continue };
+            open.map(|target| (&target.id, target)).collect();
+        let mut groups: BTreeMap<ReleaseGroup<'_>, ExpectedEnds> = BTreeMap::new();
+        let on_machines = inputs.on_machines.iter();
+        for (task, seen) in on_machines.filter(|(_, seen)| seen.state == TaskState::Running) {
+            let Some(target) = open.get(&seen.machine.id).copied() else { continue };
+            let owner = inputs.owner(&target.id).filter(|owner| replica.starts_ahead(*owner));
+            let Some(owner) = owner else { continue };
+            let job = replica.jobs.get(&task.job).filter(|job| job.spec.kind == JobKind::Array);
+            let Some(job) = job else { continue };
             let need = Resources::of(&job.spec);
             let size = need.cores.0.checked_ilog2().unwrap_or(0);
-            let alike = (owner, &*target.machine_type, &*target.zone, target.spot, size);
-            ending.entry(alike).or_default().add(&need, AHEAD_S / self.run_s(job));
-        }
-        let specs = || cluster.replica.jobs.values().map(|j| &j.spec);
-        let mut first: BTreeMap<(&str, &str, bool), Option<Priority>> = BTreeMap::new();
-        let mut places = Vec::with_capacity(ending.len());
-        for ((owner, machine_type, zone, spot, _), e) in ending {
-            let highest_priority = *first
-                .entry((machine_type, zone, spot))
-                .or_insert_with(|| placement::highest_priority(specs(), machine_type, zone, spot));
-            let mut free = [Resources::default(); PRIORITIES];
-            let until = highest_priority.map_or(PRIORITIES, |u| u as usize + 1);
-            free[..until].fill(e.free());
-            let (zone, machine_type) = (zone.into(), machine_type.into());
-            places.push(ExpectedRelease { owner, zone, machine_type, spot, each: e.each, free });
+            let PlacementTarget { machine_type, zone, spot, .. } = target;
+            let class = MachineClass { machine_type, zone, spot: *spot };
+            let ends = groups.entry(ReleaseGroup { owner, class, size }).or_default();
+            ends.add(&need, RELEASE_HORIZON_S / self.run_s(job));
         }
-        places
+        groups
     }
 }
 
@@ -146,7 +182,7 @@
             .filter(|&i| expected_releases[i].takes(spec, need))
             .max_by_key(|&i| expected_releases[i].free[spec.priority as usize].cores);
         let Some(i) = best else { break };
-        expected_releases[i].take(need, spec.priority);
+        expected_releases[i].count_in(need, spec.priority);
         taken.push(i);
     }
     taken
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -9,7 +9,7 @@
 
 use rustc_hash::FxHashSet;
 
-use super::{ClusterView, Epoch, Leader};
+use super::{ClusterView, Epoch, Leader, TaskGrant};
 use crate::model::{JobId, Ranges, TaskId};
 use crate::replica::{self, EpochRecord};
 use crate::wire::{self, Change};
@@ -151,12 +151,12 @@
             tracing::info!(jobs = refused.len(), "grants wait for room in the record");
             self.withdraw_unrecorded(epoch, &refused);
         }
-        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|g| g.0).collect();
+        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
         for (job, ranges) in wider.into_iter().filter(|(job, _)| !refused.contains(job)) {
-            let known = self.recorded.get(&job);
+            let known = self.ledger.recorded.get(&job);
             let added = ranges.iter().filter(|i| known.is_none_or(|r| !r.contains(*i)));
             let added = added.map(|index| TaskId { job, index });
-            epoch.ahead.extend(added.filter(|t| !granting.contains(t)));
+            epoch.recorded_ahead.extend(added.filter(|task| !granting.contains(task)));
             epoch.recorded.push((job, ranges));
         }
     }
@@ -164,18 +164,19 @@
     /// What is to be on record of the jobs of which the epoch grants something that is not.
     fn wider_ranges(&self, cluster: &ClusterView<'_>, epoch: &Epoch) -> BTreeMap<JobId, Ranges> {
         let mut wider: BTreeMap<JobId, Ranges> = BTreeMap::new();
-        for (t, _) in &epoch.grants {
-            let known = self.recorded.get(&t.job);
-            let wide = wider.get(&t.job).or(known).is_some_and(|r| r.contains(t.index));
-            if wide {
+        for (task, _) in &epoch.grants {
+            let known = self.ledger.recorded.get(&task.job);
+            let ranges = wider.get(&task.job).or(known);
+            if ranges.is_some_and(|ranges| ranges.contains(task.index)) {
                 continue;
             }
-            let task_count =
-                cluster.replica.jobs.get(&t.job).map_or(t.index + 1, |j| j.spec.task_count);
-            let ranges = wider.entry(t.job).or_insert_with(|| known.cloned().unwrap_or_default());
+            let job = cluster.replica.jobs.get(&task.job);
+            let task_count = job.map_or(task.index + 1, |job| job.spec.task_count);
+            let ranges =
+                wider.entry(task.job).or_insert_with(|| known.cloned().unwrap_or_default());
             // Tasks are granted from the first on, so what comes next is known.
-            let until = (t.index + 1 + RECORD_AHEAD).min(task_count);
-            ranges.extend(t.index..until);
+            let until = (task.index + 1 + RECORD_AHEAD).min(task_count);
+            ranges.extend(task.index..until);
         }
         // To have more on record than may run is safe, and what lies far apart has to fit.
         for ranges in wider.values_mut().filter(|r| r.spans().len() > MOST_SPANS) {
@@ -186,18 +187,19 @@
 
     /// Takes grants out of an epoch that are not on record, of these jobs.
     fn withdraw_unrecorded(&self, epoch: &mut Epoch, refused: &FxHashSet<JobId>) {
-        let known = &self.recorded;
-        let waits = |t: &TaskId| {
-            refused.contains(&t.job) && known.get(&t.job).is_none_or(|r| !r.contains(t.index))
+        let known = &self.ledger.recorded;
+        let waits = |task: &TaskId| {
+            refused.contains(&task.job)
+                && known.get(&task.job).is_none_or(|ranges| !ranges.contains(task.index))
         };
         // A gang is granted whole or not at all.
         let gangs: FxHashSet<JobId> = epoch
             .grants
             .iter()
-            .filter(|(t, g)| g.attempt.is_some() && waits(t))
-            .map(|(t, _)| t.job)
+            .filter(|(task, grant): &&(TaskId, TaskGrant)| grant.attempt.is_some() && waits(task))
+            .map(|(task, _)| task.job)
             .collect();
-        epoch.grants.retain(|(t, _)| !waits(t) && !gangs.contains(&t.job));
+        epoch.grants.retain(|(task, _)| !waits(task) && !gangs.contains(&task.job));
     }
 }
 
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -1,106 +1,128 @@
 //! Admission, and the grants that follow from each job's share.
+//!
+//! Admission goes by a waterline that is legal in rank order, with shares that maximize summed
+//! importance (`docs/design.md`). What is granted here holds only once the epoch is on record.
 
 use std::collections::HashSet;
 
+use super::Leader;
+use super::allocation::{EpochAllocation, GrantRequest, TeamUse};
+use super::importance::JobStandings;
+use super::inputs::EpochInputs;
+use super::ledger::JobTaskCounts;
 use super::starvation::STARVED_WEIGHT;
-use super::{EpochAllocation, Leader};
-use crate::admission::{self, Bounds, Demand};
+use crate::admission::{self, Admission, Bounds, Demand};
 use crate::cluster_view::ClusterView;
-use crate::fleet::{Fleet, TasksOnMachines};
+use crate::fleet::Fleet;
 use crate::model::{Cores, JobId};
 use crate::peer::WaitReason;
+use crate::placement::Resources;
 use crate::wire::JobKind;
 
 /// Part of its limit from which on a team counts as being at it.
 const AT_LIMIT: f64 = 0.5;
 
+/// Jobs that fail wherever some controller tries them.
+fn failing_jobs(fleet: &Fleet) -> HashSet<JobId> {
+    fleet.nodes.values().flat_map(|node| node.failing.iter().map(|job| JobId(*job))).collect()
+}
+
+/// Which teams are at their limit.
+fn teams_at_limit(cluster: &ClusterView<'_>, team_use: &[TeamUse]) -> Vec<bool> {
+    let teams = cluster.settings.params.teams.iter().zip(team_use);
+    let at_limit = |limit: Cores, used: &TeamUse| used.cores.amount() >= limit.amount() * AT_LIMIT;
+    teams.map(|(team, used)| team.core_limit().is_some_and(|l| at_limit(l, used))).collect()
+}
+
+/// What admission has to divide.
+fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> Bounds {
+    // What waits for a place counts as held, so urgent work finds as much again beside it.
+    let awaited = Cores(allocation.expected_cores.0 * 2);
+    let open = allocation.targets.iter().filter(|target| target.open);
+    let held = open.fold(awaited, |sum, target| {
+        let machine_type = cluster.catalog.get(&*target.machine_type);
+        Cores(sum.0 + machine_type.map_or(0, |offered| Cores::offer(offered.vcpus).0))
+    });
+    let teams = cluster.settings.params.teams.iter().map(|team| team.core_limit()).collect();
+    Bounds { held, teams }
+}
+
+/// Admitted demands in the order in which they are granted.
+fn granting_order<'a>(demands: &'a [Demand], admission: &Admission) -> Vec<&'a Demand> {
+    let mut order: Vec<&Demand> =
+        demands.iter().filter(|demand| admission.shares.contains_key(&demand.job)).collect();
+    order.sort_by(|a, b| {
+        (a.rank, !a.required)
+            .cmp(&(b.rank, !b.required))
+            .then(b.weight.total_cmp(&a.weight))
+            .then(a.job.cmp(&b.job))
+    });
+    order
+}
+
 impl Leader {
-    pub(super) fn grant(
-        &mut self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        on_machines: &TasksOnMachines<'_>,
-        mut allocation: EpochAllocation,
-    ) -> EpochAllocation {
-        let counts = std::mem::take(&mut allocation.counts);
-        let failing: HashSet<JobId> =
-            fleet.nodes.values().flat_map(|n| n.failing.iter().map(|j| JobId(*j))).collect();
-        self.note_idle(cluster, &counts);
-        let teams = cluster.settings.params.teams.iter().zip(&allocation.used);
-        let at_limit: Vec<bool> = teams
-            .map(|(t, used)| {
-                t.core_limit().is_some_and(|l| used.0.amount() >= l.amount() * AT_LIMIT)
-            })
-            .collect();
-        let demands = self.demands(cluster, &counts, &failing, &at_limit);
-        // What waits for a place counts as held, so urgent work finds as much again beside it.
-        let bounds = Bounds {
-            held: allocation.targets.iter().fold(Cores(allocation.extra.0 * 2), |sum, r| {
-                let total = cluster
-                    .catalog
-                    .get(&*r.machine_type)
-                    .map_or(Cores(0), |f| Cores::offer(f.vcpus));
-                Cores(sum.0 + if r.open { total.0 } else { 0 })
-            }),
-            teams: cluster.settings.params.teams.iter().map(|t| t.core_limit()).collect(),
-        };
-        let admission = admission::admit(&demands, &bounds);
-        self.wait_reasons.clear();
+    /// Admits jobs and grants what their shares allow.
+    pub(super) fn grant(&mut self, inputs: &EpochInputs<'_>, allocation: &mut EpochAllocation) {
+        let cluster = inputs.cluster;
+        let counts = self.ledger.counts(inputs.on_machines);
+        let failing = failing_jobs(inputs.fleet);
+        self.record_idle(cluster, &counts);
+        let at_limit = teams_at_limit(cluster, &allocation.team_use);
+        let standings = JobStandings { counts: &counts, failing: &failing, at_limit: &at_limit };
+        let demands = self.demands(cluster, &standings);
+        let admission = admission::admit(&demands, &bounds(cluster, allocation));
+        self.jobs.wait_reasons.clear();
         for job in &admission.waiting {
-            self.wait_reasons.insert(*job, WaitReason::BelowWaterline);
+            self.jobs.wait_reasons.insert(*job, WaitReason::BelowWaterline);
         }
-        let mut order: Vec<&Demand> =
-            demands.iter().filter(|d| admission.shares.contains_key(&d.job)).collect();
-        order.sort_by(|a, b| {
-            (a.rank, !a.required)
-                .cmp(&(b.rank, !b.required))
-                .then(b.weight.total_cmp(&a.weight))
-                .then(a.job.cmp(&b.job))
-        });
-        self.reserve_for_starved(cluster, &demands, &counts, &mut allocation);
-        for d in order {
-            let share = admission.shares.get(&d.job).copied().unwrap_or(0);
-            let (held, unresolved) = counts.get(&d.job).copied().unwrap_or_default();
-            let Some(job) = cluster.replica.jobs.get(&d.job) else {
-                continue;
-            };
-            if unresolved > 0 {
-                self.wait_reasons.insert(d.job, WaitReason::Unproven);
-            }
-            if failing.contains(&d.job) {
-                self.wait_reasons.insert(d.job, WaitReason::Failing);
-            }
-            let more = share.saturating_sub(held) as usize;
-            if share < d.max {
-                self.wait_reasons.entry(d.job).or_insert(WaitReason::ForMachines);
-            }
-            if job.spec.kind == JobKind::Gang {
-                self.grant_gang(
-                    cluster,
-                    fleet,
-                    on_machines,
-                    job,
-                    d.team,
-                    more,
-                    held,
-                    &mut allocation,
-                );
-            } else {
-                // What has waited long needs a machine, as small places may never hold it.
-                let ahead = d.weight < STARVED_WEIGHT;
-                self.grant_job(
-                    cluster,
-                    fleet,
-                    on_machines,
-                    job,
-                    d.team,
-                    more,
-                    ahead,
-                    &mut allocation,
-                );
+        self.reserve_for_starved(cluster, &demands, &counts, allocation);
+        for demand in granting_order(&demands, &admission) {
+            let share = admission.shares.get(&demand.job).copied().unwrap_or(0);
+            if cluster.replica.jobs.contains_key(&demand.job) {
+                self.explain_wait(demand, share, &standings);
+                self.grant_share(inputs, demand, share, &counts, allocation);
             }
         }
-        self.shares = admission.shares;
-        allocation
+        self.jobs.shares = admission.shares;
+    }
+
+    /// Says why an admitted job may still wait.
+    fn explain_wait(&mut self, demand: &Demand, share: u32, standings: &JobStandings<'_>) {
+        let wait_reasons = &mut self.jobs.wait_reasons;
+        if standings.counts.get(&demand.job).is_some_and(|counts| counts.unresolved > 0) {
+            wait_reasons.insert(demand.job, WaitReason::Unproven);
+        }
+        if standings.failing.contains(&demand.job) {
+            wait_reasons.insert(demand.job, WaitReason::Failing);
+        }
+        if share < demand.max {
+            wait_reasons.entry(demand.job).or_insert(WaitReason::ForMachines);
+        }
+    }
+
+    /// Grants what is missing of a job's share.
+    fn grant_share(
+        &mut self,
+        inputs: &EpochInputs<'_>,
+        demand: &Demand,
+        share: u32,
+        counts: &JobTaskCounts,
+        allocation: &mut EpochAllocation,
+    ) {
+        let Some(job) = inputs.cluster.replica.jobs.get(&demand.job) else { return };
+        let held = counts.get(&demand.job).map_or(0, |counts| counts.held);
+        let request = GrantRequest {
+            job,
+            need: Resources::of(&job.spec),
+            team: demand.team,
+            held,
+            count: share.saturating_sub(held) as usize,
+            // What has waited long needs a machine, as small places may never hold it.
+            may_await_release: demand.weight < STARVED_WEIGHT,
+        };
+        match job.spec.kind {
+            JobKind::Gang => self.grant_gang(inputs, &request, allocation),
+            JobKind::Array | JobKind::Service => self.grant_job(inputs, &request, allocation),
+        }
     }
 }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -4,9 +4,12 @@
 
 use rustc_hash::FxHashMap;
 
+use super::Leader;
+use super::ledger::JobTaskCounts;
+use super::machine_speed::ClassRunTimes;
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
-use super::{ClusterView, Leader};
 use crate::admission::{Curve, Demand};
+use crate::cluster_view::ClusterView;
 use crate::config::Settings;
 use crate::model::{Cores, JobId};
 use crate::placement::Resources;
@@ -111,11 +114,33 @@
     inside
 }
 
+/// How jobs and teams stand when admission is asked.
+pub(super) struct JobStandings<'a> {
+    /// What each job holds.
+    pub(super) counts: &'a JobTaskCounts,
+    /// Jobs that fail wherever some controller tries them.
+    pub(super) failing: &'a HashSet<JobId>,
+    /// Which teams are at their limit.
+    pub(super) at_limit: &'a [bool],
+}
+
+/// What a demand takes over from its job's team and from jobs around it.
+#[derive(Clone, Copy)]
+struct JobTerms {
+    /// Its team, by number.
+    team: usize,
+    /// Its rank, 1 for the most urgent.
+    rank: u32,
+    /// Whether it is within its team's guarantee.
+    guaranteed: bool,
+}
+
 impl Leader {
     /// A task's expected run time: the owner's estimate, corrected by how its class's
     /// estimates turned out so far.
     pub(super) fn run_s(&self, job: &Job) -> f64 {
-        let ratio = self.runs.get(&job.spec.class).filter(|r| r.1 > 0.0).map_or(1.0, |r| r.0 / r.1);
+        let class = self.remembered.class_run_times.get(&job.spec.class);
+        let ratio = class.map_or(1.0, ClassRunTimes::ratio);
         job.spec.estimated_run_s.max(1.0) * ratio.clamp(0.3, 3.0)
     }
 
@@ -123,61 +148,69 @@
     pub(super) fn demands(
         &self,
         cluster: &ClusterView<'_>,
-        counts: &FxHashMap<JobId, (u32, u32)>,
-        failing: &HashSet<JobId>,
-        at_limit: &[bool],
+        standings: &JobStandings<'_>,
     ) -> Vec<Demand> {
-        let required = within_guarantees(cluster);
+        let guaranteed = within_guarantees(cluster);
+        let jobs = &cluster.replica.jobs;
         let ranks: HashMap<JobId, u32> =
-            cluster.replica.jobs.iter().map(|(id, j)| (*id, rank(j.spec.priority))).collect();
+            jobs.iter().map(|(id, job)| (*id, rank(job.spec.priority))).collect();
         let ranks = admission::revised_ranks(&ranks, &[]);
         let teams = cluster.settings.params.teams.iter().enumerate();
-        let teams: FxHashMap<&str, usize> = teams.map(|(i, t)| (t.name.as_str(), i)).collect();
-        let mut demands = Vec::with_capacity(cluster.replica.jobs.len());
-        for (id, job) in &cluster.replica.jobs {
-            let (held, unresolved) = counts.get(id).copied().unwrap_or_default();
-            let runnable = job.remaining().saturating_sub(held + unresolved);
-            let Some(team) = teams.get(job.spec.team.as_str()).copied() else {
-                continue;
-            };
-            // A job that fails everywhere keeps the value it would have, but only one task
-            // tries.
-            let tries = if failing.contains(id) { runnable.min(1) } else { runnable };
-            let mut rank = ranks.get(id).copied().unwrap_or(u32::MAX);
-            let mut weight = weight(cluster, job, self.run_s(job), required.contains(id));
-            let mut tries = match job.spec.kind {
-                JobKind::Gang => self.gang_tries(job, held, unresolved),
-                JobKind::Array | JobKind::Service => tries,
-            };
-            let at_limit = at_limit.get(team).copied().unwrap_or(false);
-            let starved = self.starved(cluster, job, held, at_limit);
-            let gang = job.spec.kind == JobKind::Gang;
-            if starved {
-                // Nobody waits without bound: it begins with a few tasks before others go on, or
-                // with all if it runs whole or not at all.
-                rank = rank.min(STARVED_RANK);
-                weight = weight.max(STARVED_WEIGHT);
-                if !gang {
-                    tries = tries.min(job.spec.task_count.div_ceil(STARVED_PART));
-                }
-            }
-            // What is kept for such gangs is of no use to others.
-            let kept_for = gang && tries > 0;
-            demands.push(Demand {
-                job: *id,
-                rank,
-                weight,
-                curve: match job.spec.kind {
-                    JobKind::Gang => Curve::Step,
-                    JobKind::Array | JobKind::Service => Curve::Concave { fade: FADE },
-                },
-                team,
-                cores: Resources::of(&job.spec).cores,
-                min: held,
-                max: held + tries,
-                required: starved || kept_for || required.contains(id),
-            });
+        let teams: FxHashMap<&str, usize> =
+            teams.map(|(i, team)| (team.name.as_str(), i)).collect();
+        let mut demands = Vec::with_capacity(jobs.len());
+        for (id, job) in jobs {
+            let Some(team) = teams.get(job.spec.team.as_str()).copied() else { continue };
+            let rank = ranks.get(id).copied().unwrap_or(u32::MAX);
+            let terms = JobTerms { team, rank, guaranteed: guaranteed.contains(id) };
+            demands.push(self.demand(cluster, job, terms, standings));
         }
         demands
     }
+
+    /// What one job asks.
+    fn demand(
+        &self,
+        cluster: &ClusterView<'_>,
+        job: &Job,
+        terms: JobTerms,
+        standings: &JobStandings<'_>,
+    ) -> Demand {
+        let JobTerms { team, mut rank, guaranteed } = terms;
+        let id = job.spec.id;
+        let counts = standings.counts.get(&id).copied().unwrap_or_default();
+        let gang = job.spec.kind == JobKind::Gang;
+        let mut weight = weight(cluster, job, self.run_s(job), guaranteed);
+        let mut tries = if gang {
+            self.gang_tries(job, counts)
+        } else {
+            let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
+            // A job that fails everywhere keeps the value it would have, but only one task tries.
+            if standings.failing.contains(&id) { runnable.min(1) } else { runnable }
+        };
+        let at_limit = standings.at_limit.get(team).copied().unwrap_or(false);
+        let starved = self.starved(cluster, job, counts.held, at_limit);
+        if starved {
+            // Nobody waits without bound: it begins with a few tasks before others go on, or
+            // with all if it runs whole or not at all.
+            rank = rank.min(STARVED_RANK);
+            weight = weight.max(STARVED_WEIGHT);
+            if !gang {
+                tries = tries.min(job.spec.task_count.div_ceil(STARVED_PART));
+            }
+        }
+        // What is reserved for such gangs is of no use to others.
+        let reserved_for = gang && tries > 0;
+        Demand {
+            job: id,
+            rank,
+            weight,
+            curve: if gang { Curve::Step } else { Curve::Concave { fade: FADE } },
+            team,
+            cores: Resources::of(&job.spec).cores,
+            min: counts.held,
+            max: counts.held + tries,
+            required: starved || reserved_for || guaranteed,
+        }
+    }
 }
--- /dev/null
+++ b/src/leader/ledger.rs
@@ -0,0 +1,181 @@
+//! The ledger of grants of one term: which tasks may be running, and which are proven not to.
+//!
+//! **The invariant:** a task is granted only if it is proven to be nowhere
+//! ([`GrantLedger::is_free`]). A term begins with nothing granted, and everything that an earlier
+//! term granted and that is not done is *unresolved*. It stays so until a reconciled machine shows
+//! the task, it is done, or every machine that may hold it is reconciled or proven gone. Within the
+//! term a task has one grant; a revoked one blocks the task until its shard follows a plan without it.
+//! The argument is in `docs/safety.md`, "When a task is free".
+
+use rustc_hash::{FxHashMap, FxHashSet};
+
+use super::inputs::EpochInputs;
+use crate::fleet::{Fleet, TasksOnMachines};
+use crate::lease::AttemptAllocator;
+use crate::model::{
+    Attempt, JobId, LEADERS_ATTEMPTS, MonotonicTime, NodeId, PlanSeq, Ranges, TaskId, Term,
+};
+use crate::replica::Replica;
+use crate::wire::JobSpec;
+use std::collections::BTreeMap;
+
+/// A task that a controller may start.
+#[derive(Clone)]
+pub(super) struct TaskGrant {
+    /// The controller.
+    pub(super) node: NodeId,
+    /// Set for gangs: the attempt of all their tasks.
+    pub(super) attempt: Option<Attempt>,
+    /// When it was granted, or the task was last on a machine.
+    pub(super) at: MonotonicTime,
+    /// Set for jobs that are bound to zones.
+    pub(super) zone: Option<String>,
+    /// Whether a worker has shown it; followed for gangs only.
+    pub(super) seen: bool,
+    /// Whether it waits for a place that another task is about to leave.
+    pub(super) awaits_release: bool,
+}
+
+/// A grant that was taken back. The task may still be started until its shard follows a later plan.
+pub(super) struct RevokedGrant {
+    /// The controller that it was granted to.
+    pub(super) node: NodeId,
+    /// The first plan without the grant.
+    pub(super) plan: PlanSeq,
+    /// Set for jobs that are bound to zones.
+    pub(super) zone: Option<String>,
+}
+
+/// How many of a job's tasks are accounted for.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct TaskCounts {
+    /// Tasks on machines, granted or revoked but not confirmed.
+    pub(super) held: u32,
+    /// Tasks of earlier terms that may be running anywhere.
+    pub(super) unresolved: u32,
+}
+
+/// [`TaskCounts`] by job. Jobs without such tasks are left out.
+pub(super) type JobTaskCounts = FxHashMap<JobId, TaskCounts>;
+
+/// What this leader granted in its term, and what earlier terms may have left running.
+pub(super) struct GrantLedger {
+    /// Granted in this term.
+    pub(super) granted: BTreeMap<TaskId, TaskGrant>,
+    /// Granted in this term and taken back, until that is confirmed.
+    pub(super) revoked: FxHashMap<TaskId, RevokedGrant>,
+    /// Granted by an earlier term and not proven to be nowhere yet.
+    pub(super) unresolved: FxHashSet<TaskId>,
+    /// Grants on record in the store.
+    pub(super) recorded: FxHashMap<JobId, Ranges>,
+    /// Tasks on record that were never granted: this leader recorded them ahead of time.
+    pub(super) recorded_ahead: FxHashSet<TaskId>,
+    /// Tasks that two machines show.
+    pub(super) duplicated: FxHashSet<TaskId>,
+    /// Attempts of this term, for gangs.
+    pub(super) attempts: AttemptAllocator,
+}
+
+impl GrantLedger {
+    /// Begins a term's ledger: nothing is granted, and whatever was is unresolved. `before` is the
+    /// ledger of the last term that this leader led.
+    pub(super) fn begin(
+        replica: &Replica,
+        term: Term,
+        before: Option<(Term, GrantLedger)>,
+    ) -> Self {
+        let mut recorded: FxHashMap<JobId, Ranges> = FxHashMap::default();
+        for (job, ranges) in replica.epochs.values().flat_map(|(record, _)| &record.granted) {
+            recorded.entry(*job).or_default().extend(ranges.iter());
+        }
+        let mut ledger = GrantLedger {
+            granted: BTreeMap::new(),
+            revoked: FxHashMap::default(),
+            unresolved: replica.granted_before(),
+            recorded,
+            recorded_ahead: FxHashSet::default(),
+            duplicated: FxHashSet::default(),
+            attempts: AttemptAllocator::new(term, LEADERS_ATTEMPTS),
+        };
+        if let Some((last_term, old)) = before {
+            if last_term.0 + 1 == term.0 {
+                // Nobody led in between, so what this leader never granted is nowhere.
+                ledger.unresolved.retain(|task| !old.recorded_ahead.contains(task));
+                ledger.recorded_ahead = old.recorded_ahead;
+            }
+            // The record in the store may lag behind what this very leader granted.
+            let may_run = |task: &TaskId| replica.may_run(*task);
+            ledger.unresolved.extend(old.granted.keys().copied().filter(may_run));
+            ledger.unresolved.extend(old.revoked.keys().copied().filter(may_run));
+            ledger.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
+        }
+        ledger
+    }
+
+    /// Whether a task may be granted: it is proven to be nowhere.
+    fn is_free(&self, inputs: &EpochInputs<'_>, task: TaskId) -> bool {
+        let completed = inputs.cluster.completed_tasks.get(&task.job);
+        inputs.cluster.replica.may_run(task)
+            && !completed.is_some_and(|completed| completed.tasks.contains(task.index))
+            && !inputs.on_machines.contains_key(&task)
+            && !self.granted.contains_key(&task)
+            && !self.revoked.contains_key(&task)
+            && !self.unresolved.contains(&task)
+    }
+
+    /// The job's tasks that may be granted, in their order.
+    pub(super) fn free_tasks(
+        &self,
+        inputs: &EpochInputs<'_>,
+        spec: &JobSpec,
+    ) -> impl Iterator<Item = TaskId> {
+        let job = spec.id;
+        (0..spec.task_count)
+            .map(move |index| TaskId { job, index })
+            .filter(move |task| self.is_free(inputs, *task))
+    }
+
+    /// Tasks granted or revoked in this term that no reconciled machine shows.
+    pub(super) fn not_on_machines(
+        &self,
+        on_machines: &TasksOnMachines<'_>,
+    ) -> impl Iterator<Item = &TaskId> {
+        let held = self.granted.keys().chain(self.revoked.keys());
+        held.filter(|task| !on_machines.contains_key(task))
+    }
+
+    /// How many tasks of each job are held, and how many may be running anywhere.
+    pub(super) fn counts(&self, on_machines: &TasksOnMachines<'_>) -> JobTaskCounts {
+        let mut counts = JobTaskCounts::default();
+        for task in on_machines.keys() {
+            counts.entry(task.job).or_default().held += 1;
+        }
+        for task in self.not_on_machines(on_machines) {
+            counts.entry(task.job).or_default().held += 1;
+        }
+        for task in &self.unresolved {
+            counts.entry(task.job).or_default().unresolved += 1;
+        }
+        counts
+    }
+
+    /// Takes a grant back as of a plan.
+    pub(super) fn revoke(&mut self, task: TaskId, plan: PlanSeq) {
+        if let Some(TaskGrant { node, zone, .. }) = self.granted.remove(&task) {
+            self.revoked.insert(task, RevokedGrant { node, plan, zone });
+        }
+    }
+
+    /// Frees the tasks of revoked grants once their shard follows a plan without them and does not
+    /// hold them.
+    pub(super) fn free_revoked(&mut self, fleet: &Fleet, node: NodeId, applied_plan: PlanSeq) {
+        let held: FxHashSet<TaskId> = fleet
+            .views()
+            .filter(|machine| fleet.owners.get(&machine.id).is_some_and(|owner| owner.0 == node))
+            .flat_map(|machine| machine.tasks.iter().map(|view| view.task))
+            .collect();
+        self.revoked.retain(|task, revoked| {
+            revoked.node != node || applied_plan < revoked.plan || held.contains(task)
+        });
+    }
+}
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -1,68 +1,80 @@
-//! What controllers are told of an epoch once it is on record.
+//! The plans that controllers get of an epoch once it is on record. Nothing of an epoch reaches a plan
+//! before that (`docs/safety.md`, "Durable before said").
 
 use std::collections::BTreeMap;
 
 use rustc_hash::FxHashMap;
 
+use super::grant_groups::GrantGroup;
 use super::{ClusterView, Epoch, Leader, TaskGrant};
-use crate::model::{Attempt, JobId, MonotonicTime, NodeId, PlanSeq, Ranges};
+use crate::model::{JobId, MonotonicTime, NodeId, PlanSeq, Ranges};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
-/// Longest time for which parts are not told how jobs stand.
+/// Longest time for which shards are not told how jobs stand, in milliseconds. Users see what is told.
 const JOB_STATUS_PERIOD_MS: u64 = 1_000;
 
 /// What a controller is granted.
 #[derive(Default)]
 struct NodeGrants {
+    /// Where there is room now.
     with_room: Vec<Grant>,
-    ahead: Vec<Grant>,
+    /// For places that other tasks are about to leave.
+    awaiting_release: Vec<Grant>,
+}
+
+/// Tasks of one [`GrantGroup`].
+struct GroupedTasks {
+    /// When the first of them was granted.
+    oldest: MonotonicTime,
+    tasks: Ranges,
 }
 
 impl Leader {
     /// Makes an epoch hold, once its transaction is known to be carried out.
     pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
-        self.recorded.extend(epoch.recorded);
-        self.ahead.extend(epoch.ahead);
-        for (task, g) in epoch.grants {
-            self.ahead.remove(&task);
-            if let Some(attempt) = g.attempt {
-                self.note_gang(cluster.now, task.job, attempt);
+        self.ledger.recorded.extend(epoch.recorded);
+        self.ledger.recorded_ahead.extend(epoch.recorded_ahead);
+        for (task, grant) in epoch.grants {
+            self.ledger.recorded_ahead.remove(&task);
+            if let Some(attempt) = grant.attempt {
+                self.record_gang(cluster.now, task.job, attempt);
             }
-            self.granted.insert(task, TaskGrant { at: cluster.now, ..g });
+            self.ledger.granted.insert(task, TaskGrant { at: cluster.now, ..grant });
         }
         let mut bodies = self.bodies_without_job_statuses();
         let same = |id: &NodeId, body: &PlanBody| {
-            self.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
+            self.plans.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
         };
         // A plan that tells nothing new would only be sent around.
-        let due = cluster.now.since(self.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
-        let news = self.seq == PlanSeq(0)
-            || self.fleet.newest() > self.seq
-            || self.revoked.values().any(|r| r.seq > self.seq)
-            || bodies.iter().any(|(id, b)| !same(id, b));
+        let due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
+        let news = self.plans.seq == PlanSeq(0)
+            || self.fleet.newest() > self.plans.seq
+            || self.ledger.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
+            || bodies.iter().any(|(id, body)| !same(id, body));
         if !news && !due {
             return;
         }
         let (job_statuses, completed) = (self.job_statuses(cluster), completed(cluster));
-        let told = |b: &PlanBody| b.job_statuses == job_statuses && b.completed == completed;
-        if !news && self.bodies.values().all(told) {
+        let told =
+            |body: &PlanBody| body.job_statuses == job_statuses && body.completed == completed;
+        if !news && self.plans.bodies.values().all(told) {
             return;
         }
-        self.job_statuses_sent = cluster.now;
+        self.plans.job_statuses_sent = cluster.now;
         for body in bodies.values_mut() {
             body.job_statuses = job_statuses.clone();
             body.completed = completed.clone();
         }
-        self.bodies = bodies;
-        self.seq = PlanSeq(self.seq.0 + 1);
+        self.plans.bodies = bodies;
+        self.plans.seq = self.plans.next();
     }
 
     /// What each controller may do now, without how jobs stand.
     fn bodies_without_job_statuses(&self) -> BTreeMap<NodeId, PlanBody> {
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
-        let slow = self.speeds.iter().filter(|(_, s)| s.is_slow());
+        let slow = self.remembered.machine_speeds.iter().filter(|(_, speed)| speed.is_slow());
         let expired_leases = self.fleet.expired_leases.iter();
         let mut common = PlanBody {
             drain: draining.map(|(id, _)| id.clone()).collect(),
@@ -71,52 +83,56 @@
                 .map(|(id, agent_epoch)| (id.clone(), *agent_epoch))
                 .collect(),
             stops: self.stops(),
-            reserved: self.reserved.clone(),
+            reserved: self.gangs.reserved.clone(),
             ..PlanBody::default()
         };
         common.slow.sort();
         let mut grants = self.grants_by_node();
         let body = |id: &NodeId| {
-            let NodeGrants { with_room, ahead } = grants.remove(id).unwrap_or_default();
-            (*id, PlanBody { grants: with_room, ahead, ..common.clone() })
+            let NodeGrants { with_room, awaiting_release } = grants.remove(id).unwrap_or_default();
+            (*id, PlanBody { grants: with_room, ahead: awaiting_release, ..common.clone() })
         };
         self.fleet.nodes.keys().map(body).collect()
     }
 
-    /// What each controller is granted: where there is room, and ahead of it, first what was granted first.
+    /// What each controller is granted. Grants that await a release stand in the order in which they
+    /// were granted, as the first ones are used first.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
-        type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
-        let mut alike: BTreeMap<Alike<'_>, (MonotonicTime, Ranges)> = BTreeMap::new();
-        for (t, g) in &self.granted {
-            let key = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
-            let (oldest, tasks) = alike.entry(key).or_insert((g.at, Ranges::default()));
-            *oldest = g.at.min(*oldest);
-            tasks.insert(t.index);
+        let mut groups: BTreeMap<GrantGroup<'_>, GroupedTasks> = BTreeMap::new();
+        for (task, grant) in &self.ledger.granted {
+            let group = groups
+                .entry(GrantGroup::of(task, grant))
+                .or_insert_with(|| GroupedTasks { oldest: grant.at, tasks: Ranges::default() });
+            group.oldest = grant.at.min(group.oldest);
+            group.tasks.insert(task.index);
         }
-        let mut ahead_by_age: Vec<(MonotonicTime, NodeId, Grant)> = Vec::new();
+        let mut awaiting_release: Vec<(MonotonicTime, NodeId, Grant)> = Vec::new();
         let mut by_node: BTreeMap<NodeId, NodeGrants> = BTreeMap::new();
-        for ((node, job, zone, attempt, ahead), (oldest, tasks)) in alike {
-            let grant = Grant { job: job.0, tasks, zone: zone.map(str::to_string), attempt };
-            if ahead {
-                ahead_by_age.push((oldest, node, grant));
+        for (group, GroupedTasks { oldest, tasks }) in groups {
+            let zone = group.zone.map(str::to_string);
+            let grant = Grant { job: group.job.0, tasks, zone, attempt: group.attempt };
+            if group.awaits_release {
+                awaiting_release.push((oldest, group.node, grant));
             } else {
-                by_node.entry(node).or_default().with_room.push(grant);
+                by_node.entry(group.node).or_default().with_room.push(grant);
             }
         }
-        ahead_by_age.sort_by_key(|(oldest, _, _)| *oldest);
-        for (_, node, grant) in ahead_by_age {
-            by_node.entry(node).or_default().ahead.push(grant);
+        awaiting_release.sort_by_key(|(oldest, _, _)| *oldest);
+        for (_, node, grant) in awaiting_release {
+            by_node.entry(node).or_default().awaiting_release.push(grant);
         }
         by_node
     }
 
+    /// How jobs stand, for users.
     fn job_statuses(&self, cluster: &ClusterView<'_>) -> Vec<JobStatus> {
         let on_machines = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         // What still fetches its image or waits for its gang does not run.
-        let runs = |s: TaskState| matches!(s, TaskState::Running | TaskState::SavingCheckpoint);
-        for (t, _) in on_machines.iter().filter(|(_, s)| runs(s.state)) {
-            *running.entry(t.job).or_default() += 1;
+        let runs =
+            |state: TaskState| matches!(state, TaskState::Running | TaskState::SavingCheckpoint);
+        for (task, _) in on_machines.iter().filter(|(_, seen)| runs(seen.state)) {
+            *running.entry(task.job).or_default() += 1;
         }
         cluster
             .replica
@@ -125,23 +141,23 @@
             .map(|job| JobStatus {
                 job: job.0,
                 running: running.get(job).copied().unwrap_or(0),
-                wait_reason: self.wait_reasons.get(job).copied().unwrap_or(WaitReason::No),
+                wait_reason: self.jobs.wait_reasons.get(job).copied().unwrap_or(WaitReason::No),
             })
             .collect()
     }
 
     /// A node's plan as of now, with what it does not follow yet.
     pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<Plan> {
-        let state = self.fleet.nodes.get(&node).filter(|_| self.seq > PlanSeq(0))?;
-        let body = self.bodies.get(&node)?;
+        let state = self.fleet.nodes.get(&node).filter(|_| self.plans.seq > PlanSeq(0))?;
+        let body = self.plans.bodies.get(&node)?;
         Some(Plan {
             term: self.term,
             incarnation: state.incarnation,
-            seq: self.seq,
+            seq: self.plans.seq,
             clock_ms: now.0,
             heard: state.number,
             owners: self.fleet.ownership_changes(state.applied_plan),
-            body: (state.applied_plan != self.seq).then(|| body.clone()),
+            body: (state.applied_plan != self.plans.seq).then(|| body.clone()),
             decisions: None,
         })
     }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -1,140 +1,206 @@
-//! What the leader tells `capacity` of machines and of work that waits, and what it does with the answer.
+//! What the autoscaler is told of machines and of work that waits, and what becomes of its decision.
 
 use std::collections::HashMap;
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
+use super::inputs::EpochInputs;
 use super::starvation::waiting_ms;
-use super::{ClusterView, Epoch, Leader};
-use crate::autoscaler;
-use crate::autoscaler::{MachineOffer, MachineUsage, PendingWork};
-use crate::fleet::{Fleet, TasksOnMachines};
-use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
+use super::{Epoch, Leader};
+use crate::autoscaler::{self, MachineOffer, MachineUsage, PendingWork};
+use crate::cluster_view::ClusterView;
+use crate::model::{Cores, JobId, MachineId, TaskId};
 use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Job;
 use crate::wire::{JobKind, Priority};
 
-/// Time between two decisions on what to rent and return.
+/// Time between two decisions on what to rent and return, in milliseconds.
 pub(super) const SCALING_PERIOD_MS: u64 = 1_000;
 
+/// What gangs of one kind would use.
+#[derive(Clone, Copy, Default)]
+struct GangLoad {
+    /// Cores of those that would run if all had begun on arrival.
+    arriving: Cores,
+    /// Cores of the largest of all.
+    largest: Cores,
+}
+
+/// What open jobs would use.
+#[derive(Default)]
+struct OpenLoad {
+    /// Cores of short-running work that would run if all had begun on arrival.
+    short: Cores,
+    /// Those of them that are urgent.
+    urgent: Cores,
+    /// Cores that other work has now.
+    long: Cores,
+    /// Gangs that may not use spot machines, and those that may.
+    gangs: [GangLoad; 2],
+}
+
+/// How one job stands when the autoscaler is told of it.
+struct JobLoad<'a> {
+    job: &'a Job,
+    need: Resources,
+    /// Seconds that a task is expected to run.
+    run_s: f64,
+    /// Whether that is short in comparison with how long machines boot.
+    short: bool,
+    /// Tasks that its team's limit allows, beside more urgent jobs.
+    allowed: u64,
+    /// Tasks that are on machines or granted.
+    running: u32,
+}
+
+impl OpenLoad {
+    /// Counts a job in. It counts from its arrival for as long as it runs, wherever it is.
+    fn add(&mut self, cluster: &ClusterView<'_>, load: &JobLoad<'_>) {
+        let spec = &load.job.spec;
+        let arriving = (waiting_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
+        let cores = load.need.cores.0;
+        if spec.kind == JobKind::Gang {
+            let all = Cores(cores * u64::from(spec.task_count));
+            let gangs = &mut self.gangs[usize::from(spec.allows_spot)];
+            if arriving {
+                gangs.arriving.0 += all.0;
+            }
+            gangs.largest = all.max(gangs.largest);
+        } else if load.short && arriving {
+            let all = cores * u64::from(spec.task_count).min(load.allowed);
+            self.short.0 += all;
+            self.urgent.0 += if spec.priority <= Priority::High { all } else { 0 };
+        }
+        if !load.short {
+            self.long.0 += cores * u64::from(load.running);
+        }
+    }
+}
+
 impl Leader {
+    /// Decides which machines to rent and which to return.
     pub(super) fn decide_scaling(
         &mut self,
-        cluster: &ClusterView<'_>,
-        fleet: &Fleet,
-        on_machines: &TasksOnMachines<'_>,
+        inputs: &EpochInputs<'_>,
         targets: &[PlacementTarget],
         epoch: &Epoch,
     ) {
-        let now = cluster.now;
-        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|g| g.0).collect();
-        let mut wants: Vec<PendingWork<'_>> = Vec::new();
-        let (mut brief_cores, mut urgent, mut long) = (Cores(0), Cores(0), Cores(0));
-        // Gangs that may not use spot machines, and those that may: all, and the largest.
-        let mut gangs = [(Cores(0), Cores(0)); 2];
-        let mut team_headroom: HashMap<&str, u64> = HashMap::new();
-        for t in &cluster.settings.params.teams {
-            let limit = t.core_limit().map_or(u64::MAX, |c| c.0);
-            team_headroom.insert(&t.name, limit);
+        let now = inputs.cluster.now;
+        let (pending, load) = self.pending_work(inputs, epoch);
+        let gangs = load.gangs.map(|gangs| (gangs.arriving, gangs.largest));
+        let market = &mut self.remembered.market;
+        market.note(now, load.short, load.urgent, load.long);
+        market.note_gangs(now, gangs[0], gangs[1]);
+        let machines = self.machine_usage(inputs, targets);
+        let market = &mut self.remembered.market;
+        self.scaling.decision =
+            autoscaler::decide(now, inputs.cluster.catalog, &machines, &pending, market);
+        market.note_spare(now, self.scaling.decision.spare);
+    }
+
+    /// Tasks of each job that are on machines, granted, or being granted.
+    fn running_tasks(&self, inputs: &EpochInputs<'_>, epoch: &Epoch) -> FxHashMap<JobId, u32> {
+        let on_machines = inputs.on_machines;
+        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
+        let granted = self.ledger.granted.keys().chain(granting.iter());
+        let granted = granted.filter(|task| !on_machines.contains_key(task));
+        let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
+        for task in on_machines.keys().chain(granted) {
+            *running.entry(task.job).or_default() += 1;
         }
-        let mut held: FxHashMap<JobId, u32> = FxHashMap::default();
-        let others = self.granted.keys().chain(granting.iter());
-        for t in on_machines.keys().chain(others.filter(|t| !on_machines.contains_key(t))) {
-            *held.entry(t.job).or_default() += 1;
+        running
+    }
+
+    /// Open jobs, the most urgent first, as far as their teams' limits allow, and what they would use.
+    fn pending_work<'a>(
+        &self,
+        inputs: &EpochInputs<'a>,
+        epoch: &Epoch,
+    ) -> (Vec<PendingWork<'a>>, OpenLoad) {
+        let cluster = inputs.cluster;
+        let mut team_headroom: HashMap<&str, u64> = HashMap::new();
+        for team in &cluster.settings.params.teams {
+            let limit = team.core_limit().map_or(u64::MAX, |limit| limit.0);
+            team_headroom.insert(&team.name, limit);
         }
+        let running_tasks = self.running_tasks(inputs, epoch);
         let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
-        jobs.sort_by_key(|j| (j.spec.priority, j.at, j.spec.id));
+        jobs.sort_by_key(|job| (job.spec.priority, job.at, job.spec.id));
+        let mut pending = Vec::new();
+        let mut open_load = OpenLoad::default();
         for job in jobs {
             let need = Resources::of(&job.spec);
-            let room = team_headroom.get_mut(job.spec.team.as_str());
-            let can = room.as_ref().map_or(0, |r| **r / need.cores.0.max(1));
-            let wanted = u64::from(job.remaining()).min(can) as u32;
-            if let Some(r) = room {
-                *r = r.saturating_sub(need.cores.0 * u64::from(wanted));
+            let headroom = team_headroom.get_mut(job.spec.team.as_str());
+            let allowed = headroom.as_ref().map_or(0, |cores| **cores / need.cores.0.max(1));
+            let wanted = u64::from(job.remaining()).min(allowed) as u32;
+            if let Some(cores) = headroom {
+                *cores = cores.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let brief = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
-            let age_ms = waiting_ms(cluster, job) as f64;
-            let gang = job.spec.kind == JobKind::Gang;
-            if gang {
-                let cores = Cores(need.cores.0 * u64::from(job.spec.task_count));
-                let (sum, largest) = &mut gangs[usize::from(job.spec.allows_spot)];
-                // It counts from its arrival for as long as it runs, wherever it is.
-                if age_ms < run_s * 1000.0 {
-                    sum.0 += cores.0;
-                }
-                *largest = cores.max(*largest);
-            }
-            if brief && !gang && age_ms < run_s * 1000.0 {
-                let cores = need.cores.0 * u64::from(job.spec.task_count).min(can);
-                brief_cores.0 += cores;
-                urgent.0 += if job.spec.priority <= Priority::High { cores } else { 0 };
-            }
-            let running = held.get(&job.spec.id).copied().unwrap_or(0);
-            if !brief {
-                long.0 += need.cores.0 * u64::from(running);
-            }
-            wants.push(PendingWork {
+            let short = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
+            let running = running_tasks.get(&job.spec.id).copied().unwrap_or(0);
+            open_load.add(cluster, &JobLoad { job, need, run_s, short, allowed, running });
+            pending.push(PendingWork {
                 spec: &job.spec,
                 tasks: wanted.saturating_sub(running),
                 running,
                 run_s,
-                brief,
+                brief: short,
             });
         }
-        self.market.note(now, brief_cores, urgent, long);
-        self.market.note_gangs(now, gangs[0], gangs[1]);
-        let free: HashMap<&MachineId, &PlacementTarget> =
-            targets.iter().map(|r| (&r.id, r)).collect();
-        let machines: Vec<MachineUsage> = fleet
-            .machines
-            .iter()
-            .map(|(id, m)| {
-                let offered = cluster
-                    .catalog
-                    .get(&m.offer.machine_type)
-                    .map(Resources::offered)
-                    .unwrap_or_default();
-                let room = free.get(id);
-                MachineUsage {
-                    id: id.clone(),
-                    offer: m.offer.clone(),
-                    booting: !m.up,
-                    age_s: now.since(m.since) as f64 / 1000.0,
-                    free: room.map_or(offered, |r| r.free),
-                    idle_s: now.since(m.busy) as f64 / 1000.0,
-                    reserved: self.reserved.binary_search(id).is_ok(),
-                    leaving: m.draining.is_some()
-                        || m.failed
-                        || (m.up && room.is_none_or(|r| !r.open)),
-                }
-            })
-            .collect();
-        self.decision = autoscaler::decide(now, cluster.catalog, &machines, &wants, &self.market);
-        self.market.note_spare(now, self.decision.spare);
+        (pending, open_load)
+    }
+
+    /// How the machines are used.
+    fn machine_usage(
+        &self,
+        inputs: &EpochInputs<'_>,
+        targets: &[PlacementTarget],
+    ) -> Vec<MachineUsage> {
+        let now = inputs.cluster.now;
+        let targets: HashMap<&MachineId, &PlacementTarget> =
+            targets.iter().map(|target| (&target.id, target)).collect();
+        let machines = inputs.fleet.machines.iter().map(|(id, machine)| {
+            let machine_type = inputs.cluster.catalog.get(&machine.offer.machine_type);
+            let offered = machine_type.map(Resources::offered).unwrap_or_default();
+            let target = targets.get(id);
+            let closed = target.is_none_or(|target| !target.open);
+            MachineUsage {
+                id: id.clone(),
+                offer: machine.offer.clone(),
+                booting: !machine.up,
+                age_s: now.since(machine.since) as f64 / 1000.0,
+                free: target.map_or(offered, |target| target.free),
+                idle_s: now.since(machine.busy) as f64 / 1000.0,
+                reserved: self.gangs.reserved.binary_search(id).is_ok(),
+                leaving: machine.draining.is_some() || machine.failed || (machine.up && closed),
+            }
+        });
+        machines.collect()
     }
 
     /// Drains the machines that are to be returned.
     pub(super) fn drain_for_scale_in(&mut self) {
-        let next = PlanSeq(self.seq.0 + 1);
-        for id in &self.decision.scale_in {
-            if let Some(m) = self.fleet.machines.get_mut(id).filter(|m| m.draining.is_none()) {
+        let next_plan = self.plans.next();
+        for id in &self.scaling.decision.scale_in {
+            let machine = self.fleet.machines.get_mut(id);
+            if let Some(machine) = machine.filter(|machine| machine.draining.is_none()) {
                 tracing::info!(machine = %id, "draining an idle machine");
-                m.draining = Some(next);
+                machine.draining = Some(next_plan);
             }
         }
     }
 
     /// What to rent now. Asked once per decision, so that nothing is rented twice.
     pub fn take_scale_out(&mut self) -> Vec<(MachineOffer, u32)> {
-        std::mem::take(&mut self.decision.scale_out)
+        std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
     /// Forgets what was decided to be rented before the last rentals were known.
     pub fn decide_anew(&mut self) {
-        if !self.decision.scale_out.is_empty() {
-            self.decision.scale_out.clear();
-            self.decided = None;
+        if !self.scaling.decision.scale_out.is_empty() {
+            self.scaling.decision.scale_out.clear();
+            self.scaling.decided_at = None;
         }
     }
 }
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -8,7 +8,7 @@
 };
 use willowshore_standby::status::VerificationCounts;
 
-use super::machine_speed::Speed;
+use super::machine_speed::{ClassRunTimes, Speed};
 use super::{ClusterView, Leader};
 use crate::autoscaler::MachineOffer;
 use crate::model::{JobId, MachineId, TaskId, WallTime};
@@ -56,11 +56,12 @@
         let speed = |s: &Speed| MachineSpeed { ratio: s.ratio, tasks: s.tasks };
         DecisionTarget {
             admissions: self
+                .jobs
                 .shares
                 .iter()
                 .map(|(job, share)| ((*job).into(), Admission { share: *share }))
                 .collect(),
-            grants: self.granted.iter().map(|(task, g)| ((*task).into(), g.node)).collect(),
+            grants: self.ledger.granted.iter().map(|(task, g)| ((*task).into(), g.node)).collect(),
             gangs: self.gang_steps(),
             provisioning: machines
                 .iter()
@@ -73,14 +74,22 @@
                 .map(|(id, _)| id.clone())
                 .collect(),
             run_times: self
-                .runs
+                .remembered
+                .class_run_times
                 .iter()
-                .map(|(class, (sum, weight))| {
-                    (class.clone(), RunTimeRatio { sum: *sum, weight: *weight })
+                .map(|(class, times)| {
+                    let ClassRunTimes { actual_s: sum, estimated_s: weight } = *times;
+                    (class.clone(), RunTimeRatio { sum, weight })
                 })
                 .collect(),
-            speeds: self.speeds.iter().map(|(id, s)| (id.clone(), speed(s))).collect(),
+            speeds: self
+                .remembered
+                .machine_speeds
+                .iter()
+                .map(|(id, s)| (id.clone(), speed(s)))
+                .collect(),
             refusals: self
+                .remembered
                 .market
                 .refusals(cluster.now)
                 .map(|(offer, until)| {
@@ -91,7 +100,8 @@
                 })
                 .collect(),
             waiting: self
-                .idle
+                .jobs
+                .idle_since
                 .iter()
                 .map(|(job, since)| {
                     let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
@@ -99,7 +109,7 @@
                     ((*job).into(), reconciled(known, computed))
                 })
                 .collect(),
-            reserved: self.reserved.iter().cloned().collect::<BTreeSet<MachineId>>(),
+            reserved: self.gangs.reserved.iter().cloned().collect::<BTreeSet<MachineId>>(),
         }
     }
 
@@ -117,7 +127,7 @@
             confirmed
         };
         let open = |job: JobId| cluster.replica.jobs.contains_key(&job);
-        let recorded = &self.recorded;
+        let recorded = &self.ledger.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
             note(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
         }
@@ -130,37 +140,46 @@
         for (job, since) in state.waiting.entries() {
             let job = JobId::from(*job);
             if note(open(job)) {
-                self.idle.insert(job, cluster.now.less(cluster.wall.0.saturating_sub(since.0)));
+                self.jobs
+                    .idle_since
+                    .insert(job, cluster.now.less(cluster.wall.0.saturating_sub(since.0)));
             }
         }
         for (id, speed) in state.speeds.entries() {
             if note(cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio))
             {
-                self.speeds.insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
+                self.remembered
+                    .machine_speeds
+                    .insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
             }
         }
         for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
             note(cluster.replica.machine_known(id));
         }
-        counts.hints += self.take_unrecorded(cluster, state);
+        counts.hints += self.apply_unrecorded(cluster, state);
         counts
     }
 
-    /// Takes hints about what the store has no record of, and says how many.
-    fn take_unrecorded(&mut self, cluster: &ClusterView<'_>, state: &DecisionState) -> u64 {
+    /// Applies hints about what the store has no record of, and says how many.
+    fn apply_unrecorded(&mut self, cluster: &ClusterView<'_>, state: &DecisionState) -> u64 {
         let mut hints = 0;
         for (class, ratio) in state.run_times.entries() {
             let sound = (0.0..=MOST_WEIGHT).contains(&ratio.weight)
                 && (0.0..=MOST_RATIO * MOST_WEIGHT).contains(&ratio.sum);
             if sound {
-                self.runs.insert(class.clone(), (ratio.sum, ratio.weight));
+                let times = ClassRunTimes { actual_s: ratio.sum, estimated_s: ratio.weight };
+                self.remembered.class_run_times.insert(class.clone(), times);
                 hints += 1;
             }
         }
         for (offer, until) in state.refusals.entries() {
-            let left = until.0.saturating_sub(cluster.wall.0);
-            if left > 0 {
-                self.market.refused_for(&MachineOffer::from(offer), cluster.now, left);
+            let left_ms = until.0.saturating_sub(cluster.wall.0);
+            if left_ms > 0 {
+                self.remembered.market.refused_for(
+                    &MachineOffer::from(offer),
+                    cluster.now,
+                    left_ms,
+                );
                 hints += 1;
             }
         }
@@ -180,12 +199,16 @@
 
     /// Where gangs under way are.
     fn gang_steps(&self) -> BTreeMap<JobNumber, GangStep> {
-        let granted =
-            self.gangs.iter().map(|(job, gang)| ((*job).into(), GangStep::Granted(gang.attempt())));
+        let granted = self
+            .gangs
+            .granted
+            .iter()
+            .map(|(job, gang)| ((*job).into(), GangStep::Granted(gang.attempt())));
         let stopping = self
+            .gangs
             .pending_stops
             .iter()
-            .map(|(job, stop_gang)| ((*job).into(), GangStep::Stopping(stop_gang.stop.before)));
+            .map(|(job, pending)| ((*job).into(), GangStep::Stopping(pending.stop.before)));
         granted.chain(stopping).collect()
     }
 }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -1,9 +1,8 @@
 //! The bound on waiting: jobs that have had no task anywhere for long go before others, and machines
 //! are held back for those that fit nowhere.
 
-use rustc_hash::FxHashMap;
-
 use super::allocation::EpochAllocation;
+use super::ledger::JobTaskCounts;
 use super::{ClusterView, Leader};
 use crate::admission::Demand;
 use crate::model::JobId;
@@ -87,16 +86,12 @@
 }
 
 impl Leader {
-    /// Notes which jobs have nothing on machines or on its way there, and since when.
-    pub(super) fn note_idle(
-        &mut self,
-        cluster: &ClusterView<'_>,
-        counts: &FxHashMap<JobId, (u32, u32)>,
-    ) {
-        let held = |id: &JobId| counts.get(id).is_some_and(|c| c.0 > 0);
-        self.idle.retain(|id, _| cluster.replica.jobs.contains_key(id) && !held(id));
+    /// Records which jobs have nothing on machines or on its way there, and since when.
+    pub(super) fn record_idle(&mut self, cluster: &ClusterView<'_>, counts: &JobTaskCounts) {
+        let held = |id: &JobId| counts.get(id).is_some_and(|counts| counts.held > 0);
+        self.jobs.idle_since.retain(|id, _| cluster.replica.jobs.contains_key(id) && !held(id));
         for id in cluster.replica.jobs.keys().filter(|id| !held(id)) {
-            self.idle.entry(*id).or_insert(cluster.now);
+            self.jobs.idle_since.entry(*id).or_insert(cluster.now);
         }
     }
 
@@ -114,7 +109,7 @@
         if held > 0 || !at_limit {
             return held == 0 && waits > STARVED_MS;
         }
-        let idle = self.idle.get(&job.spec.id).map_or(0, |at| cluster.now.since(*at));
+        let idle = self.jobs.idle_since.get(&job.spec.id).map_or(0, |at| cluster.now.since(*at));
         idle.max(waits) > STARVED_AT_LIMIT_MS
     }
 
@@ -124,14 +119,14 @@
         &mut self,
         cluster: &ClusterView<'_>,
         demands: &[Demand],
-        counts: &FxHashMap<JobId, (u32, u32)>,
+        counts: &JobTaskCounts,
         allocation: &mut EpochAllocation,
     ) {
         let mut held = 0;
         for d in demands {
             let Some(job) = cluster.replica.jobs.get(&d.job) else { continue };
             let need = Resources::of(&job.spec);
-            let running = counts.get(&d.job).map_or(0, |c| c.0);
+            let running = counts.get(&d.job).map_or(0, |counts| counts.held);
             if job.spec.kind == JobKind::Gang {
                 if running == 0 && waiting_ms(cluster, job) > CLEARED_MS {
                     hold_back_for_gang(cluster, job, &need, &mut allocation.targets);
@@ -146,7 +141,7 @@
             let free = |r: &&mut PlacementTarget| r.holds(&job.spec, &need, None);
             if let Some(target) = allocation.targets.iter_mut().find(free) {
                 target.reserved = false;
-                self.reserved.retain(|id| *id != target.id);
+                self.gangs.reserved.retain(|id| *id != target.id);
                 continue;
             }
             if held >= STARVED_ROOMS {
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,12 +1,16 @@
 //! Tables of cases for the leader's decisions.
 
+use rustc_hash::FxHashSet;
+
 use super::importance::weight;
 use super::*;
 use crate::autoscaler::MachineOffer;
 use crate::config::Settings;
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
-use crate::model::{AgentEpoch, ClockReading, Incarnation, Revision, StoreLease, WallTime};
+use crate::model::{
+    AgentEpoch, Attempt, ClockReading, Incarnation, Revision, StoreLease, WallTime,
+};
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
@@ -192,7 +196,7 @@
     ];
     for (ratios, want) in cases {
         let mut speed = Speed::default();
-        ratios.iter().for_each(|r| speed.note(*r));
+        ratios.iter().for_each(|r| speed.record(*r));
         assert_eq!(speed.is_slow(), want, "{ratios:?}");
     }
 }
@@ -364,7 +368,7 @@
         list(&mut controller, 500, &["n-1", "n-2"], None, false);
         list(&mut controller, second, &["n-1"], after, truncated);
         controller.rights.confirm_renewal(MonotonicTime(when));
-        controller.leader.as_mut().unwrap().unresolved.clear();
+        controller.leader.as_mut().unwrap().ledger.unresolved.clear();
         tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
         let gone = controller.with_leader(at(when), |l, cluster| {
             let n2 = MachineId::new("n-2");
@@ -413,10 +417,10 @@
     let idle = || vec![view("n-1", true, &[0]), view("n-2", true, &[])];
     tell(&mut controller, 1_100, 0, vec![]);
     tell(&mut controller, 1_300, 1, idle());
-    let summary = controller.leader.as_ref().unwrap();
-    let granted: Vec<TaskId> = summary.granted.keys().copied().collect();
+    let leader = controller.leader.as_ref().unwrap();
+    let granted: Vec<TaskId> = leader.ledger.granted.keys().copied().collect();
     assert!(!granted.is_empty() && granted.len() < 4, "{granted:?}");
-    let recorded = summary.recorded[&JobId(2)].clone();
+    let recorded = leader.ledger.recorded[&JobId(2)].clone();
     assert!(recorded.len() as usize > granted.len(), "some are ahead");
     // The record as the store has it, and the next term of the same leader.
     let record = EpochRecord { term: Term(3), granted: vec![(JobId(2), recorded.clone())] };
@@ -435,7 +439,7 @@
     items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
     let all = controller.replica.granted_before();
     controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
-    let unresolved = &controller.leader.as_ref().unwrap().unresolved;
+    let unresolved = &controller.leader.as_ref().unwrap().ledger.unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
     assert_eq!(unresolved.iter().filter(of_two).count(), granted.len());
     assert!(granted.iter().all(|t| unresolved.contains(t)));
@@ -467,7 +471,7 @@
         let moment =
             ClockReading { steady: MonotonicTime(400_000), wall: WallTime(1 + age_s * 1_000) };
         if let Some(leader) = &mut controller.leader {
-            leader.idle.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
+            leader.jobs.idle_since.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
         }
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
             job.progress.done = Ranges::span(0, done);
@@ -613,7 +617,7 @@
                 node: NodeId(0),
                 number: step + 1,
                 echo_ms: ms,
-                applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
+                applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
                 machines: free(24..72),
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, INCARNATION)
@@ -694,7 +698,7 @@
             node: NodeId(0),
             number: step + 1,
             echo_ms: ms,
-            applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.seq),
+            applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
             machines: free(24..48),
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, INCARNATION)
@@ -744,7 +748,7 @@
 fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
     let leader = controller.leader.as_ref().unwrap();
     let of: Vec<&TaskGrant> =
-        leader.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
+        leader.ledger.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
     assert!(of.iter().all(|g| g.attempt == of[0].attempt), "one attempt for all");
     (of.len(), of.first().and_then(|g| g.attempt))
 }
@@ -903,7 +907,7 @@
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         tell(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
-            l.market.note_gangs(
+            l.remembered.market.note_gangs(
                 MonotonicTime(1_150),
                 (Cores(64_000), Cores(64_000)),
                 Default::default(),
@@ -912,8 +916,8 @@
         tell(&mut controller, 1_200, 1, idle());
         tell(&mut controller, 1_400, 1, idle());
         let leader = controller.leader.as_ref().unwrap();
-        assert_eq!(leader.reserved.len(), reserved, "{machines} {age_s}");
-        let began = leader.granted.keys().any(|t| t.job == JobId(8));
+        assert_eq!(leader.gangs.reserved.len(), reserved, "{machines} {age_s}");
+        let began = leader.ledger.granted.keys().any(|t| t.job == JobId(8));
         assert_eq!(began, begins, "{machines} {age_s}");
     }
 }
@@ -976,17 +980,19 @@
         }
         tell(&mut controller, 1_100, 0, vec![]);
         for step in 0..4 {
-            let applied_plan = controller.leader.as_ref().unwrap().seq.0;
+            let applied_plan = controller.leader.as_ref().unwrap().plans.seq.0;
             let full = vec![running("n-1", [0, 1]), running("n-2", [2, 3])];
             tell(&mut controller, 1_300 + step * 100, applied_plan, full);
         }
         let leader = controller.leader.as_ref().unwrap();
         let normal = |t: &TaskId| t.job != JobId(9) || urgent.is_none();
-        let ahead = leader.granted.iter().filter(|(t, g)| g.ahead && normal(t)).count();
-        let as_urgent = leader.granted.iter().filter(|(t, g)| g.ahead && !normal(t)).count();
+        let ahead =
+            leader.ledger.granted.iter().filter(|(t, g)| g.awaits_release && normal(t)).count();
+        let as_urgent =
+            leader.ledger.granted.iter().filter(|(t, g)| g.awaits_release && !normal(t)).count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
-        let told: u32 = leader.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
+        let told: u32 = leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
         assert_eq!(told as usize, ahead + as_urgent, "{what}");
     }
 }
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -193,7 +193,7 @@
     /// Whether an offer was refused lately and is not asked for again yet.
     fn is_out_of_capacity(&self, offer: &MachineOffer) -> bool {
         let controller = self.controller.borrow();
-        controller.leader.as_ref().is_some_and(|leader| !leader.market.open(offer, self.now()))
+        controller.leader.as_ref().is_some_and(|leader| !leader.remembered.market.open(offer, self.now()))
     }
 
     /// Sends a scale-out request and records what came of it.
@@ -214,19 +214,19 @@
             Ok(ids) => {
                 info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = request.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < request.count {
-                    leader.market.refused(offer, now);
+                    leader.remembered.market.refused(offer, now);
                 }
                 leader.fleet.add_provisioned(now, &ids, offer);
                 ScaleOutOutcome::Known
             }
             Err(CloudError::NoCapacity) => {
                 debug!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, "none to be had");
-                leader.market.refused(offer, now);
+                leader.remembered.market.refused(offer, now);
                 ScaleOutOutcome::Known
             }
             Err(CloudError::Refused(MALFORMED_STATUS)) => {
                 error!(?request, "rental refused as malformed");
-                leader.market.refused(offer, now);
+                leader.remembered.market.refused(offer, now);
                 ScaleOutOutcome::Known
             }
             Err(_) => ScaleOutOutcome::Unknown,
