--- a/src/leader.rs
+++ b/src/leader.rs
@@ -43,6 +43,7 @@
 mod importance;
 mod inputs;
 mod ledger;
+mod machine_records;
 mod machine_speed;
 mod plans;
 mod quotas;
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -20,35 +20,34 @@
     /// A line for operators: what is held, granted and open, and what cores do.
     pub fn describe(&self, cluster: &ClusterView<'_>) -> String {
         let on_machines = self.fleet.on_machines();
-        let (mut runs, mut fetches, mut free) = (Cores(0), Cores(0), Cores(0));
-        let mut waits = Cores(0);
-        for (t, s) in &on_machines {
-            let cores =
-                cluster.replica.jobs.get(&t.job).map_or(Cores(0), |j| Resources::of(&j.spec).cores);
-            let sum = match s.state {
-                TaskState::FetchingImage => &mut fetches,
-                TaskState::WaitingForGang => &mut waits,
-                _ => &mut runs,
+        let (mut running, mut fetching, mut waiting) = (Cores(0), Cores(0), Cores(0));
+        for (task, seen) in &on_machines {
+            let job = cluster.replica.jobs.get(&task.job);
+            let cores = job.map_or(Cores(0), |job| Resources::of(&job.spec).cores);
+            let sum = match seen.state {
+                TaskState::FetchingImage => &mut fetching,
+                TaskState::WaitingForGang => &mut waiting,
+                _ => &mut running,
             };
             sum.0 += cores.0;
         }
         let targets = self.fleet.targets(cluster);
-        targets.iter().for_each(|r| free.0 += r.free.cores.0);
+        let free = targets.iter().fold(Cores(0), |sum, target| Cores(sum.0 + target.free.cores.0));
         format!(
             "machines={} up={} spot={} owners={} tasks={} granted={} unresolved={} unsettled={} jobs={} \
              cores: run={:.0} fetch={:.0} wait={:.0} free={:.0} ready={:.0}/{:.0} kept={} versions={}",
             self.fleet.machines.len(),
-            self.fleet.machines.values().filter(|m| m.up).count(),
-            self.fleet.machines.values().filter(|m| m.up && m.offer.spot).count(),
+            self.fleet.machines.values().filter(|machine| machine.up).count(),
+            self.fleet.machines.values().filter(|machine| machine.up && machine.offer.spot).count(),
             self.fleet.owners.len(),
             on_machines.len(),
-            self.ledger.granted.keys().filter(|t| !on_machines.contains_key(t)).count(),
+            self.ledger.granted.keys().filter(|task| !on_machines.contains_key(task)).count(),
             self.ledger.unresolved.len(),
             self.fleet.unreconciled.len(),
             cluster.replica.jobs.len(),
-            runs.amount(),
-            fetches.amount(),
-            waits.amount(),
+            running.amount(),
+            fetching.amount(),
+            waiting.amount(),
             free.amount(),
             self.remembered.market.ready(false),
             self.remembered.market.ready(true),
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -3,7 +3,7 @@
 //! that, a place stays empty until the leader knows of it and its machine has sent
 //! another heartbeat, which is much of the run time of short tasks.
 //!
-//! Such a grant names no machine; it is kept, counted for limits and taken back as any other. Where more
+//! Such a grant names no machine; it is recorded, counted for limits and revoked as any other. Where more
 //! urgent work may go, nothing is granted ahead: small tasks would fill every core as it gets free, and
 //! none of the larger places that the more urgent work needs would ever come about.
 
@@ -53,7 +53,7 @@
         self.free.iter().map(|free| free.cores).max().unwrap_or_default()
     }
 
-    /// Grants a place to a task of that urgency.
+    /// Counts a task of that urgency in.
     fn count_in(&mut self, need: &Resources, priority: Priority) {
         for free in &mut self.free[priority as usize..] {
             need.take_from(free);
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Leader;
-use super::ledger::JobTaskCounts;
+use super::ledger::{JobTaskCounts, TaskCounts};
 use super::machine_speed::ClassRunTimes;
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
 use crate::admission::{Curve, Demand};
@@ -168,6 +168,16 @@
         demands
     }
 
+    /// How many more tasks of a job could be granted now.
+    fn tries(&self, job: &Job, counts: TaskCounts, failing: bool) -> u32 {
+        if job.spec.kind == JobKind::Gang {
+            return self.gang_tries(job, counts);
+        }
+        let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
+        // A job that fails everywhere keeps the value it would have, but only one task tries.
+        if failing { runnable.min(1) } else { runnable }
+    }
+
     /// What one job asks.
     fn demand(
         &self,
@@ -181,13 +191,7 @@
         let counts = standings.counts.get(&id).copied().unwrap_or_default();
         let gang = job.spec.kind == JobKind::Gang;
         let mut weight = weight(cluster, job, self.run_s(job), guaranteed);
-        let mut tries = if gang {
-            self.gang_tries(job, counts)
-        } else {
-            let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
-            // A job that fails everywhere keeps the value it would have, but only one task tries.
-            if standings.failing.contains(&id) { runnable.min(1) } else { runnable }
-        };
+        let mut tries = self.tries(job, counts, standings.failing.contains(&id));
         let at_limit = standings.at_limit.get(team).copied().unwrap_or(false);
         let starved = self.starved(cluster, job, counts.held, at_limit);
         if starved {
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -41,7 +41,7 @@
 }
 
 /// The time of day of a moment, or the one that is known of it already.
-fn reconciled(known: Option<WallTime>, computed: u64) -> WallTime {
+fn steady_time(known: Option<WallTime>, computed: u64) -> WallTime {
     known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(WallTime(computed))
 }
 
@@ -88,32 +88,44 @@
                 .iter()
                 .map(|(id, s)| (id.clone(), speed(s)))
                 .collect(),
-            refusals: self
-                .remembered
-                .market
-                .refusals(cluster.now)
-                .map(|(offer, until)| {
-                    let offer = MachineOfferRecord::from(offer);
-                    let computed = cluster.wall.0 + until.since(cluster.now);
-                    let until = reconciled(known.refusals.entries().get(&offer).copied(), computed);
-                    (offer, until)
-                })
-                .collect(),
-            waiting: self
-                .jobs
-                .idle_since
-                .iter()
-                .map(|(job, since)| {
-                    let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
-                    let known = known.waiting.entries().get(&(*job).into()).copied();
-                    ((*job).into(), reconciled(known, computed))
-                })
-                .collect(),
+            refusals: self.refusal_times(cluster, known),
+            waiting: self.waiting_times(cluster, known),
             reserved: self.gangs.reserved.iter().cloned().collect::<BTreeSet<MachineId>>(),
         }
     }
 
-    /// Takes what another leader's decisions are good for once the replica has been asked about them. None of it is
+    /// Until when offers are not asked for, by the time of day.
+    fn refusal_times(
+        &self,
+        cluster: &ClusterView<'_>,
+        known: &DecisionState,
+    ) -> BTreeMap<MachineOfferRecord, WallTime> {
+        let refusals = self.remembered.market.refusals(cluster.now);
+        let times = refusals.map(|(offer, until)| {
+            let offer = MachineOfferRecord::from(offer);
+            let computed = cluster.wall.0 + until.since(cluster.now);
+            let until = steady_time(known.refusals.entries().get(&offer).copied(), computed);
+            (offer, until)
+        });
+        times.collect()
+    }
+
+    /// Since when jobs have had no task anywhere, by the time of day.
+    fn waiting_times(
+        &self,
+        cluster: &ClusterView<'_>,
+        known: &DecisionState,
+    ) -> BTreeMap<JobNumber, WallTime> {
+        let idle_since = self.jobs.idle_since.iter();
+        let times = idle_since.map(|(job, since)| {
+            let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
+            let known = known.waiting.entries().get(&(*job).into()).copied();
+            ((*job).into(), steady_time(known, computed))
+        });
+        times.collect()
+    }
+
+    /// Applies what another leader's decisions are good for once the replica has been asked about them. None of it is
     /// needed, and nothing of it says where a task is.
     pub fn take_hints(
         &mut self,
@@ -121,7 +133,7 @@
         state: &DecisionState,
     ) -> VerificationCounts {
         let mut counts = VerificationCounts::default();
-        let mut note = |confirmed: bool| {
+        let mut record = |confirmed: bool| {
             let count = if confirmed { &mut counts.confirmed } else { &mut counts.dropped };
             *count += 1;
             confirmed
@@ -129,32 +141,33 @@
         let open = |job: JobId| cluster.replica.jobs.contains_key(&job);
         let recorded = &self.ledger.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
-            note(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
+            record(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
         }
         for job in state.admissions.entries().keys() {
-            note(open((*job).into()));
+            record(open((*job).into()));
         }
         for job in state.gangs.entries().keys() {
-            note(open((*job).into()));
+            record(open((*job).into()));
         }
         for (job, since) in state.waiting.entries() {
             let job = JobId::from(*job);
-            if note(open(job)) {
+            if record(open(job)) {
                 self.jobs
                     .idle_since
                     .insert(job, cluster.now.less(cluster.wall.0.saturating_sub(since.0)));
             }
         }
         for (id, speed) in state.speeds.entries() {
-            if note(cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio))
-            {
+            if record(
+                cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio),
+            ) {
                 self.remembered
                     .machine_speeds
                     .insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
             }
         }
         for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
-            note(cluster.replica.machine_known(id));
+            record(cluster.replica.machine_known(id));
         }
         counts.hints += self.apply_unrecorded(cluster, state);
         counts
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -9,13 +9,13 @@
 use crate::placement;
 use crate::placement::{PlacementTarget, Resources};
 use crate::replica::Job;
-use crate::wire::JobKind;
+use crate::wire::{JobKind, JobSpec};
 
-/// How long a job waits at most before its first tasks go before others.
+/// How long a job waits at most before its first tasks go before others, in milliseconds.
 const STARVED_MS: u64 = 100_000;
 
 /// The same in a team at its limit, for a job without a task on a machine, whether it has begun or
-/// not. What is granted then runs within a few reports, and so before 90 s are over. Such a team
+/// not. What is granted then runs within a few heartbeats, and so before 90 s are over. Such a team
 /// always has a few cores free between the end of a task and the start of the next one, so others
 /// than the first in line would be left waiting beside them.
 const STARVED_AT_LIMIT_MS: u64 = 60_000;
@@ -27,9 +27,9 @@
 pub(super) const STARVED_WEIGHT: f64 = 1_000.0;
 
 /// Most machines that are held back for such jobs at a time.
-const STARVED_ROOMS: usize = 4;
+const STARVED_MACHINES: usize = 4;
 
-/// How long a gang that fits nowhere waits before machines are cleared for it.
+/// How long a gang that fits nowhere waits before machines are cleared for it, in milliseconds.
 const CLEARED_MS: u64 = 33_000;
 
 /// Milliseconds since a job was accepted.
@@ -37,7 +37,18 @@
     cluster.wall.0.saturating_sub(job.at.0)
 }
 
-/// Keeps machines from others in the zone where a gang that fits nowhere can begin first: those
+/// Cores and more that a machine offers to a job when it is empty; `None` if the job may not use it.
+fn offered_to(
+    cluster: &ClusterView<'_>,
+    spec: &JobSpec,
+    target: &PlacementTarget,
+) -> Option<Resources> {
+    let PlacementTarget { machine_type, zone, spot, .. } = target;
+    let may_use = target.open && placement::allowed(spec, machine_type, zone, *spot);
+    cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
+}
+
+/// Closes machines to others in the zone where a gang that fits nowhere can begin first: those
 /// that would hold it once they are empty.
 fn hold_back_for_gang(
     cluster: &ClusterView<'_>,
@@ -48,43 +59,66 @@
     let count = job.spec.task_count as usize;
     let all = vec![true; targets.len()];
     let zones: Vec<Option<&str>> = match job.spec.one_zone {
-        true => cluster.settings.params.zones.iter().map(|z| Some(z.as_str())).collect(),
+        true => cluster.settings.params.zones.iter().map(|zone| Some(zone.as_str())).collect(),
         false => vec![None],
     };
-    if zones.iter().any(|z| placement::pack(&job.spec, need, targets, &all, *z, count).is_some()) {
+    let fits = |zone| placement::pack(&job.spec, need, targets, &all, zone, count).is_some();
+    if zones.iter().any(|zone| fits(*zone)) {
         return;
     }
-    let slots = |r: &PlacementTarget| {
-        let offered =
-            cluster.catalog.get(&*r.machine_type).map(Resources::offered).unwrap_or_default();
-        let may = r.open && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot);
-        if may { placement::slots(need, &offered) as usize } else { 0 }
-    };
     // The zone that lacks least now, of those that could hold it at all.
-    let mut best: Option<(usize, Vec<usize>)> = None;
+    let mut best: Option<GangRoom> = None;
     for zone in zones {
-        let mut inside: Vec<usize> = (0..targets.len())
-            .filter(|&i| zone.is_none_or(|z| *z == *targets[i].zone) && slots(&targets[i]) > 0)
-            .collect();
-        inside.sort_by_key(|&i| std::cmp::Reverse((targets[i].free.cores, i)));
-        let (mut could, mut can, mut chosen) = (0, 0, Vec::new());
-        for i in inside {
-            if could >= count {
-                break;
-            }
-            could += slots(&targets[i]);
-            can += placement::slots(need, &targets[i].free) as usize;
-            chosen.push(i);
-        }
-        if could >= count && best.as_ref().is_none_or(|b| can > b.0) {
-            best = Some((can, chosen));
+        let room = room_for_gang(cluster, job, need, targets, zone);
+        if room.slots >= count && best.as_ref().is_none_or(|best| room.free_slots > best.free_slots)
+        {
+            best = Some(room);
         }
     }
-    for i in best.into_iter().flat_map(|b| b.1) {
+    for i in best.into_iter().flat_map(|best| best.machines) {
         targets[i].open = false;
     }
 }
 
+/// Machines of a zone that would hold a gang once they are empty.
+#[derive(Default)]
+struct GangRoom {
+    /// By their place among the targets.
+    machines: Vec<usize>,
+    /// Tasks that they hold when they are empty.
+    slots: usize,
+    /// Tasks that they could take now.
+    free_slots: usize,
+}
+
+/// The machines of a zone that are closest to holding a gang, as many as it needs.
+fn room_for_gang(
+    cluster: &ClusterView<'_>,
+    job: &Job,
+    need: &Resources,
+    targets: &[PlacementTarget],
+    zone: Option<&str>,
+) -> GangRoom {
+    let slots = |target: &PlacementTarget| {
+        offered_to(cluster, &job.spec, target)
+            .map_or(0, |offered| placement::slots(need, &offered) as usize)
+    };
+    let mut inside: Vec<usize> = (0..targets.len())
+        .filter(|&i| zone.is_none_or(|zone| *zone == *targets[i].zone) && slots(&targets[i]) > 0)
+        .collect();
+    inside.sort_by_key(|&i| std::cmp::Reverse((targets[i].free.cores, i)));
+    let mut room = GangRoom::default();
+    for i in inside {
+        if room.slots >= job.spec.task_count as usize {
+            break;
+        }
+        room.slots += slots(&targets[i]);
+        room.free_slots += placement::slots(need, &targets[i].free) as usize;
+        room.machines.push(i);
+    }
+    room
+}
+
 impl Leader {
     /// Records which jobs have nothing on machines or on its way there, and since when.
     pub(super) fn record_idle(&mut self, cluster: &ClusterView<'_>, counts: &JobTaskCounts) {
@@ -122,44 +156,58 @@
         counts: &JobTaskCounts,
         allocation: &mut EpochAllocation,
     ) {
-        let mut held = 0;
-        for d in demands {
-            let Some(job) = cluster.replica.jobs.get(&d.job) else { continue };
+        let mut held_back = 0;
+        for demand in demands {
+            let Some(job) = cluster.replica.jobs.get(&demand.job) else { continue };
             let need = Resources::of(&job.spec);
-            let running = counts.get(&d.job).map_or(0, |counts| counts.held);
+            let held = counts.get(&demand.job).map_or(0, |counts| counts.held);
             if job.spec.kind == JobKind::Gang {
-                if running == 0 && waiting_ms(cluster, job) > CLEARED_MS {
+                if held == 0 && waiting_ms(cluster, job) > CLEARED_MS {
                     hold_back_for_gang(cluster, job, &need, &mut allocation.targets);
                 }
                 continue;
             }
-            let fits = |r: &PlacementTarget| r.takes(&job.spec, &need, None);
-            if !self.starved(cluster, job, running, false) || allocation.targets.iter().any(fits) {
-                continue;
-            }
-            // What is kept for gangs is not kept from work that has waited long.
-            let free = |r: &&mut PlacementTarget| r.holds(&job.spec, &need, None);
-            if let Some(target) = allocation.targets.iter_mut().find(free) {
-                target.reserved = false;
-                self.gangs.reserved.retain(|id| *id != target.id);
-                continue;
-            }
-            if held >= STARVED_ROOMS {
+            let fits = |target: &PlacementTarget| target.takes(&job.spec, &need, None);
+            if !self.starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
-            let could = |r: &PlacementTarget| {
-                let offered = cluster.catalog.get(&*r.machine_type).map(Resources::offered);
-                r.open
-                    && offered.is_some_and(|o| need.fits(&o))
-                    && placement::allowed(&job.spec, &r.machine_type, &r.zone, r.spot)
-            };
-            let best = (0..allocation.targets.len())
-                .filter(|&i| could(&allocation.targets[i]))
-                .max_by_key(|&i| allocation.targets[i].free.cores);
-            if let Some(i) = best {
-                allocation.targets[i].open = false;
-                held += 1;
+            let released = self.release_reserved(&job.spec, &need, &mut allocation.targets);
+            if !released && held_back < STARVED_MACHINES {
+                let machine = largest_possible(cluster, &job.spec, &need, &allocation.targets);
+                if let Some(i) = machine {
+                    allocation.targets[i].open = false;
+                    held_back += 1;
+                }
             }
         }
     }
+
+    /// Gives a machine that is reserved for gangs to work that has waited long: it is not kept from that.
+    /// False if none of them holds a task of it.
+    fn release_reserved(
+        &mut self,
+        spec: &JobSpec,
+        need: &Resources,
+        targets: &mut [PlacementTarget],
+    ) -> bool {
+        let Some(target) = targets.iter_mut().find(|target| target.holds(spec, need, None)) else {
+            return false;
+        };
+        target.reserved = false;
+        self.gangs.reserved.retain(|id| *id != target.id);
+        true
+    }
+}
+
+/// The machine with most free cores of those that hold a task when they are empty.
+fn largest_possible(
+    cluster: &ClusterView<'_>,
+    spec: &JobSpec,
+    need: &Resources,
+    targets: &[PlacementTarget],
+) -> Option<usize> {
+    let holds = |target: &PlacementTarget| {
+        offered_to(cluster, spec, target).is_some_and(|offered| need.fits(&offered))
+    };
+    (0..targets.len()).filter(|&i| holds(&targets[i])).max_by_key(|&i| targets[i].free.cores)
 }
