--- a/src/api.rs
+++ b/src/api.rs
@@ -11,6 +11,7 @@
 use crate::model::{JobId, NodeId};
 use crate::peer::{PeerRequest, PeerResponse};
 use crate::placement;
+use crate::resources::Resources;
 use crate::service::{Service, SubmissionOutcome};
 use crate::wire::{self, JobAnswer, JobKind, JobSpec, JobState};
 
@@ -225,7 +226,7 @@
             JobKind::Array => 1,
             JobKind::Service | JobKind::Gang => u64::from(spec.task_count),
         };
-        let need = placement::Resources::of(spec);
+        let need = Resources::of(spec);
         let over = |limit: Option<crate::model::Cores>, each: u64| {
             limit.is_some_and(|l| each.saturating_mul(tasks) > l.0)
         };
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use serde::{Deserialize, Serialize};
-
-use crate::model::{Cores, MachineId, MonotonicTime};
-use crate::placement::{MachineCatalog, Resources, allowed, slots};
+use crate::model::{MachineId, MonotonicTime};
+use crate::offered_load::{GangSample, LoadSample, OfferedLoad};
+use crate::placement::{allowed, slots};
+use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec, Priority};
 
 /// A kind of machine that can be rented.
@@ -61,93 +61,13 @@
     refused: HashMap<MachineOffer, MonotonicTime>,
     /// What the load was.
     pub load: OfferedLoad,
-    at: MonotonicTime,
+    load_recorded_at: MonotonicTime,
     spare_since: Option<MonotonicTime>,
-    gangs_at: MonotonicTime,
+    gangs_recorded_at: MonotonicTime,
     /// The zone where room is kept for gangs, or both zones if some have to be spread.
     pub gang_zones: Vec<String>,
 }
 
-/// What brief work would use; kept in the store for the next leader.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct OfferedLoad {
-    /// Cores that urgent brief work would use if all of it began on arrival.
-    urgent: Average,
-    /// The same of all brief work.
-    brief: Average,
-    /// Cores that long work used.
-    #[serde(default)]
-    long: Average,
-    /// The highest of urgent brief work, fading fast and slowly.
-    peak: f64,
-    slow_peak: f64,
-    /// Gangs that may not use spot machines, and those that may.
-    #[serde(default)]
-    gangs: GangLoad,
-    #[serde(default)]
-    loose_gangs: GangLoad,
-}
-
-/// What gangs would use.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct GangLoad {
-    /// Cores if all began on arrival.
-    cores: Average,
-    /// Cores of the largest, fading.
-    largest: f64,
-}
-
-impl GangLoad {
-    fn note(&mut self, cores: Cores, largest: Cores, dt: f64) {
-        if cores > Cores(0) || self.cores.weight > 0.0 {
-            self.cores.note(cores.amount(), (-dt / GANGS_OVER_S).exp());
-        }
-        let faded = self.largest * 0.5f64.powf(dt / SLOW_PEAK_HALVES_S);
-        self.largest = faded.max(largest.amount());
-    }
-
-    fn headroom(&self, in_use: f64) -> f64 {
-        let mean = self.cores.mean();
-        // Where gangs are rare, nothing is kept idle for the next one.
-        if self.largest <= 0.0 || mean < self.largest * RARE_PART {
-            return 0.0;
-        }
-        let ready = mean + GANG_DEVIATIONS * self.cores.deviation();
-        (ready - in_use).max(self.largest * LARGEST_GANGS)
-    }
-}
-
-/// Mean and spread of an amount over time, old values fading.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Average {
-    weight: f64,
-    sum: f64,
-    squares: f64,
-}
-
-impl Average {
-    fn note(&mut self, amount: f64, keep: f64) {
-        let new = 1.0 - keep;
-        self.weight = self.weight * keep + new;
-        self.sum = self.sum * keep + amount * new;
-        self.squares = self.squares * keep + amount * amount * new;
-    }
-    fn mean(&self) -> f64 {
-        if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
-    }
-    fn deviation(&self) -> f64 {
-        let mean = self.mean();
-        let squares = if self.weight > 0.0 { self.squares / self.weight } else { 0.0 };
-        (squares - mean * mean).max(0.0).sqrt()
-    }
-}
-
-/// Times in which a remembered peak halves: spot machines are cheap enough to be kept longer.
-const PEAK_HALVES_S: f64 = 100.0;
-const SLOW_PEAK_HALVES_S: f64 = 250.0;
-/// Times over which amounts fade, of urgent brief work and of the rest.
-const URGENT_OVER_S: f64 = 120.0;
-const MEAN_OVER_S: f64 = 60.0;
 /// How long an offer that was refused is not asked for again.
 const REFUSED_MS: u64 = 15_000;
 /// What a spot machine's price counts for, as it may be lost with work on it.
@@ -168,21 +88,13 @@
 /// Work that runs shorter than this part of a boot time is brief: by the time a machine
 /// rented for it is up, it has found room or missed its time.
 const BRIEF: f64 = 0.8;
-/// What is kept ready of urgent brief work on spot machines, which cost little, and on any: its
-/// mean and so many deviations, at least this part of its peak, and how much of the mean of
-/// all brief work.
-const SPOT_DEVIATIONS: f64 = 1.5;
-const READY_SPOT: f64 = 1.0;
-const ANY_DEVIATIONS: f64 = 0.7;
-const READY_ANY: f64 = 0.5;
-const READY_MEAN: f64 = 1.1;
+/// A gap between two samples counts for no more seconds than that.
+const MAX_SAMPLE_S: f64 = 5.0;
 
-/// What is kept for gangs: their mean and so many deviations, over that time, and room for so many of
-/// the largest at any time; nothing if their mean is below that part of the largest.
-const GANG_DEVIATIONS: f64 = 2.0;
-const GANGS_OVER_S: f64 = 120.0;
-const LARGEST_GANGS: f64 = 4.0;
-const RARE_PART: f64 = 0.125;
+/// Seconds that a sample stands for.
+fn elapsed_s(since: MonotonicTime, now: MonotonicTime) -> f64 {
+    (now.since(since) as f64 / 1000.0).min(MAX_SAMPLE_S)
+}
 
 /// The decision.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -214,34 +126,19 @@
         self.refused.iter().filter(move |(_, until)| **until > now).map(|(o, until)| (o, *until))
     }
 
-    /// Notes the cores that brief work would use now if all of it began on arrival, and how
-    /// many of them are urgent. What queues does not count: a queue from before the first
-    /// machines were up says nothing about what comes.
-    pub fn note(&mut self, now: MonotonicTime, brief: Cores, urgent: Cores, long: Cores) {
-        let dt = (now.since(self.at) as f64 / 1000.0).min(5.0);
-        self.at = now;
-        let load = &mut self.load;
-        load.urgent.note(urgent.amount(), (-dt / URGENT_OVER_S).exp());
-        load.brief.note(brief.amount(), (-dt / MEAN_OVER_S).exp());
-        load.long.note(long.amount(), (-dt / MEAN_OVER_S).exp());
-        let fade = |old: f64, halves: f64| (old * 0.5f64.powf(dt / halves)).max(urgent.amount());
-        load.peak = fade(load.peak, PEAK_HALVES_S);
-        load.slow_peak = fade(load.slow_peak, SLOW_PEAK_HALVES_S);
-    }
-
-    /// Notes the cores that gangs would use, and the largest of them: those that may not use spot
-    /// machines, and those that may.
-    pub fn note_gangs(&mut self, now: MonotonicTime, firm: (Cores, Cores), loose: (Cores, Cores)) {
-        let dt = (now.since(self.gangs_at) as f64 / 1000.0).min(5.0);
-        self.gangs_at = now;
-        self.load.gangs.note(firm.0, firm.1, dt);
-        self.load.loose_gangs.note(loose.0, loose.1, dt);
+    /// Records the load of now. What queues does not count: a queue from before the first machines were
+    /// up says nothing about what comes.
+    pub fn record_load(&mut self, now: MonotonicTime, sample: LoadSample) {
+        let elapsed_s = elapsed_s(self.load_recorded_at, now);
+        self.load_recorded_at = now;
+        self.load.record(sample, elapsed_s);
     }
 
-    /// Cores that are to stay free for gangs that may use spot machines or may not, when they use so many.
-    pub fn headroom(&self, loose: bool, in_use: f64) -> f64 {
-        let load = if loose { &self.load.loose_gangs } else { &self.load.gangs };
-        load.headroom(in_use)
+    /// Records the load of gangs: those that may not use spot machines, and those that allow them.
+    pub fn record_gangs(&mut self, now: MonotonicTime, ordinary: GangSample, spot: GangSample) {
+        let elapsed_s = elapsed_s(self.gangs_recorded_at, now);
+        self.gangs_recorded_at = now;
+        self.load.record_gangs(ordinary, spot, elapsed_s);
     }
 
     /// Notes whether machines could be done without.
@@ -249,17 +146,6 @@
         self.spare_since = self.spare_since.filter(|_| spare).or(spare.then_some(now));
     }
 
-    /// Cores to keep for brief work, on spot machines or on any.
-    pub fn ready(&self, spot: bool) -> f64 {
-        let load = &self.load;
-        let (part, peak, deviations) = match spot {
-            true => (READY_SPOT, load.slow_peak, SPOT_DEVIATIONS),
-            false => (READY_ANY, load.peak, ANY_DEVIATIONS),
-        };
-        let spread = load.urgent.mean() + deviations * load.urgent.deviation();
-        spread.max(peak * part).max(load.brief.mean() * READY_MEAN)
-    }
-
     /// Whether an offer may be asked for.
     pub fn open(&self, offer: &MachineOffer, now: MonotonicTime) -> bool {
         self.refused.get(offer).is_none_or(|until| *until <= now)
@@ -323,7 +209,7 @@
     if let Some(model) = models.max_by_key(|w| w.tasks + w.running) {
         let each = Resources::of(model.spec).cores.amount();
         let tasks = |spot| {
-            let lacking = (market.ready(spot) - in_use).max(0.0);
+            let lacking = (market.load.ready_cores(spot) - in_use).max(0.0);
             if each > 0.0 { (lacking / each).round() as u32 } else { 0 }
         };
         let (on_spot, on_any) = (tasks(true), tasks(false));
@@ -345,13 +231,13 @@
     let waiting = long.map(|(_, q)| *q).fold(0.0, f64::max) > PATIENT_S / 3.0;
     let mut spare = false;
     if scale_out.is_empty() && !waiting {
-        let lacking = |spot| (market.ready(spot) - in_use).max(0.0);
+        let lacking = |spot| (market.load.ready_cores(spot) - in_use).max(0.0);
         let long = |machine_type: &str| {
             let fits = |w: &&PendingWork<'_>| {
                 let offered = catalog.get(machine_type).map(Resources::offered);
                 !w.brief && offered.is_some_and(|o| Resources::of(w.spec).fits(&o))
             };
-            if wants.iter().any(|w| fits(&w)) { market.load.long.mean() } else { 0.0 }
+            if wants.iter().any(|w| fits(&w)) { market.load.long_running_mean() } else { 0.0 }
         };
         let since = market.spare_since.map_or(0, |at| now.since(at));
         let ordinary = consolidate(catalog, held, false, lacking(false), &long);
@@ -439,7 +325,7 @@
     let in_use: f64 = gangs().map(|w| cores(w) * f64::from(w.running)).sum();
     let Some(model) = gangs().max_by_key(|w| w.tasks + w.running) else { return };
     let zones = &market.gang_zones;
-    let tasks = (market.headroom(loose, in_use) / cores(model).max(0.001)).ceil() as u32;
+    let tasks = (market.load.gang_headroom(loose, in_use) / cores(model).max(0.001)).ceil() as u32;
     let parts = zones.len().max(1) as u32;
     let mut left = 0;
     for k in 0..parts {
@@ -618,7 +504,7 @@
     idle.sort_by(|a, b| price(&b.offer).total_cmp(&price(&a.offer)).then_with(|| a.id.cmp(&b.id)));
     let mut out = Vec::new();
     for h in idle {
-        if room - h.free.cores.amount() < market.ready(h.offer.spot) {
+        if room - h.free.cores.amount() < market.load.ready_cores(h.offer.spot) {
             continue;
         }
         room -= h.free.cores.amount();
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,6 +1,7 @@
 //! Tables of cases for `capacity`.
 
 use super::*;
+use crate::model::Cores;
 use crate::placement::tests::machine_type;
 use crate::wire::tests::spec;
 
@@ -26,6 +27,9 @@
 fn want(job: &JobSpec, tasks: u32, brief: bool) -> PendingWork<'_> {
     PendingWork { spec: job, tasks, running: 0, run_s: 100.0, brief }
 }
+fn load(short_running: Cores, urgent: Cores) -> LoadSample {
+    LoadSample { short_running, urgent, long_running: Cores(0) }
+}
 fn rented(d: &ScalingDecision) -> u32 {
     d.scale_out.iter().map(|r| r.1).sum()
 }
@@ -87,12 +91,12 @@
     let f = catalog();
     let job = spec(1, 4);
     let mut market = MarketState::default();
-    market.note(MonotonicTime(100), Cores(16_000), Cores(16_000), Cores(0));
+    market.record_load(MonotonicTime(100), load(Cores(16_000), Cores(16_000)));
     let d = decide(MonotonicTime(1_000), &f, &[], &[want(&job, 1, true)], &market);
     assert_eq!(rented(&d), 2, "its peak of 16 cores");
     assert!(d.scale_out.iter().all(|(o, _)| o.spot));
     for s in 1..900 {
-        market.note(MonotonicTime(s * 1_000), Cores(0), Cores(0), Cores(0));
+        market.record_load(MonotonicTime(s * 1_000), load(Cores(0), Cores(0)));
     }
     let d = decide(MonotonicTime(900_000), &f, &[held("n-1", true, 0.0)], &[], &market);
     assert_eq!(d, ScalingDecision::default(), "nothing is wanted any more");
@@ -105,7 +109,7 @@
     let all = [held("n-1", true, 170.0), held("n-2", false, 70.0), held("n-3", true, 10.0)];
     let d = decide(MonotonicTime(1_000), &f, &all, &[], &market);
     assert_eq!(d.scale_in, [MachineId::new("n-2"), MachineId::new("n-1")]);
-    market.note(MonotonicTime(1_000), Cores(14_000), Cores(16_000), Cores(0));
+    market.record_load(MonotonicTime(1_000), load(Cores(14_000), Cores(16_000)));
     let d = decide(MonotonicTime(1_000), &f, &all, &[], &market);
     assert_eq!(d.scale_in, [MachineId::new("n-2")], "the dearest goes first");
 }
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -4,8 +4,8 @@
 
 use crate::config::{NodeInfo, Settings, StoreLimits};
 use crate::model::{JobId, MonotonicTime, WallTime};
-use crate::placement::MachineCatalog;
 use crate::replica::Replica;
+use crate::resources::MachineCatalog;
 use crate::shard::CompletedTasks;
 
 /// What the leader needs to see besides its own state.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -14,8 +14,8 @@
     WallTime,
 };
 use crate::peer::{PeerResponse, Plan, Summary, WaitReason};
-use crate::placement::MachineCatalog;
 use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
+use crate::resources::MachineCatalog;
 use crate::shard::{DirectMessage, HeartbeatOutcome, Shard, ShardContext};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -12,8 +12,9 @@
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Attempt, Cores, JobId, NodeId, TaskId};
 use crate::peer::WaitReason;
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::PlacementTarget;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::{placement, wire};
 
 /// What an epoch fills: teams' use of cores and accelerators, room on machines, and grants.
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -2,8 +2,8 @@
 
 use super::{ClusterView, Leader};
 use crate::model::Cores;
-use crate::placement::Resources;
 use crate::replica;
+use crate::resources::Resources;
 use crate::wire::TaskState;
 
 /// The versions of the controllers that are up, in their order.
@@ -50,8 +50,8 @@
             fetches.amount(),
             waits.amount(),
             free.amount(),
-            self.market.ready(false),
-            self.market.ready(true),
+            self.market.load.ready_cores(false),
+            self.market.load.ready_cores(true),
             self.reserved.len(),
             versions(cluster),
         )
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -15,7 +15,8 @@
 use super::{ClusterView, Leader};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, MachineId, NodeId};
-use crate::placement::{self, PlacementTarget, Resources};
+use crate::placement::{self, PlacementTarget};
+use crate::resources::Resources;
 use crate::wire::{JobKind, JobSpec, Priority, TaskState};
 
 /// Seconds of expected completions that are granted ahead: some epochs, so that there is always
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -14,8 +14,9 @@
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Attempt, Cores, JobId, MachineId, MonotonicTime, PlanSeq, TaskId};
 use crate::peer::{GangStop, WaitReason};
-use crate::placement::{self, PlacementTarget, Resources};
+use crate::placement::{self, PlacementTarget};
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::{JobKind, TaskState};
 
 /// Part of the time that a gang's tasks wait for each other in which it has to be whole.
@@ -336,7 +337,8 @@
             let may = |r: &PlacementTarget| {
                 r.open && !r.reserved && (loose || !r.spot) && capabilities(r)
             };
-            let wanted = self.market.headroom(loose, Cores(used[usize::from(loose)]).amount());
+            let wanted =
+                self.market.load.gang_headroom(loose, Cores(used[usize::from(loose)]).amount());
             // In a small fleet others would find nothing.
             let wanted = wanted.min(open * MAX_RESERVED_SHARE);
             if wanted <= 0.0 {
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -9,8 +9,8 @@
 use crate::admission::{Curve, Demand};
 use crate::config::Settings;
 use crate::model::{Cores, JobId};
-use crate::placement::Resources;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -7,7 +7,7 @@
 use super::{ClusterView, EpochAllocation, Leader};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId};
-use crate::placement::Resources;
+use crate::resources::Resources;
 
 impl Leader {
     /// Cores that each team may be using.
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -10,8 +10,10 @@
 use crate::autoscaler::{MachineOffer, MachineUsage, PendingWork};
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{Cores, JobId, MachineId, PlanSeq, TaskId};
-use crate::placement::{PlacementTarget, Resources};
+use crate::offered_load::{GangSample, LoadSample};
+use crate::placement::PlacementTarget;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 
 /// Time between two decisions on what to rent and return.
@@ -29,9 +31,9 @@
         let now = cluster.now;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|g| g.0).collect();
         let mut wants: Vec<PendingWork<'_>> = Vec::new();
-        let (mut brief_cores, mut urgent, mut long) = (Cores(0), Cores(0), Cores(0));
+        let mut load = LoadSample::default();
         // Gangs that may not use spot machines, and those that may: all, and the largest.
-        let mut gangs = [(Cores(0), Cores(0)); 2];
+        let mut gangs = [GangSample::default(); 2];
         let mut team_headroom: HashMap<&str, u64> = HashMap::new();
         for t in &cluster.settings.params.teams {
             let limit = t.core_limit().map_or(u64::MAX, |c| c.0);
@@ -58,21 +60,21 @@
             let gang = job.spec.kind == JobKind::Gang;
             if gang {
                 let cores = Cores(need.cores.0 * u64::from(job.spec.task_count));
-                let (sum, largest) = &mut gangs[usize::from(job.spec.allows_spot)];
+                let sample = &mut gangs[usize::from(job.spec.allows_spot)];
                 // It counts from its arrival for as long as it runs, wherever it is.
                 if age_ms < run_s * 1000.0 {
-                    sum.0 += cores.0;
+                    sample.total.0 += cores.0;
                 }
-                *largest = cores.max(*largest);
+                sample.largest = cores.max(sample.largest);
             }
             if brief && !gang && age_ms < run_s * 1000.0 {
                 let cores = need.cores.0 * u64::from(job.spec.task_count).min(can);
-                brief_cores.0 += cores;
-                urgent.0 += if job.spec.priority <= Priority::High { cores } else { 0 };
+                load.short_running.0 += cores;
+                load.urgent.0 += if job.spec.priority <= Priority::High { cores } else { 0 };
             }
             let running = held.get(&job.spec.id).copied().unwrap_or(0);
             if !brief {
-                long.0 += need.cores.0 * u64::from(running);
+                load.long_running.0 += need.cores.0 * u64::from(running);
             }
             wants.push(PendingWork {
                 spec: &job.spec,
@@ -82,8 +84,8 @@
                 brief,
             });
         }
-        self.market.note(now, brief_cores, urgent, long);
-        self.market.note_gangs(now, gangs[0], gangs[1]);
+        self.market.record_load(now, load);
+        self.market.record_gangs(now, gangs[0], gangs[1]);
         let free: HashMap<&MachineId, &PlacementTarget> =
             targets.iter().map(|r| (&r.id, r)).collect();
         let machines: Vec<MachineUsage> = fleet
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -8,8 +8,9 @@
 use crate::admission::Demand;
 use crate::model::JobId;
 use crate::placement;
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::PlacementTarget;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::JobKind;
 
 /// How long a job waits at most before its first tasks go before others.
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -7,6 +7,7 @@
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{AgentEpoch, ClockReading, Incarnation, Revision, StoreLease, WallTime};
+use crate::offered_load::GangSample;
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
@@ -903,9 +904,9 @@
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         tell(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
-            l.market.note_gangs(
+            l.market.record_gangs(
                 MonotonicTime(1_150),
-                (Cores(64_000), Cores(64_000)),
+                GangSample { total: Cores(64_000), largest: Cores(64_000) },
                 Default::default(),
             );
         });
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -2,60 +2,14 @@
 //! over parts as well as by the parts themselves.
 
 use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap};
+use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-use serde::{Deserialize, Serialize};
-
 use crate::model::{Cores, MachineId, TaskId};
 use crate::replica::Replica;
+use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec, MachineType, Priority, TaskState};
 
-/// Machine types by name, with what their machines offer.
-pub type MachineCatalog = HashMap<String, MachineType>;
-
-/// What a task takes. Memory and accelerators are counted in thousandths like cores.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Resources {
-    /// Cores.
-    pub cores: Cores,
-    /// Accelerators.
-    pub accelerators: Cores,
-    /// Memory, in thousandths of a GB.
-    pub memory: Cores,
-}
-
-impl Resources {
-    /// What each task of a job takes.
-    pub fn of(spec: &JobSpec) -> Self {
-        Resources {
-            cores: Cores::need(spec.vcpus),
-            accelerators: Cores::need(spec.accelerators),
-            memory: Cores::need(spec.mem_gb),
-        }
-    }
-    /// What a machine of a type offers.
-    pub fn offered(machine_type: &MachineType) -> Self {
-        Resources {
-            cores: Cores::offer(machine_type.vcpus),
-            accelerators: Cores::offer(machine_type.accelerators),
-            memory: Cores::offer(machine_type.mem_gb),
-        }
-    }
-    /// Whether this fits into what is free.
-    pub fn fits(&self, free: &Resources) -> bool {
-        self.cores <= free.cores
-            && self.accelerators <= free.accelerators
-            && self.memory <= free.memory
-    }
-    /// Takes this away from what is free.
-    pub fn take_from(&self, free: &mut Resources) {
-        free.cores = free.cores.less(self.cores);
-        free.accelerators = free.accelerators.less(self.accelerators);
-        free.memory = free.memory.less(self.memory);
-    }
-}
-
 /// Whether a job may use machines of that type, zone and kind at all.
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.machine_types.as_ref().is_none_or(|h| h.iter().any(|n| n == machine_type))
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -12,11 +12,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::autoscaler::OfferedLoad;
 use crate::model::{
     Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, WallTime,
 };
-use crate::placement::{MachineCatalog, Resources};
+use crate::offered_load::OfferedLoad;
+use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{self, Condition, JobSpec, JobState, KeyValue, Value, WatchResponse};
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -13,8 +13,8 @@
     TaskId, Term,
 };
 use crate::peer::{JobStatus, OwnershipChanges, Plan};
-use crate::placement::MachineCatalog;
 use crate::replica::Replica;
+use crate::resources::MachineCatalog;
 use crate::wire::{
     ExitReason, Heartbeat, HeartbeatResponse, JobKind, JobState, TaskState, TaskStatus,
     WorkerCommand,
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -11,8 +11,9 @@
 use crate::model::{Attempt, Cores, JobId, MachineId, MonotonicTime, PlanSeq, TaskId, Term};
 use crate::peer::Grant;
 use crate::placement;
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::PlacementTarget;
 use crate::replica::Replica;
+use crate::resources::Resources;
 use crate::wire::{JobSpec, Priority, TaskState, WorkerCommand};
 
 /// Longest time between two looks at where granted tasks are to start.
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -5,11 +5,11 @@
 
 use std::collections::BTreeMap;
 
-use willowshore::autoscaler::OfferedLoad;
 use willowshore::model::{
     AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
     Term, WallTime,
 };
+use willowshore::offered_load::OfferedLoad;
 use willowshore::peer::{
     self, ForeignMachine, GangStop, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
     PeerResponse, Plan, PlanBody, StoreMessage, Summary, TaskView, WaitReason,
