--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,17 +1,49 @@
-//! What to rent and what to return: a pure decision over what is held and what is wanted.
+//! The autoscaler: which machines to scale out and which to scale in.
+//!
+//! [`decide`] is a pure function of the machines that are held, the work that is pending and what
+//! [`MarketState`] remembers from epoch to epoch. Its steps are bin packing: pending tasks are packed
+//! first into free room, then into machines that are to be rented, each of the type with the lowest price
+//! per task. Gangs come first, then headroom for the next gangs, then long-running work, then ready
+//! capacity for short-running work. Machines are scaled in only when nothing is scaled out.
+//!
+//! Nothing here affects safety: a machine that is scaled in is drained first, and what ran on it ends only
+//! with the proofs that `fleet` collects.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::model::{MachineId, MonotonicTime};
-use crate::offered_load::{GangSample, LoadSample, OfferedLoad};
-use crate::placement::{allowed, slots};
+use crate::placement::slots;
 use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec, Priority};
 
+mod market;
+mod scale_in;
+mod scale_out;
+
+pub use market::MarketState;
+use scale_in::ScaleInPlanner;
+use scale_out::{OfferFilter, ScaleOutPlan};
+
+/// Seconds that work without urgency waits in the queue before ordinary machines are rented.
+const PATIENT_S: f64 = 12.0;
+/// Machines are not consolidated while pending work would keep them busy for longer than that.
+const CONSOLIDATION_QUEUE_S: f64 = PATIENT_S / 3.0;
+/// Milliseconds for which ordinary machines must have been surplus before some are scaled in, and spot
+/// machines, which cost little.
+const SURPLUS_MS: u64 = 12_000;
+const SURPLUS_SPOT_MS: u64 = 25_000;
+/// Work that runs shorter than this part of a boot time is short-running: by the time a machine rented for
+/// it is up, it has found room or missed its time.
+const SHORT_RUNNING_BOOT_SHARE: f64 = 0.8;
+/// Boot time in seconds of a machine whose type the catalog does not have.
+const DEFAULT_BOOT_S: f64 = 60.0;
+/// A machine that boots for longer than this multiple of the usual time may never come up.
+const OVERDUE_BOOT_MULTIPLE: f64 = 2.0;
+
 /// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineOffer {
-    /// Type.
+    /// Name of its machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
@@ -19,498 +51,259 @@
     pub spot: bool,
 }
 
-/// A machine that is held.
+/// A machine that is held, and how it is used.
 #[derive(Clone, Debug)]
 pub struct MachineUsage {
     /// The machine.
     pub id: MachineId,
-    /// What it is.
+    /// What was rented.
     pub offer: MachineOffer,
-    /// Whether it has not reported yet.
+    /// Whether it has not sent a heartbeat yet.
     pub booting: bool,
     /// Seconds since it was rented, as far as known.
     pub age_s: f64,
-    /// What is free on it.
+    /// Free resources.
     pub free: Resources,
     /// Seconds since something ran on it; 0 if something does.
     pub idle_s: f64,
-    /// Whether it is kept for gangs.
+    /// Whether it is reserved for gangs.
     pub reserved: bool,
-    /// Whether it is about to go: taken by the cloud, being drained, or silent.
+    /// Whether it takes nothing new as it is preempted, drained or silent.
     pub leaving: bool,
 }
 
-/// Tasks that wait for room.
+impl MachineUsage {
+    /// Whether it is up and may take tasks.
+    fn in_service(&self) -> bool {
+        !self.leaving && !self.booting
+    }
+}
+
+/// A job's tasks that wait for resources.
 #[derive(Clone, Debug)]
 pub struct PendingWork<'a> {
     /// Their job.
     pub spec: &'a JobSpec,
-    /// How many.
+    /// Number of tasks that wait.
     pub tasks: u32,
-    /// How many of the job's tasks run or are about to.
+    /// Number of the job's tasks that run or are about to.
     pub running: u32,
-    /// How long each runs.
+    /// Expected run time of a task, in seconds.
     pub run_s: f64,
-    /// Whether they run shorter than it takes to rent a machine for them.
-    pub brief: bool,
-}
-
-/// What is remembered from epoch to epoch.
-#[derive(Clone, Debug, Default)]
-pub struct MarketState {
-    refused: HashMap<MachineOffer, MonotonicTime>,
-    /// What the load was.
-    pub load: OfferedLoad,
-    load_recorded_at: MonotonicTime,
-    spare_since: Option<MonotonicTime>,
-    gangs_recorded_at: MonotonicTime,
-    /// The zone where room is kept for gangs, or both zones if some have to be spread.
-    pub gang_zones: Vec<String>,
-}
-
-/// How long an offer that was refused is not asked for again.
-const REFUSED_MS: u64 = 15_000;
-/// What a spot machine's price counts for, as it may be lost with work on it.
-const SPOT_RISK: f64 = 1.15;
-/// Idle seconds after which a machine may be returned, spot and ordinary.
-const IDLE_SPOT_S: f64 = 60.0;
-const IDLE_ORDINARY_S: f64 = 20.0;
-/// Seconds that work without urgency waits in the queue before ordinary machines are rented.
-const PATIENT_S: f64 = 12.0;
-/// How long machines must have been to spare before some go, ordinary and spot, what part of the cores
-/// in use stays free beyond what is kept ready, and which part of the machines goes at a time.
-const SPARE_MS: u64 = 12_000;
-const SPARE_SPOT_MS: u64 = 25_000;
-const SPARE_PART: f64 = 0.12;
-const SHED_PART: usize = 40;
-/// A machine that is deleted costs at least that long.
-const LEAST_PAID_S: f64 = 60.0;
-/// Work that runs shorter than this part of a boot time is brief: by the time a machine
-/// rented for it is up, it has found room or missed its time.
-const BRIEF: f64 = 0.8;
-/// A gap between two samples counts for no more seconds than that.
-const MAX_SAMPLE_S: f64 = 5.0;
-
-/// Seconds that a sample stands for.
-fn elapsed_s(since: MonotonicTime, now: MonotonicTime) -> f64 {
-    (now.since(since) as f64 / 1000.0).min(MAX_SAMPLE_S)
-}
-
-/// The decision.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct ScalingDecision {
-    /// Machines to rent.
-    pub scale_out: Vec<(MachineOffer, u32)>,
-    /// Machines to drain and return.
-    pub scale_in: Vec<MachineId>,
-    /// Whether machines could be done without, if that lasts.
-    pub spare: bool,
+    /// Whether a task runs shorter than it takes to boot a machine for it.
+    pub short_running: bool,
 }
 
-impl MarketState {
-    /// Remembers that an offer was refused or only partly filled.
-    pub fn refused(&mut self, offer: &MachineOffer, now: MonotonicTime) {
-        self.refused.insert(offer.clone(), now.plus(REFUSED_MS));
-    }
-
-    /// The same as another leader told, for what is left of it.
-    pub fn refused_for(&mut self, offer: &MachineOffer, now: MonotonicTime, left_ms: u64) {
-        self.refused.insert(offer.clone(), now.plus(left_ms.min(REFUSED_MS)));
+impl PendingWork<'_> {
+    fn is_gang(&self) -> bool {
+        self.spec.kind == JobKind::Gang
     }
 
-    /// Offers that are not asked for now, and until when.
-    pub fn refusals(
-        &self,
-        now: MonotonicTime,
-    ) -> impl Iterator<Item = (&MachineOffer, MonotonicTime)> {
-        self.refused.iter().filter(move |(_, until)| **until > now).map(|(o, until)| (o, *until))
+    /// Whether ready capacity serves it.
+    fn needs_ready_capacity(&self) -> bool {
+        self.short_running && !self.is_gang()
     }
 
-    /// Records the load of now. What queues does not count: a queue from before the first machines were
-    /// up says nothing about what comes.
-    pub fn record_load(&mut self, now: MonotonicTime, sample: LoadSample) {
-        let elapsed_s = elapsed_s(self.load_recorded_at, now);
-        self.load_recorded_at = now;
-        self.load.record(sample, elapsed_s);
+    /// Whether machines are rented for it when it waits.
+    fn is_long_running(&self) -> bool {
+        !self.short_running && !self.is_gang()
     }
 
-    /// Records the load of gangs: those that may not use spot machines, and those that allow them.
-    pub fn record_gangs(&mut self, now: MonotonicTime, ordinary: GangSample, spot: GangSample) {
-        let elapsed_s = elapsed_s(self.gangs_recorded_at, now);
-        self.gangs_recorded_at = now;
-        self.load.record_gangs(ordinary, spot, elapsed_s);
+    fn cores_per_task(&self) -> f64 {
+        Resources::of(self.spec).cores.amount()
     }
 
-    /// Notes whether machines could be done without.
-    pub fn note_spare(&mut self, now: MonotonicTime, spare: bool) {
-        self.spare_since = self.spare_since.filter(|_| spare).or(spare.then_some(now));
+    /// Whether a task fits on an empty machine of that type.
+    fn fits_type(&self, catalog: &MachineCatalog, machine_type: &str) -> bool {
+        let offered = catalog.get(machine_type).map(Resources::offered);
+        offered.is_some_and(|offered| Resources::of(self.spec).fits(&offered))
     }
+}
 
-    /// Whether an offer may be asked for.
-    pub fn open(&self, offer: &MachineOffer, now: MonotonicTime) -> bool {
-        self.refused.get(offer).is_none_or(|until| *until <= now)
-    }
+/// What is to be rented and returned.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ScalingDecision {
+    /// Machines to rent, with their number by offer.
+    pub scale_out: Vec<(MachineOffer, u32)>,
+    /// Machines to drain and return.
+    pub scale_in: Vec<MachineId>,
+    /// Whether some machines are surplus; they are scaled in if that lasts.
+    pub has_surplus: bool,
 }
 
-/// Whether work is brief in comparison with how long machines boot.
-pub fn is_brief(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
+/// Whether work is short-running in comparison with the boot time of the machines that it fits on.
+pub fn is_short_running(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
     let need = Resources::of(spec);
-    let boots = catalog.values().filter(|f| slots(&need, &Resources::offered(f)) > 0);
-    boots.map(|f| f.boot_s).min_by(f64::total_cmp).is_some_and(|boot| run_s < boot * BRIEF)
+    let suitable = catalog.values().filter(|t| slots(&need, &Resources::offered(t)) > 0);
+    let boot_s = suitable.map(|t| t.boot_s).min_by(f64::total_cmp);
+    boot_s.is_some_and(|boot_s| run_s < boot_s * SHORT_RUNNING_BOOT_SHARE)
 }
 
-/// Decides what to rent and what to return.
+/// Decides what to scale out and what to scale in.
 pub fn decide(
     now: MonotonicTime,
     catalog: &MachineCatalog,
-    held: &[MachineUsage],
-    wants: &[PendingWork<'_>],
+    machines: &[MachineUsage],
+    pending: &[PendingWork<'_>],
     market: &MarketState,
 ) -> ScalingDecision {
-    let mut bins: Vec<Bin> = Vec::new();
-    for h in held.iter().filter(|h| !h.leaving) {
-        let startup = catalog.get(&h.offer.machine_type).map_or(60.0, |f| f.boot_s);
-        // A machine that takes much longer than usual may never come.
-        if !h.booting || h.age_s < startup * 2.0 {
-            bins.push(Bin { offer: h.offer.clone(), free: h.free, reserved: h.reserved });
-        }
-    }
-    let mut scale_out: BTreeMap<MachineOffer, u32> = BTreeMap::new();
-    let any = |o: &MachineOffer| market.open(o, now);
-    let spot_only = |o: &MachineOffer| o.spot && market.open(o, now);
-    // Counted once: each machine that is rented asks for it.
-    let mut zones: HashMap<&str, usize> = HashMap::new();
-    for h in held {
-        *zones.entry(&h.offer.zone).or_default() += 1;
-    }
-    let per_zone = |zone: &str| zones.get(zone).copied().unwrap_or(0);
-    let queues = queues(catalog, held, wants);
-    // Gangs first: what they need is whole, and nothing else fits where it has to be.
-    for want in wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.tasks > 0) {
-        scale_out_for_gang(catalog, want, &any, &mut bins, &mut scale_out, &per_zone);
-    }
-    for loose in [false, true] {
-        keep_ready(catalog, wants, market, loose, &any, &mut bins, &mut scale_out, &per_zone);
-    }
-    let others = |w: &PendingWork<'_>| !w.brief && w.spec.kind != JobKind::Gang;
-    for (want, queue_s) in wants.iter().zip(&queues).filter(|(w, _)| others(w)) {
-        // What waits for a short time only is not worth an ordinary machine.
-        let patient = want.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
-        let offers: &dyn Fn(&MachineOffer) -> bool = if patient { &spot_only } else { &any };
-        scale_out_for(catalog, want, offers, &mut bins, &mut scale_out, &per_zone);
-    }
-    // What is free or brief work already has counts for the cores kept ready for it.
-    let in_use: f64 = wants
+    let queues_s = queue_times(catalog, machines, pending);
+    let short_running_in_use = pending
         .iter()
-        .filter(|w| w.brief && w.spec.kind != JobKind::Gang)
-        .map(|w| Resources::of(w.spec).cores.amount() * f64::from(w.running))
+        .filter(|work| work.needs_ready_capacity())
+        .map(|work| work.cores_per_task() * f64::from(work.running))
         .sum();
-    let models = wants.iter().filter(|w| w.brief && w.spec.kind != JobKind::Gang);
-    if let Some(model) = models.max_by_key(|w| w.tasks + w.running) {
-        let each = Resources::of(model.spec).cores.amount();
-        let tasks = |spot| {
-            let lacking = (market.load.ready_cores(spot) - in_use).max(0.0);
-            if each > 0.0 { (lacking / each).round() as u32 } else { 0 }
-        };
-        let (on_spot, on_any) = (tasks(true), tasks(false));
-        let ready = |tasks| PendingWork { tasks, ..model.clone() };
-        let left = scale_out_for(
-            catalog,
-            &ready(on_spot),
-            &spot_only,
-            &mut bins,
-            &mut scale_out,
-            &per_zone,
-        );
-        let more = left.saturating_sub(on_spot - on_any);
-        scale_out_for(catalog, &ready(more), &any, &mut bins, &mut scale_out, &per_zone);
+    let inputs = Inputs { now, catalog, machines, pending, market, queues_s, short_running_in_use };
+    let scale_out = inputs.scale_out();
+    if !scale_out.is_empty() {
+        return ScalingDecision { scale_out, ..ScalingDecision::default() };
     }
-    let mut scale_in =
-        if scale_out.is_empty() { scale_in(catalog, held, market, in_use) } else { vec![] };
-    let long = wants.iter().zip(&queues).filter(|(w, _)| others(w) && w.tasks > 0);
-    let waiting = long.map(|(_, q)| *q).fold(0.0, f64::max) > PATIENT_S / 3.0;
-    let mut spare = false;
-    if scale_out.is_empty() && !waiting {
-        let lacking = |spot| (market.load.ready_cores(spot) - in_use).max(0.0);
-        let long = |machine_type: &str| {
-            let fits = |w: &&PendingWork<'_>| {
-                let offered = catalog.get(machine_type).map(Resources::offered);
-                !w.brief && offered.is_some_and(|o| Resources::of(w.spec).fits(&o))
-            };
-            if wants.iter().any(|w| fits(&w)) { market.load.long_running_mean() } else { 0.0 }
-        };
-        let since = market.spare_since.map_or(0, |at| now.since(at));
-        let ordinary = consolidate(catalog, held, false, lacking(false), &long);
-        let cheap = consolidate(catalog, held, true, lacking(true), &long);
-        spare = !ordinary.is_empty() || !cheap.is_empty();
-        if scale_in.is_empty() && since >= SPARE_MS && !ordinary.is_empty() {
-            scale_in = ordinary;
-        } else if scale_in.is_empty() && since >= SPARE_SPOT_MS {
-            scale_in = cheap;
-        }
-    }
-    ScalingDecision { scale_in, spare, scale_out: scale_out.into_iter().collect() }
-}
-
-/// What is free on a machine, or on one that is to be rented.
-#[derive(Clone)]
-struct Bin {
-    offer: MachineOffer,
-    free: Resources,
-    reserved: bool,
+    let (scale_in, has_surplus) = inputs.scale_in();
+    ScalingDecision { scale_out, scale_in, has_surplus }
 }
 
-impl Bin {
-    fn takes(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.offer.machine_type, &self.offer.zone, self.offer.spot)
-            && !(self.reserved && spec.allows_spot && spec.kind != JobKind::Gang)
-    }
+/// What one decision is made of.
+struct Inputs<'a> {
+    now: MonotonicTime,
+    catalog: &'a MachineCatalog,
+    machines: &'a [MachineUsage],
+    pending: &'a [PendingWork<'a>],
+    market: &'a MarketState,
+    /// Seconds of queue before each entry of `pending`.
+    queues_s: Vec<f64>,
+    /// Cores that short-running work uses now.
+    short_running_in_use: f64,
 }
 
-/// Room for a gang that waits: where most of it fits already, all in one zone if it wants that.
-fn scale_out_for_gang(
-    catalog: &MachineCatalog,
-    want: &PendingWork<'_>,
-    to_be_had: &dyn Fn(&MachineOffer) -> bool,
-    bins: &mut Vec<Bin>,
-    scale_out: &mut BTreeMap<MachineOffer, u32>,
-    per_zone: &dyn Fn(&str) -> usize,
-) {
-    if !want.spec.one_zone {
-        scale_out_for(catalog, want, to_be_had, bins, scale_out, per_zone);
-        return;
-    }
-    let need = Resources::of(want.spec);
-    let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-    for zone in catalog.values().flat_map(|f| &f.zones) {
-        zones.entry(zone).or_default();
-    }
-    for bin in bins.iter().filter(|b| b.takes(want.spec)) {
-        if let Some(n) = zones.get_mut(bin.offer.zone.as_str()) {
-            *n += slots(&need, &bin.free);
+impl Inputs<'_> {
+    /// Number of machines to rent by offer.
+    fn scale_out(&self) -> Vec<(MachineOffer, u32)> {
+        // Counted once: each machine that is to be rented asks for it.
+        let mut machines_per_zone: HashMap<&str, usize> = HashMap::new();
+        for machine in self.machines {
+            *machines_per_zone.entry(&machine.offer.zone).or_default() += 1;
         }
-    }
-    let mut order: Vec<(&str, u32)> = zones.into_iter().collect();
-    order.sort_by_key(|(z, n)| (std::cmp::Reverse((*n).min(want.tasks)), per_zone(z)));
-    for (zone, _) in order {
-        // What is in other zones does not help, and is left for others.
-        let (mut inside, outside): (Vec<Bin>, Vec<Bin>) =
-            bins.iter().cloned().partition(|b| b.offer.zone == zone);
-        let mut rented = scale_out.clone();
-        let here = |o: &MachineOffer| o.zone == zone && to_be_had(o);
-        let left = scale_out_for(catalog, want, &here, &mut inside, &mut rented, per_zone);
-        if left == 0 {
-            inside.extend(outside);
-            (*bins, *scale_out) = (inside, rented);
-            return;
+        let usable = self.machines.iter().filter(|machine| self.counts_as_room(machine));
+        let mut plan = ScaleOutPlan::new(self.catalog, &machines_per_zone, usable);
+        // Gangs first: what they need is whole, and nothing else fits where it has to be.
+        for work in self.pending.iter().filter(|work| work.is_gang() && work.tasks > 0) {
+            plan.add_for_gang(work, self.any_offer());
+        }
+        for allows_spot in [false, true] {
+            plan.add_gang_headroom(self.pending, self.market, allows_spot, self.any_offer());
         }
+        self.add_for_long_running(&mut plan);
+        self.add_ready_capacity(&mut plan);
+        plan.into_requests()
     }
-}
 
-/// Cores for gangs, to be there when they come: for those that may use spot machines, or may not.
-#[allow(clippy::too_many_arguments)]
-fn keep_ready(
-    catalog: &MachineCatalog,
-    wants: &[PendingWork<'_>],
-    market: &MarketState,
-    loose: bool,
-    to_be_had: &dyn Fn(&MachineOffer) -> bool,
-    bins: &mut Vec<Bin>,
-    scale_out: &mut BTreeMap<MachineOffer, u32>,
-    per_zone: &dyn Fn(&str) -> usize,
-) {
-    let gangs =
-        || wants.iter().filter(|w| w.spec.kind == JobKind::Gang && w.spec.allows_spot == loose);
-    let cores = |w: &PendingWork<'_>| Resources::of(w.spec).cores.amount();
-    let in_use: f64 = gangs().map(|w| cores(w) * f64::from(w.running)).sum();
-    let Some(model) = gangs().max_by_key(|w| w.tasks + w.running) else { return };
-    let zones = &market.gang_zones;
-    let tasks = (market.load.gang_headroom(loose, in_use) / cores(model).max(0.001)).ceil() as u32;
-    let parts = zones.len().max(1) as u32;
-    let mut left = 0;
-    for k in 0..parts {
-        let zone = zones.get(k as usize);
-        let near = |o: &MachineOffer| zone.is_none_or(|z| *z == o.zone) && to_be_had(o);
-        let here =
-            PendingWork { tasks: tasks / parts + u32::from(k < tasks % parts), ..model.clone() };
-        let (mut inside, outside): (Vec<Bin>, Vec<Bin>) =
-            bins.iter().cloned().partition(|b| zone.is_none_or(|z| *z == b.offer.zone));
-        left += scale_out_for(catalog, &here, &near, &mut inside, scale_out, per_zone);
-        inside.extend(outside);
-        *bins = inside;
+    /// Whether tasks can be packed on a machine. One that takes much longer than usual to boot may
+    /// never come.
+    fn counts_as_room(&self, machine: &MachineUsage) -> bool {
+        let machine_type = self.catalog.get(&machine.offer.machine_type);
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s);
+        !machine.leaving && (!machine.booting || machine.age_s < boot_s * OVERDUE_BOOT_MULTIPLE)
     }
-    if left > 0 {
-        scale_out_for(
-            catalog,
-            &PendingWork { tasks: left, ..model.clone() },
-            to_be_had,
-            bins,
-            scale_out,
-            per_zone,
-        );
+
+    fn any_offer(&self) -> OfferFilter<'_> {
+        OfferFilter { market: self.market, now: self.now, spot_only: false, zone: None }
     }
-}
 
-/// For each want, the seconds for which the machines that can take it are busy with all that
-/// waits now.
-fn queues(catalog: &MachineCatalog, held: &[MachineUsage], wants: &[PendingWork<'_>]) -> Vec<f64> {
-    let cores = |w: &PendingWork<'_>| Resources::of(w.spec).cores.amount();
-    let work: f64 = wants.iter().map(|w| f64::from(w.tasks) * cores(w) * w.run_s).sum();
-    let mut of_type: BTreeMap<&str, f64> = BTreeMap::new();
-    for h in held.iter().filter(|h| !h.leaving) {
-        let offered = catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
-        *of_type.entry(h.offer.machine_type.as_str()).or_default() += offered;
+    fn spot_offers(&self) -> OfferFilter<'_> {
+        OfferFilter { spot_only: true, ..self.any_offer() }
     }
-    let takes = |w: &PendingWork<'_>, machine_type: &str| {
-        let offered = catalog.get(machine_type).map(Resources::offered);
-        offered.is_some_and(|o| Resources::of(w.spec).fits(&o))
-    };
-    wants
-        .iter()
-        .map(|w| {
-            let all: f64 = of_type.iter().filter(|(h, _)| takes(w, h)).map(|(_, c)| c).sum();
-            if all > 0.0 { work / all } else { f64::INFINITY }
-        })
-        .collect()
-}
 
-/// Fills what is free with the wanted tasks and rents for the rest; says how many are left.
-fn scale_out_for(
-    catalog: &MachineCatalog,
-    want: &PendingWork<'_>,
-    to_be_had: &dyn Fn(&MachineOffer) -> bool,
-    bins: &mut Vec<Bin>,
-    scale_out: &mut BTreeMap<MachineOffer, u32>,
-    per_zone: &dyn Fn(&str) -> usize,
-) -> u32 {
-    let need = Resources::of(want.spec);
-    let mut left = want.tasks;
-    for bin in bins.iter_mut().filter(|b| b.takes(want.spec)) {
-        while left > 0 && need.fits(&bin.free) {
-            need.take_from(&mut bin.free);
-            left -= 1;
+    fn add_for_long_running(&self, plan: &mut ScaleOutPlan<'_>) {
+        let queued = self.pending.iter().zip(&self.queues_s);
+        for (work, queue_s) in queued.filter(|(work, _)| work.is_long_running()) {
+            // What waits for a short time only is not worth an ordinary machine.
+            let patient = work.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
+            plan.add(work, if patient { self.spot_offers() } else { self.any_offer() });
         }
     }
-    while left > 0 {
-        let open =
-            |o: &MachineOffer| to_be_had(o) && allowed(want.spec, &o.machine_type, &o.zone, o.spot);
-        let Some((offer, offered)) = cheapest(catalog, &need, left, &open, scale_out, per_zone)
-        else {
-            return left;
+
+    /// Adds ready capacity for short-running work, in tasks like those of the job that has most of them:
+    /// up to the amount for spot machines on those, and up to the smaller amount on any.
+    fn add_ready_capacity(&self, plan: &mut ScaleOutPlan<'_>) {
+        let short_running = self.pending.iter().filter(|work| work.needs_ready_capacity());
+        let Some(model) = short_running.max_by_key(|work| work.tasks + work.running) else {
+            return;
         };
-        let fit = slots(&need, &offered).clamp(1, left);
-        let mut free = offered;
-        for _ in 0..fit {
-            need.take_from(&mut free);
-        }
-        left -= fit;
-        bins.push(Bin { offer: offer.clone(), free, reserved: false });
-        *scale_out.entry(offer).or_default() += 1;
+        let cores_per_task = model.cores_per_task();
+        let missing_tasks = |spot| match cores_per_task > 0.0 {
+            true => (self.missing_ready_cores(spot) / cores_per_task).round() as u32,
+            false => 0,
+        };
+        let (on_spot, on_any) = (missing_tasks(true), missing_tasks(false));
+        let ready = |tasks| PendingWork { tasks, ..model.clone() };
+        let unplaced = plan.add(&ready(on_spot), self.spot_offers());
+        let on_ordinary = unplaced.saturating_sub(on_spot - on_any);
+        plan.add(&ready(on_ordinary), self.any_offer());
     }
-    left
-}
 
-/// The offer with the lowest price per task that it would hold of those that are left; among
-/// equals the zone with fewer machines.
-fn cheapest(
-    catalog: &MachineCatalog,
-    need: &Resources,
-    left: u32,
-    open: &dyn Fn(&MachineOffer) -> bool,
-    scale_out: &BTreeMap<MachineOffer, u32>,
-    per_zone: &dyn Fn(&str) -> usize,
-) -> Option<(MachineOffer, Resources)> {
-    let mut best: Option<(f64, usize, MachineOffer, Resources)> = None;
-    for f in catalog.values() {
-        let offered = Resources::offered(f);
-        let fit = slots(need, &offered);
-        if fit == 0 {
-            continue;
-        }
-        for (zone, spot) in f.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
-            let offer = MachineOffer { machine_type: f.name.clone(), zone: zone.clone(), spot };
-            if !open(&offer) {
-                continue;
-            }
-            let price = if spot { f.spot_hourly_price * SPOT_RISK } else { f.hourly_price };
-            let per_task = price / f64::from(fit.min(left.max(1)));
-            let crowd = per_zone(zone) + scale_out.get(&offer).copied().unwrap_or(0) as usize;
-            let better = best.as_ref().is_none_or(|(p, c, o, _)| {
-                per_task < p * 0.999 || (per_task < p * 1.001 && (crowd, &offer) < (*c, o))
-            });
-            if better {
-                best = Some((per_task, crowd, offer, offered));
-            }
-        }
+    /// Cores of ready capacity for short-running work, on spot machines or on any, beyond what such
+    /// work uses already.
+    fn missing_ready_cores(&self, spot: bool) -> f64 {
+        (self.market.load.ready_cores(spot) - self.short_running_in_use).max(0.0)
     }
-    best.map(|(_, _, offer, offered)| (offer, offered))
-}
 
-/// Machines, spot or ordinary, whose work others of their type would hold as well, least used
-/// first and a few at a time: they take nothing new, and go when they are empty. What long work
-/// used lately is counted as if it still did.
-fn consolidate(
-    catalog: &MachineCatalog,
-    held: &[MachineUsage],
-    spot: bool,
-    lacking: f64,
-    long: &dyn Fn(&str) -> f64,
-) -> Vec<MachineId> {
-    let up = || held.iter().filter(|h| !h.leaving && !h.booting);
-    let cores = |h: &MachineUsage| catalog.get(&h.offer.machine_type).map_or(0.0, |f| f.vcpus);
-    let used = |h: &MachineUsage| cores(h) - h.free.cores.amount();
-    // In a small fleet one job is much of the load, and what is spare now is wanted again soon.
-    let most = up().count() / SHED_PART;
-    let mut out = Vec::new();
-    for machine_type in catalog.keys() {
-        let of_type = || up().filter(|h| h.offer.machine_type == *machine_type);
-        let in_use = of_type().map(used).sum::<f64>().max(long(machine_type)) * (1.0 + SPARE_PART);
-        let mut spare = of_type().map(cores).sum::<f64>() - in_use - lacking;
-        let mut some: Vec<&MachineUsage> = of_type()
-            .filter(|h| h.offer.spot == spot && !h.reserved && h.age_s >= LEAST_PAID_S)
-            .collect();
-        some.sort_by(|a, b| used(a).total_cmp(&used(b)).then_with(|| a.id.cmp(&b.id)));
-        for h in some.into_iter().take(most) {
-            spare -= cores(h);
-            if spare < 0.0 {
-                break;
-            }
-            out.push(h.id.clone());
+    /// Machines to drain, and whether some are surplus. Idle machines go at once; those whose work others
+    /// could hold go when that has lasted, ordinary ones before spot machines.
+    fn scale_in(&self) -> (Vec<MachineId>, bool) {
+        let planner = ScaleInPlanner { catalog: self.catalog, machines: self.machines };
+        let idle = planner.idle(&self.market.load, self.short_running_in_use);
+        let queued = self.pending.iter().zip(&self.queues_s);
+        let waiting = queued.filter(|(work, _)| work.is_long_running() && work.tasks > 0);
+        if waiting.map(|(_, queue_s)| *queue_s).fold(0.0, f64::max) > CONSOLIDATION_QUEUE_S {
+            return (idle, false);
         }
+        let long_running = |machine_type: &str| self.long_running_mean(machine_type);
+        let surplus =
+            |spot| planner.consolidate(spot, self.missing_ready_cores(spot), &long_running);
+        let (ordinary, spot) = (surplus(false), surplus(true));
+        let has_surplus = !ordinary.is_empty() || !spot.is_empty();
+        let surplus_ms = self.market.surplus_ms(self.now);
+        let scale_in = if !idle.is_empty() {
+            idle
+        } else if surplus_ms >= SURPLUS_MS && !ordinary.is_empty() {
+            ordinary
+        } else if surplus_ms >= SURPLUS_SPOT_MS {
+            spot
+        } else {
+            idle
+        };
+        (scale_in, has_surplus)
+    }
+
+    /// Cores that long-running work used lately, if some that is pending or runs fits on that type.
+    fn long_running_mean(&self, machine_type: &str) -> f64 {
+        let fits = |work: &PendingWork<'_>| {
+            !work.short_running && work.fits_type(self.catalog, machine_type)
+        };
+        if self.pending.iter().any(fits) { self.market.load.long_running_mean() } else { 0.0 }
     }
-    out
 }
 
-/// Machines that have been idle for long, dearest first, as long as what stays holds the
-/// brief work that is to be expected.
-fn scale_in(
+/// For each entry of `pending`, the seconds for which the machines that can take it are busy with all
+/// that is pending now.
+fn queue_times(
     catalog: &MachineCatalog,
-    held: &[MachineUsage],
-    market: &MarketState,
-    in_use: f64,
-) -> Vec<MachineId> {
-    let price = |o: &MachineOffer| {
-        catalog.get(&o.machine_type).map_or(0.0, |f| {
-            (if o.spot { f.spot_hourly_price } else { f.hourly_price }) / f.vcpus.max(0.001)
-        })
-    };
-    let mut room: f64 =
-        in_use + held.iter().filter(|h| !h.leaving).map(|h| h.free.cores.amount()).sum::<f64>();
-    let mut idle: Vec<&MachineUsage> = held
-        .iter()
-        .filter(|h| !h.leaving && !h.booting && !h.reserved && h.age_s >= LEAST_PAID_S)
-        .filter(|h| h.idle_s >= if h.offer.spot { IDLE_SPOT_S } else { IDLE_ORDINARY_S })
-        .collect();
-    idle.sort_by(|a, b| price(&b.offer).total_cmp(&price(&a.offer)).then_with(|| a.id.cmp(&b.id)));
-    let mut out = Vec::new();
-    for h in idle {
-        if room - h.free.cores.amount() < market.load.ready_cores(h.offer.spot) {
-            continue;
-        }
-        room -= h.free.cores.amount();
-        out.push(h.id.clone());
+    machines: &[MachineUsage],
+    pending: &[PendingWork<'_>],
+) -> Vec<f64> {
+    let core_seconds: f64 =
+        pending.iter().map(|work| f64::from(work.tasks) * work.cores_per_task() * work.run_s).sum();
+    let mut cores_by_type: BTreeMap<&str, f64> = BTreeMap::new();
+    for machine in machines.iter().filter(|machine| !machine.leaving) {
+        let cores = catalog.get(&machine.offer.machine_type).map_or(0.0, |t| t.vcpus);
+        *cores_by_type.entry(machine.offer.machine_type.as_str()).or_default() += cores;
     }
-    out
+    let queue_time = |work: &PendingWork<'_>| {
+        let suitable = cores_by_type.iter().filter(|(name, _)| work.fits_type(catalog, name));
+        let cores: f64 = suitable.map(|(_, cores)| cores).sum();
+        if cores > 0.0 { core_seconds / cores } else { f64::INFINITY }
+    };
+    pending.iter().map(queue_time).collect()
 }
 
 #[cfg(test)]
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,7 +1,8 @@
-//! Tables of cases for `capacity`.
+//! Tables of cases for `decide`.
 
 use super::*;
 use crate::model::Cores;
+use crate::offered_load::LoadSample;
 use crate::placement::tests::machine_type;
 use crate::wire::tests::spec;
 
@@ -24,8 +25,8 @@
     }
 }
 
-fn want(job: &JobSpec, tasks: u32, brief: bool) -> PendingWork<'_> {
-    PendingWork { spec: job, tasks, running: 0, run_s: 100.0, brief }
+fn want(job: &JobSpec, tasks: u32, short_running: bool) -> PendingWork<'_> {
+    PendingWork { spec: job, tasks, running: 0, run_s: 100.0, short_running }
 }
 fn load(short_running: Cores, urgent: Cores) -> LoadSample {
     LoadSample { short_running, urgent, long_running: Cores(0) }
@@ -45,12 +46,12 @@
     assert_eq!((d.scale_out.len(), rented(&d)), (2, 2), "spread over zones");
     let one = [held("n-1", true, 0.0)];
     assert_eq!(rented(&decide(now, &f, &one, &[want(&job, 4, false)], &market)), 1);
-    assert_eq!(rented(&decide(now, &f, &[], &[want(&job, 4, true)], &market)), 0, "brief");
-    market.refused(&offer("a", true), now);
-    market.refused(&offer("b", true), now);
+    assert_eq!(rented(&decide(now, &f, &[], &[want(&job, 4, true)], &market)), 0, "short-running");
+    market.record_refusal(&offer("a", true), now);
+    market.record_refusal(&offer("b", true), now);
     let d = decide(now, &f, &[], &[want(&job, 2, false)], &market);
     assert!(d.scale_out.iter().all(|(o, _)| !o.spot), "ordinary ones when spot is refused");
-    let d = decide(now.plus(REFUSED_MS), &f, &[], &[want(&job, 2, false)], &market);
+    let d = decide(now.plus(market::REFUSED_MS), &f, &[], &[want(&job, 2, false)], &market);
     assert!(d.scale_out.iter().all(|(o, _)| o.spot), "refusals pass");
 }
 
@@ -68,8 +69,8 @@
     all.extend((3..41).map(|n| held(&format!("n-{n}"), true, 5.0)));
     let at = |s: u64| MonotonicTime(s * 1_000);
     let d = decide(at(1), &f, &all, &[], &market);
-    assert!(d.spare && d.scale_in.is_empty(), "not yet");
-    market.note_spare(at(1), d.spare);
+    assert!(d.has_surplus && d.scale_in.is_empty(), "not yet");
+    market.record_surplus(at(1), d.has_surplus);
     let d = decide(at(14), &f, &all, &[], &market);
     assert_eq!(d.scale_in, [MachineId::new("n-2")], "the least used goes first");
     let d = decide(at(14), &f, &all, &[want(&job, 20, false)], &market);
@@ -82,12 +83,12 @@
     assert_eq!(decide(at(27), &f, &many, &[], &market).scale_in.len(), 2);
     let few = decide(at(14), &f, &all[..20], &[], &market);
     assert!(few.scale_in.is_empty(), "a small fleet keeps them");
-    market.note_spare(at(20), false);
+    market.record_surplus(at(20), false);
     assert!(decide(at(24), &f, &all, &[], &market).scale_in.is_empty(), "it did not last");
 }
 
 #[test]
-fn brief_work_has_spot_machines_ready_for_its_peak() {
+fn short_running_work_has_spot_machines_ready_for_its_peak() {
     let f = catalog();
     let job = spec(1, 4);
     let mut market = MarketState::default();
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn idle_machines_go_unless_brief_work_may_need_them() {
+fn idle_machines_go_unless_short_running_work_may_need_them() {
     let f = catalog();
     let mut market = MarketState::default();
     let all = [held("n-1", true, 170.0), held("n-2", false, 70.0), held("n-3", true, 10.0)];
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -55,7 +55,7 @@
                 *r = r.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let brief = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
+            let short_running = autoscaler::is_short_running(cluster.catalog, &job.spec, run_s);
             let age_ms = waiting_ms(cluster, job) as f64;
             let gang = job.spec.kind == JobKind::Gang;
             if gang {
@@ -67,13 +67,13 @@
                 }
                 sample.largest = cores.max(sample.largest);
             }
-            if brief && !gang && age_ms < run_s * 1000.0 {
+            if short_running && !gang && age_ms < run_s * 1000.0 {
                 let cores = need.cores.0 * u64::from(job.spec.task_count).min(can);
                 load.short_running.0 += cores;
                 load.urgent.0 += if job.spec.priority <= Priority::High { cores } else { 0 };
             }
             let running = held.get(&job.spec.id).copied().unwrap_or(0);
-            if !brief {
+            if !short_running {
                 load.long_running.0 += need.cores.0 * u64::from(running);
             }
             wants.push(PendingWork {
@@ -81,7 +81,7 @@
                 tasks: wanted.saturating_sub(running),
                 running,
                 run_s,
-                brief,
+                short_running,
             });
         }
         self.market.record_load(now, load);
@@ -113,7 +113,7 @@
             })
             .collect();
         self.decision = autoscaler::decide(now, cluster.catalog, &machines, &wants, &self.market);
-        self.market.note_spare(now, self.decision.spare);
+        self.market.record_surplus(now, self.decision.has_surplus);
     }
 
     /// Drains the machines that are to be returned.
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -160,7 +160,7 @@
         for (offer, until) in state.refusals.entries() {
             let left = until.0.saturating_sub(cluster.wall.0);
             if left > 0 {
-                self.market.refused_for(&MachineOffer::from(offer), cluster.now, left);
+                self.market.merge_refusal(&MachineOffer::from(offer), cluster.now, left);
                 hints += 1;
             }
         }
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -136,7 +136,7 @@
 
     fn is_refused(&self, offer: &MachineOffer) -> bool {
         let controller = self.controller.borrow();
-        controller.leader.as_ref().is_some_and(|l| !l.market.open(offer, self.now()))
+        controller.leader.as_ref().is_some_and(|l| !l.market.is_open(offer, self.now()))
     }
 
     /// Makes a rental; true once its outcome is known.
@@ -154,19 +154,19 @@
             Ok(ids) => {
                 info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = request.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < request.count {
-                    leader.market.refused(offer, now);
+                    leader.market.record_refusal(offer, now);
                 }
                 leader.fleet.add_provisioned(now, &ids, offer);
                 true
             }
             Err(CloudError::NoCapacity) => {
                 debug!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, "none to be had");
-                leader.market.refused(offer, now);
+                leader.market.record_refusal(offer, now);
                 true
             }
             Err(CloudError::Refused(400)) => {
                 error!(?request, "rental refused as malformed");
-                leader.market.refused(offer, now);
+                leader.market.record_refusal(offer, now);
                 true
             }
             Err(_) => false,
