--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -2,7 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::{Fleet, GONE_TOLD, NODE_LOST_MS, Reassigned, UNSERVED_MS};
+use super::machine_records::REMOVED_KEPT;
+use super::{Fleet, NODE_LOST_MS, Reassigned, UNSERVED_MS};
 use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
 use crate::config::HeartbeatTiming;
@@ -95,7 +96,7 @@
     fn owner_hears(&self, now: MonotonicTime, id: &MachineId, silent_ms: u64) -> bool {
         let owner = self.owners.get(id).and_then(|(owner, _)| self.nodes.get(owner));
         let known = owner.and_then(|n| n.machines.get(id));
-        known.is_some_and(|k| now.since(k.heard) < silent_ms.max(OUT_OF_REACH_MS))
+        known.is_some_and(|k| now.since(k.last_heartbeat) < silent_ms.max(OUT_OF_REACH_MS))
     }
 
     fn zone_of<'a>(&'a self, cluster: &'a ClusterView<'_>, id: &MachineId) -> Option<&'a str> {
@@ -156,7 +157,7 @@
         }
         for (id, offer) in found {
             if !self.is_gone(cluster, &id) {
-                self.note_machine(now, &id, offer);
+                self.add_machine(now, &id, offer);
             }
         }
         for (id, m) in &cluster.replica.machines {
@@ -166,7 +167,7 @@
                     zone: m.zone.clone(),
                     spot: m.spot,
                 };
-                self.note_machine(now, id, offer);
+                self.add_machine(now, id, offer);
                 // It may be gone without the record saying so: then it is returned when its
                 // silence has lasted, and does not count as one that still boots.
                 if let Some(known) = self.machines.get_mut(id) {
@@ -194,7 +195,7 @@
     /// Owners as a part has to be told that follows that plan.
     pub fn ownership_changes(&self, applied_plan: PlanSeq) -> OwnershipChanges {
         let lost = self.removed.first().is_some_and(|r| r.1 > applied_plan)
-            && self.removed.len() >= GONE_TOLD;
+            && self.removed.len() >= REMOVED_KEPT;
         let base = if lost { PlanSeq(0) } else { applied_plan };
         OwnershipChanges {
             base,
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -8,14 +8,14 @@
 use super::{Fleet, TasksOnMachines};
 use crate::model::{MachineId, NodeId, PlanSeq, TaskId};
 
-/// Machines that showed the term's token to one controller.
+/// Machines that showed the term's fencing token to one controller.
 struct OwnerEvidence {
     plan: PlanSeq,
     machines: usize,
 }
 
-/// Why no machine holds what an earlier term had started and none shows: every machine that was up showed the term's
-/// token to its owner, or is gone.
+/// Why no machine can run a task that an earlier term started and that none reports: every machine that was up
+/// showed the term's fencing token to its owner, or is gone. See `docs/safety.md`.
 pub struct ReconciliationEvidence {
     owners: BTreeMap<NodeId, OwnerEvidence>,
     expired_leases: usize,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A task that two settled machines show.
+/// A task that two reconciled machines report.
 pub struct DuplicatedTask {
     /// The task.
     pub task: TaskId,
@@ -40,13 +40,13 @@
 }
 
 impl Fleet {
-    /// What shows that all machines have settled.
+    /// What proves that all machines are reconciled.
     pub fn evidence(&self) -> ReconciliationEvidence {
         let mut owners: BTreeMap<NodeId, OwnerEvidence> = BTreeMap::new();
-        for (_, node, state) in self.known().filter(|(k, _, _)| k.view.reconciled) {
-            let evidence = owners.entry(node);
-            evidence.or_insert(OwnerEvidence { plan: state.applied_plan, machines: 0 }).machines +=
-                1;
+        for owned in self.owned_machines().filter(|owned| owned.machine.view.reconciled) {
+            let plan = owned.controller.applied_plan;
+            let evidence = owners.entry(owned.owner).or_insert(OwnerEvidence { plan, machines: 0 });
+            evidence.machines += 1;
         }
         ReconciliationEvidence {
             owners,
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Tasks that more than one settled machine shows; `on_machines` is where tasks are.
+    /// Tasks that more than one reconciled machine reports; `on_machines` is where tasks are.
     pub fn duplicated(&self, on_machines: &TasksOnMachines<'_>) -> Vec<DuplicatedTask> {
-        let reconciled = || self.known().map(|(k, _, _)| &k.view).filter(|view| view.reconciled);
+        let reconciled = || self.views().filter(|view| view.reconciled);
         if reconciled().map(|view| view.tasks.len()).sum::<usize>() == on_machines.len() {
             return Vec::new();
         }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -217,8 +217,8 @@
                 (PeerResponse::NotLeading(self.term), true)
             }
             SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
-            SummaryOutcome::Gap => (PeerResponse::SendWhole, false),
-            SummaryOutcome::Yes(changed) => {
+            SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
+            SummaryOutcome::Applied { changed } => {
                 if !self.revoked.is_empty() {
                     self.free_revoked(node, applied_plan);
                 }
@@ -246,10 +246,10 @@
     /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
         self.fleet.follow_members(cluster);
-        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
+        self.fleet.record_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
         self.check_nodes(cluster);
         self.fleet.assign(cluster, PlanSeq(self.seq.0 + 1));
-        self.fleet.learn(cluster.now);
+        self.fleet.record_heartbeats(cluster.now);
         self.fleet.expire_leases(cluster);
         // What is on machines borrows the fleet, which nothing below changes.
         let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
@@ -321,7 +321,7 @@
 
     /// The cloud confirmed that these machines and all on them are gone.
     pub fn machines_gone(&mut self, ids: &[MachineId]) {
-        self.fleet.machines_gone(ids, PlanSeq(self.seq.0 + 1));
+        self.fleet.remove_machines(ids, PlanSeq(self.seq.0 + 1));
         self.speeds.retain(|id, _| !ids.contains(id));
     }
 
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -102,9 +102,9 @@
                     id: id.clone(),
                     offer: m.offer.clone(),
                     booting: !m.up,
-                    age_s: now.since(m.since) as f64 / 1000.0,
+                    age_s: now.since(m.rented_at) as f64 / 1000.0,
                     free: room.map_or(offered, |r| r.free),
-                    idle_s: now.since(m.busy) as f64 / 1000.0,
+                    idle_s: now.since(m.last_busy) as f64 / 1000.0,
                     reserved: self.reserved.binary_search(id).is_ok(),
                     leaving: m.draining.is_some()
                         || m.failed
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -357,7 +357,7 @@
                 };
                 let after = after.map(MachineId::new);
                 controller.with_leader(at(ms), |l, cluster| {
-                    l.fleet.listed_page(cluster, after.as_ref(), &page)
+                    l.fleet.apply_list_page(cluster, after.as_ref(), &page)
                 });
             };
         controller.rights.confirm_renewal(MonotonicTime(1_000));
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -28,6 +28,23 @@
     specs.filter(|spec| allowed(spec, machine_type, zone, spot)).map(|spec| spec.priority).min()
 }
 
+/// A machine as heartbeats show it.
+#[derive(Clone, Copy, Debug)]
+pub struct ObservedMachine<'a> {
+    /// The machine.
+    pub id: &'a MachineId,
+    /// Name of its machine type.
+    pub machine_type: &'a Rc<str>,
+    /// Zone.
+    pub zone: &'a Rc<str>,
+    /// Spot or ordinary.
+    pub spot: bool,
+    /// Images that it has, with their sizes in GB.
+    pub images: &'a [(Rc<str>, f64)],
+    /// Whether it may be given tasks.
+    pub open: bool,
+}
+
 /// A machine as placement sees it.
 #[derive(Clone, Debug)]
 pub struct PlacementTarget {
@@ -109,16 +126,15 @@
         }
     }
 
-    /// A machine with these tasks and images; `open` says what speaks for or against it.
+    /// The room on a machine that has these tasks, or `None` if the catalog does not have its type. It is
+    /// closed to new tasks if a task's needs are not known.
     pub fn of(
-        (id, machine_type, zone, spot): (&MachineId, &Rc<str>, &Rc<str>, bool),
+        machine: ObservedMachine<'_>,
         tasks: impl Iterator<Item = (TaskId, TaskState)>,
-        images: &[(Rc<str>, f64)],
         catalog: &MachineCatalog,
         replica: &Replica,
-        open: bool,
     ) -> Option<Self> {
-        let properties = catalog.get(&**machine_type)?;
+        let properties = catalog.get(&**machine.machine_type)?;
         let mut free = Resources::offered(properties);
         let mut known = true;
         let mut fetching: Vec<Rc<str>> = Vec::new();
@@ -134,16 +150,16 @@
             }
         }
         Some(PlacementTarget {
-            id: id.clone(),
-            machine_type: machine_type.clone(),
-            zone: zone.clone(),
-            spot,
+            id: machine.id.clone(),
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
             free,
-            images: images.to_vec(),
+            images: machine.images.to_vec(),
             fetching,
             delay_s: 0.0,
             fetch_rate: properties.fetch_gb_per_s,
-            open: open && known && replica.machine_known(id),
+            open: machine.open && known && replica.machine_known(machine.id),
             slow: false,
             reserved: false,
         })
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -200,7 +200,7 @@
                 return;
             };
             self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
-                leader.fleet.listed_page(cluster, after.as_ref(), &page);
+                leader.fleet.apply_list_page(cluster, after.as_ref(), &page);
             });
             after = page.machines.last().map(|h| h.id.clone());
             if !page.truncated || after.is_none() {
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -6,7 +6,7 @@
 use super::ShardContext;
 use crate::config::HeartbeatTiming;
 use crate::model::{AgentEpoch, Attempt, MachineId, MonotonicTime, TaskId, Term};
-use crate::placement::PlacementTarget;
+use crate::placement::{ObservedMachine, PlacementTarget};
 use crate::wire::{Heartbeat, JobSpec, TaskState};
 
 /// A task on a machine or on its way there.
@@ -100,15 +100,15 @@
         open: bool,
     ) -> Option<PlacementTarget> {
         let tasks = self.tasks.iter().map(|(t, h)| (*t, h.state));
-        let what = (id, &self.machine_type, &self.zone, self.spot);
-        PlacementTarget::of(
-            what,
-            tasks,
-            &self.images,
-            context.catalog,
-            context.replica,
-            open && self.usable(term, context.now, &context.timing),
-        )
+        let machine = ObservedMachine {
+            id,
+            machine_type: &self.machine_type,
+            zone: &self.zone,
+            spot: self.spot,
+            images: &self.images,
+            open: open && self.usable(term, context.now, &context.timing),
+        };
+        PlacementTarget::of(machine, tasks, context.catalog, context.replica)
     }
 
     /// Takes the tasks of a report; says whether anything changed, whether other tasks are on
