--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,14 +1,27 @@
-//! Admission by a rank-legal waterline, and shares that maximize summed importance.
+//! Admission of jobs and sizing of their shares in an epoch, after the paper that the design names.
 //!
-//! A job's revised rank is the best among the jobs that depend on it. Jobs better than the
-//! waterline are in, jobs worse wait; at the waterline the search decides. Required jobs
-//! enter by rank while cores last. Importance is weight times value; concave curves fill by
-//! marginal gain, steps are chosen by dynamic programming.
+//! *Rank-legal waterline.* A job's revised rank is the best among the jobs that depend on it. For a waterline
+//! rank, all jobs of better ranks are admitted, jobs of worse ranks wait, and at the waterline itself the most
+//! important jobs enter while cores last. [`admit`] tries every waterline and keeps the one with the highest
+//! summed importance. Jobs that run keep their tasks, and required jobs enter by rank wherever the waterline is.
+//!
+//! *Shares.* Importance is weight times value. Concave values are filled greedily by marginal gain, which is
+//! optimal for them. A step value counts only when all tasks run, so greedy filling does not do: which step jobs
+//! run is a knapsack, solved by dynamic programming over cores in coarse units, where the cores that are left
+//! count for what the concave jobs make of them.
+//!
+//! The module is pure: the same demands and bounds give the same admission.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use crate::model::{Cores, JobId};
 
+/// Units into which the free cores are divided for the dynamic program; more are finer and slower.
+const CORE_UNITS: usize = 64;
+/// Tasks after which a job's marginal gain falls no further.
+const MAX_FADED_TASKS: u32 = 1_000;
+
 /// How a job's value grows with the tasks that run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Curve {
@@ -63,12 +76,13 @@
     let mut revised = ranks.clone();
     loop {
         let mut changed = false;
-        for (job, on) in needs {
-            let (Some(&rank), Some(&other)) = (revised.get(job), revised.get(on)) else {
+        for (job, dependency) in needs {
+            let ranks = (revised.get(job), revised.get(dependency));
+            let (Some(&rank), Some(&dependency_rank)) = ranks else {
                 continue;
             };
-            if rank < other {
-                revised.insert(*on, rank);
+            if rank < dependency_rank {
+                revised.insert(*dependency, rank);
                 changed = true;
             }
         }
@@ -87,268 +101,335 @@
     pub teams: Vec<Option<Cores>>,
 }
 
-/// Decides who is in and how wide.
+/// Decides which jobs are admitted and how many tasks each may run.
 pub fn admit(demands: &[Demand], bounds: &Bounds) -> Admission {
-    let worst = demands.iter().map(|d| d.rank).max().unwrap_or(1);
+    let worst_rank = demands.iter().map(|demand| demand.rank).max().unwrap_or(1);
     let mut best: Option<Admission> = None;
-    for waterline in (1..=worst).rev() {
-        let Some(found) = at_waterline(demands, bounds, waterline) else {
+    for waterline in (1..=worst_rank).rev() {
+        let Some(found) = admit_at_waterline(demands, bounds, waterline) else {
             continue;
         };
-        if best.as_ref().is_none_or(|b| found.importance > b.importance) {
+        if best.as_ref().is_none_or(|best| found.importance > best.importance) {
             best = Some(found);
         }
     }
     // Even the jobs of the best rank do not all fit: the most important ones go in.
-    best.unwrap_or_else(|| fill(demands, bounds, 1, &choose_some(demands, bounds, 1)))
+    best.unwrap_or_else(|| allocate(demands, bounds, 1, &select_jobs(demands, bounds, 1)))
 }
 
-/// The best admission with that waterline, or `None` if the jobs that have to be in do not fit.
-fn at_waterline(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Option<Admission> {
-    let mut room = bounds.held;
-    for d in demands.iter().filter(|d| d.rank < waterline) {
-        let least = first_share(d);
-        let need = Cores(d.cores.0 * u64::from(least));
-        if need > room {
+/// The best admission with that waterline, or `None` if the jobs of better ranks do not all fit.
+fn admit_at_waterline(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Option<Admission> {
+    let mut free = bounds.held;
+    for demand in demands.iter().filter(|demand| demand.rank < waterline) {
+        let need = demand.cores_of(demand.smallest_share());
+        if need > free {
             return None;
         }
-        room = room.less(need);
+        free = free.less(need);
     }
-    Some(fill(demands, bounds, waterline, &choose_some(demands, bounds, waterline)))
+    Some(allocate(demands, bounds, waterline, &select_jobs(demands, bounds, waterline)))
 }
 
-/// The smallest share that makes admitting a job worth anything.
-fn first_share(d: &Demand) -> u32 {
-    match d.curve {
-        Curve::Concave { .. } => d.min.max(d.max.min(1)),
-        Curve::Step => d.max,
+impl Demand {
+    /// The smallest share that makes admitting the job worth anything.
+    fn smallest_share(&self) -> u32 {
+        match self.curve {
+            Curve::Concave { .. } => self.min.max(self.max.min(1)),
+            Curve::Step => self.max,
+        }
+    }
+
+    fn cores_of(&self, tasks: u32) -> Cores {
+        Cores(self.cores.0 * u64::from(tasks))
+    }
+
+    /// Importance of the job with that many tasks running.
+    fn importance(&self, tasks: u32) -> f64 {
+        match self.curve {
+            Curve::Step if tasks < self.max => 0.0,
+            Curve::Step => self.weight * self.cores.amount() * f64::from(tasks),
+            Curve::Concave { .. } => (0..tasks).map(|running| self.marginal_gain(running)).sum(),
+        }
+    }
+
+    /// What the next task adds when that many run already.
+    fn marginal_gain(&self, running: u32) -> f64 {
+        let fade = match self.curve {
+            Curve::Concave { fade } => fade,
+            Curve::Step => 1.0,
+        };
+        self.weight * self.cores.amount() * fade.powi(running.min(MAX_FADED_TASKS) as i32)
     }
 }
 
-/// Who is in with that waterline: all better ranks, jobs that already run, required jobs by
-/// rank, and jobs at the waterline by importance per core, while cores last.
-fn choose_some(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Vec<bool> {
-    let mut inside: Vec<bool> = demands.iter().map(|d| d.rank < waterline || d.min > 0).collect();
-    let mut room = bounds.held;
-    for (d, _) in demands.iter().zip(&inside).filter(|(_, is_in)| **is_in) {
-        room = room.less(Cores(d.cores.0 * u64::from(first_share(d))));
+/// Whether each job is admitted with that waterline: all better ranks, jobs that already run, required jobs
+/// by rank, and jobs at the waterline by importance per core, while cores last.
+fn select_jobs(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Vec<bool> {
+    let mut admitted: Vec<bool> =
+        demands.iter().map(|demand| demand.rank < waterline || demand.min > 0).collect();
+    let mut free = bounds.held;
+    for (demand, _) in demands.iter().zip(&admitted).filter(|(_, admitted)| **admitted) {
+        free = free.less(demand.cores_of(demand.smallest_share()));
     }
-    let mut order: Vec<usize> = (0..demands.len())
-        .filter(|&i| !inside[i] && (demands[i].required || demands[i].rank == waterline))
+    let mut candidates: Vec<usize> = (0..demands.len())
+        .filter(|&index| {
+            let demand = &demands[index];
+            !admitted[index] && (demand.required || demand.rank == waterline)
+        })
         .collect();
-    order.sort_by(|&a, &b| {
+    candidates.sort_by(|&a, &b| {
         let (a, b) = (&demands[a], &demands[b]);
-        b.required
-            .cmp(&a.required)
-            .then(a.rank.cmp(&b.rank))
-            .then(b.weight.total_cmp(&a.weight))
-            .then(a.job.cmp(&b.job))
+        b.required.cmp(&a.required).then_with(|| by_rank_and_weight(a, b))
     });
-    for i in order {
-        let need = Cores(demands[i].cores.0 * u64::from(first_share(&demands[i])));
-        if need <= room {
-            room = room.less(need);
-            inside[i] = true;
+    for index in candidates {
+        let need = demands[index].cores_of(demands[index].smallest_share());
+        if need <= free {
+            free = free.less(need);
+            admitted[index] = true;
         }
     }
-    inside
+    admitted
+}
+
+/// Better ranks first, then what is more important per core, then lower job numbers.
+fn by_rank_and_weight(a: &Demand, b: &Demand) -> Ordering {
+    a.rank.cmp(&b.rank).then(b.weight.total_cmp(&a.weight)).then(a.job.cmp(&b.job))
 }
 
-struct EpochAllocation {
-    room: Cores,
+/// Cores that are not allocated yet, of all and of each team that is limited.
+#[derive(Clone)]
+struct FreeCores {
+    total: Cores,
     teams: Vec<Option<Cores>>,
 }
 
-impl EpochAllocation {
-    /// Takes cores for a team if there is room in all bounds.
-    fn take(&mut self, team: usize, cores: Cores) -> bool {
+impl FreeCores {
+    /// Allocates cores to a team if they are free in all bounds; says whether they were.
+    fn allocate(&mut self, team: usize, cores: Cores) -> bool {
         let limit = self.teams.get(team).copied().flatten();
-        if cores > self.room || limit.is_some_and(|l| cores > l) {
+        if cores > self.total || limit.is_some_and(|limit| cores > limit) {
             return false;
         }
-        self.take_anyway(team, cores);
+        self.allocate_in_use(team, cores);
         true
     }
-    /// Takes cores that are in use whether there is room or not.
-    fn take_anyway(&mut self, team: usize, cores: Cores) {
-        self.room = self.room.less(cores);
-        if let Some(Some(l)) = self.teams.get_mut(team) {
-            *l = l.less(cores);
+
+    /// Allocates cores that are in use, whether they fit into the bounds or not.
+    fn allocate_in_use(&mut self, team: usize, cores: Cores) {
+        self.total = self.total.less(cores);
+        if let Some(Some(limit)) = self.teams.get_mut(team) {
+            *limit = limit.less(cores);
         }
     }
 }
 
-/// Shares for the jobs that are in: running tasks first, then steps by dynamic programming
-/// against what the concave jobs would make of the same cores, then marginal gain.
-fn fill(demands: &[Demand], bounds: &Bounds, waterline: u32, inside: &[bool]) -> Admission {
-    let mut out = Admission { waterline, ..Admission::default() };
-    let mut f = EpochAllocation { room: bounds.held, teams: bounds.teams.clone() };
-    let mut shares: Vec<u32> = vec![0; demands.len()];
-    for (i, d) in demands.iter().enumerate() {
-        if d.min > 0 {
-            shares[i] = d.min;
-            f.take_anyway(d.team, Cores(d.cores.0 * u64::from(d.min)));
+/// Shares as the steps of one allocation build them up.
+#[derive(Clone)]
+struct Allocation<'a> {
+    demands: &'a [Demand],
+    /// Whether each job is admitted.
+    admitted: &'a [bool],
+    /// Tasks of each job.
+    shares: Vec<u32>,
+    free: FreeCores,
+}
+
+/// Shares for the admitted jobs: running tasks first, then step jobs, required ones before those that are
+/// weighed against the concave jobs, then concave jobs by marginal gain.
+fn allocate(demands: &[Demand], bounds: &Bounds, waterline: u32, admitted: &[bool]) -> Admission {
+    let free = FreeCores { total: bounds.held, teams: bounds.teams.clone() };
+    let shares = vec![0; demands.len()];
+    let mut allocation = Allocation { demands, admitted, shares, free };
+    allocation.allocate_running();
+    let (mut required, optional): (Vec<usize>, Vec<usize>) =
+        allocation.open_steps().into_iter().partition(|&index| demands[index].required);
+    required.sort_by(|&a, &b| by_rank_and_weight(&demands[a], &demands[b]));
+    allocation.allocate_steps(required);
+    if !optional.is_empty() {
+        let chosen = allocation.best_steps(&optional);
+        allocation.allocate_steps(chosen);
+    }
+    allocation.fill_concave(&mut |_, _| {});
+    allocation.into_admission(waterline)
+}
+
+impl Allocation<'_> {
+    fn allocate_running(&mut self) {
+        for (demand, share) in self.demands.iter().zip(&mut self.shares) {
+            if demand.min > 0 {
+                *share = demand.min;
+                self.free.allocate_in_use(demand.team, demand.cores_of(demand.min));
+            }
         }
     }
-    let steps: Vec<usize> = (0..demands.len())
-        .filter(|&i| inside[i] && demands[i].curve == Curve::Step && demands[i].max > shares[i])
-        .collect();
-    // Those that have to be in come before the others are weighed against concave jobs.
-    let (mut first, steps): (Vec<usize>, Vec<usize>) =
-        steps.into_iter().partition(|&i| demands[i].required);
-    first.sort_by(|&a, &b| {
-        let (a, b) = (&demands[a], &demands[b]);
-        a.rank.cmp(&b.rank).then(b.weight.total_cmp(&a.weight)).then(a.job.cmp(&b.job))
-    });
-    for i in first {
-        let d = &demands[i];
-        if f.take(d.team, Cores(d.cores.0 * u64::from(d.max - shares[i]))) {
-            shares[i] = d.max;
+
+    /// Admitted step jobs of which not all tasks run.
+    fn open_steps(&self) -> Vec<usize> {
+        let is_open = |index: &usize| {
+            let demand = &self.demands[*index];
+            self.admitted[*index] && demand.curve == Curve::Step && demand.max > self.shares[*index]
+        };
+        (0..self.demands.len()).filter(is_open).collect()
+    }
+
+    /// Allocates all tasks of each of these step jobs for which there are cores.
+    fn allocate_steps(&mut self, steps: Vec<usize>) {
+        for index in steps {
+            let demand = &self.demands[index];
+            if self.free.allocate(demand.team, self.missing_cores(index)) {
+                self.shares[index] = demand.max;
+            }
+        }
+    }
+
+    /// Cores of the tasks that a job's share lacks of all.
+    fn missing_cores(&self, index: usize) -> Cores {
+        let demand = &self.demands[index];
+        demand.cores_of(demand.max - self.shares[index])
+    }
+
+    /// Fills concave jobs by marginal gain; `on_task` is called with each task's cores and what it adds.
+    fn fill_concave(&mut self, on_task: &mut dyn FnMut(Cores, f64)) {
+        let mut heap: BinaryHeap<NextTask> = (0..self.demands.len())
+            .filter(|&index| {
+                let demand = &self.demands[index];
+                self.admitted[index]
+                    && matches!(demand.curve, Curve::Concave { .. })
+                    && self.shares[index] < demand.max
+            })
+            .map(|index| self.next_task(index))
+            .collect();
+        while let Some(next) = heap.pop() {
+            let (index, demand) = (next.index, &self.demands[next.index]);
+            if !self.free.allocate(demand.team, demand.cores) {
+                continue;
+            }
+            on_task(demand.cores, demand.marginal_gain(self.shares[index]));
+            self.shares[index] += 1;
+            if self.shares[index] < demand.max {
+                heap.push(self.next_task(index));
+            }
         }
     }
-    if !steps.is_empty() {
-        for i in best_steps(demands, &steps, inside, &shares, &f) {
-            let d = &demands[i];
-            if f.take(d.team, Cores(d.cores.0 * u64::from(d.max - shares[i]))) {
-                shares[i] = d.max;
+
+    fn next_task(&self, index: usize) -> NextTask {
+        let demand = &self.demands[index];
+        let cores = demand.cores.amount().max(0.001);
+        let gain_per_core = demand.marginal_gain(self.shares[index]) / cores;
+        NextTask { rank: demand.rank, gain_per_core, index }
+    }
+
+    /// Which step jobs to run: for each number of core units the best selection of step jobs that uses so
+    /// many, and of all these the one that is best together with what the concave jobs make of the rest.
+    fn best_steps(&self, steps: &[usize]) -> Vec<usize> {
+        let unit = (self.free.total.0 / CORE_UNITS as u64).max(1);
+        let concave = self.concave_importance();
+        self.step_selections(steps, unit)
+            .into_iter()
+            .enumerate()
+            .filter_map(|(used_units, selection)| {
+                let selection = selection?;
+                let rest = self.free.total.0.saturating_sub(unit * used_units as u64);
+                Some((selection.importance + concave.with_cores(rest), selection.steps))
+            })
+            .max_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, steps)| steps)
+            .unwrap_or_default()
+    }
+
+    /// The dynamic program: at each index, the most important selection that uses so many units of cores.
+    fn step_selections(&self, steps: &[usize], unit: u64) -> Vec<Option<StepSelection>> {
+        let mut best: Vec<Option<StepSelection>> = vec![None; CORE_UNITS + 1];
+        best[0] = Some(StepSelection::default());
+        for &index in steps {
+            let demand = &self.demands[index];
+            let units = self.missing_cores(index).0.div_ceil(unit) as usize;
+            let importance = demand.importance(demand.max);
+            // Downwards, so that no job is selected twice.
+            for used in (units..=CORE_UNITS).rev() {
+                let Some(base) = &best[used - units] else {
+                    continue;
+                };
+                let importance = base.importance + importance;
+                if best[used].as_ref().is_none_or(|best| importance > best.importance) {
+                    let mut steps = base.steps.clone();
+                    steps.push(index);
+                    best[used] = Some(StepSelection { importance, steps });
+                }
             }
         }
+        best
+    }
+
+    /// What the concave jobs make of any number of cores. It follows from filling them once: they take the
+    /// best first, so fewer cores are the beginning of the same order.
+    fn concave_importance(&self) -> ConcaveImportance {
+        let mut sums = vec![(0, 0.0)];
+        self.clone().fill_concave(&mut |cores, gain| {
+            let (used, importance) = sums.last().copied().unwrap_or_default();
+            sums.push((used + cores.0, importance + gain));
+        });
+        ConcaveImportance { sums }
     }
-    fill_concave(demands, inside, &mut shares, &mut f, &mut |_, _| {});
-    for (i, d) in demands.iter().enumerate() {
-        if inside[i] {
-            out.shares.insert(d.job, shares[i]);
-            out.importance += importance(d, shares[i]);
-        } else {
-            out.waiting.push(d.job);
+
+    fn into_admission(self, waterline: u32) -> Admission {
+        let mut admission = Admission { waterline, ..Admission::default() };
+        for (index, demand) in self.demands.iter().enumerate() {
+            if self.admitted[index] {
+                admission.shares.insert(demand.job, self.shares[index]);
+                admission.importance += demand.importance(self.shares[index]);
+            } else {
+                admission.waiting.push(demand.job);
+            }
         }
+        admission
     }
-    out
 }
 
-/// Importance of a job with that many tasks running.
-fn importance(d: &Demand, tasks: u32) -> f64 {
-    match d.curve {
-        Curve::Step if tasks < d.max => 0.0,
-        Curve::Step => d.weight * d.cores.amount() * f64::from(tasks),
-        Curve::Concave { .. } => (0..tasks).map(|k| gain(d, k)).sum(),
-    }
+/// Step jobs that run together.
+#[derive(Clone, Default)]
+struct StepSelection {
+    importance: f64,
+    /// Their indices.
+    steps: Vec<usize>,
 }
 
-/// What the next task adds when `k` run already.
-fn gain(d: &Demand, k: u32) -> f64 {
-    let fade = match d.curve {
-        Curve::Concave { fade } => fade,
-        Curve::Step => 1.0,
-    };
-    d.weight * d.cores.amount() * fade.powi(k.min(1_000) as i32)
+/// Summed importance of the concave jobs by the cores that they get.
+struct ConcaveImportance {
+    /// Cores, in thousandths, and importance after each task.
+    sums: Vec<(u64, f64)>,
 }
 
-/// One task more for a job, ordered by gain per core; better ranks go first.
+impl ConcaveImportance {
+    fn with_cores(&self, cores: u64) -> f64 {
+        let fitting = self.sums.partition_point(|(used, _)| *used <= cores);
+        self.sums.get(fitting.saturating_sub(1)).map_or(0.0, |(_, importance)| *importance)
+    }
+}
+
+/// One task more for a concave job, ordered by marginal gain per core; better ranks go first.
 #[derive(PartialEq)]
-struct Next {
+struct NextTask {
     rank: u32,
-    per_core: f64,
+    gain_per_core: f64,
     index: usize,
 }
-impl Eq for Next {}
-impl PartialOrd for Next {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Next {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.per_core
-            .total_cmp(&other.per_core)
-            .then(other.rank.cmp(&self.rank))
-            .then(other.index.cmp(&self.index))
-    }
-}
 
-fn next_of(demands: &[Demand], i: usize, k: u32) -> Next {
-    let d = &demands[i];
-    let cores = d.cores.amount().max(0.001);
-    Next { rank: d.rank, per_core: gain(d, k) / cores, index: i }
-}
+impl Eq for NextTask {}
 
-/// Fills concave jobs by marginal gain; `note` is told of each task's cores and what it adds.
-fn fill_concave(
-    demands: &[Demand],
-    inside: &[bool],
-    shares: &mut [u32],
-    f: &mut EpochAllocation,
-    note: &mut dyn FnMut(Cores, f64),
-) {
-    let mut heap: BinaryHeap<Next> = (0..demands.len())
-        .filter(|&i| inside[i] && matches!(demands[i].curve, Curve::Concave { .. }))
-        .filter(|&i| shares[i] < demands[i].max)
-        .map(|i| next_of(demands, i, shares[i]))
-        .collect();
-    while let Some(next) = heap.pop() {
-        let (i, d) = (next.index, &demands[next.index]);
-        if !f.take(d.team, d.cores) {
-            continue;
-        }
-        note(d.cores, gain(d, shares[i]));
-        shares[i] += 1;
-        if shares[i] < d.max {
-            heap.push(next_of(demands, i, shares[i]));
-        }
+impl PartialOrd for NextTask {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
 
-/// Which step jobs to run: dynamic programming over cores in coarse units, where what is
-/// left over is worth what the concave jobs make of it.
-fn best_steps(
-    demands: &[Demand],
-    steps: &[usize],
-    inside: &[bool],
-    shares: &[u32],
-    f: &EpochAllocation,
-) -> Vec<usize> {
-    const UNITS: usize = 64;
-    let unit = (f.room.0 / UNITS as u64).max(1);
-    let cost = |i: usize| {
-        let d = &demands[i];
-        (d.cores.0 * u64::from(d.max - shares[i])).div_ceil(unit) as usize
-    };
-    // best[c]: the most importance from steps that take c units, and which.
-    let mut best: Vec<Option<(f64, Vec<usize>)>> = vec![None; UNITS + 1];
-    best[0] = Some((0.0, Vec::new()));
-    for &i in steps {
-        let (c, worth) = (cost(i), importance(&demands[i], demands[i].max));
-        for used in (c..=UNITS).rev() {
-            let Some((value, chosen)) = &best[used - c] else {
-                continue;
-            };
-            let value = value + worth;
-            if best[used].as_ref().is_none_or(|b| value > b.0) {
-                let mut chosen = chosen.clone();
-                chosen.push(i);
-                best[used] = Some((value, chosen));
-            }
-        }
+impl Ord for NextTask {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.gain_per_core
+            .total_cmp(&other.gain_per_core)
+            .then(other.rank.cmp(&self.rank))
+            .then(other.index.cmp(&self.index))
     }
-    // What the concave jobs make of any number of cores follows from filling them once: they take
-    // the best first, so fewer cores are the beginning of the same order.
-    let mut made: Vec<(u64, f64)> = vec![(0, 0.0)];
-    let mut left = EpochAllocation { room: f.room, teams: f.teams.clone() };
-    fill_concave(demands, inside, &mut shares.to_vec(), &mut left, &mut |cores, gain| {
-        let (used, sum) = made.last().copied().unwrap_or_default();
-        made.push((used + cores.0, sum + gain));
-    });
-    let rest = |used: usize| {
-        let room = f.room.0.saturating_sub(unit * used as u64);
-        let until = made.partition_point(|m| m.0 <= room);
-        made.get(until.saturating_sub(1)).map_or(0.0, |m| m.1)
-    };
-    best.into_iter()
-        .enumerate()
-        .filter_map(|(used, b)| b.map(|(v, chosen)| (v + rest(used), chosen)))
-        .max_by(|a, b| a.0.total_cmp(&b.0))
-        .map(|(_, chosen)| chosen)
-        .unwrap_or_default()
 }
 
 #[cfg(test)]
