--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for `place`.
+//! Tables of cases for `placement`.
 
 use super::*;
 use crate::wire::tests::spec;
