--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -5,8 +5,8 @@
 use super::Controller;
 use crate::model::{JobId, Revision, WallTime};
 use crate::peer::WaitReason;
-use crate::placement::MachineCatalog;
 use crate::replica::{self, ReplicaChanges};
+use crate::resources::MachineCatalog;
 use crate::wire::{self, Change, Condition, KeyValue, Txn};
 
 impl Controller {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -195,8 +195,8 @@
                 (PeerResponse::NotLeading(self.term), true)
             }
             SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
-            SummaryOutcome::Gap => (PeerResponse::SendWhole, false),
-            SummaryOutcome::Yes(changed) => {
+            SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
+            SummaryOutcome::Applied { changed } => {
                 if !self.ledger.revoked.is_empty() {
                     self.ledger.free_revoked(&self.fleet, node, applied_plan);
                 }
@@ -243,10 +243,10 @@
     /// Brings machines, their owners and leases up to now.
     fn follow_fleet(&mut self, cluster: &ClusterView<'_>) {
         self.fleet.follow_members(cluster);
-        self.fleet.note_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
+        self.fleet.record_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
         self.check_nodes(cluster);
         self.fleet.assign(cluster, self.plans.next());
-        self.fleet.learn(cluster.now);
+        self.fleet.record_heartbeats(cluster.now);
         self.fleet.expire_leases(cluster);
     }
 
@@ -300,7 +300,7 @@
 
     /// The cloud confirmed that these machines and all on them are gone.
     pub fn machines_gone(&mut self, ids: &[MachineId]) {
-        self.fleet.machines_gone(ids, self.plans.next());
+        self.fleet.remove_machines(ids, self.plans.next());
         self.remembered.machine_speeds.retain(|id, _| !ids.contains(id));
     }
 }
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -12,8 +12,9 @@
 use super::machine_speed::Speed;
 use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
-use crate::placement::{self, PlacementTarget, Resources};
+use crate::placement::{self, PlacementTarget};
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::JobSpec;
 
 /// What a team may be using.
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -2,8 +2,8 @@
 
 use super::{ClusterView, Leader};
 use crate::model::Cores;
-use crate::placement::Resources;
 use crate::replica;
+use crate::resources::Resources;
 use crate::wire::TaskState;
 
 /// The versions of the controllers that are up, in their order.
@@ -49,8 +49,8 @@
             fetching.amount(),
             waiting.amount(),
             free.amount(),
-            self.remembered.market.ready(false),
-            self.remembered.market.ready(true),
+            self.remembered.market.load.ready_cores(false),
+            self.remembered.market.load.ready_cores(true),
             self.gangs.reserved.len(),
             versions(cluster),
         )
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -9,7 +9,8 @@
 use super::inputs::EpochInputs;
 use crate::cluster_view::ClusterView;
 use crate::model::{Cores, MachineId};
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::PlacementTarget;
+use crate::resources::Resources;
 use crate::wire::JobKind;
 
 /// Most of all cores that are reserved for gangs: in a small fleet others would find nothing.
@@ -76,7 +77,7 @@
         let open = open.map(|target| offered_cores(cluster, target).amount()).sum::<f64>();
         for allows_spot in [false, true] {
             let in_use = gang_use.cores[usize::from(allows_spot)].amount();
-            let wanted = self.remembered.market.headroom(allows_spot, in_use);
+            let wanted = self.remembered.market.load.gang_headroom(allows_spot, in_use);
             let wanted = wanted.min(open * MAX_RESERVED_SHARE);
             if wanted <= 0.0 {
                 continue;
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -16,7 +16,7 @@
 use crate::fleet::Fleet;
 use crate::model::{Cores, JobId};
 use crate::peer::WaitReason;
-use crate::placement::Resources;
+use crate::resources::Resources;
 use crate::wire::JobKind;
 
 /// Part of its limit from which on a team counts as being at it.
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -12,8 +12,8 @@
 use crate::cluster_view::ClusterView;
 use crate::config::Settings;
 use crate::model::{Cores, JobId};
-use crate::placement::Resources;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -9,7 +9,7 @@
 use super::inputs::EpochInputs;
 use super::{ClusterView, Leader};
 use crate::model::{Cores, JobId, MachineId};
-use crate::placement::Resources;
+use crate::resources::Resources;
 
 /// The number of each team by its name.
 type TeamIndex<'a> = FxHashMap<&'a str, usize>;
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -10,33 +10,22 @@
 use crate::autoscaler::{self, MachineOffer, MachineUsage, PendingWork};
 use crate::cluster_view::ClusterView;
 use crate::model::{Cores, JobId, MachineId, TaskId};
-use crate::placement::{PlacementTarget, Resources};
+use crate::offered_load::{GangSample, LoadSample};
+use crate::placement::PlacementTarget;
 use crate::replica::Job;
+use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 
 /// Time between two decisions on what to rent and return, in milliseconds.
 pub(super) const SCALING_PERIOD_MS: u64 = 1_000;
 
-/// What gangs of one kind would use.
-#[derive(Clone, Copy, Default)]
-struct GangLoad {
-    /// Cores of those that would run if all had begun on arrival.
-    arriving: Cores,
-    /// Cores of the largest of all.
-    largest: Cores,
-}
-
 /// What open jobs would use.
 #[derive(Default)]
 struct OpenLoad {
-    /// Cores of short-running work that would run if all had begun on arrival.
-    short: Cores,
-    /// Those of them that are urgent.
-    urgent: Cores,
-    /// Cores that other work has now.
-    long: Cores,
+    /// All work but short-running gangs.
+    work: LoadSample,
     /// Gangs that may not use spot machines, and those that may.
-    gangs: [GangLoad; 2],
+    gangs: [GangSample; 2],
 }
 
 /// How one job stands when the autoscaler is told of it.
@@ -46,7 +35,7 @@
     /// Seconds that a task is expected to run.
     run_s: f64,
     /// Whether that is short in comparison with how long machines boot.
-    short: bool,
+    short_running: bool,
     /// Tasks that its team's limit allows, beside more urgent jobs.
     allowed: u64,
     /// Tasks that are on machines or granted.
@@ -63,16 +52,16 @@
             let all = Cores(cores * u64::from(spec.task_count));
             let gangs = &mut self.gangs[usize::from(spec.allows_spot)];
             if arriving {
-                gangs.arriving.0 += all.0;
+                gangs.total.0 += all.0;
             }
             gangs.largest = all.max(gangs.largest);
-        } else if load.short && arriving {
+        } else if load.short_running && arriving {
             let all = cores * u64::from(spec.task_count).min(load.allowed);
-            self.short.0 += all;
-            self.urgent.0 += if spec.priority <= Priority::High { all } else { 0 };
+            self.work.short_running.0 += all;
+            self.work.urgent.0 += if spec.priority <= Priority::High { all } else { 0 };
         }
-        if !load.short {
-            self.long.0 += cores * u64::from(load.running);
+        if !load.short_running {
+            self.work.long_running.0 += cores * u64::from(load.running);
         }
     }
 }
@@ -87,15 +76,15 @@
     ) {
         let now = inputs.cluster.now;
         let (pending, load) = self.pending_work(inputs, epoch);
-        let gangs = load.gangs.map(|gangs| (gangs.arriving, gangs.largest));
         let market = &mut self.remembered.market;
-        market.note(now, load.short, load.urgent, load.long);
-        market.note_gangs(now, gangs[0], gangs[1]);
+        market.record_load(now, load.work);
+        let [ordinary, spot] = load.gangs;
+        market.record_gangs(now, ordinary, spot);
         let machines = self.machine_usage(inputs, targets);
         let market = &mut self.remembered.market;
         self.scaling.decision =
             autoscaler::decide(now, inputs.cluster.catalog, &machines, &pending, market);
-        market.note_spare(now, self.scaling.decision.spare);
+        market.record_surplus(now, self.scaling.decision.has_surplus);
     }
 
     /// Tasks of each job that are on machines, granted, or being granted.
@@ -137,15 +126,15 @@
                 *cores = cores.saturating_sub(need.cores.0 * u64::from(wanted));
             }
             let run_s = self.run_s(job);
-            let short = autoscaler::is_brief(cluster.catalog, &job.spec, run_s);
+            let short_running = autoscaler::is_short_running(cluster.catalog, &job.spec, run_s);
             let running = running_tasks.get(&job.spec.id).copied().unwrap_or(0);
-            open_load.add(cluster, &JobLoad { job, need, run_s, short, allowed, running });
+            open_load.add(cluster, &JobLoad { job, need, run_s, short_running, allowed, running });
             pending.push(PendingWork {
                 spec: &job.spec,
                 tasks: wanted.saturating_sub(running),
                 running,
                 run_s,
-                brief: short,
+                short_running,
             });
         }
         (pending, open_load)
@@ -169,9 +158,9 @@
                 id: id.clone(),
                 offer: machine.offer.clone(),
                 booting: !machine.up,
-                age_s: now.since(machine.since) as f64 / 1000.0,
+                age_s: now.since(machine.rented_at) as f64 / 1000.0,
                 free: target.map_or(offered, |target| target.free),
-                idle_s: now.since(machine.busy) as f64 / 1000.0,
+                idle_s: now.since(machine.last_busy) as f64 / 1000.0,
                 reserved: self.gangs.reserved.binary_search(id).is_ok(),
                 leaving: machine.draining.is_some() || machine.failed || (machine.up && closed),
             }
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -188,7 +188,7 @@
         for (offer, until) in state.refusals.entries() {
             let left_ms = until.0.saturating_sub(cluster.wall.0);
             if left_ms > 0 {
-                self.remembered.market.refused_for(
+                self.remembered.market.merge_refusal(
                     &MachineOffer::from(offer),
                     cluster.now,
                     left_ms,
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -11,6 +11,7 @@
 use crate::model::{
     AgentEpoch, Attempt, ClockReading, Incarnation, Revision, StoreLease, WallTime,
 };
+use crate::offered_load::GangSample;
 use crate::peer::{MachineView, TaskView};
 use crate::placement::tests::machine_type;
 use crate::replica::tests::group;
@@ -360,7 +361,7 @@
                 };
                 let after = after.map(MachineId::new);
                 controller.with_leader(at(ms), |l, cluster| {
-                    l.fleet.listed_page(cluster, after.as_ref(), &page)
+                    l.fleet.apply_list_page(cluster, after.as_ref(), &page)
                 });
             };
         controller.rights.confirm_renewal(MonotonicTime(1_000));
@@ -907,9 +908,9 @@
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         tell(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
-            l.remembered.market.note_gangs(
+            l.remembered.market.record_gangs(
                 MonotonicTime(1_150),
-                (Cores(64_000), Cores(64_000)),
+                GangSample { total: Cores(64_000), largest: Cores(64_000) },
                 Default::default(),
             );
         });
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -13,8 +13,9 @@
 use super::{Shard, ShardContext};
 use crate::model::{MachineId, MonotonicTime, TaskId};
 use crate::peer::Grant;
-use crate::placement::{self, PlacementTarget, Resources};
+use crate::placement::{self, PlacementTarget};
 use crate::replica::Replica;
+use crate::resources::Resources;
 use crate::wire::{JobSpec, Priority};
 
 /// Longest time between two assignments while tasks wait for one, in milliseconds.
--- a/src/shard/context.rs
+++ b/src/shard/context.rs
@@ -2,8 +2,8 @@
 
 use crate::config::{HeartbeatTiming, NodeInfo};
 use crate::model::MonotonicTime;
-use crate::placement::MachineCatalog;
 use crate::replica::Replica;
+use crate::resources::MachineCatalog;
 
 /// The controller's state and rights at the time of a heartbeat.
 pub struct ShardContext<'a> {
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -6,7 +6,7 @@
 use super::ShardContext;
 use crate::config::HeartbeatTiming;
 use crate::model::{AgentEpoch, Attempt, MachineId, MonotonicTime, TaskId, Term};
-use crate::placement::PlacementTarget;
+use crate::placement::{ObservedMachine, PlacementTarget};
 use crate::wire::{Heartbeat, JobSpec, TaskState, TaskStatus};
 
 /// Quarantine after a start that the next heartbeat did not show, doubled for each one in a row up to the limit below,
@@ -143,15 +143,15 @@
         open: bool,
     ) -> Option<PlacementTarget> {
         let tasks = self.tasks.iter().map(|(task, held)| (*task, held.state));
-        let what = (id, &self.machine_type, &self.zone, self.spot);
-        PlacementTarget::of(
-            what,
-            tasks,
-            &self.images,
-            context.catalog,
-            context.replica,
-            open && self.is_usable(term, context.now, &context.timing),
-        )
+        let machine = ObservedMachine {
+            id,
+            machine_type: &self.machine_type,
+            zone: &self.zone,
+            spot: self.spot,
+            images: &self.images,
+            open: open && self.is_usable(term, context.now, &context.timing),
+        };
+        PlacementTarget::of(machine, tasks, context.catalog, context.replica)
     }
 
     /// Records what a heartbeat says of the machine itself; says whether its agent epoch, its token or the cloud's
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -7,8 +7,9 @@
 use super::machine::HeldTask;
 use super::{Shard, ShardContext};
 use crate::model::{Cores, MachineId, TaskId};
-use crate::placement::{PlacementTarget, Resources};
+use crate::placement::PlacementTarget;
 use crate::replica::Replica;
+use crate::resources::Resources;
 use crate::wire::{JobSpec, TaskState, WorkerCommand};
 
 impl Shard {
