--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,6 +1,7 @@
 //! Tables of cases for `wire`.
 
 use super::*;
+use crate::model::{Attempt, JobId, TaskId};
 use ciborium::cbor;
 
 /// A plain job of some tasks.
