--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,6 +1,11 @@
 //! Tables of cases for `http`.
 
+use super::parsing::{
+    HEAD_LIMIT, HeadError, MAX_HEADERS, READ_CAPACITY, parse_answer, parse_request,
+};
 use super::*;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
 
 /// Opens connections to a server that takes six, three of users, two without a request, and
 /// says what each is answered; `None` for a closed one.
@@ -16,13 +21,13 @@
     let mut answers = Vec::new();
     for path in paths {
         let mut stream = TcpStream::connect(addr).await.unwrap();
-        let mut buf = Vec::with_capacity(READ_ROOM);
+        let mut buf = Vec::with_capacity(READ_CAPACITY);
         if let Some(path) = path {
             let request = format!("GET {path} HTTP/1.1\r\n\r\n");
             let sent = stream.write_all(request.as_bytes()).await;
             let read = stream.read_buf(&mut buf).await;
             let answer = (sent.is_ok() && read.is_ok_and(|n| n > 0))
-                .then(|| parse_answer(&buf).ok().flatten().map(|a| a.0))
+                .then(|| parse_answer(&buf).ok().flatten().map(|a| a.status))
                 .flatten();
             answers.push(answer);
         }
@@ -77,9 +82,9 @@
         (&many, Err(HeadError::TooLarge)),
     ];
     for (text, want) in cases {
-        let got = parse_head(text.as_bytes(), 100).map(|h| h.map(|h| h.length));
+        let got = parse_request(text.as_bytes(), 100).map(|h| h.map(|h| h.body_bytes));
         assert_eq!(got, want, "{}", &text[..text.len().min(60)]);
     }
-    let head = parse_head(b"GET / HTTP/1.1\r\nConnection: Close\r\n\r\n", 1).unwrap();
+    let head = parse_request(b"GET / HTTP/1.1\r\nConnection: Close\r\n\r\n", 1).unwrap();
     assert!(head.unwrap().close);
 }
