--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,13 +1,14 @@
 //! Tables of cases for `peer`.
 
 use super::*;
+use crate::model::JobId;
 
 #[test]
 fn peer_messages_of_the_wrong_shape_are_refused() {
     let good = encode(&PeerRequest::Query(JobId(3)));
-    assert!(matches!(decode::<PeerRequest>(&good), Some(PeerRequest::Query(JobId(3)))));
+    assert!(matches!(decode::<PeerRequest>(&good), Ok(PeerRequest::Query(JobId(3)))));
     let cases: [&[u8]; 5] = [b"", b"\xc1", b"GET / HTTP/1.1", b"\x93\x01\x02", &[0xdf; 9]];
     for bytes in cases {
-        assert!(decode::<PeerRequest>(bytes).is_none(), "{bytes:?}");
+        assert!(decode::<PeerRequest>(bytes).is_err(), "{bytes:?}");
     }
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -57,7 +57,7 @@
             let answer = call.call("POST", "/peer", &body, PROBE_LIMIT).await;
             let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
                 // The process there is another one than the leader's.
-                Ok(Some(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
+                Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
                 // Whatever it says: a version that does not know the question is there as well.
                 Ok(_) => ProbeOutcome::Answered,
                 Err(CallError::Connect) => ProbeOutcome::Refused,
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -160,7 +160,7 @@
         let body = peer::encode(request);
         let answer = client.call("POST", "/peer", &body, Duration::from_millis(limit_ms)).await;
         let told = answer.ok().filter(|a| a.status == 200);
-        let response = told.as_ref().and_then(|a| peer::decode(&a.body));
+        let response = told.as_ref().and_then(|a| peer::decode(&a.body).ok());
         if told.is_some() && response.is_none() {
             self.unread(self.name_of(node));
         }
@@ -190,7 +190,7 @@
         if path != "/peer" {
             return Response::empty(404);
         }
-        let Some(request) = peer::decode::<PeerRequest>(body) else {
+        let Ok(request) = peer::decode::<PeerRequest>(body) else {
             self.unread("a controller that does not say its name");
             return Response { close: true, ..Response::empty(400) };
         };
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -73,7 +73,7 @@
             };
             let Some(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
-                Some(StoreMessage::Summary(summary))
+                Ok(StoreMessage::Summary(summary))
                     if summary.node == NodeId(from)
                         && self.controller.borrow().leader.is_some() =>
                 {
@@ -82,11 +82,11 @@
                         .borrow_mut()
                         .insert(NodeId(from), (self.now(), response));
                 }
-                Some(StoreMessage::PeerResponse(response)) => {
+                Ok(StoreMessage::PeerResponse(response)) => {
                     self.controller.borrow_mut().heard_leader_through_store(self.now(), &response);
                     self.controller.borrow_mut().take_answer(response);
                 }
-                None => self.unread(self.name_of(NodeId(from))),
+                Err(_) => self.unread(self.name_of(NodeId(from))),
                 _ => {}
             }
         }
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -160,22 +160,20 @@
     let f = fixtures();
     let ask = |name: &str| peer::decode::<PeerRequest>(&f[name]);
     let tell = |name: &str| peer::decode::<PeerResponse>(&f[name]);
-    assert!(matches!(ask("ask-summary"), Some(PeerRequest::Summary(s)) if s == summary()));
-    assert!(matches!(ask("ask-submit"), Some(PeerRequest::Submit(s)) if s == spec()));
-    assert!(matches!(ask("ask-lead"), Some(PeerRequest::Leader)));
-    assert!(matches!(ask("ask-query"), Some(PeerRequest::Query(JobId(412)))));
-    assert!(matches!(tell("tell-plan"), Some(PeerResponse::Plan(p)) if *p == plan()));
-    assert!(matches!(tell("tell-send-whole"), Some(PeerResponse::SendWhole)));
-    assert!(matches!(tell("tell-lead"), Some(PeerResponse::Leader(Some(l))) if l.term == Term(41)));
-    assert!(matches!(tell("tell-answer"), Some(PeerResponse::Answer(200, b)) if b == [1, 2]));
+    assert!(matches!(ask("ask-summary"), Ok(PeerRequest::Summary(s)) if s == summary()));
+    assert!(matches!(ask("ask-submit"), Ok(PeerRequest::Submit(s)) if s == spec()));
+    assert!(matches!(ask("ask-lead"), Ok(PeerRequest::Leader)));
+    assert!(matches!(ask("ask-query"), Ok(PeerRequest::Query(JobId(412)))));
+    assert!(matches!(tell("tell-plan"), Ok(PeerResponse::Plan(p)) if *p == plan()));
+    assert!(matches!(tell("tell-send-whole"), Ok(PeerResponse::SendWhole)));
+    assert!(matches!(tell("tell-lead"), Ok(PeerResponse::Leader(Some(l))) if l.term == Term(41)));
+    assert!(matches!(tell("tell-answer"), Ok(PeerResponse::Answer(200, b)) if b == [1, 2]));
     let relayed = |name: &str| peer::decode::<StoreMessage>(&f[name]);
-    assert!(
-        matches!(relayed("relayed-summary"), Some(StoreMessage::Summary(s)) if *s == summary())
-    );
+    assert!(matches!(relayed("relayed-summary"), Ok(StoreMessage::Summary(s)) if *s == summary()));
     let not_leading = relayed("relayed-tell");
     assert!(matches!(
         not_leading,
-        Some(StoreMessage::PeerResponse(PeerResponse::NotLeading(Term(40))))
+        Ok(StoreMessage::PeerResponse(PeerResponse::NotLeading(Term(40))))
     ));
 }
 
@@ -315,7 +313,7 @@
     let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
     let read = peer::decode::<PeerRequest>(&sent);
-    assert!(matches!(read, Some(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == gone));
+    assert!(matches!(read, Ok(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == gone));
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
 
@@ -332,9 +330,6 @@
         assert_eq!(replica.knows_standby(NodeId(1)), asked, "{capabilities}");
     }
     let sent = peer::encode(&PeerRequest::LeaderSilence(Term(41)));
-    assert!(matches!(
-        peer::decode::<PeerRequest>(&sent),
-        Some(PeerRequest::LeaderSilence(Term(41)))
-    ));
+    assert!(matches!(peer::decode::<PeerRequest>(&sent), Ok(PeerRequest::LeaderSilence(Term(41)))));
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
