--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -12,7 +12,7 @@
 use crate::peer::PeerResponse;
 use crate::replica::LeaderRecord;
 use crate::standby::{FollowedLeader, Standby};
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 use crate::wire::Txn;
 
 /// How fresh the replica has to be for this controller to suspect the leader: one that does not know of a newer term
@@ -113,10 +113,10 @@
     }
 
     /// The transaction that takes the next term has an outcome; `None` if it is not known.
-    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: Option<&Committed>) {
+    pub fn fence_answered(&mut self, now: MonotonicTime, outcome: Option<&TxnOutcome>) {
         let outcome = match outcome {
-            Some(Committed::Yes(revision)) => FenceOutcome::Done(*revision),
-            Some(Committed::No(_)) => FenceOutcome::Conflict,
+            Some(TxnOutcome::Committed(revision)) => FenceOutcome::Done(*revision),
+            Some(TxnOutcome::ConditionsFailed(_)) => FenceOutcome::Conflict,
             None => FenceOutcome::Unknown,
         };
         if let Some(standby) = &mut self.standby {
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -9,7 +9,7 @@
 use super::{STORE_MESSAGE_PERIOD, Service};
 use crate::metrics::Operation;
 use crate::model::Revision;
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 use crate::wire::Txn;
 
 /// Longest wait between two epochs; arrivals and reports bring them sooner.
@@ -71,8 +71,8 @@
         }
         if let Some(txn) = &epoch.txn {
             match self.store.commit(txn).await {
-                Ok(Committed::Yes(version)) => self.apply_own(txn, version),
-                Ok(Committed::No(failed)) => {
+                Ok(TxnOutcome::Committed(version)) => self.apply_own(txn, version),
+                Ok(TxnOutcome::ConditionsFailed(failed)) => {
                     debug!(?failed, "epoch not written");
                     let _ = self.pull(Duration::ZERO).await;
                     return;
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -12,7 +12,7 @@
 use crate::http::{CallError, Response};
 use crate::model::{NodeId, Term};
 use crate::peer::{self, PeerRequest, PeerResponse};
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 
 /// Time between two looks at the leader.
 const WATCH: Duration = Duration::from_millis(100);
@@ -90,7 +90,7 @@
         if self.controller.borrow().replica.term != term {
             self.controller
                 .borrow_mut()
-                .fence_answered(self.now(), Some(&Committed::No(Vec::new())));
+                .fence_answered(self.now(), Some(&TxnOutcome::ConditionsFailed(Vec::new())));
             return;
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
@@ -106,8 +106,8 @@
         }
         let Some(check) = self.controller.borrow().leadership_check() else { return false };
         match self.store.commit(&check).await {
-            Ok(Committed::Yes(_)) => true,
-            Ok(Committed::No(_)) => {
+            Ok(TxnOutcome::Committed(_)) => true,
+            Ok(TxnOutcome::ConditionsFailed(_)) => {
                 warn!("an action as leader is given up: another controller leads");
                 if let Some(standby) = &mut self.controller.borrow_mut().standby {
                     standby.note_refused_action();
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -13,7 +13,7 @@
 use crate::model::{JobId, Revision};
 use crate::peer::PeerRequest;
 use crate::replica;
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 use crate::wire::JobSpec;
 
 /// Least time between two writes of completions.
@@ -32,11 +32,11 @@
             // Jobs that somebody else wrote meanwhile come next time, the others go now.
             for _ in 0..3 {
                 match self.store.commit(&txn).await {
-                    Ok(Committed::Yes(version)) => {
+                    Ok(TxnOutcome::Committed(version)) => {
                         self.apply_own(&txn, version);
                         break;
                     }
-                    Ok(Committed::No(failed)) => txn.leave_out(&failed),
+                    Ok(TxnOutcome::ConditionsFailed(failed)) => txn.leave_out(&failed),
                     Err(e) => {
                         debug!(error = %e, "completions not written");
                         self.note_refused_write(&e);
@@ -91,7 +91,7 @@
                 submission_txn(specs, self.wall(), &controller.catalog, bytes)
             };
             match self.store.commit_hedged(&txn, Duration::from_millis(60)).await {
-                Ok(Committed::Yes(version)) => {
+                Ok(TxnOutcome::Committed(version)) => {
                     self.apply_own(&txn, version);
                     for (spec, tx) in batch {
                         debug!(job = %spec.id, class = %spec.class, tasks = spec.task_count, "accepted");
@@ -99,7 +99,7 @@
                     }
                     return;
                 }
-                Ok(Committed::No(failed)) => {
+                Ok(TxnOutcome::ConditionsFailed(failed)) => {
                     let (known, rest) = batch
                         .into_iter()
                         .partition(|(spec, _)| failed.contains(&replica::job_key(spec.id)));
@@ -128,12 +128,12 @@
             return Ok(false);
         };
         match self.store.commit_hedged(&txn, Duration::from_millis(150)).await? {
-            Committed::Yes(version) => {
+            TxnOutcome::Committed(version) => {
                 self.apply_own(&txn, version);
                 self.tell_ended(id, progress, version);
                 Ok(true)
             }
-            Committed::No(_) => Ok(false),
+            TxnOutcome::ConditionsFailed(_) => Ok(false),
         }
     }
 
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -11,7 +11,7 @@
 use super::failover::FENCE_AGAIN;
 use crate::lease::LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 
 impl Service {
     pub(super) async fn keep_lease(self: Rc<Self>) {
@@ -52,7 +52,7 @@
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
-            Committed::Yes(_) => {
+            TxnOutcome::Committed(_) => {
                 let mut controller = self.controller.borrow_mut();
                 controller.rights.lease = Some(lease);
                 controller.rights.confirm_renewal(sent);
@@ -60,7 +60,7 @@
                 self.wake_election.notify_one();
                 Ok(())
             }
-            Committed::No(_) => {
+            TxnOutcome::ConditionsFailed(_) => {
                 self.pull(Duration::ZERO).await?;
                 Err(StoreError::Unknown)
             }
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -7,7 +7,7 @@
 use crate::model::NodeId;
 use crate::peer::{self, PeerResponse, StoreMessage, Summary};
 use crate::replica;
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 use crate::wire::{self, Change, Condition, Txn};
 
 impl Service {
@@ -50,8 +50,8 @@
             }
             let txn = Txn { conditions: vec![condition.clone()], changes };
             match self.store.commit(&txn).await {
-                Ok(Committed::Yes(_)) => {}
-                Ok(Committed::No(_)) => return,
+                Ok(TxnOutcome::Committed(_)) => {}
+                Ok(TxnOutcome::ConditionsFailed(_)) => return,
                 Err(e) => {
                     debug!(error = %e, "message through the store failed");
                     return;
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,5 +1,12 @@
-//! Client of the state service: reads, transactions, leases and watches, kept within this
+//! Client of the state store: reads, transactions, leases and watches, kept within this
 //! controller's part of the budgets.
+//!
+//! Retries: the client repeats nothing by itself but for the second request of a hedged transaction. An error
+//! says whether the request may have been carried out ([`StoreError`]), and callers repeat it or look the
+//! keys up. That is safe as each transaction is a compare-and-swap: a late or second execution fails on its
+//! conditions. `docs/safety.md` rests on that.
+
+mod token_bucket;
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,10 +22,12 @@
     self, KeyValue, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse, WatchResponse,
 };
 
-/// Why the state service gave no answer that can be used.
+pub use token_bucket::TokenBucket;
+
+/// Why the state store gave no answer that can be used.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The request was certainly not carried out.
+    /// The request was certainly not carried out; 0 if no connection was made, else the status.
     #[error("refused ({0})")]
     Refused(u16),
     /// The request may have been carried out, or may still be.
@@ -35,19 +44,19 @@
     Malformed(u16),
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction that the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Committed {
-    /// Carried out at this revision.
-    Yes(Revision),
-    /// These keys did not have the version they should have.
-    No(Vec<String>),
+pub enum TxnOutcome {
+    /// It was carried out at this revision.
+    Committed(Revision),
+    /// Nothing was carried out, as these keys did not have the version that their conditions name.
+    ConditionsFailed(Vec<String>),
 }
 
 /// Items in the first page of the store as it is read whole.
 const FIRST_PAGE_ITEMS: usize = 64;
 /// Most items of a page, as the store has it.
-const MOST_PAGE_ITEMS: usize = 1_000;
+const MAX_PAGE_ITEMS: usize = 1_000;
 /// Bytes that a page is to hold. A page takes some forty times its bytes while it is decoded, and a controller
 /// that starts reads all pages with little memory.
 const PAGE_BYTES: usize = 64 * 1024;
@@ -67,7 +76,7 @@
     /// The size after a page of so many items and bytes. It at most doubles, as the items to come may be larger.
     pub fn after(self, items: usize, bytes: usize) -> Self {
         let fitting = PAGE_BYTES * items.max(1) / bytes.max(1);
-        PageSize(fitting.clamp(1, self.0 * 2).min(MOST_PAGE_ITEMS))
+        PageSize(fitting.clamp(1, self.0 * 2).min(MAX_PAGE_ITEMS))
     }
 
     /// Items to ask for.
@@ -76,91 +85,64 @@
     }
 }
 
-/// Most seconds of its rate that a bucket is in debt. What users wait for takes without waiting, and what
-/// has to wait then, such as an election, must not wait for all of that.
-const MOST_DEBT_S: f64 = 1.5;
-
-/// A bucket of allowances that refills steadily.
-#[derive(Debug)]
-pub struct TokenBucket {
-    rate: f64,
-    burst: f64,
-    level: f64,
-    at: Instant,
-}
-
-impl TokenBucket {
-    /// A full bucket.
-    pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
-        TokenBucket { rate, burst: burst.max(1.0), level: burst.max(1.0), at: now }
-    }
-    /// Refills at another rate from now on.
-    pub fn set_rate(&mut self, rate: f64) {
-        self.rate = rate.max(0.1);
-        self.burst = self.rate.max(1.0);
-    }
-    /// Takes `n`, going into debt if need be, and says how long to wait for that.
-    pub fn take(&mut self, n: f64, now: Instant) -> Duration {
-        let gone = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + gone * self.rate).min(self.burst);
-        self.at = now;
-        self.level = (self.level - n).max(-self.rate * MOST_DEBT_S);
-        if self.level >= 0.0 {
-            Duration::ZERO
-        } else {
-            Duration::from_secs_f64(-self.level / self.rate)
-        }
-    }
-}
-
 /// The client.
 pub struct StoreClient {
     http: Client,
+    /// Of its own for watches that wait, whose answers may be large.
     watch: Client,
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
-    limit: Duration,
+    /// Changes a second that all controllers together use.
     write_rps: f64,
+    /// Number of controllers.
     nodes: f64,
 }
 
-/// Part of the budgets that all controllers together use, as each counts for itself.
-const USED_PART: f64 = 0.85;
-/// Part of the budget of changes that the leader takes; the others share what is left.
-const LEADERS_PART: f64 = 0.65;
+/// Time for a request.
+const REQUEST_LIMIT: Duration = Duration::from_millis(1500);
+/// Time for the renewal of a lease: a late one is of no use, and the next one is due.
+const RENEW_LIMIT: Duration = Duration::from_millis(900);
+/// Most bytes of an answer but to a watch that waits.
+const ANSWER_LIMIT: usize = 4 << 20;
+/// Most bytes of an answer to a watch that waits.
+const WATCH_ANSWER_LIMIT: usize = 8 << 20;
+
+/// Share of the budgets that all controllers together use: each counts for itself, so some is left unused.
+const USED_SHARE: f64 = 0.85;
+/// Share of the budget of changes that the leader takes; the others share the rest.
+const LEADER_SHARE: f64 = 0.65;
 
 /// Changes a second that the leader may write.
 pub fn leaders_writes_per_s(limits: &StoreLimits) -> f64 {
-    limits.write_rps * USED_PART * LEADERS_PART
+    limits.write_rps * USED_SHARE * LEADER_SHARE
 }
 
 impl StoreClient {
     /// A client that uses one `nodes`th of the budgets.
     pub fn new(addr: SocketAddr, limits: &StoreLimits, nodes: u32) -> Self {
-        let share = USED_PART / f64::from(nodes.max(1));
+        let share = USED_SHARE / f64::from(nodes.max(1));
         let now = Instant::now();
-        let (r, w) = (limits.rps * share, limits.write_rps * share);
+        let (rps, write_rps) = (limits.rps * share, limits.write_rps * share);
         StoreClient {
-            http: Client::new(addr, 4 << 20),
-            watch: Client::new(addr, 8 << 20),
-            requests: RefCell::new(TokenBucket::new(r, r, now)),
-            writes: RefCell::new(TokenBucket::new(w, w, now)),
-            limit: Duration::from_millis(1500),
-            write_rps: limits.write_rps * USED_PART,
+            http: Client::new(addr, ANSWER_LIMIT),
+            watch: Client::new(addr, WATCH_ANSWER_LIMIT),
+            requests: RefCell::new(TokenBucket::new(rps, rps, now)),
+            writes: RefCell::new(TokenBucket::new(write_rps, write_rps, now)),
+            write_rps: limits.write_rps * USED_SHARE,
             nodes: f64::from(nodes.max(1)),
         }
     }
 
-    /// Takes the leader's part of the budget of changes, or another node's.
+    /// Uses the leader's share of the budget of changes from now on, or another controller's.
     pub fn set_leading(&self, leads: bool) {
-        let others = (1.0 - LEADERS_PART) / (self.nodes - 1.0).max(1.0);
-        let part = if leads { LEADERS_PART } else { others };
-        self.writes.borrow_mut().set_rate(self.write_rps * part);
+        let others = (1.0 - LEADER_SHARE) / (self.nodes - 1.0).max(1.0);
+        let share = if leads { LEADER_SHARE } else { others };
+        self.writes.borrow_mut().set_rate(self.write_rps * share);
     }
 
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
-        self.timing(0).await;
-        Self::checked(self.http.call(method, path, body, self.limit).await)
+        self.wait_for_budget(0).await;
+        Self::checked(self.http.call(method, path, body, REQUEST_LIMIT).await)
     }
 
     /// Takes from the budgets and says how long to wait for that.
@@ -173,25 +155,27 @@
         wait.max(self.writes.borrow_mut().take(changes as f64, now))
     }
 
-    async fn timing(&self, changes: usize) {
+    /// Takes from the budgets, and waits until they allow that.
+    async fn wait_for_budget(&self, changes: usize) {
         let wait = self.charge(changes);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
     }
 
+    /// Sorts answers into those that callers read and errors by what they say about the request.
     fn checked(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
         match answer {
-            Ok(a) if matches!(a.status, 200 | 404 | 409) => Ok(a),
-            Ok(a) if a.status == 410 => Err(StoreError::TooOld),
-            Ok(a) if a.status == 400 => {
-                if String::from_utf8_lossy(&a.body).contains("no such lease") {
+            Ok(answer) if matches!(answer.status, 200 | 404 | 409) => Ok(answer),
+            Ok(answer) if answer.status == 410 => Err(StoreError::TooOld),
+            Ok(answer) if answer.status == 400 => {
+                if String::from_utf8_lossy(&answer.body).contains("no such lease") {
                     Err(StoreError::NoLease)
                 } else {
                     Err(StoreError::Malformed(400))
                 }
             }
-            Ok(a) => Err(StoreError::Refused(a.status)),
+            Ok(answer) => Err(StoreError::Refused(answer.status)),
             Err(CallError::Connect) => Err(StoreError::Refused(0)),
             Err(_) => Err(StoreError::Unknown),
         }
@@ -223,29 +207,37 @@
         Ok((page, next))
     }
 
-    /// Carries out a transaction. Every caller guards it, so that a late or second
+    /// Carries out a transaction. Every caller gives it conditions, so that a late or second
     /// execution changes nothing.
-    pub async fn commit(&self, txn: &Txn) -> Result<Committed, StoreError> {
-        self.timing(txn.changes.len()).await;
+    ///
+    /// # Errors
+    /// After [`StoreError::Unknown`] it may have been carried out, or may be later.
+    pub async fn commit(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
+        self.wait_for_budget(txn.changes.len()).await;
         self.send(txn).await
     }
 
-    async fn send(&self, txn: &Txn) -> Result<Committed, StoreError> {
+    async fn send(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         let body = wire::encode(txn);
-        let answer = Self::checked(self.http.call("POST", "/multi", &body, self.limit).await)?;
-        let told: TxnResponse = Self::body(&answer)?;
+        let answer = Self::checked(self.http.call("POST", "/multi", &body, REQUEST_LIMIT).await)?;
+        let response: TxnResponse = Self::body(&answer)?;
         Ok(if answer.status == 200 {
-            Committed::Yes(told.revision)
+            TxnOutcome::Committed(response.revision)
         } else {
-            Committed::No(told.failed)
+            TxnOutcome::ConditionsFailed(response.failed)
         })
     }
 
     /// Like [`commit`](Self::commit), but asks a second time on another connection when the
-    /// first answer is slow. The answer that comes first counts, unless it is a conflict
-    /// while the other request is still out: that may have been this very transaction, and
-    /// the caller looks the keys up to learn which.
-    pub async fn commit_hedged(&self, txn: &Txn, after: Duration) -> Result<Committed, StoreError> {
+    /// first answer takes longer than `after`. The answer that comes first counts, an error only
+    /// if the other request brings one too. As both carry the same conditions, at most one is carried
+    /// out. [`TxnOutcome::ConditionsFailed`] may then mean that the other one was: the caller looks the
+    /// keys up to know which.
+    pub async fn commit_hedged(
+        &self,
+        txn: &Txn,
+        after: Duration,
+    ) -> Result<TxnOutcome, StoreError> {
         // What users wait for goes before bulk: it takes from the budgets without queueing behind
         // them, and what comes after makes up for it.
         self.charge(txn.changes.len());
@@ -258,8 +250,8 @@
         let second = self.send(txn);
         tokio::pin!(second);
         tokio::select! {
-            r = &mut first => match r { Err(_) => second.await, ok => ok },
-            r = &mut second => match r { Err(_) => first.await, ok => ok },
+            outcome = &mut first => match outcome { Err(_) => second.await, answered => answered },
+            outcome = &mut second => match outcome { Err(_) => first.await, answered => answered },
         }
     }
 
@@ -269,14 +261,14 @@
         after: Revision,
         wait: Duration,
     ) -> Result<WatchResponse, StoreError> {
-        self.timing(0).await;
+        self.wait_for_budget(0).await;
         let path = format!("/changes?Starts=&After={after}&WaitMs={}", wait.as_millis());
-        let limit = wait + self.limit;
+        let limit = wait + REQUEST_LIMIT;
         let client = if wait.is_zero() { &self.http } else { &self.watch };
         Self::body(&Self::checked(client.call("GET", &path, &[], limit).await)?)
     }
 
-    /// Takes a new lease.
+    /// Asks for a new lease.
     pub async fn grant(&self, ttl_ms: u64) -> Result<StoreLease, StoreError> {
         let body = wire::encode(&LeaseRequest { ttl_ms });
         let answer = self.call("POST", "/leases", &body).await?;
@@ -288,8 +280,7 @@
         // A renewal in the queue behind others is worth less than none: it is sent at once.
         self.requests.borrow_mut().take(1.0, Instant::now());
         let path = format!("/leases/{lease}/renew");
-        let limit = Duration::from_millis(900);
-        let answer = Self::checked(self.http.call("POST", &path, &[], limit).await)?;
+        let answer = Self::checked(self.http.call("POST", &path, &[], RENEW_LIMIT).await)?;
         if answer.status == 404 {
             return Err(StoreError::NoLease);
         }
--- a/src/store_client/tests.rs
+++ b/src/store_client/tests.rs
@@ -1,5 +1,6 @@
-//! Tables of cases for `state`.
+//! Tables of cases for `store_client`.
 
+use super::token_bucket::MAX_DEBT_S;
 use super::*;
 use ciborium::cbor;
 
@@ -48,8 +49,8 @@
             bucket.take(1.0, began);
         }
         let wait = bucket.take(1.0, began);
-        assert!(wait.as_secs_f64() <= MOST_DEBT_S + 0.001, "{rate} {taken}: {wait:?}");
-        let later = began + Duration::from_secs_f64(MOST_DEBT_S + 2.0 / rate);
+        assert!(wait.as_secs_f64() <= MAX_DEBT_S + 0.001, "{rate} {taken}: {wait:?}");
+        let later = began + Duration::from_secs_f64(MAX_DEBT_S + 2.0 / rate);
         assert_eq!(bucket.take(1.0, later), Duration::ZERO, "{rate} {taken}: it is over then");
     }
 }
--- a/tests/loopback/store_server.rs
+++ b/tests/loopback/store_server.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 use willowshore::http::{self, Request, Response, ServerLimits};
 use willowshore::model::{Revision, StoreLease};
-use willowshore::store_client::Committed;
+use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{self, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse, Value};
 
 use crate::store::Store;
@@ -94,10 +94,10 @@
     fn commit(&self, body: &[u8]) -> Response {
         let Ok(txn) = wire::decode::<Txn>(body) else { return refusal(400, "malformed") };
         match self.store.borrow_mut().commit(&txn) {
-            Some(Committed::Yes(revision)) => {
+            Some(TxnOutcome::Committed(revision)) => {
                 Response::new(200, wire::encode(&TxnResponse { revision, failed: Vec::new() }))
             }
-            Some(Committed::No(failed)) => {
+            Some(TxnOutcome::ConditionsFailed(failed)) => {
                 Response::new(409, wire::encode(&TxnResponse { revision: Revision(0), failed }))
             }
             None => refusal(400, "no such lease"),
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -4,7 +4,7 @@
 
 use willowshore::model::{Revision, StoreLease};
 use willowshore::replica::TermRecord;
-use willowshore::store_client::Committed;
+use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{Change, KeyValue, Txn, Value, WatchEvent, WatchResponse};
 
 #[derive(Default)]
@@ -87,7 +87,7 @@
     }
 
     /// `None` for a lease that has ended.
-    pub fn commit(&mut self, txn: &Txn) -> Option<Committed> {
+    pub fn commit(&mut self, txn: &Txn) -> Option<TxnOutcome> {
         let ended = |c: &Change| match c {
             Change::Put { lease: Some(l), .. } => !self.leases.contains_key(&l.0),
             _ => false,
@@ -115,7 +115,7 @@
             .map(|g| g.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Some(Committed::No(failed));
+            return Some(TxnOutcome::ConditionsFailed(failed));
         }
         self.revision += 1;
         for change in &txn.changes {
@@ -133,7 +133,7 @@
                 Change::Delete { key } => self.drop_key(key),
             }
         }
-        Some(Committed::Yes(Revision(self.revision)))
+        Some(TxnOutcome::Committed(Revision(self.revision)))
     }
 
     /// How many keys there are.
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -15,7 +15,7 @@
 };
 use willowshore::peer::{self, PeerRequest, PeerResponse, Summary};
 use willowshore::shard::{DirectMessage, HeartbeatOutcome};
-use willowshore::store_client::Committed;
+use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{Heartbeat, JobKind, JobSpec, Priority, TaskState, Txn};
 use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
 use willowshore_standby::settings::StandbySettings;
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -126,7 +126,7 @@
     }
 
     /// Commits for a node: `None` if it learns nothing of the outcome.
-    pub(super) fn commit(&mut self, n: usize, txn: &Txn) -> Option<Committed> {
+    pub(super) fn commit(&mut self, n: usize, txn: &Txn) -> Option<TxnOutcome> {
         self.writes += txn.changes.len();
         if !self.reaches_store(n) {
             return None;
@@ -181,7 +181,7 @@
             txn.changes.iter_mut().for_each(forget_what_is_new);
         }
         let done = self.commit(n, &txn);
-        if let (Some(Committed::Yes(_)), Ok(node)) = (done, &mut self.nodes[n]) {
+        if let (Some(TxnOutcome::Committed(_)), Ok(node)) = (done, &mut self.nodes[n]) {
             node.controller.rights.lease = Some(lease);
             node.controller.rights.confirm_renewal(sent);
         }
@@ -312,7 +312,7 @@
         }
         let durable = match &epoch.txn {
             Some(txn) => match self.commit(n, &txn.clone()) {
-                Some(Committed::Yes(version)) => Some((txn.clone(), version)),
+                Some(TxnOutcome::Committed(version)) => Some((txn.clone(), version)),
                 _ => return self.pull(n),
             },
             None => None,
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/succession.rs
@@ -7,7 +7,9 @@
     pub(super) fn take_term(&mut self, n: usize, txn: &Txn) {
         let outcome = self.commit(n, txn);
         let now = self.now;
-        if matches!(outcome, Some(Committed::Yes(_))) && std::mem::take(&mut self.crash_successor) {
+        if matches!(outcome, Some(TxnOutcome::Committed(_)))
+            && std::mem::take(&mut self.crash_successor)
+        {
             return self.crash(n, BACK_MS);
         }
         if let Ok(node) = &mut self.nodes[n] {
@@ -89,10 +91,10 @@
         }
         let check = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leadership_check());
         let outcome = check.and_then(|txn| self.commit(n, &txn));
-        if let Some(Committed::No(_)) = outcome {
+        if let Some(TxnOutcome::ConditionsFailed(_)) = outcome {
             self.refused_actions += 1;
         }
-        matches!(outcome, Some(Committed::Yes(_)))
+        matches!(outcome, Some(TxnOutcome::Committed(_)))
     }
 
     /// Follows a change of leader.
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -7,7 +7,7 @@
 use willowshore::model::{JobId, TaskId, WallTime};
 use willowshore::peer::PeerRequest;
 use willowshore::replica;
-use willowshore::store_client::Committed;
+use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{JobKind, JobState};
 
 use super::{Message, World};
@@ -163,7 +163,7 @@
                 bytes,
             );
             match self.commit(n, &txn)? {
-                Committed::Yes(version) => {
+                TxnOutcome::Committed(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_own(&txn, version);
@@ -171,7 +171,7 @@
                     let answer = controller.final_answer(job);
                     return Some(answer.map_or(Told::Open, |a| told(a.state)));
                 }
-                Committed::No(_) => {}
+                TxnOutcome::ConditionsFailed(_) => {}
             }
         }
         self.answer(n, id).filter(|t| *t != Told::Unknown)
@@ -192,7 +192,7 @@
                 }
             };
             match self.commit(n, &txn)? {
-                Committed::Yes(version) => {
+                TxnOutcome::Committed(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_own(&txn, version);
@@ -209,7 +209,7 @@
                         );
                     }
                 }
-                Committed::No(_) => self.pull(n),
+                TxnOutcome::ConditionsFailed(_) => self.pull(n),
             }
         }
         None
