--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,6 +1,7 @@
 //! Tables of cases for `config`.
 
 use super::*;
+use crate::model::Cores;
 
 #[test]
 fn times_follow_how_often_workers_report() {
@@ -14,18 +15,26 @@
         (0.5, 3.0, 4_000, 4_500, 3_000, 5_000),
         (10.0, 30.0, 14_500, 15_000, 13_500, 30_000),
     ];
-    for (report_s, lease_s, silent, unused, stray, quick) in cases {
-        let p = HeartbeatTiming::of(&WorkerSettings {
-            report_s,
+    for (heartbeat_s, lease_s, silent, unused, stray, quick) in cases {
+        let timing = HeartbeatTiming::of(&WorkerSettings {
+            heartbeat_s,
             lease_s,
             cancel_s: 99.0,
             gang_wait_s: 30.0,
             gang_peer_s: 5.0,
         });
-        let got = (p.silent_ms, p.unused_ms, p.out_of_reach_ms, p.quick_ms);
-        assert_eq!(got, (silent, unused, stray, quick), "{report_s} {lease_s}");
-        assert!(p.gap_ms + 1_000 <= p.out_of_reach_ms && p.gap_ms < p.silent_ms);
-        assert!(p.answers_ms as f64 >= 2_000.0 * lease_s);
+        let got = (
+            timing.unavailable_after_ms,
+            timing.unused_grant_ms,
+            timing.foreign_machine_ms,
+            timing.presumed_stopped_ms,
+        );
+        assert_eq!(got, (silent, unused, stray, quick), "{heartbeat_s} {lease_s}");
+        assert!(
+            timing.max_interval_ms + 1_000 <= timing.foreign_machine_ms
+                && timing.max_interval_ms < timing.unavailable_after_ms
+        );
+        assert!(timing.answer_memory_ms as f64 >= 2_000.0 * lease_s);
     }
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -91,7 +91,7 @@
             peer_heard: MonotonicTime(0),
             leader_from_peer: None,
             standby: None,
-            limits: settings.params.state.clone(),
+            limits: settings.params.store.clone(),
             settings,
             nodes,
             me,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -323,7 +323,7 @@
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) {
-        let limit = timing.out_of_reach_ms + 1_000;
+        let limit = timing.foreign_machine_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
@@ -410,7 +410,7 @@
                 let v = &k.view;
                 let open = cluster.now.since(n.at) < NODE_LOST_MS
                     && n.served_ms < UNSERVED_MS / 2
-                    && cluster.now.since(k.heard) < timing.silent_ms
+                    && cluster.now.since(k.heard) < timing.unavailable_after_ms
                     && m.draining.is_none()
                     && v.reconciled
                     && !v.leaving
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -26,7 +26,7 @@
         let mut told_until = MonotonicTime(u64::MAX);
         // Nobody tells of answers before that moment; each could be one to any machine.
         let mut last_other = MonotonicTime(0);
-        let kept = cluster.settings.timing().answers_ms;
+        let kept = cluster.settings.timing().answer_memory_ms;
         for n in 0..cluster.nodes.len() {
             let id = NodeId(n as u8);
             match self.nodes.get(&id) {
@@ -80,18 +80,18 @@
         // Whatever an older controller kept alive has had time to come over.
         let deaf = now.since(self.began) > lease + plus_drift(cluster.settings.keep_alive_ms());
         let timing = cluster.settings.timing();
-        let quick = timing.quick_ms;
+        let quick = timing.presumed_stopped_ms;
         // The last few that do not show the token have mostly stopped, and what they may still run
         // keeps tasks of many jobs waiting for a whole lease.
         let up = self.machines.values().filter(|m| m.up).count();
         let few = self.reconciliation_awaited
             && are_few(self.unreconciled.len(), up)
-            && now.since(self.began) > timing.gap_ms + FEW_WAIT_MS;
+            && now.since(self.began) > timing.max_interval_ms + FEW_WAIT_MS;
         let restarted: HashSet<&MachineId> =
             self.nodes.values().flat_map(|n| &n.restarted).collect();
         let all_foreign_machines = self.nodes.values().flat_map(|n| &n.foreign_machines);
         let foreign_machines: HashSet<&MachineId> = all_foreign_machines
-            .filter(|s| s.silent_ms < timing.out_of_reach_ms)
+            .filter(|s| s.silent_ms < timing.foreign_machine_ms)
             .map(|s| &s.id)
             .collect();
         let well: Vec<NodeId> =
@@ -107,7 +107,7 @@
             let silent = silent_ms(id);
             // What ran before it was restarted is over, but nobody can tell its reports from
             // late copies of earlier ones.
-            if restarted.contains(id) || (m.missing && silent > timing.gap_ms) {
+            if restarted.contains(id) || (m.missing && silent > timing.max_interval_ms) {
                 return true;
             }
             if m.failed
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -60,7 +60,7 @@
             let Some(state) = self.nodes.get(node) else { continue };
             for s in &state.foreign_machines {
                 if s.since_ms > OUT_OF_REACH_MS
-                    && s.silent_ms < timing.out_of_reach_ms
+                    && s.silent_ms < timing.foreign_machine_ms
                     && self.owners.get(&s.id).is_some_and(|(owner, _)| owner != node)
                     && !self.owner_hears(now, &s.id, s.silent_ms)
                     && !restarted.contains(&&s.id)
@@ -138,7 +138,7 @@
         {
             return;
         }
-        let heard_ms = cluster.settings.timing().out_of_reach_ms + 2_000;
+        let heard_ms = cluster.settings.timing().foreign_machine_ms + 2_000;
         let mut foreign_machines: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
         for (node, n) in self.nodes.iter().filter(|(id, _)| live_controllers.contains(id)) {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -348,7 +348,7 @@
         self.job_runs.retain(|job, _| replica.jobs.contains_key(job));
         self.ahead.retain(|t| replica.may_run(*t));
         let next = PlanSeq(self.seq.0 + 1);
-        let unused_ms = cluster.settings.timing().unused_ms;
+        let unused_ms = cluster.settings.timing().unused_grant_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (t, g) in &mut self.granted {
             if on_machines.contains_key(t) {
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -95,7 +95,7 @@
         if gangs.is_empty() {
             return;
         }
-        let silent_ms = cluster.settings.timing().silent_ms;
+        let silent_ms = cluster.settings.timing().unavailable_after_ms;
         for (t, seen) in on_machines {
             let Some(p) = gangs.get_mut(&t.job) else { continue };
             p.on_machines += 1;
@@ -182,7 +182,7 @@
         let timing = cluster.settings.timing();
         let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
         let save_ms = (job.spec.checkpoint_save_s * 1000.0) as u64;
-        let way_ms = (timing.gap_ms + STOP_WAY_MS).min(peer_ms);
+        let way_ms = (timing.max_interval_ms + STOP_WAY_MS).min(peer_ms);
         let left = leaves.since(cluster.now);
         if left < save_ms + way_ms / 2 || left > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -89,8 +89,8 @@
         .params
         .teams
         .iter()
-        .filter(|t| t.cpus > 0.0)
-        .map(|t| (t.name.as_str(), Cores::offer(t.cpus)))
+        .filter(|t| t.guaranteed_vcpus > 0.0)
+        .map(|t| (t.name.as_str(), Cores::offer(t.guaranteed_vcpus)))
         .collect();
     let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
     jobs.sort_by_key(|j| (j.at, j.spec.id));
--- a/src/service.rs
+++ b/src/service.rs
@@ -132,10 +132,14 @@
             names: controller.nodes.iter().map(|n| n.name.clone()).collect(),
             me: controller.me,
             nodes: controller.nodes.len(),
-            peers: controller.nodes.iter().map(|n| Rc::new(Client::new(n.back, 4 << 20))).collect(),
+            peers: controller
+                .nodes
+                .iter()
+                .map(|n| Rc::new(Client::new(n.peer_addr, 4 << 20)))
+                .collect(),
             store: StoreClient::new(
-                settings.external.state,
-                &settings.params.state,
+                settings.external.store,
+                &settings.params.store,
                 settings.params.nodes,
             ),
             cloud: CloudClient::new(settings.external.cloud, settings.params.cloud.rps),
@@ -178,7 +182,7 @@
     /// Serves until the process is killed.
     pub async fn run(self: Rc<Self>) -> std::io::Result<()> {
         let api = TcpListener::bind(self.settings.api_addr).await?;
-        let back = TcpListener::bind(self.settings.back).await?;
+        let back = TcpListener::bind(self.settings.peer_addr).await?;
         let incarnation = self.controller.borrow().incarnation;
         let version = env!("CARGO_PKG_VERSION");
         info!(node = %self.settings.node_name, %incarnation, version, "serving");
--- a/src/service/reporting.rs
+++ b/src/service/reporting.rs
@@ -66,7 +66,7 @@
             } else {
                 if now.since(relayed) >= STORE_MESSAGE_PERIOD.as_millis() as u64 {
                     relayed = now;
-                    let limits = &self.settings.params.state;
+                    let limits = &self.settings.params.store;
                     let byte_budget = message_chunks::capacity(
                         message_chunk_bytes(limits),
                         limits.txn_ops * TXNS_PER_SUMMARY,
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -95,7 +95,7 @@
         };
         if let Some(condition) = condition {
             let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
-            let limits = &self.settings.params.state;
+            let limits = &self.settings.params.store;
             let mut pieces = replica::machine_type_changes(&got, limits.value_bytes());
             if pieces.len() > limits.txn_ops {
                 warn!(pieces = pieces.len(), "not all machine types fit into a transaction");
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -30,7 +30,7 @@
     }
 
     async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
-        let limits = &self.settings.params.state;
+        let limits = &self.settings.params.store;
         let chunks = message_chunks::split(message, message_chunk_bytes(limits));
         if chunks.len() > MAX_TXNS_PER_MESSAGE * limits.txn_ops {
             warn!(chunks = chunks.len(), "message too large for the store");
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -125,7 +125,7 @@
         self.is_reconciled(term)
             && !self.reclaim_noticed
             && self.quarantined_until <= now
-            && now.since(self.last_heartbeat) < timing.silent_ms
+            && now.since(self.last_heartbeat) < timing.unavailable_after_ms
     }
 
     /// Quarantines it at least until that time.
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -48,7 +48,7 @@
 
     /// Whether it still says something about the machine.
     pub(super) fn counts(&self, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
-        now.since(self.at) < timing.out_of_reach_ms + REDIRECT_MARGIN_MS
+        now.since(self.at) < timing.foreign_machine_ms + REDIRECT_MARGIN_MS
     }
 
     /// What to do with a heartbeat that came in spite of the redirect.
@@ -90,6 +90,6 @@
         timing: &HeartbeatTiming,
     ) -> bool {
         self.unreachable_since.is_some()
-            && now.since(self.last_heartbeat) < timing.out_of_reach_ms + UNREACHABLE_MARGIN_MS
+            && now.since(self.last_heartbeat) < timing.foreign_machine_ms + UNREACHABLE_MARGIN_MS
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -102,14 +102,14 @@
 
     /// Forgets contacts with workers that no longer decide anything.
     fn forget_outdated_contacts(&mut self, now: MonotonicTime, timing: &HeartbeatTiming) {
-        let foreign_ms = timing.out_of_reach_ms + FOREIGN_MARGIN_MS;
+        let foreign_ms = timing.foreign_machine_ms + FOREIGN_MARGIN_MS;
         let term_state = &mut self.term_state;
         term_state
             .foreign_machines
             .retain(|_, record| now.since(record.last_heartbeat) < foreign_ms);
         term_state.redirects.retain(|_, redirected| now.since(redirected.at) < foreign_ms);
         self.sent_away_at.retain(|_, at| now.since(*at) < SENT_AWAY_MS);
-        self.responded_at.retain(|_, at| now.since(*at) < timing.answers_ms);
+        self.responded_at.retain(|_, at| now.since(*at) < timing.answer_memory_ms);
     }
 
     /// Gives the summary that is being made its number, and remembers it until it is acknowledged.
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -100,7 +100,7 @@
 
 /// Time for a request.
 const REQUEST_LIMIT: Duration = Duration::from_millis(1500);
-/// Time for the renewal of a lease: a late one is of no use, and the next one is due.
+/// Time for the renewal of a lease; shorter, as the lease runs and renewals are repeated.
 const RENEW_LIMIT: Duration = Duration::from_millis(900);
 /// Most bytes of an answer but to a watch that waits.
 const ANSWER_LIMIT: usize = 4 << 20;
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -108,7 +108,7 @@
                 [&self.jobs[&id]].into_iter(),
                 WallTime(1_000_000 + now),
                 &node.controller.catalog,
-                node.controller.settings.params.state.value_bytes(),
+                node.controller.settings.params.store.value_bytes(),
             );
             self.commit(n, &txn);
         } else if self.wanted_cancels.contains(&id) {
@@ -154,7 +154,7 @@
         }
         let node = self.nodes[n].as_ref().ok()?;
         if !node.controller.replica.jobs.contains_key(&job) {
-            let bytes = node.controller.settings.params.state.value_bytes();
+            let bytes = node.controller.settings.params.store.value_bytes();
             let wall = WallTime(1_000_000 + self.now);
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
