--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -144,7 +144,7 @@
         if !self.still_leads().await {
             return false;
         }
-        let result = self.cloud.rent(request).await;
+        let result = self.cloud.scale_out(request).await;
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
         let Some(leader) = &mut controller.leader else {
@@ -184,7 +184,7 @@
         if ids.is_empty() || !self.still_leads().await {
             return;
         }
-        if self.cloud.return_machines(&ids).await.is_ok() {
+        if self.cloud.scale_in(&ids).await.is_ok() {
             info!(machines = ?ids.iter().map(|i| i.to_string()).collect::<Vec<_>>(), "returned");
             if let Some(leader) = &mut self.controller.borrow_mut().leader {
                 leader.machines_gone(&ids);
