--- a/src/controller.rs
+++ b/src/controller.rs
@@ -85,7 +85,7 @@
             last_peer_contact: MonotonicTime(0),
             leader_from_peer: None,
             standby: None,
-            limits: settings.params.state.clone(),
+            limits: settings.params.store.clone(),
             settings,
             nodes,
             me,
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -79,7 +79,8 @@
         let OwnedView { machine, controller, .. } = self;
         cluster.now.since(controller.received_at) < NODE_LOST_MS
             && controller.served_ms < UNSERVED_MS / 2
-            && cluster.now.since(machine.last_heartbeat) < cluster.settings.timing().silent_ms
+            && cluster.now.since(machine.last_heartbeat)
+                < cluster.settings.timing().unavailable_after_ms
             && machine.view.reconciled
             && !machine.view.leaving
             && machine.quarantined_until <= cluster.now
@@ -252,7 +253,7 @@
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) {
-        let limit = timing.out_of_reach_ms + 1_000;
+        let limit = timing.foreign_machine_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -74,7 +74,7 @@
     fn answer_bounds(&self, cluster: &ClusterView<'_>) -> Option<AnswerBounds> {
         let mut known_until = MonotonicTime(u64::MAX);
         let mut last_unknown = MonotonicTime(0);
-        let remembered_ms = cluster.settings.timing().answers_ms;
+        let remembered_ms = cluster.settings.timing().answer_memory_ms;
         for index in 0..cluster.nodes.len() {
             let id = NodeId(index as u8);
             match self.nodes.get(&id) {
@@ -161,7 +161,7 @@
             owned: fleet.owned_machines().map(|owned| (&owned.machine.view.id, owned)).collect(),
             restarted: fleet.nodes.values().flat_map(|state| &state.restarted).collect(),
             foreign: foreign
-                .filter(|machine| machine.silent_ms < timing.out_of_reach_ms)
+                .filter(|machine| machine.silent_ms < timing.foreign_machine_ms)
                 .map(|machine| &machine.id)
                 .collect(),
             receiving_well: fleet
@@ -177,12 +177,12 @@
             // keeps tasks of many jobs waiting for a whole lease.
             few_unreconciled: fleet.reconciliation_awaited
                 && are_few(fleet.unreconciled.len(), up)
-                && term_ms > timing.gap_ms + FEW_WAIT_MS,
+                && term_ms > timing.max_interval_ms + FEW_WAIT_MS,
             cut_off: false,
         };
         // Many that fall silent at once are cut off: what they ran is proven over by their
         // leases, and they will be wanted when they are back, with their images.
-        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.quick_ms;
+        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.presumed_stopped_ms;
         let machines = fleet.machines.iter();
         let silent = machines.filter(|(id, machine)| machine.up && is_silent(id)).count();
         check.cut_off = silent > (up / CUT_OFF_DIVISOR).max(MANY_LEAST);
@@ -201,7 +201,7 @@
         if self.restarted.contains(id) || machine.failed {
             return true;
         }
-        let gap_ms = self.cluster.settings.timing().gap_ms;
+        let gap_ms = self.cluster.settings.timing().max_interval_ms;
         if (machine.missing && self.silent_ms(id) > gap_ms) || self.stays_unreconciled(id) {
             return true;
         }
@@ -230,7 +230,7 @@
             && !self.fleet.unreconciled.contains(id);
         let limit_ms = match self.receiving_well.contains(&owned.owner) {
             _ if self.cut_off => self.cut_off_lease_ms(),
-            true => self.cluster.settings.timing().quick_ms,
+            true => self.cluster.settings.timing().presumed_stopped_ms,
             false => self.lease_ms,
         };
         let silent_ms = self.silent_ms(id);
--- a/src/leader/gang_presence.rs
+++ b/src/leader/gang_presence.rs
@@ -95,7 +95,7 @@
 /// Counts tasks on machines, and how these machines stand.
 fn count_on_machines(inputs: &EpochInputs<'_>, gangs: &mut BTreeMap<JobId, GangPresence>) {
     let EpochInputs { cluster, fleet, on_machines } = inputs;
-    let silent_ms = cluster.settings.timing().silent_ms;
+    let silent_ms = cluster.settings.timing().unavailable_after_ms;
     for (task, seen) in on_machines.iter() {
         let Some(gang) = gangs.get_mut(&task.job) else { continue };
         gang.on_machines += 1;
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -111,7 +111,7 @@
         let timing = cluster.settings.timing();
         let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
         let save_ms = (job.spec.checkpoint_save_s * 1000.0) as u64;
-        let way_ms = (timing.gap_ms + STOP_WAY_MS).min(peer_ms);
+        let way_ms = (timing.max_interval_ms + STOP_WAY_MS).min(peer_ms);
         let remaining_ms = leaves.since(cluster.now);
         if remaining_ms < save_ms + way_ms / 2 || remaining_ms > save_ms + way_ms + STOP_AGAIN_MS {
             return; // Too late, or there is time yet.
--- a/src/service.rs
+++ b/src/service.rs
@@ -153,8 +153,8 @@
             nodes: controller.nodes.len(),
             peers: Peers::new(&controller.nodes),
             store: StoreClient::new(
-                settings.external.state,
-                &settings.params.state,
+                settings.external.store,
+                &settings.params.store,
                 settings.params.nodes,
             ),
             cloud: CloudClient::new(settings.external.cloud, settings.params.cloud.rps),
@@ -191,7 +191,7 @@
     /// Serves until the process is killed.
     pub async fn run(self: Rc<Self>) -> std::io::Result<()> {
         let api = TcpListener::bind(self.settings.api_addr).await?;
-        let back = TcpListener::bind(self.settings.back).await?;
+        let back = TcpListener::bind(self.settings.peer_addr).await?;
         let incarnation = self.controller.borrow().incarnation;
         let version = env!("CARGO_PKG_VERSION");
         info!(node = %self.settings.node_name, %incarnation, version, "serving");
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -9,7 +9,7 @@
 use crate::model::{JobId, Revision};
 use crate::peer::PeerRequest;
 use crate::replica;
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 
 /// Time without the store's answer after which the same transaction is sent a second time: a user waits for it.
 const HEDGE_AFTER: Duration = Duration::from_millis(150);
@@ -37,12 +37,12 @@
             return Ok(CancellationOutcome::NotOpen);
         };
         match self.store.commit_hedged(&txn, HEDGE_AFTER).await? {
-            Committed::Yes(version) => {
+            TxnOutcome::Committed(version) => {
                 self.apply_committed(&txn, version);
                 self.send_cancellation_notices(id, progress, version);
                 Ok(CancellationOutcome::Cancelled)
             }
-            Committed::No(_) => Ok(CancellationOutcome::Conflict),
+            TxnOutcome::ConditionsFailed(_) => Ok(CancellationOutcome::Conflict),
         }
     }
 
--- a/src/service/completions.rs
+++ b/src/service/completions.rs
@@ -7,7 +7,7 @@
 use tracing::debug;
 
 use super::Service;
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 use crate::wire::Txn;
 
 /// Longest wait between two looks at what is to be written; completions bring them forward.
@@ -36,11 +36,11 @@
     async fn commit_completions(&self, mut txn: Txn) {
         for _ in 0..COMMIT_ATTEMPTS {
             match self.store.commit(&txn).await {
-                Ok(Committed::Yes(version)) => {
+                Ok(TxnOutcome::Committed(version)) => {
                     self.apply_committed(&txn, version);
                     return;
                 }
-                Ok(Committed::No(failed)) => txn.leave_out(&failed),
+                Ok(TxnOutcome::ConditionsFailed(failed)) => txn.leave_out(&failed),
                 Err(e) => {
                     debug!(error = %e, "completions not written");
                     self.lower_limits_if_malformed(&e);
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -9,7 +9,7 @@
 use super::{STORE_MESSAGE_PERIOD, Service};
 use crate::metrics::Operation;
 use crate::model::Revision;
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 use crate::wire::Txn;
 
 /// Longest wait between two epochs; submissions, progress and summaries bring them forward.
@@ -96,11 +96,11 @@
     /// Writes an epoch to the store; false if it did not become durable, as far as is known.
     async fn commit_epoch(&self, txn: &Txn) -> bool {
         match self.store.commit(txn).await {
-            Ok(Committed::Yes(version)) => {
+            Ok(TxnOutcome::Committed(version)) => {
                 self.apply_committed(txn, version);
                 true
             }
-            Ok(Committed::No(failed)) => {
+            Ok(TxnOutcome::ConditionsFailed(failed)) => {
                 debug!(?failed, "epoch not written");
                 let _ = self.sync_replica(Duration::ZERO).await;
                 false
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -12,7 +12,7 @@
 use crate::http::{CallError, Response};
 use crate::model::{NodeId, Term};
 use crate::peer::{self, PeerRequest, PeerResponse};
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 
 /// Time between two steps of the failure detector.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
@@ -57,7 +57,7 @@
             let answer = client.call("POST", "/peer", &body, PROBE_LIMIT).await;
             let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
                 // Another process than the leader's answers there.
-                Ok(Some(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
+                Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
                 // Whatever it answers: a version that does not know the request is alive as well.
                 Ok(_) => ProbeOutcome::Answered,
                 Err(CallError::Connect) => ProbeOutcome::Refused,
@@ -91,7 +91,7 @@
         if self.controller.borrow().replica.term != term {
             self.controller
                 .borrow_mut()
-                .on_fence_outcome(self.now(), Some(&Committed::No(Vec::new())));
+                .on_fence_outcome(self.now(), Some(&TxnOutcome::ConditionsFailed(Vec::new())));
             return;
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
@@ -108,8 +108,8 @@
         }
         let Some(check) = self.controller.borrow().leadership_check() else { return false };
         match self.store.commit(&check).await {
-            Ok(Committed::Yes(_)) => true,
-            Ok(Committed::No(_)) => {
+            Ok(TxnOutcome::Committed(_)) => true,
+            Ok(TxnOutcome::ConditionsFailed(_)) => {
                 warn!("an action as leader is given up: another controller leads");
                 if let Some(standby) = &mut self.controller.borrow_mut().standby {
                     standby.record_refused_action();
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -12,7 +12,7 @@
 use crate::controller::Candidacy;
 use crate::lease::LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
-use crate::store_client::{Committed, StoreError};
+use crate::store_client::{StoreError, TxnOutcome};
 
 /// Time between two renewals of the lease: four fit into its 3 s, so one that fails or is late does not end it.
 const RENEWAL_PERIOD: Duration = Duration::from_millis(700);
@@ -73,7 +73,7 @@
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
-            Committed::Yes(_) => {
+            TxnOutcome::Committed(_) => {
                 let mut controller = self.controller.borrow_mut();
                 controller.rights.lease = Some(lease);
                 controller.rights.confirm_renewal(sent);
@@ -81,7 +81,7 @@
                 self.wake_ups.election.notify_one();
                 Ok(())
             }
-            Committed::No(_) => {
+            TxnOutcome::ConditionsFailed(_) => {
                 self.sync_replica(Duration::ZERO).await?;
                 Err(StoreError::Unknown)
             }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -48,7 +48,7 @@
 impl Peers {
     /// Clients for all controllers; they connect when they are first used.
     pub(super) fn new(nodes: &[NodeInfo]) -> Self {
-        let client = |node: &NodeInfo| Rc::new(Client::new(node.back, MAX_RESPONSE_BYTES));
+        let client = |node: &NodeInfo| Rc::new(Client::new(node.peer_addr, MAX_RESPONSE_BYTES));
         Peers {
             clients: nodes.iter().map(client).collect(),
             names: nodes.iter().map(|node| node.name.clone()).collect(),
@@ -87,7 +87,7 @@
         if answer.status != 200 {
             return Err(PeerCallError::Refused(answer.status));
         }
-        let Some(response) = peer::decode(&answer.body) else {
+        let Ok(response) = peer::decode(&answer.body) else {
             self.warn_unreadable(self.name_of(node));
             return Err(PeerCallError::Unreadable);
         };
@@ -122,7 +122,7 @@
         if path != "/peer" {
             return Response::empty(404);
         }
-        let Some(request) = peer::decode::<PeerRequest>(body) else {
+        let Ok(request) = peer::decode::<PeerRequest>(body) else {
             self.warn_unreadable("a controller that does not say its name");
             return Response { close: true, ..Response::empty(400) };
         };
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -178,7 +178,7 @@
         };
         if let Some(condition) = condition {
             let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
-            let limits = &self.settings.params.state;
+            let limits = &self.settings.params.store;
             let mut chunks = replica::machine_type_changes(&catalog, limits.value_bytes());
             if chunks.len() > limits.txn_ops {
                 warn!(chunks = chunks.len(), "not all machine types fit into a transaction");
@@ -204,7 +204,7 @@
         if !self.still_leads().await {
             return ScaleOutOutcome::Unknown;
         }
-        let result = self.cloud.rent(request).await;
+        let result = self.cloud.scale_out(request).await;
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
         let Some(leader) = &mut controller.leader else {
@@ -248,7 +248,7 @@
         if ids.is_empty() || !self.still_leads().await {
             return;
         }
-        if self.cloud.return_machines(&ids).await.is_ok() {
+        if self.cloud.scale_in(&ids).await.is_ok() {
             info!(machines = ?ids.iter().map(|id| id.to_string()).collect::<Vec<_>>(), "returned");
             if let Some(leader) = &mut self.controller.borrow_mut().leader {
                 leader.machines_gone(&ids);
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -7,7 +7,7 @@
 use crate::model::NodeId;
 use crate::peer::{self, PeerResponse, StoreMessage, Summary};
 use crate::replica;
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 use crate::wire::{self, Change, Condition, Txn};
 
 /// Most transactions that a message through the store takes.
@@ -36,7 +36,7 @@
 
     /// Writes a message for another controller in chunks, each under the condition.
     async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
-        let limits = &self.settings.params.state;
+        let limits = &self.settings.params.store;
         let chunks = message_chunks::split(message, message_chunk_bytes(limits));
         if chunks.len() > MAX_TXNS_PER_STORE_MESSAGE * limits.txn_ops {
             warn!(chunks = chunks.len(), "message too large for the store");
@@ -56,8 +56,8 @@
             }
             let txn = Txn { conditions: vec![condition.clone()], changes };
             match self.store.commit(&txn).await {
-                Ok(Committed::Yes(_)) => {}
-                Ok(Committed::No(_)) => return,
+                Ok(TxnOutcome::Committed(_)) => {}
+                Ok(TxnOutcome::ConditionsFailed(_)) => return,
                 Err(e) => {
                     debug!(error = %e, "message through the store failed");
                     return;
@@ -80,7 +80,7 @@
             // Chunks of a message that is still being written are not one yet; they are looked at again when more come.
             let Ok(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
-                Some(StoreMessage::Summary(summary))
+                Ok(StoreMessage::Summary(summary))
                     if summary.node == NodeId(from)
                         && self.controller.borrow().leader.is_some() =>
                 {
@@ -89,13 +89,13 @@
                         .borrow_mut()
                         .insert(NodeId(from), (self.now(), response));
                 }
-                Some(StoreMessage::PeerResponse(response)) => {
+                Ok(StoreMessage::PeerResponse(response)) => {
                     self.controller
                         .borrow_mut()
                         .record_leader_message_from_store(self.now(), &response);
                     self.controller.borrow_mut().apply_leader_response(response);
                 }
-                None => self.warn_unreadable(self.name_of(NodeId(from))),
+                Err(_) => self.warn_unreadable(self.name_of(NodeId(from))),
                 _ => {}
             }
         }
--- a/src/service/submissions.rs
+++ b/src/service/submissions.rs
@@ -11,7 +11,7 @@
 use super::Service;
 use crate::controller::submission_txn;
 use crate::replica;
-use crate::store_client::Committed;
+use crate::store_client::TxnOutcome;
 use crate::wire::JobSpec;
 
 /// Attempts of one group commit, each without the jobs that turned out to be known.
@@ -103,7 +103,7 @@
                 submission_txn(specs, self.wall(), &controller.catalog, bytes)
             };
             match self.store.commit_hedged(&txn, HEDGE_AFTER).await {
-                Ok(Committed::Yes(version)) => {
+                Ok(TxnOutcome::Committed(version)) => {
                     self.apply_committed(&txn, version);
                     for submission in batch {
                         let spec = &submission.spec;
@@ -112,7 +112,7 @@
                     }
                     return;
                 }
-                Ok(Committed::No(failed)) => {
+                Ok(TxnOutcome::ConditionsFailed(failed)) => {
                     let is_known = |s: &Submission| failed.contains(&replica::job_key(s.spec.id));
                     let (known, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_known);
                     batch = rest;
--- a/src/service/summaries.rs
+++ b/src/service/summaries.rs
@@ -97,7 +97,7 @@
         }
         if route.is_store_message_due(now) {
             route.last_through_store = now;
-            let limits = &self.settings.params.state;
+            let limits = &self.settings.params.store;
             let chunks = limits.txn_ops * TXNS_PER_STORE_SUMMARY;
             let byte_budget = message_chunks::capacity(message_chunk_bytes(limits), chunks);
             let summary = self.summary(byte_budget);
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -7,7 +7,7 @@
 use willowshore::model::{JobId, TaskId, WallTime};
 use willowshore::peer::PeerRequest;
 use willowshore::replica;
-use willowshore::store_client::Committed;
+use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{JobKind, JobState};
 
 use super::{Message, World};
@@ -108,7 +108,7 @@
                 [&self.jobs[&id]].into_iter(),
                 WallTime(1_000_000 + now),
                 &node.controller.catalog,
-                node.controller.settings.params.state.value_bytes(),
+                node.controller.settings.params.store.value_bytes(),
             );
             self.commit(n, &txn);
         } else if self.wanted_cancels.contains(&id) {
@@ -154,7 +154,7 @@
         }
         let node = self.nodes[n].as_ref().ok()?;
         if !node.controller.replica.jobs.contains_key(&job) {
-            let bytes = node.controller.settings.params.state.value_bytes();
+            let bytes = node.controller.settings.params.store.value_bytes();
             let wall = WallTime(1_000_000 + self.now);
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
@@ -163,7 +163,7 @@
                 bytes,
             );
             match self.commit(n, &txn)? {
-                Committed::Yes(version) => {
+                TxnOutcome::Committed(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
@@ -171,7 +171,7 @@
                     let answer = controller.final_answer(job);
                     return Some(answer.map_or(Told::Open, |a| told(a.state)));
                 }
-                Committed::No(_) => {}
+                TxnOutcome::ConditionsFailed(_) => {}
             }
         }
         self.answer(n, id).filter(|t| *t != Told::Unknown)
@@ -192,7 +192,7 @@
                 }
             };
             match self.commit(n, &txn)? {
-                Committed::Yes(version) => {
+                TxnOutcome::Committed(version) => {
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
@@ -209,7 +209,7 @@
                         );
                     }
                 }
-                Committed::No(_) => self.pull(n),
+                TxnOutcome::ConditionsFailed(_) => self.pull(n),
             }
         }
         None
