--- a/src/replica.rs
+++ b/src/replica.rs
@@ -8,188 +8,27 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use rustc_hash::FxHashSet;
+use crate::autoscaler::OfferedLoad;
+use crate::model::{JobId, MachineId, NodeId, Revision, Term};
+use crate::wire::{self, JobState, KeyValue, Value, WatchResponse};
 
-use serde::{Deserialize, Serialize};
+mod jobs;
+mod keys;
+mod machine_groups;
+mod machine_types;
+mod queries;
+mod records;
 
-use crate::autoscaler::OfferedLoad;
-use crate::model::{
-    Incarnation, JobId, MachineId, NodeId, Ranges, Revision, TaskId, Term, WallTime,
-};
-use crate::placement::{MachineCatalog, Resources};
-use crate::wire::{self, Condition, JobSpec, JobState, KeyValue, Value, WatchResponse};
+pub use jobs::*;
+pub use keys::*;
+pub use machine_types::machine_type_changes;
+pub use records::*;
 
 /// How many ended jobs are kept in memory; older ones are read from the store when asked for.
 const ENDED_KEPT: usize = 100_000;
-/// How many machines share a key.
-const MACHINES_IN_GROUP: u64 = 24;
 /// How many cancelled jobs are remembered for what their tasks may still use.
 const RESIDUAL_USAGE_KEPT: usize = 4_096;
 
-/// A job as it was accepted.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Accepted {
-    /// What its user asked for.
-    pub spec: JobSpec,
-    /// When it was accepted.
-    pub at: WallTime,
-}
-
-/// What is durable about a job's progress.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Progress {
-    /// Set once the job has ended, and never changed then.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<JobState>,
-    /// Tasks that completed.
-    #[serde(default)]
-    pub done: Ranges,
-    /// What a gang that is done may still use. All of its tasks are done once one is, but a machine
-    /// that hangs or cannot be reached has its tasks until they are gone.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gang: Option<ResidualUsage>,
-}
-
-/// Who leads.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRecord {
-    /// The leader.
-    pub node: NodeId,
-    /// The life of its process.
-    #[serde(rename = "life")]
-    pub incarnation: Incarnation,
-    /// Its term.
-    pub term: Term,
-}
-
-/// A controller that is up.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberRecord {
-    /// The life of its process.
-    #[serde(rename = "life")]
-    pub incarnation: Incarnation,
-    /// Its program's version; empty for those before 0.2.
-    #[serde(default)]
-    pub version: String,
-    /// What it understands, see [`CAPABILITIES`]; 0 for the version before gangs.
-    #[serde(default)]
-    #[serde(rename = "speaks")]
-    pub capabilities: u32,
-}
-
-/// What a controller understands that knows gangs: [`crate::peer::Stop`], waiting tasks, and that a
-/// gang is done as a whole.
-pub const CAPABILITY_GANGS: u32 = 1;
-/// What a controller understands that is told of cancellations directly, [`crate::peer::PeerRequest::Ended`].
-pub const CAPABILITY_CANCELLATION_NOTICE: u32 = 2;
-/// What one understands that starts tasks granted ahead, [`crate::peer::PlanBody::ahead`].
-pub const CAPABILITY_GRANTS_AHEAD: u32 = 3;
-/// What one understands that is asked when it heard the leader, [`crate::peer::PeerRequest::LeaderSilence`].
-pub const CAPABILITY_STANDBY: u32 = 4;
-/// What this version understands.
-pub const CAPABILITIES: u32 = CAPABILITY_STANDBY;
-
-/// A machine that tasks may be on.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineRecord {
-    /// Type.
-    #[serde(rename = "hull")]
-    pub machine_type: String,
-    /// Zone.
-    pub zone: String,
-    /// Spot or ordinary.
-    pub spot: bool,
-    /// Whether it has reported. Only then may tasks start on it, so a machine that still
-    /// boots never holds up the proof that a task is nowhere.
-    #[serde(default)]
-    pub up: bool,
-    /// Set once it is proven gone; the key stays for a while so that late reports are known
-    /// for what they are.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gone: Option<WallTime>,
-    /// Where its worker listens, for controllers that it never reported to.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub endpoint: String,
-}
-
-impl MachineRecord {
-    /// What is kept of it once it is gone: that it is.
-    pub fn tombstone(&self, at: WallTime) -> Self {
-        MachineRecord {
-            machine_type: String::new(),
-            zone: String::new(),
-            endpoint: String::new(),
-            gone: Some(self.gone.unwrap_or(at)),
-            ..*self
-        }
-    }
-}
-
-/// Machines that are written together.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MachineGroup {
-    /// The machines.
-    pub machines: Vec<(MachineId, MachineRecord)>,
-}
-
-/// What the tasks of a cancelled job, or of a gang that is done, use as long as they are not gone.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ResidualUsage {
-    /// Its team.
-    pub owner: String,
-    /// What each task takes.
-    pub need: Resources,
-    /// Tasks that were not done.
-    pub left: u32,
-}
-
-impl ResidualUsage {
-    fn of(spec: &JobSpec, done: u32) -> Self {
-        let left = spec.task_count.saturating_sub(done);
-        ResidualUsage { owner: spec.team.clone(), need: Resources::of(spec), left }
-    }
-}
-
-/// The term as a key of its own, which stays when a leader's lease ends.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TermRecord {
-    /// The highest term given out.
-    pub term: Term,
-}
-
-/// Task ranges granted by an epoch: any of these tasks that is not done may be running.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EpochRecord {
-    /// The term that wrote it.
-    pub term: Term,
-    /// Granted tasks.
-    pub granted: Vec<(JobId, Ranges)>,
-}
-
-/// A job that has not ended.
-#[derive(Clone, Debug)]
-pub struct Job {
-    /// The job.
-    pub spec: JobSpec,
-    /// When it was accepted.
-    pub at: WallTime,
-    /// Its progress.
-    pub progress: Progress,
-    /// Version of its progress; 0 if there is none yet.
-    pub progress_version: Revision,
-}
-
-impl Job {
-    /// Whether a task is done.
-    pub fn is_done(&self, index: u32) -> bool {
-        self.progress.done.contains(index)
-    }
-    /// Tasks that are not done.
-    pub fn remaining(&self) -> u32 {
-        self.spec.task_count.saturating_sub(self.progress.done.len())
-    }
-}
-
 /// What a batch of changes brought, for those who wait for it.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplicaChanges {
@@ -254,87 +93,6 @@
     pub peer_messages: BTreeMap<(u8, u32), (String, Revision)>,
 }
 
-/// The key of an accepted job.
-pub fn job_key(job: JobId) -> String {
-    format!("j/{job}")
-}
-/// The key of a job's progress.
-pub fn progress_key(job: JobId) -> String {
-    format!("d/{job}")
-}
-/// The key of a group of machines.
-pub fn machine_key(group: u32) -> String {
-    format!("m/{group:05}")
-}
-/// The group of a machine: those rented together are mostly written together.
-pub fn machine_group(machine: &MachineId) -> u32 {
-    let text = &*machine.0;
-    let digits = text.len() - text.bytes().rev().take_while(u8::is_ascii_digit).count();
-    let number: u64 = text[digits..].parse().unwrap_or(0);
-    (number / MACHINES_IN_GROUP % 100_000) as u32
-}
-/// The key of a controller.
-pub fn member_key(node: NodeId) -> String {
-    format!("n/{}", node.0)
-}
-/// The key of a part of the granted ranges.
-pub fn epoch_key(n: u32) -> String {
-    format!("e/{n:04}")
-}
-/// The key of a part of a relayed message.
-pub fn peer_message_key(to: NodeId, from: NodeId, chunk: u32) -> String {
-    format!("x/{}/{}/{chunk}", to.0, from.0)
-}
-/// The leader's key.
-pub const LEADER_KEY: &str = "lead";
-/// The key of the machine types.
-pub const MACHINE_TYPES_KEY: &str = "flavors";
-/// The key of what the load was.
-pub const LOAD_KEY: &str = "load";
-/// The term's key.
-pub const TERM_KEY: &str = "term";
-
-/// Prefixes that together cover all keys, each once. Keys of a kind have values of about the same size, so they are
-/// read kind by kind: a page that is right for many small ones would hold too much of the next kind.
-pub const KEY_PREFIXES: [&str; 9] =
-    ["d/", "e/", MACHINE_TYPES_KEY, "j/", "l", "m/", "n/", TERM_KEY, "x/"];
-
-/// Machine types as values of up to so many bytes; the first key is the one that all versions read.
-pub fn machine_type_changes(catalog: &wire::MachineTypes, bytes: usize) -> Vec<wire::Change> {
-    let mut pieces: Vec<wire::MachineTypes> =
-        vec![wire::MachineTypes { machine_types: Vec::new() }];
-    for machine_type in &catalog.machine_types {
-        if let Some(last) = pieces.last_mut() {
-            last.machine_types.push(machine_type.clone());
-            if last.machine_types.len() > 1 && wire::stored_bytes(last) > bytes {
-                let next = last.machine_types.pop();
-                pieces.push(wire::MachineTypes { machine_types: next.into_iter().collect() });
-            }
-        }
-    }
-    let key = |n: usize| match n {
-        0 => MACHINE_TYPES_KEY.to_string(),
-        _ => format!("{MACHINE_TYPES_KEY}/{n:04}"),
-    };
-    let set =
-        |(n, piece)| wire::Change::Put { key: key(n), value: wire::to_value(&piece), lease: None };
-    pieces.into_iter().enumerate().map(set).collect()
-}
-
-/// A job's description as it is kept: if it is too large for a value, without the machine types that
-/// there are none of. They are the only part without a bound, and the job is none the wider.
-pub fn kept_spec(spec: &JobSpec, catalog: &MachineCatalog, bytes: usize) -> JobSpec {
-    let mut kept = spec.clone();
-    if wire::stored_bytes(&Accepted { spec: kept.clone(), at: WallTime(u64::MAX) }) > bytes
-        && let Some(machine_types) = &mut kept.machine_types
-    {
-        machine_types.retain(|h| catalog.contains_key(h));
-        machine_types.sort();
-        machine_types.dedup();
-    }
-    kept
-}
-
 impl Replica {
     /// An empty replica for that node.
     pub fn new(me: NodeId) -> Self {
@@ -478,60 +236,6 @@
         }
     }
 
-    /// Takes a group of machines in place of what it held before.
-    fn put_group(&mut self, group: u32, record: MachineGroup, version: Revision) {
-        if self.groups.get(&group).is_some_and(|g| g.1 >= version) {
-            return;
-        }
-        let mut ids: Vec<MachineId> = record.machines.iter().map(|(id, _)| id.clone()).collect();
-        for id in &ids {
-            let keys_by_machine = self.keys_by_machine.entry(id.clone()).or_default();
-            if !keys_by_machine.contains(&group) {
-                keys_by_machine.push(group);
-            }
-        }
-        if let Some((old, _)) = self.groups.insert(group, (record, version)) {
-            for (id, _) in old.machines {
-                if !ids.contains(&id)
-                    && let Some(keys_by_machine) = self.keys_by_machine.get_mut(&id)
-                {
-                    keys_by_machine.retain(|g| *g != group);
-                    ids.push(id);
-                }
-            }
-        }
-        for id in ids {
-            self.merge_machine(id);
-        }
-    }
-
-    /// Takes what all keys tell of a machine. That it is gone stays true; a key that does not know it
-    /// yet was written before.
-    fn merge_machine(&mut self, id: MachineId) {
-        let keys_by_machine = self.keys_by_machine.get(&id).map_or(&[][..], Vec::as_slice);
-        let groups = keys_by_machine.iter().filter_map(|g| self.groups.get(g));
-        let told = groups.flat_map(|(g, _)| &g.machines).filter(|(i, _)| *i == id).map(|(_, r)| r);
-        match told.max_by_key(|r| (r.gone.is_some(), r.up)).cloned() {
-            Some(record) => {
-                self.machines.insert(id, record);
-            }
-            None => {
-                self.keys_by_machine.remove(&id);
-                self.machines.remove(&id);
-            }
-        }
-    }
-
-    /// The machines in a group's key, as the store has them.
-    pub fn group(&self, group: u32) -> &[(MachineId, MachineRecord)] {
-        self.groups.get(&group).map_or(&[], |g| &g.0.machines)
-    }
-
-    /// The groups that name a machine.
-    pub fn keys_by_machine(&self, id: &MachineId) -> &[u32] {
-        self.keys_by_machine.get(id).map_or(&[], Vec::as_slice)
-    }
-
     fn remember_residual_usage(&mut self, id: JobId, w: ResidualUsage) {
         if self.residual_usage.insert(id, w).is_none() {
             self.residual_usage_order.push_back(id);
@@ -652,130 +356,6 @@
             _ => {}
         }
     }
-
-    /// All machine types on record.
-    pub fn all_machine_types(&self) -> Option<wire::MachineTypes> {
-        let (first, _) = self.catalog.as_ref()?;
-        let more = self.further_machine_types.values().flat_map(|f| &f.machine_types);
-        Some(wire::MachineTypes {
-            machine_types: first.machine_types.iter().chain(more).cloned().collect(),
-        })
-    }
-
-    /// Whether a controller that is up knows gangs.
-    pub fn knows_gangs(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GANGS)
-    }
-
-    /// Whether a controller starts what is granted ahead.
-    pub fn starts_ahead(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GRANTS_AHEAD)
-    }
-
-    /// Whether a controller can be told of cancellations directly. One that the store refuses is
-    /// no member for a while, and needs it most.
-    pub fn reads_cancellation_notices(&self, node: NodeId) -> bool {
-        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_CANCELLATION_NOTICE)
-    }
-
-    /// Whether a controller can be asked when it heard the leader.
-    pub fn knows_standby(&self, node: NodeId) -> bool {
-        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_STANDBY)
-    }
-
-    /// Whether a task may be started as far as its job is concerned.
-    pub fn may_run(&self, task: TaskId) -> bool {
-        self.jobs
-            .get(&task.job)
-            .is_some_and(|j| task.index < j.spec.task_count && !j.is_done(task.index))
-    }
-
-    /// Whether a task's outcome no longer matters: its job has ended or it is durably done.
-    pub fn is_outcome_recorded(&self, task: TaskId) -> bool {
-        self.ended.contains_key(&task.job)
-            || self.jobs.get(&task.job).is_some_and(|j| j.is_done(task.index))
-    }
-
-    /// Whether a machine may be given tasks: it is durably known to be up and not gone.
-    pub fn machine_known(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|m| m.up && m.gone.is_none())
-    }
-
-    /// Whether a machine is known to be gone.
-    pub fn machine_gone(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|m| m.gone.is_some())
-    }
-
-    /// The condition that a node still leads as it did.
-    pub fn leader_condition(&self) -> Option<Condition> {
-        let (_, version) = self.leader.as_ref()?;
-        Some(Condition { key: LEADER_KEY.into(), version: *version })
-    }
-
-    /// The condition that a key which the leader writes is as it is known here: so a transaction
-    /// that is carried out late, or once more, never puts an older value back.
-    pub fn unchanged(&self, key: &str) -> Condition {
-        let number = |kind: &str| key.strip_prefix(kind).and_then(|n| n.parse::<u32>().ok());
-        let version = match key {
-            LOAD_KEY => self.load.as_ref().map(|l| l.1),
-            MACHINE_TYPES_KEY => self.catalog.as_ref().map(|f| f.1),
-            _ => number("m/")
-                .and_then(|n| self.groups.get(&n).map(|g| g.1))
-                .or_else(|| number("e/").and_then(|n| self.epochs.get(&n).map(|e| e.1))),
-        };
-        Condition { key: key.into(), version: version.unwrap_or_default() }
-    }
-
-    /// Tasks that any earlier epoch granted and that are not done: they may be running.
-    pub fn granted_before(&self) -> FxHashSet<TaskId> {
-        let mut tasks = FxHashSet::default();
-        for (record, _) in self.epochs.values() {
-            for (job, ranges) in &record.granted {
-                let ids = ranges.iter().map(|index| TaskId { job: *job, index });
-                tasks.extend(ids.filter(|t| self.may_run(*t)));
-            }
-        }
-        tasks
-    }
-
-    /// Adds finished tasks to a job's progress: the new value, or `None` if nothing changes. What
-    /// does not fit into `bytes` yet, as the tasks lie too far apart, is left for later: its workers
-    /// keep it until then, and a task that completed once completes at once if it is started again.
-    pub fn with_done(
-        job: &Job,
-        tasks: impl IntoIterator<Item = u32>,
-        bytes: usize,
-    ) -> Option<Progress> {
-        let mut progress =
-            Progress { done: job.progress.done.fitting(bytes), ..Progress::default() };
-        let most = Ranges::spans_in(bytes);
-        let mut any = false;
-        let mut apart = Vec::new();
-        for index in tasks {
-            if index >= job.spec.task_count {
-            } else if progress.done.spans().len() < most || progress.done.touches(index) {
-                any |= progress.done.insert(index);
-            } else {
-                apart.push(index);
-            }
-        }
-        for index in apart {
-            if progress.done.spans().len() < most || progress.done.touches(index) {
-                any |= progress.done.insert(index);
-            }
-        }
-        if !any {
-            return None;
-        }
-        let all = progress.done.len() == job.spec.task_count;
-        if all && job.spec.kind != wire::JobKind::Service {
-            progress.end = Some(JobState::Done);
-            if job.spec.kind == wire::JobKind::Gang {
-                progress.gang = Some(ResidualUsage::of(&job.spec, 0));
-            }
-        }
-        Some(progress)
-    }
 }
 
 #[cfg(test)]
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,6 +1,10 @@
 //! Tables of cases for `replica`.
 
+use serde::Serialize;
+
 use super::*;
+use crate::model::{Incarnation, Ranges, WallTime};
+use crate::wire::JobSpec;
 use crate::wire::WatchEvent;
 use crate::wire::tests::spec;
 
