--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,7 +15,9 @@
 };
 use crate::peer::{PeerResponse, Plan, Summary, WaitReason};
 use crate::placement::MachineCatalog;
-use crate::replica::{self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord};
+use crate::replica::{
+    self, LeaderRecord, MemberRecord, Replica, ReplicaChanges, TermRecord, Versioned,
+};
 use crate::shard::{DirectMessage, HeartbeatOutcome, Shard, ShardContext};
 use crate::standby::Standby;
 use crate::store_client::leaders_writes_per_s;
@@ -198,13 +200,13 @@
         if replica_changes.leader {
             self.follow_leader_key(now);
         }
-        if replica_changes.progress {
+        if replica_changes.job_progress {
             self.shard.tidy(&self.replica);
         }
-        if !replica_changes.cancelled.is_empty() {
-            self.shard.queue_cancellation_kills(&replica_changes.cancelled);
+        if !replica_changes.cancelled_jobs.is_empty() {
+            self.shard.queue_cancellation_kills(&replica_changes.cancelled_jobs);
         }
-        if replica_changes.progress || replica_changes.jobs {
+        if replica_changes.job_progress || replica_changes.new_jobs {
             self.complete_gangs(now.steady);
         }
         if self.catalog.is_empty()
@@ -246,7 +248,7 @@
         if self.leader_from_peer.is_some() {
             return; // What the replica tells is of an earlier term.
         }
-        let mine = self.replica.leader.as_ref().map(|(r, _)| r).filter(|r| {
+        let mine = self.replica.leader.as_ref().map(|leader| &leader.value).filter(|r| {
             r.node == self.me && r.incarnation == self.incarnation && r.term == self.replica.term
         });
         match (mine, &self.leader) {
@@ -272,7 +274,7 @@
     /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
     fn log_term(&self, now: MonotonicTime) {
         let term = self.replica.term;
-        let leader = self.replica.leader.as_ref().map(|(record, _)| record);
+        let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
         let leader = leader.filter(|record| record.term == term);
         let leader_name = leader.map_or("unknown", |record| self.name_of(record.node));
         let learned = if leader.is_some_and(|r| self.is_me(r)) { "own election" } else { "watch" };
@@ -296,7 +298,7 @@
     /// Who leads, as the store told just now; what peers are told that it does not serve.
     pub fn leader_for_peer(&self, now: MonotonicTime) -> Option<LeaderRecord> {
         let fresh = self.rights.sync_age(now).is_some_and(|age| age < FRESH_MS);
-        let leader = self.replica.leader.as_ref().map(|(r, _)| r);
+        let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
         leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
     }
 
@@ -315,14 +317,15 @@
 
     /// The leader that this node's part reports to.
     pub fn leader(&self) -> Option<NodeId> {
-        let known = self.replica.leader.as_ref().map(|(r, _)| r);
+        let known = self.replica.leader.as_ref().map(|leader| &leader.value);
         self.leader_from_peer.as_ref().or(known).filter(|_| self.loaded).map(|r| r.node)
     }
 
     /// The transaction that makes this process known; it replaces its predecessor at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
         let key = replica::member_key(self.me);
-        let version = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
+        let version =
+            self.replica.members.get(&self.me).map_or(Revision(0), |member| member.version);
         let value = wire::to_value(&MemberRecord {
             incarnation: self.incarnation,
             version: env!("CARGO_PKG_VERSION").into(),
@@ -342,7 +345,11 @@
         }
         match &self.replica.leader {
             None => Some(false),
-            Some((r, _)) if r.node == self.me && r.incarnation != self.incarnation => Some(true),
+            Some(Versioned { value: leader, .. })
+                if leader.node == self.me && leader.incarnation != self.incarnation =>
+            {
+                Some(true)
+            }
             Some(_) => None,
         }
     }
@@ -353,7 +360,7 @@
         let lease = self.rights.lease?;
         let term = Term(self.replica.term.0 + 1);
         let leader = LeaderRecord { node: self.me, incarnation: self.incarnation, term };
-        let version = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
+        let version = self.replica.leader.as_ref().map_or(Revision(0), |leader| leader.version);
         let condition = |key: &str, version| Condition { key: key.into(), version };
         let set = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
         Some(Txn {
@@ -516,7 +523,7 @@
                 continue;
             };
             f.since = now;
-            let Some(progress) = Replica::with_done(job, f.tasks.iter(), bytes) else { continue };
+            let Some(progress) = job.with_done(f.tasks.iter(), bytes) else { continue };
             let key = replica::progress_key(id);
             txn.conditions.push(Condition { key: key.clone(), version: job.progress_version });
             txn.changes.push(Change::Put { key, value: wire::to_value(&progress), lease: None });
@@ -558,7 +565,7 @@
 
     /// What a user is told of a job that has ended, which nothing can change any more.
     pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
-        let (state, done) = self.replica.ended.get(&id).copied()?;
+        let replica::EndedJob { state, done } = self.replica.ended.get(&id).copied()?;
         let reason = match state {
             wire::JobState::Cancelled => Some("cancelled by its user".to_string()),
             _ => None,
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -61,7 +61,7 @@
         if !self.loaded || !fresh || !self.rights.may_lead(now) {
             return None;
         }
-        let (leader, _) = self.replica.leader.as_ref()?;
+        let leader = &self.replica.leader.as_ref()?.value;
         if self.is_me(leader) || leader.term != self.replica.term {
             return None;
         }
@@ -134,7 +134,7 @@
 
     /// The replica shows that another process leads.
     pub(super) fn follow_other_leader(&mut self, now: MonotonicTime) {
-        let known = self.replica.leader.as_ref().map(|(record, _)| record);
+        let known = self.replica.leader.as_ref().map(|leader| &leader.value);
         let leader = known.filter(|r| r.term == self.replica.term && !self.is_me(r));
         let leader = leader.map(|r| FollowedLeader { node: r.node, term: r.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -144,7 +144,7 @@
             std::mem::replace(&mut l.fleet, Fleet::begin(cluster, None))
         });
         let mut recorded: FxHashMap<JobId, Ranges> = FxHashMap::default();
-        for (job, ranges) in replica.epochs.values().flat_map(|(r, _)| &r.granted) {
+        for (job, ranges) in replica.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
         }
         let mut leader = Leader {
@@ -181,8 +181,8 @@
             gang_images: FxHashMap::default(),
             spread_gangs: None,
         };
-        if let Some((load, _)) = &replica.load {
-            leader.market.load = load.clone();
+        if let Some(load) = &replica.load {
+            leader.market.load = load.value.clone();
         }
         if let Some(old) = before {
             if old.term.0 + 1 == term.0 {
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -12,7 +12,8 @@
         "" => "before 0.2".to_string(),
         version => version.to_string(),
     };
-    let all: Vec<String> = cluster.replica.members.values().map(|(m, _)| of(m)).collect();
+    let all: Vec<String> =
+        cluster.replica.members.values().map(|member| of(&member.value)).collect();
     all.join(",")
 }
 
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -50,7 +50,7 @@
     fn new(cluster: &'a ClusterView<'a>, most: usize) -> Self {
         let stored = cluster.replica.epochs.iter();
         let keys_by_job =
-            stored.flat_map(|(key, (r, _))| r.granted.iter().map(|(job, _)| (*job, *key)));
+            stored.flat_map(|(key, epoch)| epoch.value.granted.iter().map(|(job, _)| (*job, *key)));
         GrantKeys {
             cluster,
             fill: cluster.limits.value_bytes() * 4 / 5,
@@ -64,7 +64,7 @@
     fn content(&mut self, key: u32) -> &mut BTreeMap<JobId, Ranges> {
         let replica = self.cluster.replica;
         self.contents.entry(key).or_insert_with(|| {
-            let stored = replica.epochs.get(&key).map(|(record, _)| &record.granted);
+            let stored = replica.epochs.get(&key).map(|epoch| &epoch.value.granted);
             let open =
                 stored.into_iter().flatten().filter(|(job, _)| replica.jobs.contains_key(job));
             open.cloned().collect()
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,16 +1,21 @@
-//! The durable facts as this controller knows them: a replica of the state service.
+//! A controller's replica of the state service: all records, as of one revision.
 //!
-//! Keys: `j/<job>` the job as accepted (never changed), `d/<job>` its finished ranges and its
-//! end (cancelled or done), `leader` and `n/<node>` (on leases), `term`, `m/<group>` every
-//! machine that may be given tasks, `e/<n>` the task ranges that the last epochs granted,
-//! `catalog` the machine types, `load` what brief work would use,
-//! `x/<to>/<from>/<n>` messages between controllers that cannot reach each other.
+//! The replica is read whole once ([`Replica::load`]) and follows the watch from then on
+//! ([`Replica::apply`]). It holds what is durable and nothing else; what a controller may do by it is
+//! for [`crate::lease`] to say. [`StoreKey`] lists the keys and the records under them.
+//!
+//! Invariants:
+//! - A key's record is only ever replaced by one of a higher version, in whatever order reads and
+//!   watches come back.
+//! - A job that has ended stays so: its end is written once, and neither an older record nor a read
+//!   from the start takes it back. `docs/safety.md` relies on it for cancelled jobs.
+//! - A machine that is known to be gone stays gone for as long as any key names it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::autoscaler::OfferedLoad;
 use crate::model::{JobId, MachineId, NodeId, Revision, Term};
-use crate::wire::{self, JobState, KeyValue, Value, WatchResponse};
+use crate::wire::{JobState, KeyValue, MachineTypes, Value, WatchResponse};
 
 mod jobs;
 mod keys;
@@ -18,339 +23,362 @@
 mod machine_types;
 mod queries;
 mod records;
+mod versioned;
+
+use machine_groups::MachineGroups;
+use versioned::{decode, is_deleted_by, is_newer};
 
-pub use jobs::*;
-pub use keys::*;
+pub use jobs::{EndedJob, Job, kept_spec};
+pub use keys::{
+    KEY_PREFIXES, LEADER_KEY, LOAD_KEY, MACHINE_TYPES_KEY, StoreKey, TERM_KEY, epoch_key, job_key,
+    machine_group, machine_key, member_key, peer_message_key, progress_key,
+};
 pub use machine_types::machine_type_changes;
-pub use records::*;
+pub use records::{
+    Accepted, CAPABILITIES, CAPABILITY_CANCELLATION_NOTICE, CAPABILITY_GANGS,
+    CAPABILITY_GRANTS_AHEAD, CAPABILITY_STANDBY, EpochRecord, LeaderRecord, MachineGroup,
+    MachineRecord, MemberRecord, Progress, ResidualUsage, TermRecord,
+};
+pub use versioned::{RecordError, Versioned};
 
-/// How many ended jobs are kept in memory; older ones are read from the store when asked for.
+/// How many ended jobs are kept in memory, which bounds its size; older ones are read from the store
+/// when asked for.
 const ENDED_KEPT: usize = 100_000;
-/// How many cancelled jobs are remembered for what their tasks may still use.
+/// For how many jobs the usage that may outlast them is remembered, which bounds memory; the machines
+/// of those beyond are counted in full, see [`Replica::residual_usage_truncated`].
 const RESIDUAL_USAGE_KEPT: usize = 4_096;
 
 /// What a batch of changes brought, for those who wait for it.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplicaChanges {
-    /// New jobs came.
-    pub jobs: bool,
+    /// Jobs were accepted.
+    pub new_jobs: bool,
     /// Jobs ended or made progress.
-    pub progress: bool,
+    pub job_progress: bool,
     /// Jobs that are known to be cancelled from now on.
-    pub cancelled: Vec<JobId>,
-    /// The leader changed.
+    pub cancelled_jobs: Vec<JobId>,
+    /// The leader or the term changed.
     pub leader: bool,
-    /// A message for this node came.
+    /// A chunk of a message for this controller came.
     pub peer_messages: bool,
 }
 
-/// The replica.
-#[derive(Debug, Default)]
+/// The records of the state service as this controller knows them.
+#[derive(Debug)]
 pub struct Replica {
-    me: String,
+    /// This controller, the receiver of the peer messages that are held.
+    me: NodeId,
     /// Everything up to this revision is in here.
     pub revision: Revision,
     /// Jobs that have not ended.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, with the number of tasks done.
-    pub ended: HashMap<JobId, (JobState, u32)>,
+    /// Jobs that have ended, the last [`ENDED_KEPT`] of them.
+    pub ended: HashMap<JobId, EndedJob>,
     /// The same in the order in which their ends became known.
     ended_order: VecDeque<JobId>,
-    progress_without_job: HashMap<JobId, (Progress, Revision)>,
+    /// Progress that was read before its job.
+    progress_without_job: HashMap<JobId, Versioned<Progress>>,
     /// Controllers that are up.
-    pub members: BTreeMap<NodeId, (MemberRecord, Revision)>,
-    /// What each controller said last that it understands, whether it is up or not.
+    pub members: BTreeMap<NodeId, Versioned<MemberRecord>>,
+    /// The capabilities that each controller had last, whether it is up or not.
     last_capabilities: BTreeMap<NodeId, u32>,
     /// How often each controller's key came or went, so that no absence is taken for a
     /// longer one than it was.
     pub membership_changes: BTreeMap<NodeId, u64>,
-    /// The leader.
-    pub leader: Option<(LeaderRecord, Revision)>,
-    /// The highest term, and the version of its key.
+    /// The leader; `None` if no controller leads.
+    pub leader: Option<Versioned<LeaderRecord>>,
+    /// The highest term.
     pub term: Term,
-    /// Version of the term's key.
+    /// Version of the term's key; 0 if there is none yet.
     pub term_version: Revision,
     /// Machines that tasks may be on, and those lately gone.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    groups: BTreeMap<u32, (MachineGroup, Revision)>,
-    /// The keys that name a machine: one, or more where a version of the program with larger values
-    /// wrote it again beside a further key.
-    keys_by_machine: HashMap<MachineId, Vec<u32>>,
-    /// Jobs cancelled last.
+    /// The keys that [`Replica::machines`] is merged from.
+    machine_groups: MachineGroups,
+    /// What tasks of jobs that were cancelled, and of gangs that are done, may still use.
     pub residual_usage: BTreeMap<JobId, ResidualUsage>,
+    /// The same in the order in which they became known.
     residual_usage_order: VecDeque<JobId>,
-    /// Whether some of those cancelled lately are not in there.
+    /// Whether some of it was forgotten, as there were more than [`RESIDUAL_USAGE_KEPT`].
     pub residual_usage_truncated: bool,
-    /// Granted ranges by key number.
-    pub epochs: BTreeMap<u32, (EpochRecord, Revision)>,
-    /// What the load was, as the last leader wrote it.
-    pub load: Option<(OfferedLoad, Revision)>,
-    /// Machine types, as the last leader that asked the cloud wrote them.
-    pub catalog: Option<(wire::MachineTypes, Revision)>,
-    /// Those that did not fit into the first value.
-    further_machine_types: BTreeMap<u32, wire::MachineTypes>,
-    /// Messages for this node, by sender and part.
-    pub peer_messages: BTreeMap<(u8, u32), (String, Revision)>,
+    /// Granted ranges by the number of their key.
+    pub epochs: BTreeMap<u32, Versioned<EpochRecord>>,
+    /// The offered load, as the last leader wrote it.
+    pub load: Option<Versioned<OfferedLoad>>,
+    /// Machine types, as the last leader that asked the cloud wrote them; those of the first value.
+    pub catalog: Option<Versioned<MachineTypes>>,
+    /// Those that did not fit into the first value, by the number of their key.
+    further_machine_types: BTreeMap<u32, MachineTypes>,
+    /// Chunks of messages for this controller, by sender and number. No sender has an empty map.
+    pub peer_messages: BTreeMap<NodeId, BTreeMap<u32, String>>,
 }
 
 impl Replica {
-    /// An empty replica for that node.
+    /// An empty replica for a controller.
     pub fn new(me: NodeId) -> Self {
-        Replica { me: format!("{}/", me.0), ..Replica::default() }
+        Replica {
+            me,
+            revision: Revision::default(),
+            jobs: BTreeMap::new(),
+            ended: HashMap::new(),
+            ended_order: VecDeque::new(),
+            progress_without_job: HashMap::new(),
+            members: BTreeMap::new(),
+            last_capabilities: BTreeMap::new(),
+            membership_changes: BTreeMap::new(),
+            leader: None,
+            term: Term::default(),
+            term_version: Revision::default(),
+            machines: BTreeMap::new(),
+            machine_groups: MachineGroups::default(),
+            residual_usage: BTreeMap::new(),
+            residual_usage_order: VecDeque::new(),
+            residual_usage_truncated: false,
+            epochs: BTreeMap::new(),
+            load: None,
+            catalog: None,
+            further_machine_types: BTreeMap::new(),
+            peer_messages: BTreeMap::new(),
+        }
     }
 
-    /// Takes a replica that was read anew, keeping what can never change.
+    /// Replaces the replica by one that was read from the start, keeping what can never change.
     pub fn replace(&mut self, read: Replica) {
         let before = std::mem::replace(self, read);
         for id in before.ended_order {
             if let Some(end) = before.ended.get(&id) {
-                self.remember_end(id, *end);
+                self.record_end(id, *end);
             }
         }
-        // What came and went while the changes were not followed is not known.
-        for (node, moves) in before.membership_changes {
-            *self.membership_changes.entry(node).or_default() += moves + 1;
+        // How often members came and went while the changes were not followed is not known: once counts.
+        for (node, changes) in before.membership_changes {
+            *self.membership_changes.entry(node).or_default() += changes + 1;
         }
         for (node, capabilities) in before.last_capabilities {
             self.last_capabilities.entry(node).or_insert(capabilities);
         }
     }
 
-    /// Remembers that a job has ended; false if that was known. The oldest go first: tasks of jobs
-    /// that ended lately may still be on machines, and are killed there because their end is known.
-    fn remember_end(&mut self, id: JobId, end: (JobState, u32)) -> bool {
-        if self.ended.insert(id, end).is_some() {
-            return false;
-        }
-        self.ended_order.push_back(id);
-        if self.ended.len() > ENDED_KEPT
-            && let Some(old) = self.ended_order.pop_front()
-        {
-            self.ended.remove(&old);
-        }
-        true
-    }
-
-    /// Takes an item that was read.
-    pub fn load(&mut self, item: &KeyValue, replica_changes: &mut ReplicaChanges) {
-        self.put(&item.key, &item.value, item.version, replica_changes);
+    /// Records an item that was read, adding to `changes` what it brought.
+    pub fn load(&mut self, item: &KeyValue, changes: &mut ReplicaChanges) {
+        self.put(&item.key, &item.value, item.version, changes);
     }
 
-    /// Takes a watch's answer. Answers that cover nothing new are ignored, so the order in
+    /// Applies a watch's response. Changes up to the replica's revision are passed over, so the order in
     /// which overlapping watches come back does not matter.
-    pub fn apply(&mut self, changes: &WatchResponse) -> ReplicaChanges {
-        let mut replica_changes = ReplicaChanges::default();
-        for news in &changes.events {
-            if news.version <= self.revision {
-                continue;
-            }
-            match (&news.put_key, &news.deleted_key, &news.value) {
-                (Some(key), _, Some(value)) => {
-                    self.put(key, value, news.version, &mut replica_changes)
-                }
-                (_, Some(key), _) => self.delete(key, news.version, &mut replica_changes),
+    pub fn apply(&mut self, response: &WatchResponse) -> ReplicaChanges {
+        let mut changes = ReplicaChanges::default();
+        let known = self.revision;
+        for event in response.events.iter().filter(|event| event.version > known) {
+            match (&event.put_key, &event.deleted_key, &event.value) {
+                (Some(key), _, Some(value)) => self.put(key, value, event.version, &mut changes),
+                (_, Some(key), _) => self.delete(key, event.version, &mut changes),
                 _ => {}
             }
         }
-        self.revision = self.revision.max(changes.revision);
-        replica_changes
+        self.revision = self.revision.max(response.revision);
+        changes
     }
 
-    fn put(
+    /// Records a key's new value; one that cannot be used is logged here and nowhere else.
+    fn put(&mut self, key: &str, value: &Value, version: Revision, changes: &mut ReplicaChanges) {
+        let Some(store_key) = StoreKey::parse(key) else { return };
+        match (self.try_put(store_key, value, version, changes), store_key) {
+            (Ok(()), _) => {}
+            (Err(error), StoreKey::Job(job)) => {
+                tracing::error!(%job, %error, "accepted job cannot be read from the store");
+            }
+            (Err(error), _) => tracing::error!(key, %error, "record cannot be read from the store"),
+        }
+    }
+
+    fn try_put(
         &mut self,
-        key: &str,
+        key: StoreKey,
         value: &Value,
         version: Revision,
-        replica_changes: &mut ReplicaChanges,
-    ) {
-        if key == LEADER_KEY {
-            if self.leader.as_ref().is_none_or(|l| l.1 < version) {
-                self.leader = wire::from_value(value).map(|r| (r, version));
-                replica_changes.leader = true;
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
+        match key {
+            StoreKey::Leader if is_newer(self.leader.as_ref(), version) => {
+                changes.leader = true;
+                // A record that cannot be read replaces what it was written over all the same.
+                self.leader = None;
+                self.leader = Some(Versioned::decode(value, version)?);
             }
-            return;
-        }
-        if key == TERM_KEY {
-            if let Some(r) = wire::from_value::<TermRecord>(value)
-                && self.term_version < version
-            {
-                self.term = r.term;
-                self.term_version = version;
-                replica_changes.leader = true;
+            StoreKey::Term if self.term_version < version => {
+                let record: TermRecord = decode(value)?;
+                (self.term, self.term_version) = (record.term, version);
+                changes.leader = true;
             }
-            return;
-        }
-        if key == MACHINE_TYPES_KEY {
-            if self.catalog.as_ref().is_none_or(|f| f.1 < version) {
-                self.catalog = wire::from_value(value).map(|f| (f, version));
+            StoreKey::MachineTypes if is_newer(self.catalog.as_ref(), version) => {
+                self.catalog = None;
+                self.catalog = Some(Versioned::decode(value, version)?);
             }
-            return;
-        }
-        if key == LOAD_KEY {
-            if self.load.as_ref().is_none_or(|l| l.1 < version) {
-                self.load = wire::from_value(value).map(|l| (l, version));
+            StoreKey::Load if is_newer(self.load.as_ref(), version) => {
+                self.load = None;
+                self.load = Some(Versioned::decode(value, version)?);
             }
-            return;
-        }
-        let Some((kind, rest)) = key.split_once('/') else {
-            return;
-        };
-        match kind {
-            "j" => self.put_job(rest, value, replica_changes),
-            "d" => self.put_progress(rest, value, version, replica_changes),
-            "m" => {
-                if let (Ok(group), Some(r)) = (rest.parse(), wire::from_value(value)) {
-                    self.put_group(group, r, version);
-                }
+            StoreKey::Epoch(n) if is_newer(self.epochs.get(&n), version) => {
+                self.epochs.insert(n, Versioned::decode(value, version)?);
             }
-            "n" => {
-                if let (Ok(n), Some(r)) = (rest.parse(), wire::from_value::<MemberRecord>(value))
-                    && self.members.get(&NodeId(n)).is_none_or(|m| m.1 < version)
-                {
-                    self.last_capabilities.insert(NodeId(n), r.capabilities);
-                    self.members.insert(NodeId(n), (r, version));
-                    *self.membership_changes.entry(NodeId(n)).or_default() += 1;
-                }
+            StoreKey::Member(node) if is_newer(self.members.get(&node), version) => {
+                self.put_member(node, Versioned::decode(value, version)?);
             }
-            "e" => {
-                if let (Ok(n), Some(r)) = (rest.parse(), wire::from_value(value))
-                    && self.epochs.get(&n).is_none_or(|e| e.1 < version)
-                {
-                    self.epochs.insert(n, (r, version));
-                }
+            StoreKey::Job(id) => self.put_job(id, value, changes)?,
+            StoreKey::Progress(id) => {
+                self.put_progress(id, Versioned::decode(value, version)?, changes)?;
             }
-            "flavors" => {
-                if let (Ok(n), Some(f)) = (rest.parse(), wire::from_value(value)) {
-                    self.further_machine_types.insert(n, f);
-                }
+            StoreKey::MachineGroup(group) => self.put_group(group, decode(value)?, version),
+            StoreKey::FurtherMachineTypes(n) => {
+                self.further_machine_types.insert(n, decode(value)?);
             }
-            "x" => {
-                if let Some((from, chunk)) = self.parse_chunk_key(rest)
-                    && let Some(text) = value.as_text()
-                {
-                    self.peer_messages.insert((from, chunk), (text.to_string(), version));
-                    replica_changes.peer_messages = true;
-                }
+            StoreKey::PeerMessage { to, from, chunk } if to == self.me => {
+                let text = value.as_text().ok_or(RecordError::NotText)?.to_string();
+                self.peer_messages.entry(from).or_default().insert(chunk, text);
+                changes.peer_messages = true;
             }
-            _ => {}
-        }
-    }
-
-    fn remember_residual_usage(&mut self, id: JobId, w: ResidualUsage) {
-        if self.residual_usage.insert(id, w).is_none() {
-            self.residual_usage_order.push_back(id);
-        }
-        if self.residual_usage_order.len() > RESIDUAL_USAGE_KEPT
-            && let Some(old) = self.residual_usage_order.pop_front()
-        {
-            self.residual_usage.remove(&old);
-            // Its tasks may still be on machines that have not settled: those then count in full.
-            self.residual_usage_truncated = true;
+            // What is known is as new, or it is a message for another controller.
+            StoreKey::Leader
+            | StoreKey::Term
+            | StoreKey::MachineTypes
+            | StoreKey::Load
+            | StoreKey::Epoch(_)
+            | StoreKey::Member(_)
+            | StoreKey::PeerMessage { .. } => {}
         }
+        Ok(())
     }
 
-    fn parse_chunk_key(&self, rest: &str) -> Option<(u8, u32)> {
-        let (from, chunk) = rest.strip_prefix(&self.me)?.split_once('/')?;
-        Some((from.parse().ok()?, chunk.parse().ok()?))
+    fn put_member(&mut self, node: NodeId, member: Versioned<MemberRecord>) {
+        self.last_capabilities.insert(node, member.value.capabilities);
+        self.members.insert(node, member);
+        *self.membership_changes.entry(node).or_default() += 1;
     }
 
-    fn put_job(&mut self, rest: &str, value: &Value, replica_changes: &mut ReplicaChanges) {
-        let Some(id) = JobId::parse(rest) else { return };
+    fn put_job(
+        &mut self,
+        id: JobId,
+        value: &Value,
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
         let end = self.ended.get(&id).copied();
-        let over =
-            matches!(end, Some((JobState::Done, _))) || self.residual_usage.contains_key(&id);
-        if over || self.jobs.contains_key(&id) {
-            return;
+        let is_done = end.is_some_and(|end| end.state == JobState::Done);
+        if is_done || self.residual_usage.contains_key(&id) || self.jobs.contains_key(&id) {
+            return Ok(());
         }
-        let Some(accepted) = wire::from_value::<Accepted>(value) else {
-            tracing::error!(job = %id, "accepted job cannot be read from the store");
-            return;
-        };
-        if let Some((_, done)) = end {
-            self.remember_residual_usage(id, ResidualUsage::of(&accepted.spec, done));
-            return;
+        let Accepted { spec, at } = decode(value)?;
+        if let Some(end) = end {
+            self.record_residual_usage(id, ResidualUsage::of(&spec, end.done));
+            return Ok(());
         }
-        let (progress, progress_version) =
-            self.progress_without_job.remove(&id).unwrap_or_default();
-        self.jobs
-            .insert(id, Job { spec: accepted.spec, at: accepted.at, progress, progress_version });
-        replica_changes.jobs = true;
+        let (progress, progress_version) = match self.progress_without_job.remove(&id) {
+            Some(progress) => (progress.value, progress.version),
+            None => Default::default(),
+        };
+        self.jobs.insert(id, Job { spec, at, progress, progress_version });
+        changes.new_jobs = true;
+        Ok(())
     }
 
     fn put_progress(
         &mut self,
-        rest: &str,
-        value: &Value,
-        version: Revision,
-        b: &mut ReplicaChanges,
-    ) {
-        let Some(id) = JobId::parse(rest) else { return };
-        let Some(progress) = wire::from_value::<Progress>(value) else {
-            return;
-        };
-        if !progress.done.is_sound() {
-            return;
+        id: JobId,
+        progress: Versioned<Progress>,
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
+        if !progress.value.done.is_sound() {
+            return Err(RecordError::UnsoundRanges);
         }
-        b.progress = true;
-        if let Some(end) = progress.end {
-            let job = self.jobs.remove(&id);
-            if end == JobState::Cancelled {
-                if let Some(job) = job {
-                    let left = ResidualUsage::of(&job.spec, progress.done.len());
-                    self.remember_residual_usage(id, left);
-                }
-            } else if let Some(left) = progress.gang {
-                self.remember_residual_usage(id, left);
-            }
-            self.progress_without_job.remove(&id);
-            if self.remember_end(id, (end, progress.done.len())) && end == JobState::Cancelled {
-                b.cancelled.push(id);
-            }
+        changes.job_progress = true;
+        if let Some(state) = progress.value.end {
+            self.end_job(id, state, progress.value, changes);
         } else if let Some(job) = self.jobs.get_mut(&id) {
-            if job.progress_version < version {
-                job.progress = progress;
-                job.progress_version = version;
+            if job.progress_version < progress.version {
+                job.progress = progress.value;
+                job.progress_version = progress.version;
             }
         } else if !self.ended.contains_key(&id) {
-            self.progress_without_job.insert(id, (progress, version));
+            self.progress_without_job.insert(id, progress);
         }
+        Ok(())
     }
 
-    fn delete(&mut self, key: &str, version: Revision, replica_changes: &mut ReplicaChanges) {
-        if key == LEADER_KEY {
-            if self.leader.as_ref().is_some_and(|l| l.1 < version) {
+    /// Records a job's end and what its tasks may still use.
+    fn end_job(
+        &mut self,
+        id: JobId,
+        state: JobState,
+        progress: Progress,
+        changes: &mut ReplicaChanges,
+    ) {
+        let done = progress.done.len();
+        let job = self.jobs.remove(&id);
+        let residual_usage = if state == JobState::Cancelled {
+            job.map(|job| ResidualUsage::of(&job.spec, done))
+        } else {
+            progress.gang
+        };
+        if let Some(residual_usage) = residual_usage {
+            self.record_residual_usage(id, residual_usage);
+        }
+        self.progress_without_job.remove(&id);
+        if self.record_end(id, EndedJob { state, done }) && state == JobState::Cancelled {
+            changes.cancelled_jobs.push(id);
+        }
+    }
+
+    /// Records that a job has ended; false if that was known. The oldest go first: tasks of jobs
+    /// that ended lately may still be on machines, and are killed there because their end is known.
+    fn record_end(&mut self, id: JobId, end: EndedJob) -> bool {
+        if self.ended.insert(id, end).is_some() {
+            return false;
+        }
+        self.ended_order.push_back(id);
+        if self.ended.len() > ENDED_KEPT
+            && let Some(oldest) = self.ended_order.pop_front()
+        {
+            self.ended.remove(&oldest);
+        }
+        true
+    }
+
+    fn record_residual_usage(&mut self, id: JobId, residual_usage: ResidualUsage) {
+        if self.residual_usage.insert(id, residual_usage).is_none() {
+            self.residual_usage_order.push_back(id);
+        }
+        if self.residual_usage_order.len() > RESIDUAL_USAGE_KEPT
+            && let Some(oldest) = self.residual_usage_order.pop_front()
+        {
+            self.residual_usage.remove(&oldest);
+            // Its tasks may still be on machines that are not reconciled: those then count in full.
+            self.residual_usage_truncated = true;
+        }
+    }
+
+    /// Records that a key was deleted. Jobs, their progress, the term, the load and machine types never are.
+    fn delete(&mut self, key: &str, version: Revision, changes: &mut ReplicaChanges) {
+        match StoreKey::parse(key) {
+            Some(StoreKey::Leader) if is_deleted_by(self.leader.as_ref(), version) => {
                 self.leader = None;
-                replica_changes.leader = true;
+                changes.leader = true;
             }
-            return;
-        }
-        let Some((kind, rest)) = key.split_once('/') else {
-            return;
-        };
-        match kind {
-            "m" => {
-                if let Ok(group) = rest.parse() {
-                    self.put_group(group, MachineGroup::default(), version);
-                }
+            Some(StoreKey::MachineGroup(group)) => {
+                self.put_group(group, MachineGroup::default(), version);
             }
-            "n" => {
-                if let Ok(n) = rest.parse().map(NodeId)
-                    && self.members.get(&n).is_some_and(|m| m.1 < version)
-                {
-                    self.members.remove(&n);
-                    *self.membership_changes.entry(n).or_default() += 1;
-                }
+            Some(StoreKey::Member(node)) if is_deleted_by(self.members.get(&node), version) => {
+                self.members.remove(&node);
+                *self.membership_changes.entry(node).or_default() += 1;
             }
-            "e" => {
-                if let Ok(n) = rest.parse::<u32>()
-                    && self.epochs.get(&n).is_some_and(|e| e.1 < version)
-                {
-                    self.epochs.remove(&n);
-                }
+            Some(StoreKey::Epoch(n)) if is_deleted_by(self.epochs.get(&n), version) => {
+                self.epochs.remove(&n);
             }
-            "x" => {
-                if let Some(at) = self.parse_chunk_key(rest) {
-                    self.peer_messages.remove(&at);
+            Some(StoreKey::PeerMessage { to, from, chunk }) if to == self.me => {
+                if let Some(chunks) = self.peer_messages.get_mut(&from) {
+                    chunks.remove(&chunk);
+                    if chunks.is_empty() {
+                        self.peer_messages.remove(&from);
+                    }
                 }
             }
             _ => {}
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -1,98 +1,97 @@
-//! What the replica answers.
+//! What the replica answers: what controllers support, which tasks may run, which machines are up, and
+//! the conditions of transactions.
 
 use rustc_hash::FxHashSet;
 
 use crate::model::{MachineId, NodeId, TaskId};
-use crate::wire::{self, Condition};
+use crate::wire::Condition;
 
 use super::{
     CAPABILITY_CANCELLATION_NOTICE, CAPABILITY_GANGS, CAPABILITY_GRANTS_AHEAD, CAPABILITY_STANDBY,
-    LEADER_KEY, LOAD_KEY, MACHINE_TYPES_KEY, Replica,
+    LEADER_KEY, Replica, StoreKey,
 };
 
 impl Replica {
-    /// All machine types on record.
-    pub fn all_machine_types(&self) -> Option<wire::MachineTypes> {
-        let (first, _) = self.catalog.as_ref()?;
-        let more = self.further_machine_types.values().flat_map(|f| &f.machine_types);
-        Some(wire::MachineTypes {
-            machine_types: first.machine_types.iter().chain(more).cloned().collect(),
-        })
-    }
-
     /// Whether a controller that is up knows gangs.
     pub fn knows_gangs(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GANGS)
+        self.member_supports(node, CAPABILITY_GANGS)
     }
 
-    /// Whether a controller starts what is granted ahead.
+    /// Whether a controller that is up starts tasks granted ahead of their resources' release.
     pub fn starts_ahead(&self, node: NodeId) -> bool {
-        self.members.get(&node).is_some_and(|(m, _)| m.capabilities >= CAPABILITY_GRANTS_AHEAD)
+        self.member_supports(node, CAPABILITY_GRANTS_AHEAD)
     }
 
     /// Whether a controller can be told of cancellations directly. One that the store refuses is
-    /// no member for a while, and needs it most.
+    /// no member for a while, and needs it most, so that what it last supported counts.
     pub fn reads_cancellation_notices(&self, node: NodeId) -> bool {
-        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_CANCELLATION_NOTICE)
+        self.last_supported(node, CAPABILITY_CANCELLATION_NOTICE)
     }
 
-    /// Whether a controller can be asked when it heard the leader.
+    /// Whether a controller can be asked for how long the leader has been silent to it; as above, what
+    /// it last supported counts.
     pub fn knows_standby(&self, node: NodeId) -> bool {
-        self.last_capabilities.get(&node).is_some_and(|s| *s >= CAPABILITY_STANDBY)
+        self.last_supported(node, CAPABILITY_STANDBY)
+    }
+
+    fn member_supports(&self, node: NodeId, capability: u32) -> bool {
+        self.members.get(&node).is_some_and(|member| member.value.capabilities >= capability)
+    }
+
+    fn last_supported(&self, node: NodeId, capability: u32) -> bool {
+        self.last_capabilities.get(&node).is_some_and(|last| *last >= capability)
     }
 
-    /// Whether a task may be started as far as its job is concerned.
+    /// Whether a task may be started as far as its job is concerned: the job has not ended, and the
+    /// task is one of its and not done.
     pub fn may_run(&self, task: TaskId) -> bool {
         self.jobs
             .get(&task.job)
-            .is_some_and(|j| task.index < j.spec.task_count && !j.is_done(task.index))
+            .is_some_and(|job| task.index < job.spec.task_count && !job.is_done(task.index))
     }
 
     /// Whether a task's outcome no longer matters: its job has ended or it is durably done.
     pub fn is_outcome_recorded(&self, task: TaskId) -> bool {
         self.ended.contains_key(&task.job)
-            || self.jobs.get(&task.job).is_some_and(|j| j.is_done(task.index))
+            || self.jobs.get(&task.job).is_some_and(|job| job.is_done(task.index))
+    }
+
+    /// Tasks that any earlier epoch granted and that are not done: they may be running.
+    pub fn granted_before(&self) -> FxHashSet<TaskId> {
+        let mut tasks = FxHashSet::default();
+        for (job, ranges) in self.epochs.values().flat_map(|epoch| &epoch.value.granted) {
+            let granted = ranges.iter().map(|index| TaskId { job: *job, index });
+            tasks.extend(granted.filter(|task| self.may_run(*task)));
+        }
+        tasks
     }
 
     /// Whether a machine may be given tasks: it is durably known to be up and not gone.
     pub fn machine_known(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|m| m.up && m.gone.is_none())
+        self.machines.get(id).is_some_and(|machine| machine.up && machine.gone.is_none())
     }
 
-    /// Whether a machine is known to be gone.
+    /// Whether a machine is durably known to be gone.
     pub fn machine_gone(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|m| m.gone.is_some())
+        self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
     }
 
-    /// The condition that a node still leads as it did.
+    /// The condition that a node still leads as it did; `None` if nobody leads.
     pub fn leader_condition(&self) -> Option<Condition> {
-        let (_, version) = self.leader.as_ref()?;
-        Some(Condition { key: LEADER_KEY.into(), version: *version })
+        let version = self.leader.as_ref()?.version;
+        Some(Condition { key: LEADER_KEY.into(), version })
     }
 
     /// The condition that a key which the leader writes is as it is known here: so a transaction
     /// that is carried out late, or once more, never puts an older value back.
     pub fn unchanged(&self, key: &str) -> Condition {
-        let number = |kind: &str| key.strip_prefix(kind).and_then(|n| n.parse::<u32>().ok());
-        let version = match key {
-            LOAD_KEY => self.load.as_ref().map(|l| l.1),
-            MACHINE_TYPES_KEY => self.catalog.as_ref().map(|f| f.1),
-            _ => number("m/")
-                .and_then(|n| self.groups.get(&n).map(|g| g.1))
-                .or_else(|| number("e/").and_then(|n| self.epochs.get(&n).map(|e| e.1))),
+        let version = match StoreKey::parse(key) {
+            Some(StoreKey::Load) => self.load.as_ref().map(|load| load.version),
+            Some(StoreKey::MachineTypes) => self.catalog.as_ref().map(|catalog| catalog.version),
+            Some(StoreKey::MachineGroup(group)) => self.machine_groups.version(group),
+            Some(StoreKey::Epoch(n)) => self.epochs.get(&n).map(|epoch| epoch.version),
+            _ => None,
         };
         Condition { key: key.into(), version: version.unwrap_or_default() }
     }
-
-    /// Tasks that any earlier epoch granted and that are not done: they may be running.
-    pub fn granted_before(&self) -> FxHashSet<TaskId> {
-        let mut tasks = FxHashSet::default();
-        for (record, _) in self.epochs.values() {
-            for (job, ranges) in &record.granted {
-                let ids = ranges.iter().map(|index| TaskId { job: *job, index });
-                tasks.extend(ids.filter(|t| self.may_run(*t)));
-            }
-        }
-        tasks
-    }
 }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -4,9 +4,9 @@
 
 use super::*;
 use crate::model::{Incarnation, Ranges, WallTime};
-use crate::wire::JobSpec;
 use crate::wire::WatchEvent;
 use crate::wire::tests::spec;
+use crate::wire::{self, JobSpec};
 
 /// Machines of type `small` in zone `a` that are up.
 pub(crate) fn group(ids: &[&str]) -> MachineGroup {
@@ -44,12 +44,12 @@
     let leader =
         |term| LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(term) };
     let mut l = Replica::new(NodeId(0));
-    assert!(l.apply(&changes(4, vec![job.clone()])).jobs);
+    assert!(l.apply(&changes(4, vec![job.clone()])).new_jobs);
     l.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
     // A slower watch that covers only older changes comes back afterwards.
     let late = vec![job, set(LEADER_KEY.into(), &leader(1), 5), dropped(LEADER_KEY.into(), 6)];
     assert_eq!(l.apply(&changes(7, late)), ReplicaChanges::default());
-    assert_eq!(l.leader.as_ref().unwrap().0.term, Term(2));
+    assert_eq!(l.leader.as_ref().unwrap().value.term, Term(2));
     assert_eq!(l.revision, Revision(9));
     l.apply(&changes(10, vec![dropped(LEADER_KEY.into(), 10)]));
     assert!(l.leader.is_none());
@@ -67,11 +67,11 @@
     let job = &l.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
     assert_eq!(job.progress_version, Revision(5));
-    let end = Replica::with_done(job, [1, 1, 99], 2_048).unwrap();
+    let end = job.with_done([1, 1, 99], 2_048).unwrap();
     assert_eq!(end.end, Some(JobState::Done));
-    assert!(Replica::with_done(job, [0], 2_048).is_none());
+    assert!(job.with_done([0], 2_048).is_none());
     l.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut b);
-    assert_eq!(l.ended[&JobId(7)], (JobState::Done, 2));
+    assert_eq!(l.ended[&JobId(7)], EndedJob { state: JobState::Done, done: 2 });
     // An ended job stays ended whatever is read later.
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
     l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
@@ -110,7 +110,7 @@
             progress: Progress::default(),
             progress_version: Revision(0),
         };
-        let end = Replica::with_done(&job, 0..3, 2_048).unwrap();
+        let end = job.with_done(0..3, 2_048).unwrap();
         let mut replica_changes = ReplicaChanges::default();
         // A controller that has never seen the job read its end alone.
         let mut l = Replica::new(NodeId(0));
@@ -128,14 +128,14 @@
         progress_version: Revision(0),
     };
     let apart = (0..4_000).filter(|i| i % 2 == 0);
-    let some = Replica::with_done(&job, apart.clone(), 2_048).unwrap();
+    let some = job.with_done(apart.clone(), 2_048).unwrap();
     assert!(wire::stored_bytes(&some) <= 2_048 && some.done.len() > 100);
     // What a version with larger values wrote is read, and shrinks when it is written again.
     job.progress.done = apart.clone().collect();
-    let more = Replica::with_done(&job, [1], 2_048).unwrap();
+    let more = job.with_done([1], 2_048).unwrap();
     assert!(wire::stored_bytes(&more) <= 2_048 && more.done.contains(1));
     job.progress = some;
-    let all = Replica::with_done(&job, 0..4_000, 2_048).unwrap();
+    let all = job.with_done(0..4_000, 2_048).unwrap();
     assert_eq!((all.end, all.done.len()), (Some(JobState::Done), 4_000));
 }
 
@@ -153,7 +153,7 @@
         // What is told once more counts once.
         l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
     }
-    assert_eq!((l.ended.len(), replica_changes.cancelled.len() as u64), (ENDED_KEPT, ends));
+    assert_eq!((l.ended.len(), replica_changes.cancelled_jobs.len() as u64), (ENDED_KEPT, ends));
     for (id, known) in [(1, false), (3, false), (4, true), (ends - 1, true), (ends, true)] {
         assert_eq!(l.ended.contains_key(&JobId(id)), known, "{id}");
     }
@@ -210,7 +210,78 @@
         TERM_KEY.into(),
     ];
     for key in keys {
+        assert_eq!(StoreKey::parse(&key).map(|parsed| parsed.to_string()).as_ref(), Some(&key));
         let read = KEY_PREFIXES.iter().filter(|prefix| key.starts_with(**prefix)).count();
         assert_eq!(read, 1, "{key}");
     }
 }
+
+#[test]
+fn keys_of_other_versions_are_passed_over() {
+    let keys = [
+        "",
+        "lead/1",
+        "leader",
+        "z/1",
+        "j/7",
+        "d/wk-7",
+        "m/",
+        "m/x",
+        "n/256",
+        "e/-1",
+        "flavors/",
+        "x/0/1",
+        "x/0/1/2/3",
+    ];
+    for key in keys {
+        assert_eq!(StoreKey::parse(key), None, "{key}");
+    }
+}
+
+#[test]
+fn a_record_that_cannot_be_used_says_why_and_changes_no_other() {
+    let unsound = Progress {
+        done: wire::from_value(&wire::to_value(&[(3, 4), (0, 1)])).unwrap(),
+        ..Progress::default()
+    };
+    // (key, value, why)
+    let cases = [
+        (StoreKey::Job(JobId(7)), Value::Null, "value of the wrong shape"),
+        (StoreKey::Progress(JobId(7)), wire::to_value(&unsound), "ranges of completed tasks"),
+        (StoreKey::Member(NodeId(1)), Value::Null, "value of the wrong shape"),
+        (StoreKey::Epoch(1), Value::Text("1".into()), "value of the wrong shape"),
+        (
+            StoreKey::PeerMessage { to: NodeId(0), from: NodeId(1), chunk: 0 },
+            Value::Null,
+            "chunk of a peer message",
+        ),
+    ];
+    let mut replica = Replica::new(NodeId(0));
+    let mut changes = ReplicaChanges::default();
+    for (key, value, why) in cases {
+        let error = replica.try_put(key, &value, Revision(5), &mut changes).unwrap_err();
+        assert!(error.to_string().starts_with(why), "{key}: {error}");
+    }
+    assert_eq!(changes, ReplicaChanges::default());
+    // Who leads is not known any more once the record of it cannot be read.
+    let leader = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(2) };
+    let leader = wire::to_value(&leader);
+    replica.try_put(StoreKey::Leader, &leader, Revision(6), &mut changes).unwrap();
+    assert!(replica.try_put(StoreKey::Leader, &Value::Null, Revision(7), &mut changes).is_err());
+    assert!(changes.leader && replica.leader.is_none());
+}
+
+#[test]
+fn chunks_of_peer_messages_are_held_for_the_receiver_alone_until_they_are_deleted() {
+    let key = |to, chunk| peer_message_key(NodeId(to), NodeId(1), chunk);
+    let mut replica = Replica::new(NodeId(0));
+    let text = "text".to_string();
+    assert!(!replica.apply(&changes(1, vec![set(key(2, 0), &text, 1)])).peer_messages);
+    let both = vec![set(key(0, 1), &text, 2), set(key(0, 0), &text, 2)];
+    assert!(replica.apply(&changes(2, both)).peer_messages);
+    assert!(replica.peer_messages[&NodeId(1)].keys().eq([&0, &1]));
+    replica.apply(&changes(3, vec![dropped(key(0, 0), 3), dropped(key(2, 1), 3)]));
+    assert!(replica.peer_messages[&NodeId(1)].keys().eq([&1]));
+    replica.apply(&changes(4, vec![dropped(key(0, 1), 4)]));
+    assert!(replica.peer_messages.is_empty());
+}
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -46,7 +46,7 @@
     /// Asks the leader itself, with more time than a summary has.
     fn probe_leader(self: &Rc<Self>, term: Term) {
         let leader =
-            self.controller.borrow().replica.leader.as_ref().map(|(record, _)| record.node);
+            self.controller.borrow().replica.leader.as_ref().map(|leader| leader.value.node);
         let Some(client) = leader.and_then(|node| self.peers.get(usize::from(node.0))) else {
             return;
         };
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -18,7 +18,7 @@
                 .replica
                 .members
                 .get(&self.me)
-                .map(|m| Condition { key: replica::member_key(self.me), version: m.1 })
+                .map(|m| Condition { key: replica::member_key(self.me), version: m.version })
         };
         let Some(condition) = condition else { return };
         self.send_through_store(
@@ -62,31 +62,27 @@
 
     /// Takes messages that came through the store.
     pub(super) fn receive_store_messages(&self) {
-        let mut senders: Vec<u8> =
-            self.controller.borrow().replica.peer_messages.keys().map(|(from, _)| *from).collect();
-        senders.dedup();
+        let senders: Vec<NodeId> =
+            self.controller.borrow().replica.peer_messages.keys().copied().collect();
         for from in senders {
             let message = {
                 let controller = self.controller.borrow();
-                let chunks = controller.replica.peer_messages.range((from, 0)..=(from, u32::MAX));
-                message_chunks::join(chunks.map(|(_, (text, _))| text.as_str()))
+                let chunks = controller.replica.peer_messages.get(&from).into_iter().flatten();
+                message_chunks::join(chunks.map(|(_, text)| text.as_str()))
             };
             let Some(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
                 Some(StoreMessage::Summary(summary))
-                    if summary.node == NodeId(from)
-                        && self.controller.borrow().leader.is_some() =>
+                    if summary.node == from && self.controller.borrow().leader.is_some() =>
                 {
                     let response = self.take_summary(*summary);
-                    self.responses_through_store
-                        .borrow_mut()
-                        .insert(NodeId(from), (self.now(), response));
+                    self.responses_through_store.borrow_mut().insert(from, (self.now(), response));
                 }
                 Some(StoreMessage::PeerResponse(response)) => {
                     self.controller.borrow_mut().heard_leader_through_store(self.now(), &response);
                     self.controller.borrow_mut().take_answer(response);
                 }
-                None => self.unread(self.name_of(NodeId(from))),
+                None => self.unread(self.name_of(from)),
                 _ => {}
             }
         }
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -70,8 +70,8 @@
         debug!(items, sent = sent.0, "loaded");
         self.pull(Duration::ZERO).await?;
         let all = ReplicaChanges {
-            jobs: true,
-            progress: true,
+            new_jobs: true,
+            job_progress: true,
             leader: true,
             peer_messages: true,
             ..ReplicaChanges::default()
@@ -104,7 +104,7 @@
             self.wake_election.notify_one();
             self.wake_shard_report.notify_one();
         }
-        if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
+        if replica_changes.leader || replica_changes.new_jobs || replica_changes.job_progress {
             self.wake_epoch.notify_one();
         }
         if replica_changes.peer_messages {
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -8,7 +8,7 @@
 
 /// Whether a job is durably cancelled.
 pub(super) fn is_cancelled(replica: &Replica, job: JobId) -> bool {
-    matches!(replica.ended.get(&job), Some((JobState::Cancelled, _)))
+    replica.ended.get(&job).is_some_and(|end| end.state == JobState::Cancelled)
 }
 
 impl Shard {
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -6,7 +6,7 @@
 use willowshore::controller::submission_txn;
 use willowshore::model::{JobId, TaskId, WallTime};
 use willowshore::peer::PeerRequest;
-use willowshore::replica;
+use willowshore::replica::{self, EndedJob};
 use willowshore::store_client::Committed;
 use willowshore::wire::{JobKind, JobState};
 
@@ -82,7 +82,7 @@
         let now = self.now;
         let Some(node) = self.awake(n) else { return };
         let replica = &node.controller.replica;
-        if let Some((state, _)) = replica.ended.get(&JobId(id)).copied() {
+        if let Some(EndedJob { state, .. }) = replica.ended.get(&JobId(id)).copied() {
             let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.told.insert(id);
