--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -103,7 +103,7 @@
             }
         }
         for w in cluster.replica.residual_usage.values() {
-            add(&w.owner, &w.need, u64::from(w.left));
+            add(&w.owner, &w.need, u64::from(w.unfinished_tasks));
         }
         let all = cluster.replica.residual_usage_truncated;
         for (u, m) in used.iter_mut().zip(may) {
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -115,7 +115,7 @@
         // A controller that has never seen the job read its end alone.
         let mut l = Replica::new(NodeId(0));
         l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut replica_changes);
-        assert_eq!(l.residual_usage.get(&JobId(7)).map(|w| w.left), left, "{kind:?}");
+        assert_eq!(l.residual_usage.get(&JobId(7)).map(|w| w.unfinished_tasks), left, "{kind:?}");
     }
 }
 
