--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -4,7 +4,7 @@
 
 use super::{ControllerState, Fleet, FleetMachine, HEARS_MS, MANY_LEAST, OwnedMachine};
 use crate::cluster_view::ClusterView;
-use crate::lease::{last_right, plus_drift};
+use crate::lease::{last_possible_answer, plus_drift};
 use crate::model::{AgentEpoch, MachineId, MonotonicTime, NodeId};
 
 /// Part of the machines that are cut off rather than dead when they are silent together; how long they
@@ -38,7 +38,7 @@
                 _ => match self.absent.get(&id) {
                     Some((_, since)) => {
                         told_until = told_until.min(cluster.synced);
-                        let bound = last_right(*since, cluster.settings.keep_alive_ms());
+                        let bound = last_possible_answer(*since, cluster.settings.keep_alive_ms());
                         last_other = last_other.max(bound);
                     }
                     None => return,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -12,10 +12,10 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::admission::{self, Bounds, Demand};
+use crate::attempts::AttemptAllocator;
 use crate::autoscaler::{self, MarketState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, SummaryOutcome, TasksOnMachines};
-use crate::lease::AttemptAllocator;
 use crate::model::{
     Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges,
     TaskId, Term,
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -200,7 +200,7 @@
                 self.revoked.insert(t, RevokedGrant { node: g.node, seq: next, zone: g.zone });
             }
         }
-        let before = self.attempts.give();
+        let before = self.attempts.allocate();
         let stop = GangStop { job: id.0, before, leeway_ms };
         let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
         self.pending_stops.insert(id, PendingStop { stop, until });
@@ -262,7 +262,7 @@
         };
         let attempt = match self.gangs.get(&id).filter(|_| held > 0) {
             Some(gang) => gang.attempt,
-            None => self.attempts.give(),
+            None => self.attempts.allocate(),
         };
         let binds = ZoneRule::of(&job.spec).binds();
         for (task, i) in free.into_iter().zip(chosen) {
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for `term`.
+//! Tables of cases for `lease`.
 
 use super::*;
 
@@ -35,7 +35,7 @@
 #[test]
 fn an_absent_nodes_right_is_bounded_from_above() {
     // A node renews at 0 at the latest, its key vanishes at 3 s at the earliest.
-    let bound = last_right(MonotonicTime(3_000), 18_000);
+    let bound = last_possible_answer(MonotonicTime(3_000), 18_000);
     let mut r = LeaseRights::new(18_000);
     r.confirm_renewal(MonotonicTime(0));
     r.confirm_sync(MonotonicTime(2_000));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod admission;
 pub mod api;
+pub mod attempts;
 pub mod autoscaler;
 pub mod cloud;
 pub mod cluster_view;
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -122,7 +122,7 @@
         let task = granted.task;
         let Some(machine) = self.machines.get_mut(&target.id) else { return false };
         target.add(spec, &Resources::of(spec));
-        let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.give());
+        let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.allocate());
         machine.remember_image(spec);
         machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
         machine.changed_in_summary = self.summary_number + 1;
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -11,7 +11,7 @@
 use super::redirect::{ForeignMachineRecord, Redirected};
 use super::term_announcement::TermAnnouncement;
 use super::unconfirmed_token::UnconfirmedToken;
-use crate::lease::AttemptAllocator;
+use crate::attempts::AttemptAllocator;
 use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::wire::Priority;
 
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -601,7 +601,7 @@
     let term_state = &mut shard.term_state;
     term_state.plan = ActivePlan::new(TERM, PlanSeq(2), body);
     term_state.leader_clock_ms = 5;
-    term_state.attempts.give();
+    term_state.attempts.allocate();
     term_state.shown_gang_attempts.insert((TASK, attempt));
     let start = GrantedStart {
         task: TASK,
