--- /dev/null
+++ b/crates/model/src/ids.rs
@@ -0,0 +1,133 @@
+//! Ids of jobs, tasks, machines and controllers, and the numbers that order their doings.
+
+use std::fmt;
+use std::rc::Rc;
+
+use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
+
+/// A job's id as users choose it. Always `wk-` followed by at least six digits.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct JobId(pub u64);
+
+impl JobId {
+    /// Parses the only accepted form; anything that would not print back identically is refused.
+    pub fn parse(text: &str) -> Option<Self> {
+        let digits = text.strip_prefix("wk-")?;
+        if digits.len() < 6 || !digits.bytes().all(|b| b.is_ascii_digit()) {
+            return None;
+        }
+        let id = JobId(digits.parse().ok()?);
+        (id.to_string() == text).then_some(id)
+    }
+}
+
+impl fmt::Display for JobId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "wk-{:06}", self.0)
+    }
+}
+
+/// One task of a job, `wk-000412/3` on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// The job it belongs to.
+    pub job: JobId,
+    /// Its number, from 0.
+    pub index: u32,
+}
+
+impl TaskId {
+    /// Parses the wire form.
+    pub fn parse(text: &str) -> Option<Self> {
+        let (job, index) = text.split_once('/')?;
+        Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
+    }
+}
+
+impl fmt::Display for TaskId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.job, self.index)
+    }
+}
+
+macro_rules! text_serde {
+    ($name:ident, $what:literal) => {
+        impl Serialize for $name {
+            fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
+                s.collect_str(self)
+            }
+        }
+        impl<'de> Deserialize<'de> for $name {
+            fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
+                let text = String::deserialize(d)?;
+                $name::parse(&text).ok_or_else(|| de::Error::custom(concat!("not ", $what)))
+            }
+        }
+    };
+}
+text_serde!(JobId, "a job id");
+text_serde!(TaskId, "a task id");
+
+/// A machine's name as the cloud gave it. Names sort in creation order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct MachineId(pub Rc<str>);
+
+impl MachineId {
+    /// Makes an id from its text.
+    pub fn new(text: &str) -> Self {
+        MachineId(Rc::from(text))
+    }
+}
+
+impl fmt::Display for MachineId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+count_type!(
+    /// A leadership term; what workers see as `Baton`.
+    Term
+);
+count_type!(
+    /// One try at running a task; unique over all terms.
+    Attempt
+);
+count_type!(
+    /// A revision of the state service, and the version of a key.
+    Revision
+);
+count_type!(
+    /// A worker's session; grows each time its lease expires.
+    AgentEpoch
+);
+count_type!(
+    /// One life of a controller process.
+    Incarnation
+);
+count_type!(
+    /// The number of a plan within a term.
+    PlanSeq
+);
+count_type!(
+    /// A lease of the state service.
+    StoreLease
+);
+
+impl Attempt {
+    /// The attempt that a node gives out as its `n`th of a term. A node gives out attempts
+    /// in a term only in the life that the term's leader counts with, so no write is needed
+    /// to keep them apart.
+    pub fn of(term: Term, node: NodeId, n: u32) -> Self {
+        Attempt((term.0 << 32) | (u64::from(node.0) << 26) | u64::from(n & 0x03ff_ffff))
+    }
+}
+
+/// Whom attempts are numbered for that the leader gives out itself, beyond all controllers.
+pub const LEADERS_ATTEMPTS: NodeId = NodeId(32);
+
+/// A controller, by its place in the sorted list of all controllers' names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct NodeId(pub u8);
