--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -125,7 +125,7 @@
 }
 
 /// Whom attempts are numbered for that the leader gives out itself, beyond all controllers.
-pub const LEADERS_ATTEMPTS: NodeId = NodeId(32);
+pub const LEADER_ATTEMPTS_NODE: NodeId = NodeId(32);
 
 /// A controller, by its place in the sorted list of all controllers' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -24,10 +24,10 @@
 
 pub use amounts::Cores;
 pub use ids::{
-    AgentEpoch, Attempt, Incarnation, JobId, LEADERS_ATTEMPTS, MachineId, NodeId, PlanSeq,
+    AgentEpoch, Attempt, Incarnation, JobId, LEADER_ATTEMPTS_NODE, MachineId, NodeId, PlanSeq,
     Revision, StoreLease, TaskId, Term,
 };
-pub use task_ranges::Ranges;
+pub use task_ranges::TaskRanges;
 pub use time::{ClockReading, MonotonicTime, WallTime};
 
 #[cfg(test)]
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -5,12 +5,12 @@
 /// A set of task numbers, kept as sorted half-open ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct TaskRanges(Vec<(u32, u32)>);
 
-impl Ranges {
+impl TaskRanges {
     /// The single range from `lo` up to, not including, `hi`.
     pub fn span(lo: u32, hi: u32) -> Self {
-        if lo < hi { Ranges(vec![(lo, hi)]) } else { Ranges::default() }
+        if lo < hi { TaskRanges(vec![(lo, hi)]) } else { TaskRanges::default() }
     }
     /// Whether the number is in the set.
     pub fn contains(&self, n: u32) -> bool {
@@ -50,8 +50,8 @@
         (bytes.saturating_sub(64) / 16).max(1)
     }
     /// The set, or its largest ranges if it does not fit into so many bytes.
-    pub fn fitting(&self, bytes: usize) -> Ranges {
-        let most = Ranges::spans_in(bytes);
+    pub fn fitting(&self, bytes: usize) -> TaskRanges {
+        let most = TaskRanges::spans_in(bytes);
         if self.0.len() <= most {
             return self.clone();
         }
@@ -59,10 +59,10 @@
         spans.sort_by_key(|r| std::cmp::Reverse(r.1 - r.0));
         spans.truncate(most);
         spans.sort_unstable();
-        Ranges(spans)
+        TaskRanges(spans)
     }
     /// A set of at most so many ranges that contains this one.
-    pub fn coarse(&self, most: usize) -> Ranges {
+    pub fn coarse(&self, most: usize) -> TaskRanges {
         let mut spans = self.0.clone();
         while spans.len() > most.max(1) {
             // The smallest gap is closed first.
@@ -71,7 +71,7 @@
             spans[i].1 = spans[i + 1].1;
             spans.remove(i + 1);
         }
-        Ranges(spans)
+        TaskRanges(spans)
     }
     /// Adds numbers.
     pub fn extend(&mut self, numbers: impl Iterator<Item = u32>) {
@@ -101,9 +101,9 @@
     }
 }
 
-impl FromIterator<u32> for Ranges {
+impl FromIterator<u32> for TaskRanges {
     fn from_iter<I: IntoIterator<Item = u32>>(iter: I) -> Self {
-        let mut set = Ranges::default();
+        let mut set = TaskRanges::default();
         for n in iter {
             set.insert(n);
         }
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -33,7 +33,7 @@
         (&[9, 8, 7, 1], &[(1, 2), (7, 10)]),
     ];
     for (numbers, want) in cases {
-        let set: Ranges = numbers.iter().copied().collect();
+        let set: TaskRanges = numbers.iter().copied().collect();
         assert_eq!(set.spans(), want, "{numbers:?}");
         assert!(set.is_sound());
         assert!(numbers.iter().all(|n| set.contains(*n)));
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::tests::EXAMPLE;
-use crate::model::Ranges;
+use crate::model::TaskRanges;
 use crate::wire::KeyValue;
 use crate::wire::tests::spec;
 
@@ -81,10 +81,10 @@
     for step in 0..SECONDS * 5 {
         let now = MonotonicTime(1_000 + step * 200);
         // A task of every job completes in each step, and in the last one a whole job.
-        let mut finished: Vec<(u64, Ranges)> =
-            (1..=JOBS).map(|id| (id, Ranges::span(step as u32, step as u32 + 1))).collect();
+        let mut finished: Vec<(u64, TaskRanges)> =
+            (1..=JOBS).map(|id| (id, TaskRanges::span(step as u32, step as u32 + 1))).collect();
         if step == SECONDS * 5 - 1 {
-            finished.push((last.0, Ranges::span(0, 1)));
+            finished.push((last.0, TaskRanges::span(0, 1)));
         }
         controller.shard.merge_completions(now, &controller.replica, &finished);
         let Some(txn) = controller.completions_txn(now) else { continue };
@@ -112,7 +112,7 @@
         let record = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(5) };
         let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
         let accepted = replica::Accepted { spec: spec(1, 20), at: WallTime(1) };
-        let done = Ranges::span(0, recorded);
+        let done = TaskRanges::span(0, recorded);
         let progress = replica::Progress { end: None, done, gang: None };
         controller.load(
             &[
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -17,8 +17,8 @@
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, SummaryOutcome, TasksOnMachines};
 use crate::model::{
-    Attempt, Cores, JobId, LEADERS_ATTEMPTS, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges,
-    TaskId, Term,
+    Attempt, Cores, JobId, LEADER_ATTEMPTS_NODE, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId,
+    TaskRanges, Term,
 };
 use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::{JobKind, Txn};
@@ -72,7 +72,7 @@
     pub txn: Option<Txn>,
     grants: Vec<(TaskId, TaskGrant)>,
     /// What is on record of jobs' grants once the transaction is carried out, by key.
-    recorded: Vec<(JobId, Ranges)>,
+    recorded: Vec<(JobId, TaskRanges)>,
     /// Tasks that this adds to the record without granting them.
     ahead: Vec<TaskId>,
 }
@@ -90,7 +90,7 @@
     attempts: AttemptAllocator,
     unresolved: FxHashSet<TaskId>,
     /// Grants on record, in the store.
-    recorded: FxHashMap<JobId, Ranges>,
+    recorded: FxHashMap<JobId, TaskRanges>,
     /// Tasks that two machines show.
     duplicated: FxHashSet<TaskId>,
     /// Tasks on record that were never granted: this leader put them there ahead of time.
@@ -143,7 +143,7 @@
             // Whoever led meanwhile may have returned machines and rented others.
             std::mem::replace(&mut l.fleet, Fleet::begin(cluster, None))
         });
-        let mut recorded: FxHashMap<JobId, Ranges> = FxHashMap::default();
+        let mut recorded: FxHashMap<JobId, TaskRanges> = FxHashMap::default();
         for (job, ranges) in replica.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
         }
@@ -154,7 +154,7 @@
             fleet: Fleet::begin(cluster, old_fleet),
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
-            attempts: AttemptAllocator::new(term, LEADERS_ATTEMPTS),
+            attempts: AttemptAllocator::new(term, LEADER_ATTEMPTS_NODE),
             unresolved: replica.granted_before(),
             recorded,
             duplicated: FxHashSet::default(),
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashSet;
 
 use super::{ClusterView, Epoch, Leader};
-use crate::model::{JobId, Ranges, TaskId};
+use crate::model::{JobId, TaskId, TaskRanges};
 use crate::replica::{self, EpochRecord};
 use crate::wire::{self, Change};
 
@@ -39,7 +39,7 @@
     /// Most keys that the transaction has room for.
     most: usize,
     /// Contents without jobs that have ended, of the keys looked at so far.
-    contents: BTreeMap<u32, BTreeMap<JobId, Ranges>>,
+    contents: BTreeMap<u32, BTreeMap<JobId, TaskRanges>>,
     /// The keys that are written.
     written: BTreeSet<u32>,
     /// The key that holds each job.
@@ -61,7 +61,7 @@
         }
     }
 
-    fn content(&mut self, key: u32) -> &mut BTreeMap<JobId, Ranges> {
+    fn content(&mut self, key: u32) -> &mut BTreeMap<JobId, TaskRanges> {
         let replica = self.cluster.replica;
         self.contents.entry(key).or_insert_with(|| {
             let stored = replica.epochs.get(&key).map(|epoch| &epoch.value.granted);
@@ -72,7 +72,7 @@
     }
 
     /// Whether a key has room for a job's ranges and may be written.
-    fn takes(&mut self, key: u32, job: JobId, ranges: &Ranges) -> bool {
+    fn takes(&mut self, key: u32, job: JobId, ranges: &TaskRanges) -> bool {
         if !self.written.contains(&key) && self.written.len() >= self.most {
             return false;
         }
@@ -83,7 +83,7 @@
 
     /// The key for a job's ranges: the one that holds the job, else one that is written anyway,
     /// else the first with room. `None` if the transaction is full.
-    fn key_for(&mut self, job: JobId, ranges: &Ranges) -> Option<u32> {
+    fn key_for(&mut self, job: JobId, ranges: &TaskRanges) -> Option<u32> {
         let home = self.keys_by_job.get(&job).copied();
         if let Some(key) = home.filter(|key| self.takes(*key, job, ranges)) {
             return Some(key);
@@ -99,7 +99,7 @@
     }
 
     /// Puts a job's ranges on record; false if that has to wait for the next epoch.
-    fn put(&mut self, job: JobId, ranges: &Ranges) -> bool {
+    fn put(&mut self, job: JobId, ranges: &TaskRanges) -> bool {
         let Some(key) = self.key_for(job, ranges) else { return false };
         self.content(key).insert(job, ranges.clone());
         self.written.insert(key);
@@ -162,8 +162,12 @@
     }
 
     /// What is to be on record of the jobs of which the epoch grants something that is not.
-    fn wider_ranges(&self, cluster: &ClusterView<'_>, epoch: &Epoch) -> BTreeMap<JobId, Ranges> {
-        let mut wider: BTreeMap<JobId, Ranges> = BTreeMap::new();
+    fn wider_ranges(
+        &self,
+        cluster: &ClusterView<'_>,
+        epoch: &Epoch,
+    ) -> BTreeMap<JobId, TaskRanges> {
+        let mut wider: BTreeMap<JobId, TaskRanges> = BTreeMap::new();
         for (t, _) in &epoch.grants {
             let known = self.recorded.get(&t.job);
             let wide = wider.get(&t.job).or(known).is_some_and(|r| r.contains(t.index));
@@ -202,6 +206,6 @@
 }
 
 /// Bytes that a job's granted ranges take at most.
-fn ranges_bytes(ranges: &Ranges) -> usize {
+fn ranges_bytes(ranges: &TaskRanges) -> usize {
     JOB_BYTES + ranges.spans().len() * SPAN_BYTES
 }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{ClusterView, Epoch, Leader, TaskGrant};
-use crate::model::{Attempt, JobId, MonotonicTime, NodeId, PlanSeq, Ranges};
+use crate::model::{Attempt, JobId, MonotonicTime, NodeId, PlanSeq, TaskRanges};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
@@ -86,10 +86,10 @@
     /// What each controller is granted: where there is room, and ahead of it, first what was granted first.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
         type Alike<'a> = (NodeId, JobId, Option<&'a str>, Option<Attempt>, bool);
-        let mut alike: BTreeMap<Alike<'_>, (MonotonicTime, Ranges)> = BTreeMap::new();
+        let mut alike: BTreeMap<Alike<'_>, (MonotonicTime, TaskRanges)> = BTreeMap::new();
         for (t, g) in &self.granted {
             let key = (g.node, t.job, g.zone.as_deref(), g.attempt, g.ahead);
-            let (oldest, tasks) = alike.entry(key).or_insert((g.at, Ranges::default()));
+            let (oldest, tasks) = alike.entry(key).or_insert((g.at, TaskRanges::default()));
             *oldest = g.at.min(*oldest);
             tasks.insert(t.index);
         }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -27,7 +27,7 @@
     let small = machine_type("small", 8.0, 64.0);
     controller.set_machine_types(&wire::MachineTypes { machine_types: vec![small] });
     let job = JobId(1);
-    let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
+    let record = EpochRecord { term: Term(2), granted: vec![(job, TaskRanges::span(0, 1))] };
     let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
@@ -470,7 +470,7 @@
             leader.idle.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
         }
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
-            job.progress.done = Ranges::span(0, done);
+            job.progress.done = TaskRanges::span(0, done);
         }
         let starved = |l: &mut Leader, cluster: &ClusterView<'_>| {
             l.starved(cluster, &cluster.replica.jobs[&JobId(1)], held, at_limit)
@@ -549,7 +549,7 @@
     for key in 0..16u64 {
         // Tasks of earlier jobs that may still run, more than fit into 2 KiB.
         let jobs = (1..=400).filter(|j| j % 16 == key);
-        let apart: Ranges = [0, 2].into_iter().collect();
+        let apart: TaskRanges = [0, 2].into_iter().collect();
         let granted = jobs.map(|j| (JobId(j), apart.clone())).collect();
         let record = EpochRecord { term: Term(2), granted };
         items.push((replica::epoch_key(key as u32), wire::to_value(&record)));
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -16,8 +16,8 @@
 use willowshore_standby::decision_log::{Batch, FollowRequest};
 
 use crate::model::{
-    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
-    Term,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Revision, TaskId,
+    TaskRanges, Term,
 };
 use crate::replica::{LeaderRecord, Progress};
 use crate::wire::{JobSpec, TaskState};
@@ -169,7 +169,7 @@
     pub failing: Vec<u64>,
     /// Tasks that completed and are not known to be on record yet.
     #[serde(rename = "finished")]
-    pub completed_tasks: Vec<(u64, Ranges)>,
+    pub completed_tasks: Vec<(u64, TaskRanges)>,
     /// Machines of its part that the cloud is about to take, and in how many milliseconds.
     #[serde(default)]
     pub notices: Vec<(MachineId, u64)>,
@@ -184,7 +184,7 @@
     /// The job's number.
     pub job: u64,
     /// The tasks.
-    pub tasks: Ranges,
+    pub tasks: TaskRanges,
     /// The only zone in which they may start, for jobs whose tasks must be together or apart.
     pub zone: Option<String>,
     /// The attempt that all tasks of a gang share; others get their own from the part.
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs as the replica holds them: those that have not ended with their progress, and how the others
 //! ended.
 
-use crate::model::{Ranges, Revision, WallTime};
+use crate::model::{Revision, TaskRanges, WallTime};
 use crate::placement::MachineCatalog;
 use crate::wire::{self, JobKind, JobSpec, JobState};
 
@@ -43,8 +43,9 @@
         max_bytes: usize,
     ) -> Option<Progress> {
         let mut done = self.progress.done.fitting(max_bytes);
-        let max_ranges = Ranges::spans_in(max_bytes);
-        let fits = |done: &Ranges, index| done.spans().len() < max_ranges || done.touches(index);
+        let max_ranges = TaskRanges::spans_in(max_bytes);
+        let fits =
+            |done: &TaskRanges, index| done.spans().len() < max_ranges || done.touches(index);
         let mut changed = false;
         let mut apart = Vec::new();
         for index in tasks.into_iter().filter(|index| *index < self.spec.task_count) {
@@ -64,7 +65,7 @@
     }
 
     /// The progress to write once these tasks are done: all of them end a job, but not a service.
-    fn progress_of(&self, done: Ranges) -> Progress {
+    fn progress_of(&self, done: TaskRanges) -> Progress {
         let ends = done.len() == self.spec.task_count && self.spec.kind != JobKind::Service;
         let is_gang = self.spec.kind == JobKind::Gang;
         Progress {
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::{Incarnation, JobId, MachineId, NodeId, Ranges, Term, WallTime};
+use crate::model::{Incarnation, JobId, MachineId, NodeId, TaskRanges, Term, WallTime};
 use crate::placement::Resources;
 use crate::wire::{JobSpec, JobState};
 
@@ -26,7 +26,7 @@
     pub end: Option<JobState>,
     /// Tasks that are durably done.
     #[serde(default)]
-    pub done: Ranges,
+    pub done: TaskRanges,
     /// What a gang that is done may still use. All of its tasks are done once one is, but a machine
     /// that hangs or cannot be reached runs them until it is reconciled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -153,5 +153,5 @@
     /// The term that wrote it.
     pub term: Term,
     /// Granted tasks by job.
-    pub granted: Vec<(JobId, Ranges)>,
+    pub granted: Vec<(JobId, TaskRanges)>,
 }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::*;
-use crate::model::{Incarnation, Ranges, WallTime};
+use crate::model::{Incarnation, TaskRanges, WallTime};
 use crate::wire::WatchEvent;
 use crate::wire::tests::spec;
 use crate::wire::{self, JobSpec};
@@ -59,7 +59,7 @@
 fn progress_may_be_read_before_its_job() {
     let mut l = Replica::new(NodeId(0));
     let mut b = ReplicaChanges::default();
-    let done = Progress { done: Ranges::span(0, 1), ..Progress::default() };
+    let done = Progress { done: TaskRanges::span(0, 1), ..Progress::default() };
     let item = |key: String, v, version| KeyValue { key, value: v, version: Revision(version) };
     l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
     let accepted = Accepted { spec: spec(7, 2), at: WallTime(1) };
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -4,7 +4,7 @@
 //! in here is not started again.
 
 use super::Shard;
-use crate::model::{JobId, MonotonicTime, Ranges, TaskId};
+use crate::model::{JobId, MonotonicTime, TaskRanges, TaskId};
 use crate::replica::Replica;
 use crate::wire::{ExitReason, Heartbeat, JobKind, TaskState};
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct CompletedTasks {
     /// Indexes of the tasks.
-    pub tasks: Ranges,
+    pub tasks: TaskRanges,
     /// When the first of them was reported.
     pub since: MonotonicTime,
 }
@@ -43,11 +43,11 @@
         let completed = self
             .completed_tasks
             .entry(task.job)
-            .or_insert_with(|| CompletedTasks { tasks: Ranges::default(), since: now });
+            .or_insert_with(|| CompletedTasks { tasks: TaskRanges::default(), since: now });
         if !is_gang {
             self.summary_due |= completed.tasks.insert(task.index);
         } else if completed.tasks.len() < task_count {
-            completed.tasks = Ranges::span(0, task_count);
+            completed.tasks = TaskRanges::span(0, task_count);
             self.summary_due = true;
         }
     }
@@ -57,7 +57,7 @@
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
-        completed_tasks: &[(u64, Ranges)],
+        completed_tasks: &[(u64, TaskRanges)],
     ) {
         for (job, tasks) in completed_tasks {
             for index in tasks.iter() {
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -12,7 +12,7 @@
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{
-    AgentEpoch, Attempt, ClockReading, PlanSeq, Ranges, Revision, StoreLease, TaskId, WallTime,
+    AgentEpoch, Attempt, ClockReading, PlanSeq, TaskRanges, Revision, StoreLease, TaskId, WallTime,
 };
 use crate::peer::{GangStop, Grant, JobStatus, OwnershipChanges, Plan, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
@@ -50,7 +50,7 @@
     controller.rights.lease = Some(StoreLease(1));
     let moment = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
     controller.follow(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
-    let grant = Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt: None };
+    let grant = Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt: None };
     controller.shard.follow(Plan {
         term: TERM,
         incarnation: INCARNATION,
@@ -224,7 +224,7 @@
     let now = controller.summary(MonotonicTime(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
-    assert_eq!(now.completed_tasks, [(1, Ranges::span(0, 1))], "a completed task stays completed");
+    assert_eq!(now.completed_tasks, [(1, TaskRanges::span(0, 1))], "a completed task stays completed");
     assert!(send(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
 }
 
@@ -478,7 +478,7 @@
             edit(&mut other);
             put(other);
         }
-        let grant = Grant { job: 1, tasks: Ranges::span(1, 2), zone: None, attempt: None };
+        let grant = Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
         let owners = OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() };
         let body = PlanBody { ahead: vec![grant], ..PlanBody::default() };
         let plan = Plan {
@@ -551,7 +551,7 @@
 fn nothing_that_an_earlier_term_granted_starts_in_the_next() {
     // Seen in production (docs/incidents/2026-12-02-ran-twice.md): a leader that had stood still learned that it was
     // replaced, and in the same instant started what it had granted ahead to itself, with the new term's token.
-    let granted = || Grant { job: 1, tasks: Ranges::span(1, 2), zone: None, attempt: None };
+    let granted = || Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
     let with_room = PlanBody { grants: vec![granted()], ..PlanBody::default() };
     let ahead = PlanBody { ahead: vec![granted()], ..PlanBody::default() };
     for way in WAYS {
@@ -587,7 +587,7 @@
     let machine = || MachineId::new("n-1");
     let shown = heartbeat(1, 1, TERM.0, Some(TaskState::Running));
     let attempt = Attempt(7);
-    let grant = |attempt| Grant { job: 1, tasks: Ranges::span(0, 1), zone: None, attempt };
+    let grant = |attempt| Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt };
     let body = PlanBody {
         grants: vec![grant(Some(attempt))],
         ahead: vec![grant(None)],
@@ -650,7 +650,7 @@
     shard.responded_at.insert(machine(), MonotonicTime(5));
     shard.sent_away_at.insert(machine(), MonotonicTime(5));
     shard.job_faults.insert(JobId(1), JobFaults::default());
-    let completed_tasks = CompletedTasks { tasks: Ranges::span(0, 1), since: MonotonicTime(5) };
+    let completed_tasks = CompletedTasks { tasks: TaskRanges::span(0, 1), since: MonotonicTime(5) };
     shard.completed_tasks.insert(JobId(1), completed_tasks);
     shard.summary_number = 3;
     shard.sent_summaries.push_back(SentSummary { number: 3, at: MonotonicTime(5) });
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -7,8 +7,8 @@
 
 use willowshore::autoscaler::OfferedLoad;
 use willowshore::model::{
-    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
-    Term, WallTime,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Revision, TaskId,
+    TaskRanges, Term, WallTime,
 };
 use willowshore::peer::{
     self, ForeignMachine, GangStop, Grant, JobStatus, MachineView, OwnershipChanges, PeerRequest,
@@ -83,7 +83,7 @@
         foreign_machines: vec![stray],
         restarted: vec![machine("n-000002")],
         failing: vec![398],
-        completed_tasks: vec![(412, Ranges::span(0, 3))],
+        completed_tasks: vec![(412, TaskRanges::span(0, 3))],
         notices: vec![],
         follow: None,
     }
@@ -110,8 +110,8 @@
         },
         body: Some(PlanBody {
             grants: vec![
-                grant(412, Ranges::span(4, 9), Some("a"), Some(Attempt(5))),
-                grant(398, Ranges::span(0, 1), None, None),
+                grant(412, TaskRanges::span(4, 9), Some("a"), Some(Attempt(5))),
+                grant(398, TaskRanges::span(0, 1), None, None),
             ],
             drain: vec![machine("n-000001")],
             slow: vec![machine("n-000002")],
@@ -186,7 +186,7 @@
         wire::from_value(&wire::decode::<wire::Value>(bytes).unwrap()).unwrap()
     }
     assert_eq!(value::<Accepted>(&f["j"]).spec, spec());
-    assert_eq!(value::<Progress>(&f["d"]).done, Ranges::span(0, 3));
+    assert_eq!(value::<Progress>(&f["d"]).done, TaskRanges::span(0, 3));
     assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobState::Done));
     assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
@@ -200,7 +200,7 @@
     let group: MachineGroup = value(&f["m"]);
     let told: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
     assert_eq!(told, [(true, None), (true, Some(WallTime(5)))]);
-    assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), Ranges::span(0, 9))]);
+    assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), TaskRanges::span(0, 9))]);
     assert_eq!(value::<OfferedLoad>(&f["load"]), OfferedLoad::default());
 }
 
