--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// One task of a job, `wk-000412/3` on the wire.
+/// One task of a job, `wk-000412/3` on the wire and in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job it belongs to.
@@ -37,7 +37,7 @@
 }
 
 impl TaskId {
-    /// Parses the wire form.
+    /// Parses the wire form; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -74,7 +74,7 @@
 pub struct MachineId(pub Rc<str>);
 
 impl MachineId {
-    /// Makes an id from its text.
+    /// The id of that name.
     pub fn new(text: &str) -> Self {
         MachineId(Rc::from(text))
     }
@@ -87,47 +87,49 @@
 }
 
 count_type!(
-    /// A leadership term; what workers see as `Baton`.
+    /// A leadership term, from 1; 0 before the first. It is the fencing token, which workers show as `Baton`.
     Term
 );
 count_type!(
-    /// One try at running a task; unique over all terms.
+    /// The number of one try at running a task, unique over all terms and controllers; see [`Attempt::of`].
     Attempt
 );
 count_type!(
-    /// A revision of the state service, and the version of a key.
+    /// A revision of the state service, and the version of a key: the revision that put it last, 0 for
+    /// a key that does not exist.
     Revision
 );
 count_type!(
-    /// A worker's session; grows each time its lease expires.
+    /// An agent's epoch, `Tenure` on the wire: from 1, one more each time its lease expires.
     AgentEpoch
 );
 count_type!(
-    /// One life of a controller process.
+    /// One run of a controller's process, told apart from those before and after.
     Incarnation
 );
 count_type!(
-    /// The number of a plan within a term.
+    /// The number of a plan within a term, from 1; 0 before the first.
     PlanSeq
 );
 count_type!(
-    /// A lease of the state service.
+    /// A lease of the state service, by the number that the service gave it.
     StoreLease
 );
 
 impl Attempt {
-    /// The attempt that a node gives out as its `n`th of a term. A node gives out attempts
-    /// in a term only in the life that the term's leader counts with, so no write is needed
-    /// to keep them apart.
+    /// The attempt that a controller allocates as its `n`th of a term: 32 bits of term, 6 of controller,
+    /// 26 of `n`. A controller allocates attempts in a term only in the incarnation that the term's leader
+    /// counts with, so no write is needed to keep them apart.
     pub fn of(term: Term, node: NodeId, n: u32) -> Self {
         Attempt((term.0 << 32) | (u64::from(node.0) << 26) | u64::from(n & 0x03ff_ffff))
     }
 }
 
-/// Whom attempts are numbered for that the leader gives out itself, beyond all controllers.
+/// The place under which the leader numbers the attempts that it allocates itself, apart from those that
+/// its controller allocates for its shard. It is beyond all controllers.
 pub const LEADER_ATTEMPTS_NODE: NodeId = NodeId(32);
 
-/// A controller, by its place in the sorted list of all controllers' names.
+/// A controller, by its place in the sorted list of all controllers' names, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub u8);
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -53,3 +53,21 @@
         assert!(all[i + 1..].iter().all(|b| a != b));
     }
 }
+
+#[test]
+fn ranges_are_a_set_whatever_the_order_of_insertion() {
+    // All sequences of five numbers below 7, against a set of the standard library.
+    for case in 0..7_u32.pow(5) {
+        let numbers: Vec<u32> = (0..5).map(|place| case / 7_u32.pow(place) % 7).collect();
+        let (mut ranges, mut set) = (TaskRanges::default(), std::collections::BTreeSet::new());
+        for number in &numbers {
+            assert_eq!(ranges.insert(*number), set.insert(*number), "{numbers:?}");
+        }
+        assert!(ranges.is_sound() && ranges.iter().eq(set.iter().copied()), "{numbers:?}");
+        for number in 0..8_u32 {
+            let near = [number, number + 1, number.wrapping_sub(1)];
+            assert_eq!(ranges.contains(number), set.contains(&number), "{numbers:?}");
+            assert_eq!(ranges.touches(number), near.iter().any(|n| set.contains(n)), "{numbers:?}");
+        }
+    }
+}
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -5,20 +5,22 @@
 use serde::{Deserialize, Serialize};
 
 count_type!(
-    /// Milliseconds since the epoch by the time of day.
+    /// Milliseconds since the Unix epoch by the time of day. It may jump: it is for users and records, never
+    /// for rights and leases.
     WallTime
 );
 
-/// A reading of this process's steady clock, in milliseconds since it started.
+/// A reading of this process's monotonic clock, in milliseconds since the process started. Readings of
+/// different processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// This reading plus some milliseconds.
+    /// This reading plus so many milliseconds.
     pub fn plus(self, ms: u64) -> Self {
         MonotonicTime(self.0.saturating_add(ms))
     }
-    /// This reading less some milliseconds, not before the start.
+    /// This reading less so many milliseconds, not before the start.
     pub fn less(self, ms: u64) -> Self {
         MonotonicTime(self.0.saturating_sub(ms))
     }
@@ -31,7 +33,7 @@
 /// A moment by both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The process's steady clock.
+    /// The process's monotonic clock.
     pub steady: MonotonicTime,
     /// The time of day.
     pub wall: WallTime,
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -1,4 +1,7 @@
-//! What the leader and its view of the machines need to see besides their own state.
+//! What the leader and its fleet need to see besides their own state.
+//!
+//! A view is made for one step and borrows from its [`crate::controller::Controller`], so that all parts of a
+//! step see the same time, replica and settings.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +11,26 @@
 use crate::replica::Replica;
 use crate::shard::CompletedTasks;
 
-/// What the leader needs to see besides its own state.
+/// What one step of the leader sees.
 pub struct ClusterView<'a> {
-    /// Now.
+    /// When the step takes place, by the monotonic clock.
     pub now: MonotonicTime,
-    /// Time of day.
+    /// The same by the time of day.
     pub wall: WallTime,
-    /// The replica.
+    /// The records of the state service.
     pub replica: &'a Replica,
-    /// When the replica was last known to be current.
+    /// When the replica was last known to be current; 0 if it never was.
     pub synced: MonotonicTime,
-    /// Milliseconds for which the store has served this node without a break.
+    /// Milliseconds for which the state service has served this controller without a break.
     pub served_for: u64,
-    /// Machine types.
+    /// The cloud's machine types by name.
     pub catalog: &'a MachineCatalog,
-    /// Tasks that completed and are not on record yet.
+    /// Tasks that completed on this controller's shard and are not on record yet.
     pub completed_tasks: &'a BTreeMap<JobId, CompletedTasks>,
-    /// Settings.
+    /// The settings of the deployment.
     pub settings: &'a Settings,
     /// Limits of the state service that writes keep to.
     pub limits: &'a StoreLimits,
-    /// All controllers.
+    /// All controllers, by their place in [`crate::model::NodeId`].
     pub nodes: &'a [NodeInfo],
 }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -72,7 +72,7 @@
     pub revision: Revision,
     /// Jobs that have not ended.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, the last [`ENDED_KEPT`] of them.
+    /// Jobs that have ended, the last `ENDED_KEPT` of them.
     pub ended: HashMap<JobId, EndedJob>,
     /// The same in the order in which their ends became known.
     ended_order: VecDeque<JobId>,
@@ -99,7 +99,7 @@
     pub residual_usage: BTreeMap<JobId, ResidualUsage>,
     /// The same in the order in which they became known.
     residual_usage_order: VecDeque<JobId>,
-    /// Whether some of it was forgotten, as there were more than [`RESIDUAL_USAGE_KEPT`].
+    /// Whether some of it was forgotten, as there were more than `RESIDUAL_USAGE_KEPT`.
     pub residual_usage_truncated: bool,
     /// Granted ranges by the number of their key.
     pub epochs: BTreeMap<u32, Versioned<EpochRecord>>,
