--- a/src/controller.rs
+++ b/src/controller.rs
@@ -523,7 +523,7 @@
                 continue;
             };
             f.since = now;
-            let Some(progress) = job.with_done(f.tasks.iter(), bytes) else { continue };
+            let Some(progress) = job.with_completed(f.tasks.iter(), bytes) else { continue };
             let key = replica::progress_key(id);
             txn.conditions.push(Condition { key: key.clone(), version: job.progress_version });
             txn.changes.push(Change::Put { key, value: wire::to_value(&progress), lease: None });
@@ -643,7 +643,7 @@
             continue;
         }
         txn.conditions.push(Condition { key: key.clone(), version: Revision(0) });
-        let accepted = replica::Accepted { spec: replica::kept_spec(spec, catalog, bytes), at };
+        let accepted = replica::Accepted { spec: replica::stored_spec(spec, catalog, bytes), at };
         txn.changes.push(Change::Put { key, value: wire::to_value(&accepted), lease: None });
     }
     txn
--- a/src/feature_flags.rs
+++ b/src/feature_flags.rs
@@ -6,7 +6,7 @@
 use willowshore_standby::settings::{Site, StandbySettings};
 
 use crate::config::{ConfigError, Settings};
-use crate::lease::LEASE_MS;
+use crate::lease::CONTROLLER_LEASE_MS;
 
 /// Longest usual time between two summaries, which are the heartbeats that the standby watches: their period, their
 /// least distance, and a slow answer.
@@ -55,7 +55,7 @@
         let (nodes, _) = settings.all_nodes();
         let site = Site {
             controllers: nodes.iter().map(|n| n.name.as_str()).collect(),
-            leader_lease_ms: LEASE_MS,
+            leader_lease_ms: CONTROLLER_LEASE_MS,
             heartbeat_ms: HEARTBEAT_MS,
         };
         standby.check(&site).map_err(|e| field(e.field, &e.reason))
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -440,7 +440,7 @@
     }
 
     fn is_gone(&self, cluster: &ClusterView<'_>, id: &MachineId) -> bool {
-        self.gone.contains(id) || cluster.replica.machine_gone(id)
+        self.gone.contains(id) || cluster.replica.is_machine_gone(id)
     }
 
     fn note_machine(&mut self, now: MonotonicTime, id: &MachineId, offer: MachineOffer) {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -155,7 +155,7 @@
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
             attempts: AttemptAllocator::new(term, LEADER_ATTEMPTS_NODE),
-            unresolved: replica.granted_before(),
+            unresolved: replica.unfinished_granted_tasks(),
             recorded,
             duplicated: FxHashSet::default(),
             ahead: FxHashSet::default(),
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -47,7 +47,7 @@
         if !changes.is_empty() {
             let mut conditions: Vec<Condition> =
                 cluster.replica.leader_condition().into_iter().collect();
-            conditions.extend(changes.iter().map(|c| cluster.replica.unchanged(c.key())));
+            conditions.extend(changes.iter().map(|c| cluster.replica.unchanged_condition(c.key())));
             epoch.txn = Some(Txn { conditions, changes });
         }
     }
@@ -68,13 +68,13 @@
         };
         let mut groups: BTreeSet<u32> = BTreeSet::new();
         for (id, _) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-            let keys_by_machine = replica.keys_by_machine(id);
+            let groups_of_machine = replica.groups_of_machine(id);
             groups.extend(
-                keys_by_machine.first().copied().or_else(|| Some(replica::machine_group(id))),
+                groups_of_machine.first().copied().or_else(|| Some(replica::machine_group(id))),
             );
         }
         for (id, _) in known.iter().filter(|(id, m)| died(id, m) || over(m)) {
-            groups.extend(replica.keys_by_machine(id));
+            groups.extend(replica.groups_of_machine(id));
         }
         let mut further: BTreeMap<u32, Vec<(MachineId, MachineRecord)>> = BTreeMap::new();
         let mut written = 0;
@@ -83,7 +83,7 @@
                 break;
             }
             let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
-            for (id, m) in replica.group(group) {
+            for (id, m) in replica.machines_in_group(group) {
                 let m = known.get(id).unwrap_or(m);
                 if m.gone.is_some() || died(id, m) {
                     if !over(m) {
@@ -94,7 +94,7 @@
                 }
             }
             for (id, m) in fleet.machines.iter().filter(|(id, m)| new(id, m)) {
-                let home = replica.keys_by_machine(id).first().copied();
+                let home = replica.groups_of_machine(id).first().copied();
                 if home.unwrap_or_else(|| replica::machine_group(id)) == group {
                     machines.insert(id.clone(), record_of(m));
                 }
@@ -114,7 +114,8 @@
             let mut room_for_all = true;
             for entry in moved {
                 let full = |key: u32| {
-                    let stored = further.get(&key).map_or(replica.group(key), Vec::as_slice);
+                    let stored =
+                        further.get(&key).map_or(replica.machines_in_group(key), Vec::as_slice);
                     group_bytes(stored) + group_bytes(std::slice::from_ref(&entry)) > limit
                 };
                 let key = (1..)
@@ -125,7 +126,8 @@
                     room_for_all = false;
                     break;
                 }
-                let content = further.entry(key).or_insert_with(|| replica.group(key).to_vec());
+                let content =
+                    further.entry(key).or_insert_with(|| replica.machines_in_group(key).to_vec());
                 content.retain(|(id, _)| *id != entry.0);
                 content.push(entry);
             }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -105,7 +105,9 @@
         for (task, seen) in on_machines.iter().filter(|(_, s)| s.state == TaskState::Running) {
             let Some(target) = open.get(&seen.machine.id) else { continue };
             let owner = fleet.owners.get(&target.id).map(|(owner, _)| *owner);
-            let Some(owner) = owner.filter(|o| cluster.replica.starts_ahead(*o)) else { continue };
+            let Some(owner) = owner.filter(|o| cluster.replica.supports_grants_ahead(*o)) else {
+                continue;
+            };
             let job = cluster.replica.jobs.get(&task.job);
             let Some(job) = job.filter(|j| j.spec.kind == JobKind::Array) else { continue };
             let need = Resources::of(&job.spec);
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -252,7 +252,9 @@
         let capabilities: Vec<bool> = allocation
             .targets
             .iter()
-            .map(|r| fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n)))
+            .map(|r| {
+                fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.supports_gangs(*n))
+            })
             .collect();
         let Some(chosen) =
             choose(cluster, job, &need, &allocation.targets, &capabilities, zones, more)
@@ -330,7 +332,7 @@
         };
         let open = targets.iter().filter(|r| r.open).map(|r| offered(r).amount()).sum::<f64>();
         let capabilities = |r: &PlacementTarget| {
-            fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.knows_gangs(*n))
+            fleet.owners.get(&r.id).is_some_and(|(n, _)| cluster.replica.supports_gangs(*n))
         };
         for loose in [false, true] {
             let may = |r: &PlacementTarget| {
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -134,13 +134,13 @@
             }
         }
         for (id, speed) in state.speeds.entries() {
-            if note(cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio))
+            if note(cluster.replica.is_machine_up(id) && (0.0..=MOST_RATIO).contains(&speed.ratio))
             {
                 self.speeds.insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
             }
         }
         for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
-            note(cluster.replica.machine_known(id));
+            note(cluster.replica.is_machine_up(id));
         }
         counts.hints += self.take_unrecorded(cluster, state);
         counts
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -433,7 +433,7 @@
         item(replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
     ];
     items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
-    let all = controller.replica.granted_before();
+    let all = controller.replica.unfinished_granted_tasks();
     controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let unresolved = &controller.leader.as_ref().unwrap().unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
@@ -597,7 +597,7 @@
         let (mut controller, mut store) = leader_under(now, next);
         let kb = next.map_or(now.0, |n| n.0.min(now.0));
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
-        let before = controller.replica.granted_before();
+        let before = controller.replica.unfinished_granted_tasks();
         let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
         let offer = MachineOffer { machine_type: "small".into(), zone: "a".into(), spot: false };
         controller.with_leader(at(1_000), |l, cluster| {
@@ -653,7 +653,7 @@
                 let mut other = Controller::new(controller.settings.clone(), Incarnation(6));
                 let all: Vec<KeyValue> = store.values().cloned().collect();
                 other.load(&all, Revision(revision));
-                let known = other.replica.granted_before();
+                let known = other.replica.unfinished_granted_tasks();
                 assert!(
                     before.iter().chain(&granted).all(|t| known.contains(t)),
                     "{now:?} {next:?}"
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -10,7 +10,7 @@
 
 /// Time to live of a controller's lease in the state service, in milliseconds. Leadership ends with it:
 /// shorter ones would be lost to a slow store, longer ones delay every failover.
-pub const LEASE_MS: u64 = 3_000;
+pub const CONTROLLER_LEASE_MS: u64 = 3_000;
 
 /// How long before its lease can end a leader stops to lead, in milliseconds: for what it is just then sending.
 const LEADING_MARGIN_MS: u64 = 100;
@@ -22,7 +22,7 @@
 
 /// After how many milliseconds without any answer the store counts as having been away, and its service
 /// as having begun anew: a whole lease, after which what hung on leases may be lost.
-const SERVICE_BREAK_MS: u64 = LEASE_MS;
+const SERVICE_BREAK_MS: u64 = CONTROLLER_LEASE_MS;
 
 /// A duration in milliseconds less the clocks' drift, for rights of one's own. Monotonic clocks drift
 /// apart by at most 0.05%; twice that is taken off.
@@ -97,7 +97,7 @@
 
     /// Whether this controller may still take itself for the leader, if it was elected.
     pub fn may_lead(&self, now: MonotonicTime) -> bool {
-        let leading_ms = minus_drift(LEASE_MS).saturating_sub(LEADING_MARGIN_MS);
+        let leading_ms = minus_drift(CONTROLLER_LEASE_MS).saturating_sub(LEADING_MARGIN_MS);
         self.lease.is_some() && self.renewed.is_some_and(|renewed| now < renewed.plus(leading_ms))
     }
 
@@ -132,7 +132,7 @@
 /// can have answered a heartbeat: its last renewal was a whole lease earlier, and the right to answer
 /// lasted `keep_alive_ms` milliseconds from there.
 pub fn last_possible_answer(absent: MonotonicTime, keep_alive_ms: u64) -> MonotonicTime {
-    absent.less(minus_drift(LEASE_MS)).plus(plus_drift(keep_alive_ms))
+    absent.less(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
 }
 
 #[cfg(test)]
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -189,7 +189,7 @@
             fetching,
             delay_s: 0.0,
             fetch_rate: properties.fetch_gb_per_s,
-            open: open && known && replica.machine_known(id),
+            open: open && known && replica.is_machine_up(id),
             slow: false,
             reserved: false,
         })
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -28,7 +28,7 @@
 use machine_groups::MachineGroups;
 use versioned::{decode, is_deleted_by, is_newer};
 
-pub use jobs::{EndedJob, Job, kept_spec};
+pub use jobs::{EndedJob, Job, stored_spec};
 pub use keys::{
     KEY_PREFIXES, LEADER_KEY, LOAD_KEY, MACHINE_TYPES_KEY, StoreKey, TERM_KEY, epoch_key, job_key,
     machine_group, machine_key, member_key, peer_message_key, progress_key,
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -37,7 +37,7 @@
     /// What does not fit into a value of `max_bytes` yet, as the tasks lie too far apart, is left for
     /// later: its workers keep it until then, and a task that completed once completes at once if it
     /// is started again.
-    pub fn with_done(
+    pub fn with_completed(
         &self,
         tasks: impl IntoIterator<Item = u32>,
         max_bytes: usize,
@@ -88,7 +88,7 @@
 /// A job's description as it is stored. One that is too large for a value of `max_bytes` goes without
 /// the machine types that are not in the catalog: they are the only part without a bound, and the job
 /// can run on no fewer machines without them.
-pub fn kept_spec(spec: &JobSpec, catalog: &MachineCatalog, max_bytes: usize) -> JobSpec {
+pub fn stored_spec(spec: &JobSpec, catalog: &MachineCatalog, max_bytes: usize) -> JobSpec {
     let mut kept = spec.clone();
     let largest = Accepted { spec: kept.clone(), at: WallTime(u64::MAX) };
     if wire::stored_bytes(&largest) > max_bytes
--- a/src/replica/machine_groups.rs
+++ b/src/replica/machine_groups.rs
@@ -83,12 +83,12 @@
     }
 
     /// The machines in a group's key, as the state service has them.
-    pub fn group(&self, group: u32) -> &[(MachineId, MachineRecord)] {
+    pub fn machines_in_group(&self, group: u32) -> &[(MachineId, MachineRecord)] {
         self.machine_groups.groups.get(&group).map_or(&[], |group| &group.value.machines)
     }
 
     /// The groups that name a machine, the one that it was first written to first.
-    pub fn keys_by_machine(&self, id: &MachineId) -> &[u32] {
+    pub fn groups_of_machine(&self, id: &MachineId) -> &[u32] {
         self.machine_groups.of_machine(id)
     }
 }
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -13,24 +13,24 @@
 
 impl Replica {
     /// Whether a controller that is up knows gangs.
-    pub fn knows_gangs(&self, node: NodeId) -> bool {
+    pub fn supports_gangs(&self, node: NodeId) -> bool {
         self.member_supports(node, CAPABILITY_GANGS)
     }
 
     /// Whether a controller that is up starts tasks granted ahead of their resources' release.
-    pub fn starts_ahead(&self, node: NodeId) -> bool {
+    pub fn supports_grants_ahead(&self, node: NodeId) -> bool {
         self.member_supports(node, CAPABILITY_GRANTS_AHEAD)
     }
 
     /// Whether a controller can be told of cancellations directly. One that the store refuses is
     /// no member for a while, and needs it most, so that what it last supported counts.
-    pub fn reads_cancellation_notices(&self, node: NodeId) -> bool {
+    pub fn supports_cancellation_notices(&self, node: NodeId) -> bool {
         self.last_supported(node, CAPABILITY_CANCELLATION_NOTICE)
     }
 
     /// Whether a controller can be asked for how long the leader has been silent to it; as above, what
     /// it last supported counts.
-    pub fn knows_standby(&self, node: NodeId) -> bool {
+    pub fn supports_standby(&self, node: NodeId) -> bool {
         self.last_supported(node, CAPABILITY_STANDBY)
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Tasks that any earlier epoch granted and that are not done: they may be running.
-    pub fn granted_before(&self) -> FxHashSet<TaskId> {
+    pub fn unfinished_granted_tasks(&self) -> FxHashSet<TaskId> {
         let mut tasks = FxHashSet::default();
         for (job, ranges) in self.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             let granted = ranges.iter().map(|index| TaskId { job: *job, index });
@@ -67,12 +67,12 @@
     }
 
     /// Whether a machine may be given tasks: it is durably known to be up and not gone.
-    pub fn machine_known(&self, id: &MachineId) -> bool {
+    pub fn is_machine_up(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.up && machine.gone.is_none())
     }
 
     /// Whether a machine is durably known to be gone.
-    pub fn machine_gone(&self, id: &MachineId) -> bool {
+    pub fn is_machine_gone(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
     }
 
@@ -84,7 +84,7 @@
 
     /// The condition that a key which the leader writes is as it is known here: so a transaction
     /// that is carried out late, or once more, never puts an older value back.
-    pub fn unchanged(&self, key: &str) -> Condition {
+    pub fn unchanged_condition(&self, key: &str) -> Condition {
         let version = match StoreKey::parse(key) {
             Some(StoreKey::Load) => self.load.as_ref().map(|load| load.version),
             Some(StoreKey::MachineTypes) => self.catalog.as_ref().map(|catalog| catalog.version),
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -67,9 +67,9 @@
     let job = &l.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
     assert_eq!(job.progress_version, Revision(5));
-    let end = job.with_done([1, 1, 99], 2_048).unwrap();
+    let end = job.with_completed([1, 1, 99], 2_048).unwrap();
     assert_eq!(end.end, Some(JobState::Done));
-    assert!(job.with_done([0], 2_048).is_none());
+    assert!(job.with_completed([0], 2_048).is_none());
     l.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut b);
     assert_eq!(l.ended[&JobId(7)], EndedJob { state: JobState::Done, done: 2 });
     // An ended job stays ended whatever is read later.
@@ -110,7 +110,7 @@
             progress: Progress::default(),
             progress_version: Revision(0),
         };
-        let end = job.with_done(0..3, 2_048).unwrap();
+        let end = job.with_completed(0..3, 2_048).unwrap();
         let mut replica_changes = ReplicaChanges::default();
         // A controller that has never seen the job read its end alone.
         let mut l = Replica::new(NodeId(0));
@@ -128,14 +128,14 @@
         progress_version: Revision(0),
     };
     let apart = (0..4_000).filter(|i| i % 2 == 0);
-    let some = job.with_done(apart.clone(), 2_048).unwrap();
+    let some = job.with_completed(apart.clone(), 2_048).unwrap();
     assert!(wire::stored_bytes(&some) <= 2_048 && some.done.len() > 100);
     // What a version with larger values wrote is read, and shrinks when it is written again.
     job.progress.done = apart.clone().collect();
-    let more = job.with_done([1], 2_048).unwrap();
+    let more = job.with_completed([1], 2_048).unwrap();
     assert!(wire::stored_bytes(&more) <= 2_048 && more.done.contains(1));
     job.progress = some;
-    let all = job.with_done(0..4_000, 2_048).unwrap();
+    let all = job.with_completed(0..4_000, 2_048).unwrap();
     assert_eq!((all.end, all.done.len()), (Some(JobState::Done), 4_000));
 }
 
@@ -187,9 +187,9 @@
     // It came and went while nobody followed; whom the store refuses is told of cancellations.
     assert!(l.membership_changes[&NodeId(1)] > moves && l.members.is_empty());
     assert!(
-        l.reads_cancellation_notices(NodeId(1))
-            && !l.knows_gangs(NodeId(1))
-            && !l.reads_cancellation_notices(NodeId(2))
+        l.supports_cancellation_notices(NodeId(1))
+            && !l.supports_gangs(NodeId(1))
+            && !l.supports_cancellation_notices(NodeId(2))
     );
     assert_eq!(l.ended.len(), 2);
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -71,7 +71,7 @@
     /// Asks all others but the leader at once, as one that is gone must not hold up the rest.
     fn ask_when_leader_was_heard(self: &Rc<Self>, term: Term) {
         let leader = self.controller.borrow().leader();
-        let knows = |node: &NodeId| self.controller.borrow().replica.knows_standby(*node);
+        let knows = |node: &NodeId| self.controller.borrow().replica.supports_standby(*node);
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
             let service = self.clone();
             spawn_local(async move {
--- a/src/service/job_writes.rs
+++ b/src/service/job_writes.rs
@@ -143,7 +143,7 @@
         let request = Rc::new(PeerRequest::Ended(id, progress, version));
         for node in self
             .others()
-            .filter(|n| self.controller.borrow().replica.reads_cancellation_notices(*n))
+            .filter(|n| self.controller.borrow().replica.supports_cancellation_notices(*n))
         {
             let (s, request) = (self.clone(), request.clone());
             spawn_local(async move { s.call_peer(node, &request, 500).await });
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -9,7 +9,7 @@
 
 use super::Service;
 use super::failover::FENCE_AGAIN;
-use crate::lease::LEASE_MS;
+use crate::lease::CONTROLLER_LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
 use crate::store_client::{Committed, StoreError};
 
@@ -48,7 +48,7 @@
                 }
             };
         }
-        let lease = self.store.grant(LEASE_MS).await?;
+        let lease = self.store.grant(CONTROLLER_LEASE_MS).await?;
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -94,7 +94,8 @@
                 .filter(|_| leading && controller.replica.catalog.is_none())
         };
         if let Some(condition) = condition {
-            let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
+            let unchanged =
+                self.controller.borrow().replica.unchanged_condition(replica::MACHINE_TYPES_KEY);
             let limits = &self.settings.params.state;
             let mut pieces = replica::machine_type_changes(&got, limits.value_bytes());
             if pieces.len() > limits.txn_ops {
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -4,7 +4,7 @@
 //! in here is not started again.
 
 use super::Shard;
-use crate::model::{JobId, MonotonicTime, TaskRanges, TaskId};
+use crate::model::{JobId, MonotonicTime, TaskId, TaskRanges};
 use crate::replica::Replica;
 use crate::wire::{ExitReason, Heartbeat, JobKind, TaskState};
 
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -181,7 +181,7 @@
             self.summary_due = true;
             return;
         }
-        if context.replica.machine_gone(id)
+        if context.replica.is_machine_gone(id)
             || self.machines.get(id).is_some_and(|m| m.is_reconciled(self.term_state.term))
             || !self.is_newest(heartbeat)
         {
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -59,7 +59,7 @@
         if !context.may_answer || term == Term(0) || heartbeat.token > term {
             return false;
         }
-        if context.replica.machine_gone(&heartbeat.machine) {
+        if context.replica.is_machine_gone(&heartbeat.machine) {
             return false;
         }
         // A late copy tells of a past that newer heartbeats have overtaken. It reconciles nothing,
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -12,7 +12,7 @@
 use crate::config::tests::EXAMPLE;
 use crate::controller::Controller;
 use crate::model::{
-    AgentEpoch, Attempt, ClockReading, PlanSeq, TaskRanges, Revision, StoreLease, TaskId, WallTime,
+    AgentEpoch, Attempt, ClockReading, PlanSeq, Revision, StoreLease, TaskId, TaskRanges, WallTime,
 };
 use crate::peer::{GangStop, Grant, JobStatus, OwnershipChanges, Plan, PlanBody, WaitReason};
 use crate::placement::tests::machine_type;
@@ -224,7 +224,11 @@
     let now = controller.summary(MonotonicTime(2_000), 900_000);
     assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
     assert_eq!(now.answered, told.answered, "its silence goes on");
-    assert_eq!(now.completed_tasks, [(1, TaskRanges::span(0, 1))], "a completed task stays completed");
+    assert_eq!(
+        now.completed_tasks,
+        [(1, TaskRanges::span(0, 1))],
+        "a completed task stays completed"
+    );
     assert!(send(&mut controller, 3_000, &heartbeat(2, 10, 3, Some(Running))).0);
 }
 
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -9,7 +9,7 @@
 use willowshore::autoscaler::MachineOffer;
 use willowshore::config::Settings;
 use willowshore::controller::Controller;
-use willowshore::lease::LEASE_MS;
+use willowshore::lease::CONTROLLER_LEASE_MS;
 use willowshore::model::{
     Attempt, ClockReading, Incarnation, JobId, MonotonicTime, NodeId, TaskId, Term, WallTime,
 };
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -175,7 +175,7 @@
             }
             return;
         }
-        let lease = self.store.grant(now, LEASE_MS);
+        let lease = self.store.grant(now, CONTROLLER_LEASE_MS);
         let mut txn = node.controller.member_txn(lease);
         if self.old[n] {
             txn.changes.iter_mut().for_each(forget_what_is_new);
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -310,7 +310,7 @@
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.reads_cancellation_notices(NodeId(1)), told, "{capabilities}");
+        assert_eq!(replica.supports_cancellation_notices(NodeId(1)), told, "{capabilities}");
     }
     let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
@@ -329,7 +329,7 @@
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.knows_standby(NodeId(1)), asked, "{capabilities}");
+        assert_eq!(replica.supports_standby(NodeId(1)), asked, "{capabilities}");
     }
     let sent = peer::encode(&PeerRequest::LeaderSilence(Term(41)));
     assert!(matches!(
