--- a/src/controller.rs
+++ b/src/controller.rs
@@ -191,13 +191,13 @@
         if replica_changes.leader {
             self.follow_leader_key(now);
         }
-        if replica_changes.progress {
+        if replica_changes.job_progress {
             self.shard.tidy(&self.replica);
         }
-        if !replica_changes.cancelled.is_empty() {
-            self.shard.queue_cancellation_kills(&replica_changes.cancelled);
+        if !replica_changes.cancelled_jobs.is_empty() {
+            self.shard.queue_cancellation_kills(&replica_changes.cancelled_jobs);
         }
-        if replica_changes.progress || replica_changes.jobs {
+        if replica_changes.job_progress || replica_changes.new_jobs {
             self.complete_gangs(now.steady);
         }
         if self.catalog.is_empty()
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -5,7 +5,7 @@
 
 use super::Controller;
 use crate::model::{JobId, MonotonicTime, TaskId};
-use crate::replica::{self, Replica};
+use crate::replica::{self};
 use crate::store_client::leaders_writes_per_s;
 use crate::wire::{self, Change, Condition, Txn};
 
@@ -40,7 +40,7 @@
                 continue;
             };
             completed.since = now;
-            let Some(progress) = Replica::with_done(job, completed.tasks.iter(), bytes) else {
+            let Some(progress) = job.with_completed(completed.tasks.iter(), bytes) else {
                 continue;
             };
             let key = replica::progress_key(id);
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -9,7 +9,7 @@
 use super::Controller;
 use crate::leader::Leader;
 use crate::model::{ClockReading, MonotonicTime, NodeId, Revision, StoreLease, Term};
-use crate::replica::{self, LeaderRecord, MemberRecord, TermRecord};
+use crate::replica::{self, LeaderRecord, MemberRecord, TermRecord, Versioned};
 use crate::wire::{self, Change, Condition, Txn};
 
 /// How old, in milliseconds, the proof may be that the replica is current when peers are told who leads. A watch that
@@ -47,7 +47,7 @@
         if self.leader_from_peer.is_some() {
             return; // What the replica shows is of an earlier term.
         }
-        let own_record = self.replica.leader.as_ref().map(|(record, _)| record);
+        let own_record = self.replica.leader.as_ref().map(|leader| &leader.value);
         let own_record =
             own_record.filter(|r| self.is_this_process(r) && r.term == self.replica.term);
         match (own_record, &self.leader) {
@@ -73,7 +73,7 @@
     /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
     fn log_term(&self, now: MonotonicTime) {
         let term = self.replica.term;
-        let leader = self.replica.leader.as_ref().map(|(record, _)| record);
+        let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
         let leader = leader.filter(|record| record.term == term);
         let leader_name = leader.map_or("unknown", |record| self.name_of(record.node));
         let learned =
@@ -91,7 +91,7 @@
     /// is too old to say.
     pub fn leader_for_peer(&self, now: MonotonicTime) -> Option<LeaderRecord> {
         let fresh = self.rights.sync_age(now).is_some_and(|age| age < LEADER_FRESHNESS_MS);
-        let leader = self.replica.leader.as_ref().map(|(r, _)| r);
+        let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
         leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
     }
 
@@ -111,7 +111,7 @@
 
     /// The leader that this controller's shard sends its summaries to.
     pub fn leader(&self) -> Option<NodeId> {
-        let from_replica = self.replica.leader.as_ref().map(|(record, _)| record);
+        let from_replica = self.replica.leader.as_ref().map(|leader| &leader.value);
         self.leader_from_peer.as_ref().or(from_replica).filter(|_| self.loaded).map(|r| r.node)
     }
 
@@ -119,7 +119,8 @@
     /// process at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
         let key = replica::member_key(self.me);
-        let version = self.replica.members.get(&self.me).map_or(Revision(0), |m| m.1);
+        let version =
+            self.replica.members.get(&self.me).map_or(Revision(0), |member| member.version);
         let value = wire::to_value(&MemberRecord {
             incarnation: self.incarnation,
             version: env!("CARGO_PKG_VERSION").into(),
@@ -138,7 +139,7 @@
         }
         match &self.replica.leader {
             None => Candidacy::Vacant,
-            Some((leader, _))
+            Some(Versioned { value: leader, .. })
                 if leader.node == self.me && leader.incarnation != self.incarnation =>
             {
                 Candidacy::OwnPredecessor
@@ -153,7 +154,7 @@
         let lease = self.rights.lease?;
         let term = Term(self.replica.term.0 + 1);
         let leader = LeaderRecord { node: self.me, incarnation: self.incarnation, term };
-        let version = self.replica.leader.as_ref().map_or(Revision(0), |l| l.1);
+        let version = self.replica.leader.as_ref().map_or(Revision(0), |leader| leader.version);
         let condition = |key: &str, version| Condition { key: key.into(), version };
         let set = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
         Some(Txn {
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -66,7 +66,7 @@
         if !self.loaded || !fresh || !self.rights.may_lead(now) {
             return None;
         }
-        let (leader, _) = self.replica.leader.as_ref()?;
+        let leader = &self.replica.leader.as_ref()?.value;
         if self.is_this_process(leader) || leader.term != self.replica.term {
             return None;
         }
@@ -146,7 +146,7 @@
 
     /// Has the standby follow the leader that the replica shows, if that is another process.
     pub(super) fn follow_another_leader(&mut self, now: MonotonicTime) {
-        let known = self.replica.leader.as_ref().map(|(record, _)| record);
+        let known = self.replica.leader.as_ref().map(|leader| &leader.value);
         let leader = known
             .filter(|record| record.term == self.replica.term && !self.is_this_process(record));
         let leader = leader.map(|record| FollowedLeader { node: record.node, term: record.term });
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -12,7 +12,7 @@
 impl Controller {
     /// The answer for a job that has ended, which nothing can change any more; `None` for any other.
     pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
-        let (state, done) = self.replica.ended.get(&id).copied()?;
+        let replica::EndedJob { state, done } = self.replica.ended.get(&id).copied()?;
         let reason = match state {
             wire::JobState::Cancelled => Some("cancelled by its user".to_string()),
             _ => None,
@@ -113,7 +113,7 @@
             continue;
         }
         txn.conditions.push(Condition { key: key.clone(), version: Revision(0) });
-        let accepted = replica::Accepted { spec: replica::kept_spec(spec, catalog, bytes), at };
+        let accepted = replica::Accepted { spec: replica::stored_spec(spec, catalog, bytes), at };
         txn.changes.push(Change::Put { key, value: wire::to_value(&accepted), lease: None });
     }
     txn
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -7,7 +7,7 @@
 
 use super::{Fleet, FleetMachine, MANY_LEAST, OwnedView, RECEIVES_MS};
 use crate::cluster_view::ClusterView;
-use crate::lease::{last_right, plus_drift};
+use crate::lease::{last_possible_answer, plus_drift};
 use crate::model::{AgentEpoch, MachineId, MonotonicTime, NodeId};
 
 /// More than one of so many machines count as cut off rather than dead when they are silent together.
@@ -88,7 +88,8 @@
                 _ => {
                     let absent = self.absent.get(&id)?;
                     known_until = known_until.min(cluster.synced);
-                    let bound = last_right(absent.since, cluster.settings.keep_alive_ms());
+                    let bound =
+                        last_possible_answer(absent.since, cluster.settings.keep_alive_ms());
                     last_unknown = last_unknown.max(bound);
                 }
             }
--- a/src/fleet/machine_records.rs
+++ b/src/fleet/machine_records.rs
@@ -81,7 +81,7 @@
 impl Fleet {
     /// Whether the cloud confirmed that a machine is gone, in this term or on record.
     pub(super) fn is_gone(&self, cluster: &ClusterView<'_>, id: &MachineId) -> bool {
-        self.gone.contains(id) || cluster.replica.machine_gone(id)
+        self.gone.contains(id) || cluster.replica.is_machine_gone(id)
     }
 
     /// Adds a machine unless it is known.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -22,7 +22,9 @@
 use crate::autoscaler::{self, MarketState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, SummaryOutcome};
-use crate::model::{Cores, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, Ranges, TaskId, Term};
+use crate::model::{
+    Cores, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, TaskRanges, Term,
+};
 use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::Txn;
 
@@ -66,7 +68,7 @@
     pub txn: Option<Txn>,
     grants: Vec<(TaskId, TaskGrant)>,
     /// What is on record of jobs' grants once the transaction is carried out.
-    recorded: Vec<(JobId, Ranges)>,
+    recorded: Vec<(JobId, TaskRanges)>,
     /// Tasks that this adds to the record without granting them.
     recorded_ahead: Vec<TaskId>,
 }
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -42,7 +42,7 @@
         if !changes.is_empty() {
             let mut conditions: Vec<Condition> =
                 cluster.replica.leader_condition().into_iter().collect();
-            conditions.extend(changes.iter().map(|c| cluster.replica.unchanged(c.key())));
+            conditions.extend(changes.iter().map(|c| cluster.replica.unchanged_condition(c.key())));
             epoch.txn = Some(Txn { conditions, changes });
         }
     }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -152,7 +152,8 @@
         let on_machines = inputs.on_machines.iter();
         for (task, seen) in on_machines.filter(|(_, seen)| seen.state == TaskState::Running) {
             let Some(target) = open.get(&seen.machine.id).copied() else { continue };
-            let owner = inputs.owner(&target.id).filter(|owner| replica.starts_ahead(*owner));
+            let owner =
+                inputs.owner(&target.id).filter(|owner| replica.supports_grants_ahead(*owner));
             let Some(owner) = owner else { continue };
             let job = replica.jobs.get(&task.job).filter(|job| job.spec.kind == JobKind::Array);
             let Some(job) = job else { continue };
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -128,7 +128,7 @@
         for task in granted {
             self.ledger.revoke(task, next_plan);
         }
-        let before = self.ledger.attempts.give();
+        let before = self.ledger.attempts.allocate();
         let stop = GangStop { job: id.0, before, leeway_ms };
         let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
         self.gangs.pending_stops.insert(id, PendingStop { stop, until });
@@ -175,7 +175,7 @@
         };
         let attempt = match self.gangs.granted.get(&id).filter(|_| held > 0) {
             Some(gang) => gang.attempt,
-            None => self.ledger.attempts.give(),
+            None => self.ledger.attempts.allocate(),
         };
         for (task, i) in free.into_iter().zip(chosen) {
             allocation.targets[i].add(&job.spec, need);
--- a/src/leader/inputs.rs
+++ b/src/leader/inputs.rs
@@ -25,6 +25,6 @@
     /// Whether the machine's owner looks after gangs. One that does not know them would not keep its
     /// tasks of a gang together with the others.
     pub(super) fn owner_knows_gangs(&self, target: &PlacementTarget) -> bool {
-        self.owner(&target.id).is_some_and(|owner| self.cluster.replica.knows_gangs(owner))
+        self.owner(&target.id).is_some_and(|owner| self.cluster.replica.supports_gangs(owner))
     }
 }
--- a/src/leader/ledger.rs
+++ b/src/leader/ledger.rs
@@ -10,10 +10,10 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::inputs::EpochInputs;
+use crate::attempts::AttemptAllocator;
 use crate::fleet::{Fleet, TasksOnMachines};
-use crate::lease::AttemptAllocator;
 use crate::model::{
-    Attempt, JobId, LEADERS_ATTEMPTS, MonotonicTime, NodeId, PlanSeq, Ranges, TaskId, Term,
+    Attempt, JobId, LEADER_ATTEMPTS_NODE, MonotonicTime, NodeId, PlanSeq, TaskId, TaskRanges, Term,
 };
 use crate::replica::Replica;
 use crate::wire::JobSpec;
@@ -67,7 +67,7 @@
     /// Granted by an earlier term and not proven to be nowhere yet.
     pub(super) unresolved: FxHashSet<TaskId>,
     /// Grants on record in the store.
-    pub(super) recorded: FxHashMap<JobId, Ranges>,
+    pub(super) recorded: FxHashMap<JobId, TaskRanges>,
     /// Tasks on record that were never granted: this leader recorded them ahead of time.
     pub(super) recorded_ahead: FxHashSet<TaskId>,
     /// Tasks that two machines show.
@@ -84,18 +84,18 @@
         term: Term,
         before: Option<(Term, GrantLedger)>,
     ) -> Self {
-        let mut recorded: FxHashMap<JobId, Ranges> = FxHashMap::default();
-        for (job, ranges) in replica.epochs.values().flat_map(|(record, _)| &record.granted) {
+        let mut recorded: FxHashMap<JobId, TaskRanges> = FxHashMap::default();
+        for (job, ranges) in replica.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
         }
         let mut ledger = GrantLedger {
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
-            unresolved: replica.granted_before(),
+            unresolved: replica.unfinished_granted_tasks(),
             recorded,
             recorded_ahead: FxHashSet::default(),
             duplicated: FxHashSet::default(),
-            attempts: AttemptAllocator::new(term, LEADERS_ATTEMPTS),
+            attempts: AttemptAllocator::new(term, LEADER_ATTEMPTS_NODE),
         };
         if let Some((last_term, old)) = before {
             if last_term.0 + 1 == term.0 {
--- a/src/leader/machine_records.rs
+++ b/src/leader/machine_records.rs
@@ -75,7 +75,7 @@
 
     /// The key that a new machine is written to: the one that names it, or that of its group.
     fn home(&self, id: &MachineId) -> u32 {
-        let named_by = self.cluster.replica.keys_by_machine(id).first().copied();
+        let named_by = self.cluster.replica.groups_of_machine(id).first().copied();
         named_by.unwrap_or_else(|| replica::machine_group(id))
     }
 
@@ -88,7 +88,7 @@
             self.has_died(id, record) || self.is_over(record)
         };
         for (id, _) in self.cluster.replica.machines.iter().filter(outdated) {
-            groups.extend(self.cluster.replica.keys_by_machine(id));
+            groups.extend(self.cluster.replica.groups_of_machine(id));
         }
         groups
     }
@@ -97,7 +97,7 @@
     fn content(&self, group: u32) -> Vec<Entry> {
         let replica = self.cluster.replica;
         let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
-        for (id, record) in replica.group(group) {
+        for (id, record) in replica.machines_in_group(group) {
             let record = replica.machines.get(id).unwrap_or(record);
             if record.gone.is_none() && !self.has_died(id, record) {
                 machines.insert(id.clone(), record.clone());
@@ -145,7 +145,7 @@
         if !self.further.contains_key(&key) && self.keys() + 1 >= self.limit.max(2) {
             return false;
         }
-        let stored = || self.cluster.replica.group(key).to_vec();
+        let stored = || self.cluster.replica.machines_in_group(key).to_vec();
         let content = self.further.entry(key).or_insert_with(stored);
         content.retain(|(id, _)| *id != entry.0);
         content.push(entry);
@@ -154,7 +154,7 @@
 
     /// Whether a further key has room for a machine.
     fn has_room(&self, key: u32, entry: &Entry) -> bool {
-        let stored = || self.cluster.replica.group(key);
+        let stored = || self.cluster.replica.machines_in_group(key);
         let content = self.further.get(&key).map_or_else(stored, Vec::as_slice);
         let bytes = group_bytes(content) + group_bytes(std::slice::from_ref(entry));
         bytes <= self.cluster.limits.value_bytes()
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -7,7 +7,7 @@
 
 use super::grant_groups::GrantGroup;
 use super::{ClusterView, Epoch, Leader, TaskGrant};
-use crate::model::{JobId, MonotonicTime, NodeId, PlanSeq, Ranges};
+use crate::model::{JobId, MonotonicTime, NodeId, PlanSeq, TaskRanges};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
@@ -27,7 +27,7 @@
 struct GroupedTasks {
     /// When the first of them was granted.
     oldest: MonotonicTime,
-    tasks: Ranges,
+    tasks: TaskRanges,
 }
 
 impl Leader {
@@ -102,7 +102,7 @@
         for (task, grant) in &self.ledger.granted {
             let group = groups
                 .entry(GrantGroup::of(task, grant))
-                .or_insert_with(|| GroupedTasks { oldest: grant.at, tasks: Ranges::default() });
+                .or_insert_with(|| GroupedTasks { oldest: grant.at, tasks: TaskRanges::default() });
             group.oldest = grant.at.min(group.oldest);
             group.tasks.insert(task.index);
         }
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -88,7 +88,7 @@
             }
         }
         for residual in replica.residual_usage.values() {
-            possible.add(&residual.owner, &residual.need, u64::from(residual.left));
+            possible.add(&residual.owner, &residual.need, u64::from(residual.unfinished_tasks));
         }
         // Of what residual usage was left out of the record, nobody knows whose it is.
         let count_all = replica.residual_usage_truncated;
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -159,7 +159,7 @@
         }
         for (id, speed) in state.speeds.entries() {
             if record(
-                cluster.replica.machine_known(id) && (0.0..=MOST_RATIO).contains(&speed.ratio),
+                cluster.replica.is_machine_up(id) && (0.0..=MOST_RATIO).contains(&speed.ratio),
             ) {
                 self.remembered
                     .machine_speeds
@@ -167,7 +167,7 @@
             }
         }
         for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
-            record(cluster.replica.machine_known(id));
+            record(cluster.replica.is_machine_up(id));
         }
         counts.hints += self.apply_unrecorded(cluster, state);
         counts
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -40,8 +40,8 @@
     /// What a leader that has not led before knows: the load that the last one put on record.
     fn from_store(replica: &Replica) -> Self {
         let mut remembered = Remembered::default();
-        if let Some((load, _)) = &replica.load {
-            remembered.market.load = load.clone();
+        if let Some(load) = &replica.load {
+            remembered.market.load = load.value.clone();
         }
         remembered
     }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -32,7 +32,7 @@
     let small = machine_type("small", 8.0, 64.0);
     controller.set_machine_types(&wire::MachineTypes { machine_types: vec![small] });
     let job = JobId(1);
-    let record = EpochRecord { term: Term(2), granted: vec![(job, Ranges::span(0, 1))] };
+    let record = EpochRecord { term: Term(2), granted: vec![(job, TaskRanges::span(0, 1))] };
     let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
     let group = group(&["n-1", "n-2"]);
     let item = |key: &str, v| KeyValue { key: key.into(), value: v, version: Revision(9) };
@@ -438,7 +438,7 @@
         item(replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(4) })),
     ];
     items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
-    let all = controller.replica.granted_before();
+    let all = controller.replica.unfinished_granted_tasks();
     controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let unresolved = &controller.leader.as_ref().unwrap().ledger.unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
@@ -475,7 +475,7 @@
             leader.jobs.idle_since.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
         }
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
-            job.progress.done = Ranges::span(0, done);
+            job.progress.done = TaskRanges::span(0, done);
         }
         let starved = |l: &mut Leader, cluster: &ClusterView<'_>| {
             l.starved(cluster, &cluster.replica.jobs[&JobId(1)], held, at_limit)
@@ -554,7 +554,7 @@
     for key in 0..16u64 {
         // Tasks of earlier jobs that may still run, more than fit into 2 KiB.
         let jobs = (1..=400).filter(|j| j % 16 == key);
-        let apart: Ranges = [0, 2].into_iter().collect();
+        let apart: TaskRanges = [0, 2].into_iter().collect();
         let granted = jobs.map(|j| (JobId(j), apart.clone())).collect();
         let record = EpochRecord { term: Term(2), granted };
         items.push((replica::epoch_key(key as u32), wire::to_value(&record)));
@@ -602,7 +602,7 @@
         let (mut controller, mut store) = leader_under(now, next);
         let kb = next.map_or(now.0, |n| n.0.min(now.0));
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
-        let before = controller.replica.granted_before();
+        let before = controller.replica.unfinished_granted_tasks();
         let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
         let offer = MachineOffer { machine_type: "small".into(), zone: "a".into(), spot: false };
         controller.with_leader(at(1_000), |l, cluster| {
@@ -658,7 +658,7 @@
                 let mut other = Controller::new(controller.settings.clone(), Incarnation(6));
                 let all: Vec<KeyValue> = store.values().cloned().collect();
                 other.load(&all, Revision(revision));
-                let known = other.replica.granted_before();
+                let known = other.replica.unfinished_granted_tasks();
                 assert!(
                     before.iter().chain(&granted).all(|t| known.contains(t)),
                     "{now:?} {next:?}"
--- a/src/peer/lists.rs
+++ b/src/peer/lists.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::WaitReason;
-use crate::model::{AgentEpoch, Attempt, JobId, MachineId, Ranges, TaskId};
+use crate::model::{AgentEpoch, Attempt, JobId, MachineId, TaskId, TaskRanges};
 use crate::wire::TaskState;
 
 /// Writes a struct as the list of these fields, in this order.
@@ -121,7 +121,7 @@
     /// The job's number.
     pub job: u64,
     /// The tasks.
-    pub tasks: Ranges,
+    pub tasks: TaskRanges,
     /// The only zone in which they may start, for jobs whose tasks must be together or apart.
     pub zone: Option<String>,
     /// The attempt that all tasks of a gang share; others get their own from the shard.
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -5,7 +5,7 @@
 
 use super::{ForeignMachine, Grant, JobStatus, MachineView};
 use crate::model::{
-    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, Term,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Revision, TaskRanges, Term,
 };
 use crate::replica::{LeaderRecord, Progress};
 use crate::wire::JobSpec;
@@ -52,7 +52,7 @@
     pub failing: Vec<u64>,
     /// Tasks that completed and are not known to be on record yet.
     #[serde(rename = "finished")]
-    pub completed_tasks: Vec<(u64, Ranges)>,
+    pub completed_tasks: Vec<(u64, TaskRanges)>,
     /// Machines of its shard that the cloud is about to take, and in how many milliseconds.
     #[serde(default)]
     pub notices: Vec<(MachineId, u64)>,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -169,7 +169,7 @@
             fetching,
             delay_s: 0.0,
             fetch_rate: properties.fetch_gb_per_s,
-            open: machine.open && all_known && replica.machine_known(machine.id),
+            open: machine.open && all_known && replica.is_machine_up(machine.id),
             slow: false,
             reserved: false,
         })
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -57,7 +57,7 @@
         let request = Rc::new(PeerRequest::Ended(id, progress, version));
         for node in self
             .others()
-            .filter(|node| self.controller.borrow().replica.reads_cancellation_notices(*node))
+            .filter(|node| self.controller.borrow().replica.supports_cancellation_notices(*node))
         {
             let (service, request) = (self.clone(), request.clone());
             spawn_local(async move { service.call_peer(node, &request, NOTICE_LIMIT).await });
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -47,7 +47,7 @@
     /// Asks the leader itself whether it is alive.
     fn probe_leader(self: &Rc<Self>, term: Term) {
         let leader =
-            self.controller.borrow().replica.leader.as_ref().map(|(record, _)| record.node);
+            self.controller.borrow().replica.leader.as_ref().map(|leader| leader.value.node);
         let Some(client) = leader.and_then(|node| self.peers.client(node)) else {
             return;
         };
@@ -71,7 +71,7 @@
     /// Asks all others but the leader at once, as one that is down must not delay the rest.
     fn ask_peers_for_leader_silence(self: &Rc<Self>, term: Term) {
         let leader = self.controller.borrow().leader();
-        let knows = |node: &NodeId| self.controller.borrow().replica.knows_standby(*node);
+        let knows = |node: &NodeId| self.controller.borrow().replica.supports_standby(*node);
         for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
             let service = self.clone();
             spawn_local(async move {
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -10,7 +10,7 @@
 use super::Service;
 use super::failover::FENCE_HEDGE_AFTER;
 use crate::controller::Candidacy;
-use crate::lease::LEASE_MS;
+use crate::lease::CONTROLLER_LEASE_MS;
 use crate::peer::{PeerRequest, PeerResponse};
 use crate::store_client::{StoreError, TxnOutcome};
 
@@ -69,7 +69,7 @@
                 }
             };
         }
-        let lease = self.store.grant(LEASE_MS).await?;
+        let lease = self.store.grant(CONTROLLER_LEASE_MS).await?;
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -177,7 +177,8 @@
                 .filter(|_| leading && controller.replica.catalog.is_none())
         };
         if let Some(condition) = condition {
-            let unchanged = self.controller.borrow().replica.unchanged(replica::MACHINE_TYPES_KEY);
+            let unchanged =
+                self.controller.borrow().replica.unchanged_condition(replica::MACHINE_TYPES_KEY);
             let limits = &self.settings.params.store;
             let mut chunks = replica::machine_type_changes(&catalog, limits.value_bytes());
             if chunks.len() > limits.txn_ops {
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -20,9 +20,9 @@
     pub(super) async fn send_summary_through_store(&self, leader: NodeId, summary: &Summary) {
         let condition = {
             let controller = self.controller.borrow();
-            controller.replica.members.get(&self.me).map(|(_, version)| Condition {
+            controller.replica.members.get(&self.me).map(|member| Condition {
                 key: replica::member_key(self.me),
-                version: *version,
+                version: member.version,
             })
         };
         let Some(condition) = condition else { return };
@@ -68,26 +68,22 @@
 
     /// Handles messages that came through the store.
     pub(super) fn receive_store_messages(&self) {
-        let mut senders: Vec<u8> =
-            self.controller.borrow().replica.peer_messages.keys().map(|(from, _)| *from).collect();
-        senders.dedup();
+        let senders: Vec<NodeId> =
+            self.controller.borrow().replica.peer_messages.keys().copied().collect();
         for from in senders {
             let message = {
                 let controller = self.controller.borrow();
-                let chunks = controller.replica.peer_messages.range((from, 0)..=(from, u32::MAX));
-                message_chunks::join(chunks.map(|(_, (text, _))| text.as_str()))
+                let chunks = controller.replica.peer_messages.get(&from).into_iter().flatten();
+                message_chunks::join(chunks.map(|(_, text)| text.as_str()))
             };
             // Chunks of a message that is still being written are not one yet; they are looked at again when more come.
             let Ok(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
                 Ok(StoreMessage::Summary(summary))
-                    if summary.node == NodeId(from)
-                        && self.controller.borrow().leader.is_some() =>
+                    if summary.node == from && self.controller.borrow().leader.is_some() =>
                 {
                     let response = self.receive_summary(*summary);
-                    self.responses_through_store
-                        .borrow_mut()
-                        .insert(NodeId(from), (self.now(), response));
+                    self.responses_through_store.borrow_mut().insert(from, (self.now(), response));
                 }
                 Ok(StoreMessage::PeerResponse(response)) => {
                     self.controller
@@ -95,7 +91,7 @@
                         .record_leader_message_from_store(self.now(), &response);
                     self.controller.borrow_mut().apply_leader_response(response);
                 }
-                Err(_) => self.warn_unreadable(self.name_of(NodeId(from))),
+                Err(_) => self.warn_unreadable(self.name_of(from)),
                 _ => {}
             }
         }
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -79,8 +79,8 @@
         debug!(items, sent = sent.0, "loaded");
         self.sync_replica(Duration::ZERO).await?;
         let all = ReplicaChanges {
-            jobs: true,
-            progress: true,
+            new_jobs: true,
+            job_progress: true,
             leader: true,
             peer_messages: true,
             ..ReplicaChanges::default()
@@ -114,7 +114,7 @@
             self.wake_ups.election.notify_one();
             self.wake_ups.summary.notify_one();
         }
-        if replica_changes.leader || replica_changes.jobs || replica_changes.progress {
+        if replica_changes.leader || replica_changes.new_jobs || replica_changes.job_progress {
             self.wake_ups.epoch.notify_one();
         }
         if replica_changes.peer_messages {
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use willowshore::model::{
-    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Ranges, Revision, TaskId,
-    Term, WallTime,
+    AgentEpoch, Attempt, Incarnation, JobId, MachineId, NodeId, PlanSeq, Revision, TaskId,
+    TaskRanges, Term, WallTime,
 };
 use willowshore::offered_load::OfferedLoad;
 use willowshore::peer::{
@@ -83,7 +83,7 @@
         foreign_machines: vec![stray],
         restarted: vec![machine("n-000002")],
         failing: vec![398],
-        completed_tasks: vec![(412, Ranges::span(0, 3))],
+        completed_tasks: vec![(412, TaskRanges::span(0, 3))],
         notices: vec![],
         follow: None,
     }
@@ -110,8 +110,8 @@
         },
         body: Some(PlanBody {
             grants: vec![
-                grant(412, Ranges::span(4, 9), Some("a"), Some(Attempt(5))),
-                grant(398, Ranges::span(0, 1), None, None),
+                grant(412, TaskRanges::span(4, 9), Some("a"), Some(Attempt(5))),
+                grant(398, TaskRanges::span(0, 1), None, None),
             ],
             drain: vec![machine("n-000001")],
             slow: vec![machine("n-000002")],
@@ -184,7 +184,7 @@
         wire::from_value(&wire::decode::<wire::Value>(bytes).unwrap()).unwrap()
     }
     assert_eq!(value::<Accepted>(&f["j"]).spec, spec());
-    assert_eq!(value::<Progress>(&f["d"]).done, Ranges::span(0, 3));
+    assert_eq!(value::<Progress>(&f["d"]).done, TaskRanges::span(0, 3));
     assert_eq!(value::<Progress>(&f["d-end"]).end, Some(JobState::Done));
     assert_eq!(value::<LeaderRecord>(&f["lead"]).node, NodeId(2));
     let member: MemberRecord = value(&f["n"]);
@@ -198,7 +198,7 @@
     let group: MachineGroup = value(&f["m"]);
     let told: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
     assert_eq!(told, [(true, None), (true, Some(WallTime(5)))]);
-    assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), Ranges::span(0, 9))]);
+    assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), TaskRanges::span(0, 9))]);
     assert_eq!(value::<OfferedLoad>(&f["load"]), OfferedLoad::default());
 }
 
@@ -308,7 +308,7 @@
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.reads_cancellation_notices(NodeId(1)), told, "{capabilities}");
+        assert_eq!(replica.supports_cancellation_notices(NodeId(1)), told, "{capabilities}");
     }
     let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
@@ -327,7 +327,7 @@
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.knows_standby(NodeId(1)), asked, "{capabilities}");
+        assert_eq!(replica.supports_standby(NodeId(1)), asked, "{capabilities}");
     }
     let sent = peer::encode(&PeerRequest::LeaderSilence(Term(41)));
     assert!(matches!(peer::decode::<PeerRequest>(&sent), Ok(PeerRequest::LeaderSilence(Term(41)))));
