--- a/src/leader.rs
+++ b/src/leader.rs
@@ -6,13 +6,13 @@
 //! - **What an earlier term granted is unresolved until proven.** A term begins with nothing granted.
 //!   Whatever an earlier term granted and is not done may be running, until every machine that may
 //!   hold it has reported with the new token, and so refuses older commands, or is proven gone. The
-//!   `ledger` module keeps this ("When a task is free").
+//!   `task_grants` module keeps this ("When a task is free").
 //! - **Durable before said.** An [`Epoch`] holds only once its transaction is carried out:
 //!   [`Leader::epoch`] works it out, [`Leader::publish`] makes it hold.
 //! - **Owners are fixed within a term.** Losing a controller or moving a machine takes a new term of
 //!   the same leader ([`Leader::renew_term`]).
 //! - **A new term voids what the last one said.** Of a [`Leader`], only its machines, [`Remembered`] and
-//!   what the ledger turns into unresolved tasks reach its next term.
+//!   what `TaskGrants` turns into unresolved tasks reach its next term.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -44,7 +44,6 @@
 mod granting;
 mod importance;
 mod inputs;
-mod ledger;
 mod machine_records;
 mod machine_speed;
 mod plans;
@@ -53,13 +52,14 @@
 mod scaling;
 mod standby_decisions;
 mod starvation;
+mod task_grants;
 mod term_start;
 
 use allocation::EpochAllocation;
 use inputs::EpochInputs;
-use ledger::{GrantLedger, TaskGrant};
 use machine_speed::{ClassRunTimes, JobRunTimes, RunningSince, Speed};
 use scaling::SCALING_PERIOD_MS;
+use task_grants::{TaskGrant, TaskGrants};
 
 /// One epoch's outcome, to be written before it is published.
 #[derive(Default)]
@@ -86,7 +86,7 @@
     /// What stays in this leader's next term.
     pub remembered: Remembered,
     /// Which tasks may be running. The next term takes all of them as unresolved.
-    ledger: GrantLedger,
+    task_grants: TaskGrants,
     /// Void in the next term.
     plans: PublishedPlans,
     /// Void in the next term.
@@ -199,8 +199,8 @@
             SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
             SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
             SummaryOutcome::Applied { changed } => {
-                if !self.ledger.revoked.is_empty() {
-                    self.ledger.free_revoked(&self.fleet, node, applied_plan);
+                if !self.task_grants.revoked.is_empty() {
+                    self.task_grants.free_revoked(&self.fleet, node, applied_plan);
                 }
                 let plan = self.plan_for(node, now);
                 let response = plan.map_or(PeerResponse::NotLeading(self.term), |plan| {
@@ -234,7 +234,7 @@
         }
         drop(on_machines);
         self.fleet = fleet;
-        self.fleet.reconciliation_awaited = !self.ledger.unresolved.is_empty();
+        self.fleet.reconciliation_awaited = !self.task_grants.unresolved.is_empty();
         if due {
             self.drain_for_scale_in();
         }
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -8,8 +8,8 @@
 use super::expected_releases::{ExpectedRelease, take_expected_releases};
 use super::grant_groups::GrantGroup;
 use super::inputs::EpochInputs;
-use super::ledger::TaskGrant;
 use super::machine_speed::Speed;
+use super::task_grants::TaskGrant;
 use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
 use crate::placement::{self, PlacementTarget};
@@ -252,7 +252,7 @@
         expected_releases: &mut [ExpectedRelease],
     ) {
         let mut under_way: BTreeMap<GrantGroup<'_>, usize> = BTreeMap::new();
-        let granted = self.ledger.granted.iter();
+        let granted = self.task_grants.granted.iter();
         for (task, grant) in granted.filter(|(task, _)| !inputs.on_machines.contains_key(task)) {
             *under_way.entry(GrantGroup::of(task, grant)).or_default() += 1;
         }
@@ -294,13 +294,13 @@
         }
         let mut zones = ZoneRule::of(spec);
         if zones.binds() {
-            if self.ledger.unresolved.iter().any(|task| task.job == spec.id) {
+            if self.task_grants.unresolved.iter().any(|task| task.job == spec.id) {
                 return; // Where the others are is not known.
             }
             self.count_zones(inputs, spec.id, &mut zones);
         }
         let count = request.count.min(within_limit);
-        let free: Vec<TaskId> = self.ledger.free_tasks(inputs, spec).take(count).collect();
+        let free: Vec<TaskId> = self.task_grants.free_tasks(inputs, spec).take(count).collect();
         let places = allocation.choose_places(inputs, request, zones, free.len());
         for (task, place) in free.into_iter().zip(places) {
             allocation.push_grant(inputs.cluster.now, request, task, place, None);
@@ -312,8 +312,8 @@
         for (_, seen) in inputs.on_machines.iter().filter(|(task, _)| task.job == id) {
             zones.count(&seen.machine.zone);
         }
-        let granted = self.ledger.granted.iter().map(|(task, grant)| (task, &grant.zone));
-        let revoked = self.ledger.revoked.iter().map(|(task, revoked)| (task, &revoked.zone));
+        let granted = self.task_grants.granted.iter().map(|(task, grant)| (task, &grant.zone));
+        let revoked = self.task_grants.revoked.iter().map(|(task, revoked)| (task, &revoked.zone));
         for (task, zone) in granted.chain(revoked) {
             if task.job == id
                 && !inputs.on_machines.contains_key(task)
--- a/src/leader/gang_presence.rs
+++ b/src/leader/gang_presence.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::inputs::EpochInputs;
-use super::ledger::GrantLedger;
+use super::task_grants::TaskGrants;
 use crate::model::{JobId, MonotonicTime};
 use crate::wire::{JobKind, TaskState};
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl GrantLedger {
+impl TaskGrants {
     /// Where the tasks of all open gangs are. Remembers which of them workers have shown.
     pub(super) fn gang_presence(
         &mut self,
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -10,7 +10,7 @@
 use super::allocation::{EpochAllocation, GrantRequest, ZoneRule};
 use super::gang_presence::GangPresence;
 use super::inputs::EpochInputs;
-use super::ledger::TaskCounts;
+use super::task_grants::TaskCounts;
 use crate::cluster_view::ClusterView;
 use crate::model::{Attempt, JobId, MonotonicTime, TaskId};
 use crate::peer::{GangStop, WaitReason};
@@ -51,7 +51,7 @@
 impl Leader {
     /// Looks after gangs that are under way: what is no longer whole is stopped.
     pub(super) fn supervise_gangs(&mut self, inputs: &EpochInputs<'_>) {
-        let presence = self.ledger.gang_presence(inputs);
+        let presence = self.task_grants.gang_presence(inputs);
         self.gangs.granted.retain(|id, _| presence.contains_key(id));
         self.gangs.pending_stops.retain(|id, _| presence.contains_key(id));
         for (id, presence) in presence {
@@ -123,12 +123,12 @@
     fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, reason: &str) {
         tracing::info!(job = %id, why = reason, leeway_ms, "stopping a gang");
         let next_plan = self.plans.next();
-        let granted = self.ledger.granted.keys();
+        let granted = self.task_grants.granted.keys();
         let granted: Vec<TaskId> = granted.filter(|task| task.job == id).copied().collect();
         for task in granted {
-            self.ledger.revoke(task, next_plan);
+            self.task_grants.revoke(task, next_plan);
         }
-        let before = self.ledger.attempts.allocate();
+        let before = self.task_grants.attempts.allocate();
         let stop = GangStop { job: id.0, before, leeway_ms };
         let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
         self.gangs.pending_stops.insert(id, PendingStop { stop, until });
@@ -162,7 +162,7 @@
             self.jobs.wait_reasons.insert(id, WaitReason::TeamLimit);
             return;
         }
-        let free: Vec<TaskId> = self.ledger.free_tasks(inputs, &job.spec).collect();
+        let free: Vec<TaskId> = self.task_grants.free_tasks(inputs, &job.spec).collect();
         if free.len() != count {
             return;
         }
@@ -175,7 +175,7 @@
         };
         let attempt = match self.gangs.granted.get(&id).filter(|_| held > 0) {
             Some(gang) => gang.attempt,
-            None => self.ledger.attempts.allocate(),
+            None => self.task_grants.attempts.allocate(),
         };
         for (task, i) in free.into_iter().zip(chosen) {
             allocation.targets[i].add(&job.spec, need);
--- a/src/leader/grant_groups.rs
+++ b/src/leader/grant_groups.rs
@@ -1,6 +1,6 @@
 //! Grants that are alike, by which plans tell of them and placement counts them in.
 
-use super::ledger::TaskGrant;
+use super::task_grants::TaskGrant;
 use crate::model::{Attempt, JobId, NodeId, TaskId};
 
 /// What grants of one job have in common. Groups are visited in the order of these fields.
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -153,7 +153,7 @@
         }
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
         for (job, ranges) in wider.into_iter().filter(|(job, _)| !refused.contains(job)) {
-            let known = self.ledger.recorded.get(&job);
+            let known = self.task_grants.recorded.get(&job);
             let added = ranges.iter().filter(|i| known.is_none_or(|r| !r.contains(*i)));
             let added = added.map(|index| TaskId { job, index });
             epoch.recorded_ahead.extend(added.filter(|task| !granting.contains(task)));
@@ -169,7 +169,7 @@
     ) -> BTreeMap<JobId, TaskRanges> {
         let mut wider: BTreeMap<JobId, TaskRanges> = BTreeMap::new();
         for (task, _) in &epoch.grants {
-            let known = self.ledger.recorded.get(&task.job);
+            let known = self.task_grants.recorded.get(&task.job);
             let ranges = wider.get(&task.job).or(known);
             if ranges.is_some_and(|ranges| ranges.contains(task.index)) {
                 continue;
@@ -191,7 +191,7 @@
 
     /// Takes grants out of an epoch that are not on record, of these jobs.
     fn withdraw_unrecorded(&self, epoch: &mut Epoch, refused: &FxHashSet<JobId>) {
-        let known = &self.ledger.recorded;
+        let known = &self.task_grants.recorded;
         let waits = |task: &TaskId| {
             refused.contains(&task.job)
                 && known.get(&task.job).is_none_or(|ranges| !ranges.contains(task.index))
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -9,8 +9,8 @@
 use super::allocation::{EpochAllocation, GrantRequest, TeamUse};
 use super::importance::JobStandings;
 use super::inputs::EpochInputs;
-use super::ledger::JobTaskCounts;
 use super::starvation::STARVED_WEIGHT;
+use super::task_grants::JobTaskCounts;
 use crate::admission::{self, Admission, Bounds, Demand};
 use crate::cluster_view::ClusterView;
 use crate::fleet::Fleet;
@@ -64,7 +64,7 @@
     /// Admits jobs and grants what their shares allow.
     pub(super) fn grant(&mut self, inputs: &EpochInputs<'_>, allocation: &mut EpochAllocation) {
         let cluster = inputs.cluster;
-        let counts = self.ledger.counts(inputs.on_machines);
+        let counts = self.task_grants.counts(inputs.on_machines);
         let failing = failing_jobs(inputs.fleet);
         self.record_idle(cluster, &counts);
         let at_limit = teams_at_limit(cluster, &allocation.team_use);
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -5,9 +5,9 @@
 use rustc_hash::FxHashMap;
 
 use super::Leader;
-use super::ledger::{JobTaskCounts, TaskCounts};
 use super::machine_speed::ClassRunTimes;
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
+use super::task_grants::{JobTaskCounts, TaskCounts};
 use crate::admission::{Curve, Demand};
 use crate::cluster_view::ClusterView;
 use crate::config::Settings;
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -33,14 +33,14 @@
 impl Leader {
     /// Makes an epoch hold, once its transaction is known to be carried out.
     pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
-        self.ledger.recorded.extend(epoch.recorded);
-        self.ledger.recorded_ahead.extend(epoch.recorded_ahead);
+        self.task_grants.recorded.extend(epoch.recorded);
+        self.task_grants.recorded_ahead.extend(epoch.recorded_ahead);
         for (task, grant) in epoch.grants {
-            self.ledger.recorded_ahead.remove(&task);
+            self.task_grants.recorded_ahead.remove(&task);
             if let Some(attempt) = grant.attempt {
                 self.record_gang(cluster.now, task.job, attempt);
             }
-            self.ledger.granted.insert(task, TaskGrant { at: cluster.now, ..grant });
+            self.task_grants.granted.insert(task, TaskGrant { at: cluster.now, ..grant });
         }
         let mut bodies = self.bodies_without_job_statuses();
         let same = |id: &NodeId, body: &PlanBody| {
@@ -50,7 +50,7 @@
         let due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
         let news = self.plans.seq == PlanSeq(0)
             || self.fleet.newest() > self.plans.seq
-            || self.ledger.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
+            || self.task_grants.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
             || bodies.iter().any(|(id, body)| !same(id, body));
         if !news && !due {
             return;
@@ -99,7 +99,7 @@
     /// were granted, as the first ones are used first.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
         let mut groups: BTreeMap<GrantGroup<'_>, GroupedTasks> = BTreeMap::new();
-        for (task, grant) in &self.ledger.granted {
+        for (task, grant) in &self.task_grants.granted {
             let group = groups
                 .entry(GrantGroup::of(task, grant))
                 .or_insert_with(|| GroupedTasks { oldest: grant.at, tasks: TaskRanges::default() });
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -42,7 +42,7 @@
             teams.iter().enumerate().map(|(i, team)| (team.name.as_str(), i)).collect();
         let mut used = TeamUses::none(&index, teams.len());
         let mut tasks_by_job: FxHashMap<JobId, u64> = FxHashMap::default();
-        for task in on_machines.keys().chain(self.ledger.not_on_machines(on_machines)) {
+        for task in on_machines.keys().chain(self.task_grants.not_on_machines(on_machines)) {
             *tasks_by_job.entry(task.job).or_default() += 1;
         }
         for (id, tasks) in tasks_by_job {
@@ -79,7 +79,7 @@
         }
         let mut possible = TeamUses::none(used.index, used.uses.len());
         let mut unresolved_by_job: FxHashMap<JobId, u64> = FxHashMap::default();
-        for task in &self.ledger.unresolved {
+        for task in &self.task_grants.unresolved {
             *unresolved_by_job.entry(task.job).or_default() += 1;
         }
         for (id, tasks) in unresolved_by_job {
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -3,7 +3,7 @@
 
 use super::Leader;
 use super::inputs::EpochInputs;
-use super::ledger::GrantLedger;
+use super::task_grants::TaskGrants;
 use crate::model::{PlanSeq, TaskId, Term};
 use crate::replica::Replica;
 
@@ -11,16 +11,16 @@
     /// Frees what is proven not to run, and revokes grants that were not used.
     pub(super) fn reconcile(&mut self, inputs: &EpochInputs<'_>) {
         let replica = inputs.cluster.replica;
-        self.ledger.resolve(inputs, self.term);
-        self.ledger.forget_ended(replica);
+        self.task_grants.resolve(inputs, self.term);
+        self.task_grants.forget_ended(replica);
         self.jobs.run_times.retain(|job, _| replica.jobs.contains_key(job));
-        self.ledger.revoke_unused(inputs, self.plans.next());
+        self.task_grants.revoke_unused(inputs, self.plans.next());
     }
 
     /// Logs tasks that two machines show, once each: a rule is about to break, or has.
     pub(super) fn log_duplicated_tasks(&mut self, inputs: &EpochInputs<'_>) {
         let found = inputs.fleet.duplicated(inputs.on_machines);
-        let logged = &mut self.ledger.duplicated;
+        let logged = &mut self.task_grants.duplicated;
         logged.retain(|task| found.iter().any(|duplicated| duplicated.task == *task));
         for duplicated in found {
             if logged.insert(duplicated.task) {
@@ -33,7 +33,7 @@
     }
 }
 
-impl GrantLedger {
+impl TaskGrants {
     /// Resolves tasks of earlier terms that are done or shown by a reconciled machine, and all of
     /// them once no machine is left that may hold one unseen.
     fn resolve(&mut self, inputs: &EpochInputs<'_>, term: Term) {
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -91,7 +91,7 @@
     fn running_tasks(&self, inputs: &EpochInputs<'_>, epoch: &Epoch) -> FxHashMap<JobId, u32> {
         let on_machines = inputs.on_machines;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
-        let granted = self.ledger.granted.keys().chain(granting.iter());
+        let granted = self.task_grants.granted.keys().chain(granting.iter());
         let granted = granted.filter(|task| !on_machines.contains_key(task));
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
         for task in on_machines.keys().chain(granted) {
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -61,7 +61,12 @@
                 .iter()
                 .map(|(job, share)| ((*job).into(), Admission { share: *share }))
                 .collect(),
-            grants: self.ledger.granted.iter().map(|(task, g)| ((*task).into(), g.node)).collect(),
+            grants: self
+                .task_grants
+                .granted
+                .iter()
+                .map(|(task, g)| ((*task).into(), g.node))
+                .collect(),
             gangs: self.gang_steps(),
             provisioning: machines
                 .iter()
@@ -139,7 +144,7 @@
             confirmed
         };
         let open = |job: JobId| cluster.replica.jobs.contains_key(&job);
-        let recorded = &self.ledger.recorded;
+        let recorded = &self.task_grants.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
             record(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
         }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -2,7 +2,7 @@
 //! are held back for those that fit nowhere.
 
 use super::allocation::EpochAllocation;
-use super::ledger::JobTaskCounts;
+use super::task_grants::JobTaskCounts;
 use super::{ClusterView, Leader};
 use crate::admission::Demand;
 use crate::model::JobId;
--- a/src/leader/ledger.rs
+++ b/src/leader/task_grants.rs
@@ -1,7 +1,7 @@
-//! The ledger of grants of one term: which tasks may be running, and which are proven not to.
+//! The task grants of one term: which tasks may be running, and which are proven not to.
 //!
 //! **The invariant:** a task is granted only if it is proven to be nowhere
-//! ([`GrantLedger::is_free`]). A term begins with nothing granted, and everything that an earlier
+//! ([`TaskGrants::is_free`]). A term begins with nothing granted, and everything that an earlier
 //! term granted and that is not done is *unresolved*. It stays so until a reconciled machine shows
 //! the task, it is done, or every machine that may hold it is reconciled or proven gone. Within the
 //! term a task has one grant; a revoked one blocks the task until its shard follows a plan without it.
@@ -59,7 +59,7 @@
 pub(super) type JobTaskCounts = FxHashMap<JobId, TaskCounts>;
 
 /// What this leader granted in its term, and what earlier terms may have left running.
-pub(super) struct GrantLedger {
+pub(super) struct TaskGrants {
     /// Granted in this term.
     pub(super) granted: BTreeMap<TaskId, TaskGrant>,
     /// Granted in this term and taken back, until that is confirmed.
@@ -76,19 +76,15 @@
     pub(super) attempts: AttemptAllocator,
 }
 
-impl GrantLedger {
-    /// Begins a term's ledger: nothing is granted, and whatever was is unresolved. `before` is the
-    /// ledger of the last term that this leader led.
-    pub(super) fn begin(
-        replica: &Replica,
-        term: Term,
-        before: Option<(Term, GrantLedger)>,
-    ) -> Self {
+impl TaskGrants {
+    /// Begins a term: nothing is granted, and whatever was is unresolved. `before` is the
+    /// value of the last term that this leader led.
+    pub(super) fn begin(replica: &Replica, term: Term, before: Option<(Term, TaskGrants)>) -> Self {
         let mut recorded: FxHashMap<JobId, TaskRanges> = FxHashMap::default();
         for (job, ranges) in replica.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
         }
-        let mut ledger = GrantLedger {
+        let mut task_grants = TaskGrants {
             granted: BTreeMap::new(),
             revoked: FxHashMap::default(),
             unresolved: replica.unfinished_granted_tasks(),
@@ -100,16 +96,16 @@
         if let Some((last_term, old)) = before {
             if last_term.0 + 1 == term.0 {
                 // Nobody led in between, so what this leader never granted is nowhere.
-                ledger.unresolved.retain(|task| !old.recorded_ahead.contains(task));
-                ledger.recorded_ahead = old.recorded_ahead;
+                task_grants.unresolved.retain(|task| !old.recorded_ahead.contains(task));
+                task_grants.recorded_ahead = old.recorded_ahead;
             }
             // The record in the store may lag behind what this very leader granted.
             let may_run = |task: &TaskId| replica.may_run(*task);
-            ledger.unresolved.extend(old.granted.keys().copied().filter(may_run));
-            ledger.unresolved.extend(old.revoked.keys().copied().filter(may_run));
-            ledger.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
+            task_grants.unresolved.extend(old.granted.keys().copied().filter(may_run));
+            task_grants.unresolved.extend(old.revoked.keys().copied().filter(may_run));
+            task_grants.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
         }
-        ledger
+        task_grants
     }
 
     /// Whether a task may be granted: it is proven to be nowhere.
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -1,6 +1,6 @@
 //! How a leader's term begins: nothing is granted, and all that earlier terms granted is unresolved.
 
-use super::ledger::GrantLedger;
+use super::task_grants::TaskGrants;
 use super::{
     GangStates, JobObservations, LastWrites, Leader, PublishedPlans, Remembered, ScalingState,
 };
@@ -13,11 +13,11 @@
     /// Begins a term. `before` is the same leader's state in its last term, if it led: what it
     /// knows of machines and the market stays, what it knows of tasks does not.
     pub fn begin(cluster: &ClusterView<'_>, term: Term, before: Option<Leader>) -> Self {
-        let (mut fleet, mut ledger, mut remembered) = (None, None, None);
+        let (mut fleet, mut task_grants, mut remembered) = (None, None, None);
         if let Some(old) = before {
             // Whoever led meanwhile may have returned machines and rented others.
             fleet = Some(old.fleet);
-            ledger = Some((old.term, old.ledger));
+            task_grants = Some((old.term, old.task_grants));
             remembered = Some(old.remembered);
         }
         Leader {
@@ -26,7 +26,7 @@
             renew_term: None,
             fleet: Fleet::begin(cluster, fleet),
             remembered: remembered.unwrap_or_else(|| Remembered::from_store(cluster.replica)),
-            ledger: GrantLedger::begin(cluster.replica, term, ledger),
+            task_grants: TaskGrants::begin(cluster.replica, term, task_grants),
             plans: PublishedPlans::default(),
             jobs: JobObservations::default(),
             gangs: GangStates::default(),
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -369,7 +369,7 @@
         list(&mut controller, 500, &["n-1", "n-2"], None, false);
         list(&mut controller, second, &["n-1"], after, truncated);
         controller.rights.confirm_renewal(MonotonicTime(when));
-        controller.leader.as_mut().unwrap().ledger.unresolved.clear();
+        controller.leader.as_mut().unwrap().task_grants.unresolved.clear();
         tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
         let gone = controller.with_leader(at(when), |l, cluster| {
             let n2 = MachineId::new("n-2");
@@ -419,9 +419,9 @@
     tell(&mut controller, 1_100, 0, vec![]);
     tell(&mut controller, 1_300, 1, idle());
     let leader = controller.leader.as_ref().unwrap();
-    let granted: Vec<TaskId> = leader.ledger.granted.keys().copied().collect();
+    let granted: Vec<TaskId> = leader.task_grants.granted.keys().copied().collect();
     assert!(!granted.is_empty() && granted.len() < 4, "{granted:?}");
-    let recorded = leader.ledger.recorded[&JobId(2)].clone();
+    let recorded = leader.task_grants.recorded[&JobId(2)].clone();
     assert!(recorded.len() as usize > granted.len(), "some are ahead");
     // The record as the store has it, and the next term of the same leader.
     let record = EpochRecord { term: Term(3), granted: vec![(JobId(2), recorded.clone())] };
@@ -440,7 +440,7 @@
     items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
     let all = controller.replica.unfinished_granted_tasks();
     controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
-    let unresolved = &controller.leader.as_ref().unwrap().ledger.unresolved;
+    let unresolved = &controller.leader.as_ref().unwrap().task_grants.unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
     assert_eq!(unresolved.iter().filter(of_two).count(), granted.len());
     assert!(granted.iter().all(|t| unresolved.contains(t)));
@@ -748,8 +748,13 @@
 /// Tasks of the gang that are granted now, and their attempt.
 fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
     let leader = controller.leader.as_ref().unwrap();
-    let of: Vec<&TaskGrant> =
-        leader.ledger.granted.iter().filter(|(t, _)| t.job == JobId(7)).map(|(_, g)| g).collect();
+    let of: Vec<&TaskGrant> = leader
+        .task_grants
+        .granted
+        .iter()
+        .filter(|(t, _)| t.job == JobId(7))
+        .map(|(_, g)| g)
+        .collect();
     assert!(of.iter().all(|g| g.attempt == of[0].attempt), "one attempt for all");
     (of.len(), of.first().and_then(|g| g.attempt))
 }
@@ -918,7 +923,7 @@
         tell(&mut controller, 1_400, 1, idle());
         let leader = controller.leader.as_ref().unwrap();
         assert_eq!(leader.gangs.reserved.len(), reserved, "{machines} {age_s}");
-        let began = leader.ledger.granted.keys().any(|t| t.job == JobId(8));
+        let began = leader.task_grants.granted.keys().any(|t| t.job == JobId(8));
         assert_eq!(began, begins, "{machines} {age_s}");
     }
 }
@@ -987,10 +992,18 @@
         }
         let leader = controller.leader.as_ref().unwrap();
         let normal = |t: &TaskId| t.job != JobId(9) || urgent.is_none();
-        let ahead =
-            leader.ledger.granted.iter().filter(|(t, g)| g.awaits_release && normal(t)).count();
-        let as_urgent =
-            leader.ledger.granted.iter().filter(|(t, g)| g.awaits_release && !normal(t)).count();
+        let ahead = leader
+            .task_grants
+            .granted
+            .iter()
+            .filter(|(t, g)| g.awaits_release && normal(t))
+            .count();
+        let as_urgent = leader
+            .task_grants
+            .granted
+            .iter()
+            .filter(|(t, g)| g.awaits_release && !normal(t))
+            .count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
         let told: u32 = leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
