--- a/crates/standby/src/decision_log.rs
+++ b/crates/standby/src/decision_log.rs
@@ -147,7 +147,7 @@
     }
 
     /// Records that are kept.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         self.records.len()
     }
 
@@ -169,12 +169,12 @@
 
     /// What a standby gets next; `None` if it has everything.
     pub fn batch_for(&mut self, request: &FollowRequest) -> Option<Batch> {
-        let batch = self.compose(request)?;
+        let batch = self.compose_batch(request)?;
         self.bytes_sent += batch.payload.len() as u64;
         Some(batch)
     }
 
-    fn compose(&self, request: &FollowRequest) -> Option<Batch> {
+    fn compose_batch(&self, request: &FollowRequest) -> Option<Batch> {
         let newest = self.newest();
         // A position of another term, or one that this log never gave out, says nothing here.
         let applied =
@@ -183,11 +183,11 @@
         if !request.snapshot && applied == Some(newest) {
             return None;
         }
-        let first_kept = self.newest - self.records.len() as u64;
-        if request.snapshot || index < first_kept {
+        let first_retained = self.newest - self.records.len() as u64;
+        if request.snapshot || index < first_retained {
             return Some(self.snapshot(request.received));
         }
-        let skipped = (index - first_kept) as usize;
+        let skipped = (index - first_retained) as usize;
         let records: Vec<&Record> = self.records.iter().skip(skipped).take(self.batch).collect();
         let last = records.last()?;
         let decisions: Vec<Decision> = records.iter().map(|r| r.decision.clone()).collect();
@@ -213,8 +213,8 @@
             bytes += rmp_serde::to_vec(decision).map_or(0, |encoded| encoded.len());
             bytes <= BATCH_BYTES
         };
-        let piece = rest.iter().take_while(fits).count().max(1).min(rest.len());
-        let kind = BatchKind::Snapshot { offset, more: piece < rest.len() };
+        let chunk = rest.iter().take_while(fits).count().max(1).min(rest.len());
+        let kind = BatchKind::Snapshot { offset, more: chunk < rest.len() };
         Batch {
             kind,
             from: LogPosition { term: self.term, index: 0 },
@@ -222,7 +222,7 @@
             newest: self.newest(),
             digest: self.state.digest(),
             made: self.made,
-            payload: pack(&rest[..piece]),
+            payload: pack(&rest[..chunk]),
         }
     }
 }
--- a/crates/standby/src/decision_log/tests.rs
+++ b/crates/standby/src/decision_log/tests.rs
@@ -32,7 +32,7 @@
     let mut log = log();
     for n in 0..60 {
         log.record(WallTime(n), &target(n));
-        assert!(log.kept() <= 64);
+        assert!(log.retained() <= 64);
     }
     let batch = log.batch_for(&at(1)).unwrap();
     assert_eq!(batch.kind, BatchKind::Snapshot { offset: 0, more: false });
--- a/crates/standby/src/detector.rs
+++ b/crates/standby/src/detector.rs
@@ -14,12 +14,12 @@
 
 /// Least standard deviation of the intervals in milliseconds: timers fire in steps, and a distribution without any
 /// spread would suspect the first late packet.
-const LEAST_DEVIATION_MS: f64 = 60.0;
+const MIN_DEVIATION_MS: f64 = 60.0;
 /// Intervals that have to be known before they are trusted.
-const LEAST_SAMPLES: usize = 10;
+const MIN_SAMPLES: usize = 10;
 /// This process was stopped or starved if its own timer came that much late, in milliseconds. Its silence then says
 /// nothing about the leader.
-const OWN_PAUSE_MS: u64 = 400;
+const LOCAL_PAUSE_MS: u64 = 400;
 
 /// Suspects the leader by the distribution of its heartbeats.
 #[derive(Clone, Debug)]
@@ -29,8 +29,8 @@
     threshold: f64,
     capacity: usize,
     intervals: VecDeque<u64>,
-    last: Option<MonotonicTime>,
-    ticked: Option<MonotonicTime>,
+    last_heartbeat: Option<MonotonicTime>,
+    last_tick: Option<MonotonicTime>,
 }
 
 impl HeartbeatDetector {
@@ -42,50 +42,50 @@
             threshold: settings.phi,
             capacity: settings.samples,
             intervals: VecDeque::new(),
-            last: None,
-            ticked: None,
+            last_heartbeat: None,
+            last_tick: None,
         }
     }
 
     /// The leader answered a request that was sent then. Answers that come out of order count once.
     pub fn heartbeat(&mut self, sent: MonotonicTime) {
-        if let Some(last) = self.last {
-            if sent <= last {
+        if let Some(last_heartbeat) = self.last_heartbeat {
+            if sent <= last_heartbeat {
                 return;
             }
-            self.intervals.push_back(sent.since(last));
+            self.intervals.push_back(sent.since(last_heartbeat));
             if self.intervals.len() > self.capacity {
                 self.intervals.pop_front();
             }
         }
-        self.last = Some(sent);
+        self.last_heartbeat = Some(sent);
     }
 
     /// Another leader is to be watched from now on. It gets a whole silence before it can be suspected; the
     /// distribution stays, as the way to it is much the same.
-    pub fn watch_anew(&mut self, now: MonotonicTime) {
-        self.last = Some(now);
+    pub fn restart_watch(&mut self, now: MonotonicTime) {
+        self.last_heartbeat = Some(now);
     }
 
     /// Has to be called regularly. When this process itself was stopped, the silence starts anew.
     pub fn tick(&mut self, now: MonotonicTime) {
-        let late = self.ticked.is_some_and(|before| now.since(before) > OWN_PAUSE_MS);
-        if late && self.last.is_some() {
-            self.last = Some(now);
+        let late = self.last_tick.is_some_and(|before| now.since(before) > LOCAL_PAUSE_MS);
+        if late && self.last_heartbeat.is_some() {
+            self.last_heartbeat = Some(now);
         }
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
     }
 
     /// Milliseconds since the leader was last known to be alive; `None` if it was never heard.
     pub fn silence_ms(&self, now: MonotonicTime) -> Option<u64> {
-        self.last.map(|last| now.since(last))
+        self.last_heartbeat.map(|last_heartbeat| now.since(last_heartbeat))
     }
 
     /// How improbable the present silence is, as the negative logarithm of its probability; 0 while too little is
     /// known.
     pub fn phi(&self, now: MonotonicTime) -> f64 {
         let Some(silence) = self.silence_ms(now) else { return 0.0 };
-        if self.intervals.len() < LEAST_SAMPLES {
+        if self.intervals.len() < MIN_SAMPLES {
             return 0.0;
         }
         let (mean, deviation) = self.mean_and_deviation();
@@ -98,7 +98,7 @@
         let count = self.intervals.len() as f64;
         let mean = self.intervals.iter().map(|i| *i as f64).sum::<f64>() / count;
         let squares = self.intervals.iter().map(|i| (*i as f64 - mean).powi(2)).sum::<f64>();
-        (mean, (squares / count).sqrt().max(LEAST_DEVIATION_MS))
+        (mean, (squares / count).sqrt().max(MIN_DEVIATION_MS))
     }
 
     /// Whether the leader is to be suspected.
--- a/crates/standby/src/detector/tests.rs
+++ b/crates/standby/src/detector/tests.rs
@@ -75,7 +75,7 @@
 fn a_new_leader_gets_a_whole_silence() {
     let mut d = detector();
     let last = hear(&mut d, std::iter::repeat_n(200, 20));
-    d.watch_anew(last.plus(5_000));
+    d.restart_watch(last.plus(5_000));
     assert!(!d.suspects(last.plus(5_800)));
     assert!(d.suspects(last.plus(7_000)));
 }
--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -19,15 +19,15 @@
 use willowshore_model::{MonotonicTime, NodeId, Revision, Term};
 
 /// Time between two questions to the other controllers.
-const ASK_AGAIN_MS: u64 = 200;
+const PEER_QUERY_PERIOD_MS: u64 = 200;
 /// Longest time for which the others are asked before the suspicion is dropped and comes up anew.
-const ASK_LIMIT_MS: u64 = 2_500;
+const PEER_QUERY_TIMEOUT_MS: u64 = 2_500;
 /// How long an answer of another controller counts.
-const ANSWER_COUNTS_MS: u64 = 600;
+const OBSERVATION_VALID_MS: u64 = 600;
 /// After a suspicion that others did not share, the next one waits that long.
-const PAUSE_MS: u64 = 1_000;
+const SUSPICION_BACKOFF_MS: u64 = 1_000;
 /// How long the outcome of fencing and the replica are waited for.
-const STEP_LIMIT_MS: u64 = 10_000;
+const STEP_TIMEOUT_MS: u64 = 10_000;
 
 /// Where a controller stands on the way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,15 +61,15 @@
 
 /// Why a controller went back to following.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackReason {
+pub enum StandDownReason {
     /// The leader answered again.
-    LeaderAnswers,
+    LeaderResponds,
     /// Another controller hears the leader.
-    OthersHearIt(NodeId),
+    HeardByOther(NodeId),
     /// Too few controllers answered; the leader's lease decides.
     NoMajority,
     /// Another controller took the next term.
-    TermTaken(Term),
+    TermTakenByOther(Term),
     /// The transaction failed, as the leader's key had changed.
     Conflict,
     /// The state service did not answer or refused in time.
@@ -78,27 +78,31 @@
     Replaced(Term),
 }
 
-impl fmt::Display for BackReason {
+impl fmt::Display for StandDownReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BackReason::LeaderAnswers => write!(f, "the leader answers again"),
-            BackReason::OthersHearIt(node) => write!(f, "controller {} hears the leader", node.0),
-            BackReason::NoMajority => write!(f, "no majority of the controllers answered"),
-            BackReason::TermTaken(term) => write!(f, "another controller took term {term}"),
-            BackReason::Conflict => write!(f, "the leader's key had changed"),
-            BackReason::StoreUnavailable => write!(f, "the state service did not answer"),
-            BackReason::Replaced(term) => write!(f, "replaced by the leader of term {term}"),
+            StandDownReason::LeaderResponds => write!(f, "the leader answers again"),
+            StandDownReason::HeardByOther(node) => {
+                write!(f, "controller {} hears the leader", node.0)
+            }
+            StandDownReason::NoMajority => write!(f, "no majority of the controllers answered"),
+            StandDownReason::TermTakenByOther(term) => {
+                write!(f, "another controller took term {term}")
+            }
+            StandDownReason::Conflict => write!(f, "the leader's key had changed"),
+            StandDownReason::StoreUnavailable => write!(f, "the state service did not answer"),
+            StandDownReason::Replaced(term) => write!(f, "replaced by the leader of term {term}"),
         }
     }
 }
 
-/// What started a takeover.
+/// What started a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailoverCause {
     /// A majority of the controllers did not hear the leader.
     Suspicion,
     /// The leader's key was gone: its lease had ended.
-    LeaseEnded,
+    LeaseExpired,
 }
 
 /// What became of the transaction that takes the next term.
@@ -114,7 +118,7 @@
 
 /// What another controller says of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerAnswer {
+pub struct PeerObservation {
     /// The controller.
     pub node: NodeId,
     /// Milliseconds since it heard the leader; `None` if it never did and says nothing about it.
@@ -134,7 +138,7 @@
 
 /// What happens to a standby.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum FailoverEvent {
     /// Time passes; whether the leader is suspected now, and this controller's rank if it may replace it.
     Tick {
         /// Whether the failure detector suspects the leader.
@@ -143,13 +147,13 @@
         rank: Option<u64>,
     },
     /// Another controller answered.
-    PeerAnswered(PeerAnswer),
+    PeerObserved(PeerObservation),
     /// The question to the leader itself has an outcome.
-    LeaderProbed(ProbeOutcome),
+    ProbeCompleted(ProbeOutcome),
     /// The leader's key is gone, and this controller takes the next term.
-    LeaseEnded,
+    LeaseExpired,
     /// The transaction that takes the next term has an outcome.
-    FenceAnswered(FenceOutcome),
+    FenceCompleted(FenceOutcome),
     /// The replica shows this leader and term; `mine` if it is this process.
     ReplicaShows {
         /// The term.
@@ -163,20 +167,20 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Command {
+pub enum FailoverCommand {
     /// Ask the leader of this term whether it is there.
     ProbeLeader(Term),
     /// Ask the other controllers when they heard the leader of this term.
-    AskPeers(Term),
+    QueryPeers(Term),
     /// Take the term after this one by the guarded transaction.
     Fence(Term),
     /// Compare what was mirrored with the replica, which shows this term.
     Verify(Term),
 }
 
-/// Moments of a takeover.
+/// Moments of a failover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moments {
+pub struct FailoverTimeline {
     /// The leader was suspected, or its key was gone.
     pub suspected: MonotonicTime,
     /// The transaction was sent.
@@ -189,55 +193,55 @@
     pub verified: MonotonicTime,
 }
 
-/// A takeover that came to its end.
+/// A failover that came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failover {
     /// The term that was taken.
     pub term: Term,
     /// What started it.
-    pub cause: Cause,
+    pub cause: FailoverCause,
     /// Its moments.
-    pub moments: Moments,
+    pub timeline: FailoverTimeline,
 }
 
 /// The state machine.
 #[derive(Clone, Debug)]
 pub struct FailoverMachine {
     controllers: usize,
-    least_silence_ms: u64,
+    min_silence_ms: u64,
     rank_delay_ms: u64,
     phase: Phase,
-    entered: MonotonicTime,
+    phase_entered_at: MonotonicTime,
     term: Term,
-    cause: Cause,
-    moments: Moments,
-    asked: Option<MonotonicTime>,
-    answers: BTreeMap<NodeId, (u64, MonotonicTime)>,
+    cause: FailoverCause,
+    timeline: FailoverTimeline,
+    peers_queried_at: Option<MonotonicTime>,
+    observations: BTreeMap<NodeId, (u64, MonotonicTime)>,
     /// Whether the leader itself was asked and did not answer.
     probe_failed: bool,
-    paused_until: MonotonicTime,
-    last_back: Option<BackReason>,
+    suspicion_paused_until: MonotonicTime,
+    last_stand_down: Option<StandDownReason>,
     last_failover: Option<Failover>,
 }
 
 impl FailoverMachine {
     /// A machine for a site of so many controllers. Others count as not hearing the leader from that silence on;
     /// each rank waits that much longer.
-    pub fn new(controllers: usize, least_silence_ms: u64, rank_delay_ms: u64) -> Self {
+    pub fn new(controllers: usize, min_silence_ms: u64, rank_delay_ms: u64) -> Self {
         FailoverMachine {
             controllers,
-            least_silence_ms,
+            min_silence_ms,
             rank_delay_ms,
             phase: Phase::Following,
-            entered: MonotonicTime(0),
+            phase_entered_at: MonotonicTime(0),
             term: Term(0),
-            cause: Cause::LeaseEnded,
-            moments: Moments::default(),
-            asked: None,
-            answers: BTreeMap::new(),
+            cause: FailoverCause::LeaseExpired,
+            timeline: FailoverTimeline::default(),
+            peers_queried_at: None,
+            observations: BTreeMap::new(),
             probe_failed: false,
-            paused_until: MonotonicTime(0),
-            last_back: None,
+            suspicion_paused_until: MonotonicTime(0),
+            last_stand_down: None,
             last_failover: None,
         }
     }
@@ -253,28 +257,28 @@
     }
 
     /// Why it went back to following last.
-    pub fn last_back(&self) -> Option<BackReason> {
-        self.last_back
+    pub fn last_stand_down(&self) -> Option<StandDownReason> {
+        self.last_stand_down
     }
 
-    /// The last takeover that this controller completed.
+    /// The last failover that this controller completed.
     pub fn last_failover(&self) -> Option<Failover> {
         self.last_failover
     }
 
     /// Takes an event and says what is to be done.
-    pub fn step(&mut self, now: MonotonicTime, event: Event) -> Option<Command> {
+    pub fn step(&mut self, now: MonotonicTime, event: FailoverEvent) -> Option<FailoverCommand> {
         match event {
-            Event::Tick { suspected, rank } => self.on_tick(now, suspected, rank),
-            Event::PeerAnswered(answer) => self.on_answer(now, answer),
-            Event::LeaderProbed(outcome) => self.on_probed(now, outcome),
-            Event::LeaseEnded => self.on_lease_ended(now),
-            Event::FenceAnswered(outcome) => {
-                self.on_fence_answered(now, outcome);
+            FailoverEvent::Tick { suspected, rank } => self.on_tick(now, suspected, rank),
+            FailoverEvent::PeerObserved(answer) => self.on_peer_observation(now, answer),
+            FailoverEvent::ProbeCompleted(outcome) => self.on_probe_completed(now, outcome),
+            FailoverEvent::LeaseExpired => self.on_lease_expired(now),
+            FailoverEvent::FenceCompleted(outcome) => {
+                self.on_fence_completed(now, outcome);
                 None
             }
-            Event::ReplicaShows { term, mine } => self.on_replica(now, term, mine),
-            Event::Verified => {
+            FailoverEvent::ReplicaShows { term, mine } => self.on_replica(now, term, mine),
+            FailoverEvent::Verified => {
                 self.on_verified(now);
                 None
             }
@@ -283,14 +287,14 @@
 
     fn enter(&mut self, now: MonotonicTime, phase: Phase) {
         self.phase = phase;
-        self.entered = now;
+        self.phase_entered_at = now;
     }
 
-    fn go_back(&mut self, now: MonotonicTime, reason: BackReason) {
+    fn stand_down(&mut self, now: MonotonicTime, reason: StandDownReason) {
         self.enter(now, Phase::Following);
-        self.answers.clear();
-        self.asked = None;
-        self.last_back = Some(reason);
+        self.observations.clear();
+        self.peers_queried_at = None;
+        self.last_stand_down = Some(reason);
     }
 
     fn on_tick(
@@ -298,134 +302,155 @@
         now: MonotonicTime,
         suspected: bool,
         rank: Option<u64>,
-    ) -> Option<Command> {
-        let waited = now.since(self.entered);
+    ) -> Option<FailoverCommand> {
+        let waited = now.since(self.phase_entered_at);
         match self.phase {
             Phase::Following => {
-                if suspected && rank.is_some() && now >= self.paused_until {
+                if suspected && rank.is_some() && now >= self.suspicion_paused_until {
                     self.enter(now, Phase::Suspecting);
-                    self.moments = Moments { suspected: now, ..Moments::default() };
+                    self.timeline =
+                        FailoverTimeline { suspected: now, ..FailoverTimeline::default() };
                     self.probe_failed = false;
-                    return Some(Command::ProbeLeader(self.term));
+                    return Some(FailoverCommand::ProbeLeader(self.term));
                 }
                 None
             }
             Phase::Suspecting if !suspected => {
-                self.go_back(now, BackReason::LeaderAnswers);
+                self.stand_down(now, StandDownReason::LeaderResponds);
                 None
             }
-            Phase::Suspecting if waited >= ASK_LIMIT_MS => {
-                self.paused_until = now.plus(PAUSE_MS);
-                self.go_back(now, BackReason::NoMajority);
+            Phase::Suspecting if waited >= PEER_QUERY_TIMEOUT_MS => {
+                self.suspicion_paused_until = now.plus(SUSPICION_BACKOFF_MS);
+                self.stand_down(now, StandDownReason::NoMajority);
                 None
             }
-            Phase::Suspecting => self.ask_when_due(now, rank),
-            Phase::Fencing | Phase::CatchingUp if waited >= STEP_LIMIT_MS => {
-                self.go_back(now, BackReason::StoreUnavailable);
+            Phase::Suspecting => self.query_peers_when_due(now, rank),
+            Phase::Fencing | Phase::CatchingUp if waited >= STEP_TIMEOUT_MS => {
+                self.stand_down(now, StandDownReason::StoreUnavailable);
                 None
             }
             Phase::Fencing | Phase::CatchingUp | Phase::Verifying | Phase::Active => None,
         }
     }
 
-    fn ask_when_due(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<Command> {
+    fn query_peers_when_due(
+        &mut self,
+        now: MonotonicTime,
+        rank: Option<u64>,
+    ) -> Option<FailoverCommand> {
         let turn = rank? * self.rank_delay_ms;
-        if now.since(self.entered) < turn
-            || self.asked.is_some_and(|at| now.since(at) < ASK_AGAIN_MS)
+        if now.since(self.phase_entered_at) < turn
+            || self.peers_queried_at.is_some_and(|at| now.since(at) < PEER_QUERY_PERIOD_MS)
         {
             return None;
         }
-        self.asked = Some(now);
-        Some(Command::AskPeers(self.term))
+        self.peers_queried_at = Some(now);
+        Some(FailoverCommand::QueryPeers(self.term))
     }
 
-    fn on_answer(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
+    fn on_peer_observation(
+        &mut self,
+        now: MonotonicTime,
+        answer: PeerObservation,
+    ) -> Option<FailoverCommand> {
         if self.phase != Phase::Suspecting {
             return None;
         }
         // A controller that never heard the leader is no witness: it may have been cut off all the time.
         let silence_ms = answer.silence_ms?;
-        if silence_ms < self.least_silence_ms {
+        if silence_ms < self.min_silence_ms {
             // It may just have heard the leader's last words, so it is asked again before that counts.
-            self.answers.remove(&answer.node);
-            if now.since(self.entered) >= self.least_silence_ms {
-                self.paused_until = now.plus(PAUSE_MS);
-                self.go_back(now, BackReason::OthersHearIt(answer.node));
+            self.observations.remove(&answer.node);
+            if now.since(self.phase_entered_at) >= self.min_silence_ms {
+                self.suspicion_paused_until = now.plus(SUSPICION_BACKOFF_MS);
+                self.stand_down(now, StandDownReason::HeardByOther(answer.node));
             }
             return None;
         }
-        self.answers.insert(answer.node, (silence_ms, now));
+        self.observations.insert(answer.node, (silence_ms, now));
         self.fence_if_agreed(now)
     }
 
-    fn on_probed(&mut self, now: MonotonicTime, outcome: ProbeOutcome) -> Option<Command> {
+    fn on_probe_completed(
+        &mut self,
+        now: MonotonicTime,
+        outcome: ProbeOutcome,
+    ) -> Option<FailoverCommand> {
         if self.phase != Phase::Suspecting {
             return None;
         }
         if outcome == ProbeOutcome::Answered {
-            self.paused_until = now.plus(PAUSE_MS);
-            self.go_back(now, BackReason::LeaderAnswers);
+            self.suspicion_paused_until = now.plus(SUSPICION_BACKOFF_MS);
+            self.stand_down(now, StandDownReason::LeaderResponds);
             return None;
         }
         self.probe_failed = true;
         self.fence_if_agreed(now)
     }
 
-    fn fence_if_agreed(&mut self, now: MonotonicTime) -> Option<Command> {
-        let agree =
-            self.answers.values().filter(|(_, at)| now.since(*at) <= ANSWER_COUNTS_MS).count();
+    fn fence_if_agreed(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
+        let agree = self
+            .observations
+            .values()
+            .filter(|(_, at)| now.since(*at) <= OBSERVATION_VALID_MS)
+            .count();
         if !self.probe_failed || (agree + 1) * 2 <= self.controllers {
             return None;
         }
-        self.cause = Cause::Suspicion;
+        self.cause = FailoverCause::Suspicion;
         self.start_fencing(now)
     }
 
-    fn start_fencing(&mut self, now: MonotonicTime) -> Option<Command> {
+    fn start_fencing(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
         self.enter(now, Phase::Fencing);
-        self.moments.fencing = now;
-        self.answers.clear();
-        self.asked = None;
-        Some(Command::Fence(self.term))
+        self.timeline.fencing = now;
+        self.observations.clear();
+        self.peers_queried_at = None;
+        Some(FailoverCommand::Fence(self.term))
     }
 
-    fn on_lease_ended(&mut self, now: MonotonicTime) -> Option<Command> {
+    fn on_lease_expired(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
         if !matches!(self.phase, Phase::Following | Phase::Suspecting) {
             return None;
         }
         if self.phase == Phase::Following {
-            self.moments = Moments { suspected: now, ..Moments::default() };
+            self.timeline = FailoverTimeline { suspected: now, ..FailoverTimeline::default() };
         }
-        self.cause = Cause::LeaseEnded;
+        self.cause = FailoverCause::LeaseExpired;
         self.start_fencing(now)
     }
 
-    fn on_fence_answered(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
+    fn on_fence_completed(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         if self.phase != Phase::Fencing {
             return;
         }
         match outcome {
             FenceOutcome::Done(_) => {
-                self.moments.fenced = now;
+                self.timeline.fenced = now;
                 self.enter(now, Phase::CatchingUp);
             }
-            FenceOutcome::Conflict => self.go_back(now, BackReason::Conflict),
+            FenceOutcome::Conflict => self.stand_down(now, StandDownReason::Conflict),
             // The replica will show whether it was carried out, and it may be carried out much later: it then
             // fails if anything came between.
-            FenceOutcome::Unknown => self.go_back(now, BackReason::StoreUnavailable),
+            FenceOutcome::Unknown => self.stand_down(now, StandDownReason::StoreUnavailable),
         }
     }
 
-    fn on_replica(&mut self, now: MonotonicTime, term: Term, mine: bool) -> Option<Command> {
+    fn on_replica(
+        &mut self,
+        now: MonotonicTime,
+        term: Term,
+        mine: bool,
+    ) -> Option<FailoverCommand> {
         if term < self.term || (term == self.term && self.phase != Phase::CatchingUp && !mine) {
             return None;
         }
         let known = std::mem::replace(&mut self.term, term);
         if !mine {
             match self.phase {
-                Phase::Active => self.go_back(now, BackReason::Replaced(term)),
+                Phase::Active => self.stand_down(now, StandDownReason::Replaced(term)),
                 Phase::Following => {}
-                _ => self.go_back(now, BackReason::TermTaken(term)),
+                _ => self.stand_down(now, StandDownReason::TermTakenByOther(term)),
             }
             return None;
         }
@@ -436,22 +461,22 @@
             return None;
         }
         // The term may also show before the answer of its transaction, or without any.
-        if self.moments.fenced < self.moments.fencing {
-            self.moments.fenced = now;
+        if self.timeline.fenced < self.timeline.fencing {
+            self.timeline.fenced = now;
         }
-        self.moments.caught_up = now;
+        self.timeline.caught_up = now;
         self.enter(now, Phase::Verifying);
-        Some(Command::Verify(term))
+        Some(FailoverCommand::Verify(term))
     }
 
     fn on_verified(&mut self, now: MonotonicTime) {
         if self.phase != Phase::Verifying {
             return;
         }
-        self.moments.verified = now;
+        self.timeline.verified = now;
         self.enter(now, Phase::Active);
         self.last_failover =
-            Some(Failover { term: self.term, cause: self.cause, moments: self.moments });
+            Some(Failover { term: self.term, cause: self.cause, timeline: self.timeline });
     }
 }
 
--- a/crates/standby/src/failover_order.rs
+++ b/crates/standby/src/failover_order.rs
@@ -2,7 +2,7 @@
 
 use willowshore_model::NodeId;
 
-/// A controller as far as succession needs it.
+/// A controller as far as the failover order needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The controller.
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -11,11 +11,11 @@
 use crate::decisions::{Decision, DecisionState};
 
 /// Most differences that are told of one divergence.
-const MOST_TOLD: usize = 8;
+const MAX_REPORTED_DIFFERENCES: usize = 8;
 
 /// Why a batch was not taken.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Rejected {
+pub enum BatchRejected {
     /// It is of an earlier term, or of a later one than this copy follows.
     #[error("decisions of term {0} while another one is followed")]
     WrongTerm(Term),
@@ -32,7 +32,7 @@
 
 /// Counts of what went wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MirrorCounts {
+pub struct MirrorCounters {
     /// Decisions that were applied.
     pub applied: u64,
     /// Decisions that came again.
@@ -57,12 +57,12 @@
 pub struct Mirror {
     applied: LogPosition,
     newest: LogPosition,
-    made: WallTime,
+    newest_decision_at: WallTime,
     state: DecisionState,
     needs_snapshot: bool,
-    partial: Vec<Decision>,
-    diverged: Option<DecisionState>,
-    counts: MirrorCounts,
+    partial_snapshot: Vec<Decision>,
+    diverged_state: Option<DecisionState>,
+    counters: MirrorCounters,
 }
 
 impl Mirror {
@@ -77,8 +77,8 @@
     }
 
     /// What went wrong so far.
-    pub fn counts(&self) -> MirrorCounts {
-        self.counts
+    pub fn counters(&self) -> MirrorCounters {
+        self.counters
     }
 
     /// Decisions that the leader had made and this copy lacked, when the leader was last heard.
@@ -91,7 +91,7 @@
 
     /// Age of the newest decision that is applied, in milliseconds; 0 if nothing is missing.
     pub fn lag_ms(&self, now: WallTime) -> u64 {
-        if self.lag_records() == 0 { 0 } else { now.0.saturating_sub(self.made.0) }
+        if self.lag_records() == 0 { 0 } else { now.0.saturating_sub(self.newest_decision_at.0) }
     }
 
     /// Whether it holds what a leader of that term had told, and nothing is known to be wrong with it.
@@ -108,8 +108,8 @@
         self.newest = self.applied;
         self.state = DecisionState::default();
         self.needs_snapshot = false;
-        self.partial.clear();
-        self.diverged = None;
+        self.partial_snapshot.clear();
+        self.diverged_state = None;
     }
 
     /// What is asked of the leader next.
@@ -117,103 +117,109 @@
         FollowRequest {
             applied: self.applied,
             snapshot: self.needs_snapshot,
-            received: self.partial.len() as u64,
+            received: self.partial_snapshot.len() as u64,
         }
     }
 
     /// The leader has nothing that this copy lacks.
-    pub fn is_told_nothing_new(&mut self) {
+    pub fn confirm_up_to_date(&mut self) {
         self.newest = self.applied;
     }
 
     /// Takes a batch. What is returned was wrong with the copy before a snapshot replaced it.
-    pub fn accept(&mut self, batch: &Batch) -> Result<Vec<Difference>, Rejected> {
+    pub fn accept(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
         let taken = self.take(batch);
         match taken {
             Ok(_) => {}
-            Err(Rejected::WrongTerm(_)) => self.counts.wrong_terms += 1,
-            Err(Rejected::Gap(_)) => self.counts.gaps += 1,
-            Err(Rejected::Malformed) => self.counts.malformed += 1,
-            Err(Rejected::Divergence) => self.counts.divergences += 1,
+            Err(BatchRejected::WrongTerm(_)) => self.counters.wrong_terms += 1,
+            Err(BatchRejected::Gap(_)) => self.counters.gaps += 1,
+            Err(BatchRejected::Malformed) => self.counters.malformed += 1,
+            Err(BatchRejected::Divergence) => self.counters.divergences += 1,
         }
-        if taken.is_err() && !matches!(taken, Err(Rejected::WrongTerm(_))) {
+        if taken.is_err() && !matches!(taken, Err(BatchRejected::WrongTerm(_))) {
             self.needs_snapshot = true;
-            self.partial.clear();
+            self.partial_snapshot.clear();
         }
         taken
     }
 
-    fn take(&mut self, batch: &Batch) -> Result<Vec<Difference>, Rejected> {
+    fn take(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
         let term = self.applied.term;
         if [batch.from.term, batch.to.term, batch.newest.term].iter().any(|t| *t != term) {
-            return Err(Rejected::WrongTerm(batch.to.term));
+            return Err(BatchRejected::WrongTerm(batch.to.term));
         }
         if batch.to > batch.newest || batch.from > batch.to {
-            return Err(Rejected::Malformed);
+            return Err(BatchRejected::Malformed);
         }
-        let decisions = unpack(&batch.payload).ok_or(Rejected::Malformed)?;
+        let decisions = unpack(&batch.payload).ok_or(BatchRejected::Malformed)?;
         self.newest = self.newest.max(batch.newest);
         match batch.kind {
-            BatchKind::Records => self.take_records(batch, decisions).map(|()| Vec::new()),
+            BatchKind::Records => self.apply_records(batch, decisions).map(|()| Vec::new()),
             BatchKind::Snapshot { offset, more } => {
-                self.take_snapshot(batch, decisions, offset, more)
+                self.apply_snapshot(batch, decisions, offset, more)
             }
         }
     }
 
-    fn take_records(&mut self, batch: &Batch, decisions: Vec<Decision>) -> Result<(), Rejected> {
+    fn apply_records(
+        &mut self,
+        batch: &Batch,
+        decisions: Vec<Decision>,
+    ) -> Result<(), BatchRejected> {
         if batch.to.index - batch.from.index != decisions.len() as u64 {
-            return Err(Rejected::Malformed);
+            return Err(BatchRejected::Malformed);
         }
         if batch.from.index > self.applied.index {
-            return Err(Rejected::Gap(self.applied.index));
+            return Err(BatchRejected::Gap(self.applied.index));
         }
         let known = (self.applied.index - batch.from.index).min(decisions.len() as u64);
-        self.counts.repeated += known;
+        self.counters.repeated += known;
         if batch.to.index <= self.applied.index {
             return Ok(());
         }
         for decision in decisions.into_iter().skip(known as usize) {
             self.state.apply(decision);
-            self.counts.applied += 1;
+            self.counters.applied += 1;
         }
         self.applied = batch.to;
-        self.made = batch.made;
+        self.newest_decision_at = batch.made;
         if self.state.digest() != batch.digest {
-            self.diverged = Some(self.state.clone());
-            return Err(Rejected::Divergence);
+            self.diverged_state = Some(self.state.clone());
+            return Err(BatchRejected::Divergence);
         }
         Ok(())
     }
 
-    fn take_snapshot(
+    fn apply_snapshot(
         &mut self,
         batch: &Batch,
         decisions: Vec<Decision>,
         offset: u64,
         more: bool,
-    ) -> Result<Vec<Difference>, Rejected> {
-        if offset != self.partial.len() as u64 {
-            return Err(Rejected::Gap(self.partial.len() as u64));
+    ) -> Result<Vec<Difference>, BatchRejected> {
+        if offset != self.partial_snapshot.len() as u64 {
+            return Err(BatchRejected::Gap(self.partial_snapshot.len() as u64));
         }
-        self.partial.extend(decisions);
+        self.partial_snapshot.extend(decisions);
         if more {
             self.needs_snapshot = true;
             return Ok(Vec::new());
         }
         let mut state = DecisionState::default();
-        std::mem::take(&mut self.partial).into_iter().for_each(|decision| state.apply(decision));
+        std::mem::take(&mut self.partial_snapshot)
+            .into_iter()
+            .for_each(|decision| state.apply(decision));
         if state.digest() != batch.digest {
-            return Err(Rejected::Divergence);
+            return Err(BatchRejected::Divergence);
         }
-        let differences = self.diverged.take().map(|old| old.changes_to(&state.target()));
+        let differences = self.diverged_state.take().map(|old| old.changes_to(&state.target()));
         self.state = state;
         self.applied = batch.to;
-        self.made = batch.made;
+        self.newest_decision_at = batch.made;
         self.needs_snapshot = false;
-        self.counts.snapshots += 1;
+        self.counters.snapshots += 1;
         let mut differences = differences.unwrap_or_default();
-        differences.truncate(MOST_TOLD);
+        differences.truncate(MAX_REPORTED_DIFFERENCES);
         Ok(differences)
     }
 }
--- a/crates/standby/src/mirror/tests.rs
+++ b/crates/standby/src/mirror/tests.rs
@@ -50,7 +50,7 @@
         mirror.accept(batch).unwrap();
         assert_eq!(mirror.state(), &held);
     }
-    assert_eq!(mirror.counts().repeated, 30);
+    assert_eq!(mirror.counters().repeated, 30);
     follow(&mut log, &mut mirror);
     assert_eq!(mirror.state(), log.state());
 }
@@ -72,21 +72,21 @@
     let mut unreadable = first.clone();
     unreadable.payload.truncate(3);
     let cases = [
-        (gap, Rejected::Gap(0)),
-        (other_term, Rejected::WrongTerm(Term(2))),
-        (short, Rejected::Malformed),
-        (beyond, Rejected::Malformed),
-        (unreadable, Rejected::Malformed),
+        (gap, BatchRejected::Gap(0)),
+        (other_term, BatchRejected::WrongTerm(Term(2))),
+        (short, BatchRejected::Malformed),
+        (beyond, BatchRejected::Malformed),
+        (unreadable, BatchRejected::Malformed),
     ];
     for (batch, why) in cases {
         assert_eq!(mirror.accept(&batch), Err(why));
         assert_eq!(mirror.state().len(), 0, "{why}");
     }
-    let counts = mirror.counts();
-    assert_eq!((counts.gaps, counts.wrong_terms, counts.malformed), (1, 1, 3));
+    let counters = mirror.counters();
+    assert_eq!((counters.gaps, counters.wrong_terms, counters.malformed), (1, 1, 3));
     follow(&mut log, &mut mirror);
     assert_eq!(mirror.state(), log.state());
-    assert_eq!(mirror.counts().snapshots, 1);
+    assert_eq!(mirror.counters().snapshots, 1);
 }
 
 /// A copy that differs is found with the next batch, is told of with what differs, and is replaced.
@@ -100,12 +100,12 @@
     let more = DecisionTarget { reserved: [].into(), ..target(1) };
     log.record(WallTime(2), &more);
     let batch = log.batch_for(&mirror.request()).unwrap();
-    assert_eq!(mirror.accept(&batch), Err(Rejected::Divergence));
+    assert_eq!(mirror.accept(&batch), Err(BatchRejected::Divergence));
     assert!(!mirror.is_complete(Term(3)), "it is not taken for complete");
     let snapshot = log.batch_for(&mirror.request()).unwrap();
     assert_eq!(mirror.accept(&snapshot), Ok(vec![lost]));
     assert!(mirror.is_complete(Term(3)));
-    assert_eq!(mirror.counts().divergences, 1);
+    assert_eq!(mirror.counters().divergences, 1);
 }
 
 /// The state changes between two pieces of a snapshot: what is put together is no state that ever was.
@@ -120,7 +120,7 @@
     let request = mirror.request();
     assert!(request.snapshot && request.received > 0);
     let last = log.batch_for(&request).unwrap();
-    assert_eq!(mirror.accept(&last), Err(Rejected::Divergence));
+    assert_eq!(mirror.accept(&last), Err(BatchRejected::Divergence));
     follow(&mut log, &mut mirror);
     assert_eq!(mirror.state(), log.state());
 }
@@ -135,5 +135,5 @@
     mirror.begin_term(Term(4));
     assert!(mirror.state().is_empty());
     let late = log.batch_for(&FollowRequest::default()).unwrap();
-    assert_eq!(mirror.accept(&late), Err(Rejected::WrongTerm(Term(3))));
+    assert_eq!(mirror.accept(&late), Err(BatchRejected::WrongTerm(Term(3))));
 }
--- a/crates/standby/src/settings.rs
+++ b/crates/standby/src/settings.rs
@@ -4,9 +4,9 @@
 use thiserror::Error;
 
 /// Heartbeats that may be lost before the leader can be suspected.
-const LEAST_HEARTBEATS: u64 = 3;
+const MIN_HEARTBEATS: u64 = 3;
 /// Least size of the window from which a standby catches up without a snapshot.
-const LEAST_WINDOW: usize = 64;
+const MIN_WINDOW: usize = 64;
 
 /// Why the settings of the standby cannot be used.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -85,9 +85,9 @@
     }
 
     fn check_bounds(&self, site: &Site<'_>) -> Result<(), SettingsError> {
-        let least = site.heartbeat_ms * LEAST_HEARTBEATS;
+        let least = site.heartbeat_ms * MIN_HEARTBEATS;
         if self.suspect_after_min_ms < least {
-            let reason = format!("must be {least} or more, {LEAST_HEARTBEATS} heartbeats");
+            let reason = format!("must be {least} or more, {MIN_HEARTBEATS} heartbeats");
             return error("standby.suspect_after_min_ms", reason);
         }
         if self.suspect_after_max_ms < self.suspect_after_min_ms {
@@ -117,8 +117,8 @@
     }
 
     fn check_log(&self) -> Result<(), SettingsError> {
-        if self.window_records < LEAST_WINDOW {
-            return error("standby.window_records", format!("must be {LEAST_WINDOW} or more"));
+        if self.window_records < MIN_WINDOW {
+            return error("standby.window_records", format!("must be {MIN_WINDOW} or more"));
         }
         if self.batch_records == 0 || self.batch_records > self.window_records {
             return error("standby.batch_records", "must be between 1 and window_records".into());
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -3,10 +3,10 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::failover::{Cause, Failover};
+use crate::failover::{Failover, FailoverCause};
 
 /// Longest duration that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+const MAX_RECORDABLE_MS: u64 = 600_000;
 
 /// A controller's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     Observer,
 }
 
-/// A takeover and how long its phases took.
+/// A failover and how long its phases took.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverStatus {
     /// The term that was taken.
@@ -39,23 +39,23 @@
 
 impl From<Failover> for FailoverStatus {
     fn from(failover: Failover) -> Self {
-        let moments = failover.moments;
+        let timeline = failover.timeline;
         let cause = match failover.cause {
-            Cause::Suspicion => "a majority did not hear the leader",
-            Cause::LeaseEnded => "the leader's lease ended",
+            FailoverCause::Suspicion => "a majority did not hear the leader",
+            FailoverCause::LeaseExpired => "the leader's lease ended",
         };
         FailoverStatus {
             term: failover.term.0,
             cause: cause.into(),
-            agreeing_ms: moments.fencing.since(moments.suspected),
-            fencing_ms: moments.fenced.since(moments.fencing),
-            catching_up_ms: moments.caught_up.since(moments.fenced),
-            verifying_ms: moments.verified.since(moments.caught_up),
+            agreeing_ms: timeline.fencing.since(timeline.suspected),
+            fencing_ms: timeline.fenced.since(timeline.fencing),
+            catching_up_ms: timeline.caught_up.since(timeline.fenced),
+            verifying_ms: timeline.verified.since(timeline.caught_up),
         }
     }
 }
 
-/// Mirrored records compared with the state service at a takeover.
+/// Mirrored records compared with the state service at a failover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerificationCounts {
     /// Records that the state service confirms.
@@ -94,11 +94,12 @@
     /// Messages of decisions that could not be read.
     pub malformed: u64,
     /// Why it went back to following last.
-    pub last_back: Option<String>,
-    /// The last takeover.
+    #[serde(rename = "last_back")]
+    pub last_stand_down: Option<String>,
+    /// The last failover.
     #[serde(rename = "last_takeover")]
     pub last_failover: Option<FailoverStatus>,
-    /// What the last takeover found of the mirrored records.
+    /// What the last failover found of the mirrored records.
     pub verification: VerificationCounts,
     /// Actions of this controller that were refused because it no longer led.
     pub refused_actions: u64,
@@ -124,7 +125,7 @@
             ),
             format!("refused actions of an old leader: {}", self.refused_actions),
         ];
-        if let Some(back) = &self.last_back {
+        if let Some(back) = &self.last_stand_down {
             lines.push(format!("back to following: {back}"));
         }
         if let Some(t) = &self.last_failover {
@@ -144,16 +145,18 @@
 
 /// How long something took over many times.
 #[derive(Clone, Debug)]
-pub struct Durations(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
-impl Default for Durations {
+impl Default for DurationHistogram {
     fn default() -> Self {
         // These bounds and three digits are always valid; without them the histogram would resize itself.
-        Durations(Histogram::new_with_max(LONGEST_MS, 3).unwrap_or_else(|_| unreachable!()))
+        DurationHistogram(
+            Histogram::new_with_max(MAX_RECORDABLE_MS, 3).unwrap_or_else(|_| unreachable!()),
+        )
     }
 }
 
-impl Durations {
+impl DurationHistogram {
     /// Notes one duration in milliseconds.
     pub fn note(&mut self, ms: u64) {
         self.0.saturating_record(ms);
--- a/crates/standby/src/status/tests.rs
+++ b/crates/standby/src/status/tests.rs
@@ -3,28 +3,29 @@
 use willowshore_model::{MonotonicTime, Term};
 
 use super::*;
-use crate::failover::Moments;
+use crate::failover::FailoverTimeline;
 
 #[test]
-fn a_takeover_is_shown_by_its_phases() {
-    let moments = Moments {
+fn a_failover_is_shown_by_its_phases() {
+    let timeline = FailoverTimeline {
         suspected: MonotonicTime(1_000),
         fencing: MonotonicTime(1_030),
         fenced: MonotonicTime(1_050),
         caught_up: MonotonicTime(1_120),
         verified: MonotonicTime(1_121),
     };
-    let shown = FailoverStatus::from(Failover { term: Term(8), cause: Cause::Suspicion, moments });
+    let shown =
+        FailoverStatus::from(Failover { term: Term(8), cause: FailoverCause::Suspicion, timeline });
     let times = [shown.agreeing_ms, shown.fencing_ms, shown.catching_up_ms, shown.verifying_ms];
     assert_eq!((shown.term, times), (8, [30, 20, 70, 1]));
 }
 
 #[test]
 fn durations_are_told_by_percentile() {
-    let mut durations = Durations::default();
+    let mut durations = DurationHistogram::default();
     (1..=100).for_each(|ms| durations.note(ms));
     durations.note(u64::MAX);
     assert_eq!(durations.count(), 101);
     assert_eq!(durations.percentile(50.0), 51);
-    assert!(durations.longest() >= LONGEST_MS);
+    assert!(durations.longest() >= MAX_RECORDABLE_MS);
 }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -5,7 +5,7 @@
 //! the argument.
 
 use willowshore_standby::failover::{
-    Cause, Command, Event, FenceOutcome, PeerAnswer, ProbeOutcome,
+    FailoverCause, FailoverCommand, FailoverEvent, FenceOutcome, PeerObservation, ProbeOutcome,
 };
 use willowshore_standby::failover_order::{Candidate, rank_of};
 use willowshore_standby::settings::StandbySettings;
@@ -54,7 +54,7 @@
     }
 
     /// Advances the standby to this time; what it commands is to be carried out.
-    pub fn standby_tick(&mut self, now: MonotonicTime) -> Option<Command> {
+    pub fn standby_tick(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
         let rank = self.rank(now);
         self.standby.as_mut()?.tick(now, rank)
     }
@@ -93,12 +93,12 @@
     }
 
     /// The probe of the leader itself has an outcome.
-    pub fn on_probe_outcome(
+    pub fn on_probe_completed(
         &mut self,
         now: MonotonicTime,
         outcome: ProbeOutcome,
-    ) -> Option<Command> {
-        self.standby.as_mut()?.step(now, Event::LeaderProbed(outcome))
+    ) -> Option<FailoverCommand> {
+        self.standby.as_mut()?.step(now, FailoverEvent::ProbeCompleted(outcome))
     }
 
     /// A plan of the leader came through the store: it was alive when it wrote that. Decisions do not come this way.
@@ -113,14 +113,18 @@
     }
 
     /// Another controller answered when it last heard the leader.
-    pub fn on_peer_answer(&mut self, now: MonotonicTime, answer: PeerAnswer) -> Option<Command> {
-        self.standby.as_mut()?.step(now, Event::PeerAnswered(answer))
+    pub fn on_peer_observation(
+        &mut self,
+        now: MonotonicTime,
+        answer: PeerObservation,
+    ) -> Option<FailoverCommand> {
+        self.standby.as_mut()?.step(now, FailoverEvent::PeerObserved(answer))
     }
 
     /// The leader's key has ended with its lease, and this controller runs for the next term.
-    pub fn on_leader_lease_ended(&mut self, now: MonotonicTime) {
+    pub fn on_leader_lease_expired(&mut self, now: MonotonicTime) {
         if let Some(standby) = &mut self.standby {
-            standby.step(now, Event::LeaseEnded);
+            standby.step(now, FailoverEvent::LeaseExpired);
         }
     }
 
@@ -160,15 +164,15 @@
     pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
         let followed = standby.followed();
-        let shown = Event::ReplicaShows { term, mine: true };
-        let verifies = standby.step(now.steady, shown) == Some(Command::Verify(term));
+        let shown = FailoverEvent::ReplicaShows { term, mine: true };
+        let verifies = standby.step(now.steady, shown) == Some(FailoverCommand::Verify(term));
         let counts = verifies.then(|| {
             let state = standby.mirror().state();
             let counts = self.with_leader(now, |leader, cluster| leader.take_hints(cluster, state));
             counts.unwrap_or_default()
         });
         standby.begin_leading(now.steady, term, counts);
-        if standby.failed_over_by(Cause::Suspicion, term)
+        if standby.failed_over_by(FailoverCause::Suspicion, term)
             && let (Some(followed), Some(leader)) = (followed, &mut self.leader)
         {
             leader.fleet.replaced = Some(followed.node);
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -6,7 +6,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 use tracing::{debug, warn};
-use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
+use willowshore_standby::failover::{FailoverCommand, PeerObservation, ProbeOutcome};
 
 use super::Service;
 use crate::http::{CallError, Response};
@@ -17,9 +17,9 @@
 /// Time between two steps of the failure detector.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 /// How long another controller has to answer when it last heard from the leader.
-const PEER_ANSWER_LIMIT: Duration = Duration::from_millis(300);
+const PEER_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long the leader itself has to answer once it is suspected: more than for a summary, as it may only be slow.
-const PROBE_LIMIT: Duration = Duration::from_millis(700);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time without the store's answer after which the transaction that takes a term is sent a second time.
 pub(super) const FENCE_HEDGE_AFTER: Duration = Duration::from_millis(150);
 
@@ -34,13 +34,13 @@
     }
 
     /// Carries out what the failover's state machine commands.
-    async fn carry_out(self: &Rc<Self>, command: Option<Command>) {
+    async fn carry_out(self: &Rc<Self>, command: Option<FailoverCommand>) {
         match command {
-            Some(Command::ProbeLeader(term)) => self.probe_leader(term),
-            Some(Command::AskPeers(term)) => self.ask_peers_for_leader_silence(term),
-            Some(Command::Fence(term)) => self.replace_leader(term).await,
+            Some(FailoverCommand::ProbeLeader(term)) => self.probe_leader(term),
+            Some(FailoverCommand::QueryPeers(term)) => self.ask_peers_for_leader_silence(term),
+            Some(FailoverCommand::Fence(term)) => self.replace_leader(term).await,
             // The replica is compared where it shows the new term.
-            Some(Command::Verify(_)) | None => {}
+            Some(FailoverCommand::Verify(_)) | None => {}
         }
     }
 
@@ -54,7 +54,7 @@
         let service = self.clone();
         spawn_local(async move {
             let body = peer::encode(&PeerRequest::LeaderSilence(term));
-            let answer = client.call("POST", "/peer", &body, PROBE_LIMIT).await;
+            let answer = client.call("POST", "/peer", &body, PROBE_TIMEOUT).await;
             let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
                 // Another process than the leader's answers there.
                 Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
@@ -63,7 +63,8 @@
                 Err(CallError::Connect) => ProbeOutcome::Refused,
                 Err(_) => ProbeOutcome::Silent,
             };
-            let command = service.controller.borrow_mut().on_probe_outcome(service.now(), outcome);
+            let command =
+                service.controller.borrow_mut().on_probe_completed(service.now(), outcome);
             service.carry_out(command).await;
         });
     }
@@ -76,11 +77,12 @@
             let service = self.clone();
             spawn_local(async move {
                 let response = service
-                    .call_peer(node, &PeerRequest::LeaderSilence(term), PEER_ANSWER_LIMIT)
+                    .call_peer(node, &PeerRequest::LeaderSilence(term), PEER_QUERY_TIMEOUT)
                     .await;
                 let Ok(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
-                let answer = PeerAnswer { node, silence_ms };
-                let command = service.controller.borrow_mut().on_peer_answer(service.now(), answer);
+                let answer = PeerObservation { node, silence_ms };
+                let command =
+                    service.controller.borrow_mut().on_peer_observation(service.now(), answer);
                 service.carry_out(command).await;
             });
         }
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -104,7 +104,7 @@
                     }
                 }
             }
-            self.controller.borrow_mut().on_leader_lease_ended(self.now());
+            self.controller.borrow_mut().on_leader_lease_expired(self.now());
             if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "election undecided");
                 sleep(ELECTION_RETRY).await;
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -9,8 +9,10 @@
 use willowshore_standby::decision_log::{Batch, DecisionLog, FollowRequest};
 use willowshore_standby::decisions::DecisionTarget;
 use willowshore_standby::detector::HeartbeatDetector;
-use willowshore_standby::failover::{Cause, Command, Event, FailoverMachine, FenceOutcome, Phase};
-use willowshore_standby::mirror::{Mirror, Rejected};
+use willowshore_standby::failover::{
+    FailoverCause, FailoverCommand, FailoverEvent, FailoverMachine, FenceOutcome, Phase,
+};
+use willowshore_standby::mirror::{BatchRejected, Mirror};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::{FailoverStatus, Role, Status, VerificationCounts};
 
@@ -106,9 +108,9 @@
             return;
         }
         self.log = None;
-        self.detector.watch_anew(now);
+        self.detector.restart_watch(now);
         self.mirror.begin_term(leader.term);
-        self.step(now, Event::ReplicaShows { term: leader.term, mine: false });
+        self.step(now, FailoverEvent::ReplicaShows { term: leader.term, mine: false });
     }
 
     /// The leader answered a request, sent at `sent`, with a plan: a sign of life, and decisions if there were new ones.
@@ -117,7 +119,7 @@
             return;
         }
         let Some(batch) = batch else {
-            self.mirror.is_told_nothing_new();
+            self.mirror.confirm_up_to_date();
             return;
         };
         match self.mirror.accept(batch) {
@@ -125,7 +127,7 @@
             Ok(differences) => {
                 warn!(%term, ?differences, "the copy of the leader's decisions differed and was replaced");
             }
-            Err(rejected @ (Rejected::WrongTerm(_) | Rejected::Gap(_))) => {
+            Err(rejected @ (BatchRejected::WrongTerm(_) | BatchRejected::Gap(_))) => {
                 tracing::debug!(%term, reason = %rejected, "decisions were not taken");
             }
             Err(rejected) => warn!(%term, reason = %rejected, "decisions were not taken"),
@@ -142,21 +144,21 @@
         is_followed
     }
 
-    /// Advances the failure detector and the failover; `rank` as in [`Event::Tick`].
-    pub fn tick(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<Command> {
+    /// Advances the failure detector and the failover; `rank` as in [`FailoverEvent::Tick`].
+    pub fn tick(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<FailoverCommand> {
         self.detector.tick(now);
         let suspected = self.followed.is_some() && self.detector.suspects(now);
-        self.step(now, Event::Tick { suspected, rank })
+        self.step(now, FailoverEvent::Tick { suspected, rank })
     }
 
     /// Passes an event to the failover's state machine and logs a change of phase.
-    pub fn step(&mut self, now: MonotonicTime, event: Event) -> Option<Command> {
+    pub fn step(&mut self, now: MonotonicTime, event: FailoverEvent) -> Option<FailoverCommand> {
         let before = self.failover.phase();
         let command = self.failover.step(now, event);
         let after = self.failover.phase();
         if before != after {
             let term = self.failover.term();
-            let returned = self.failover.last_back().filter(|_| after == Phase::Following);
+            let returned = self.failover.last_stand_down().filter(|_| after == Phase::Following);
             match returned {
                 Some(reason) => info!(%term, from = %before, %reason, "standby: following again"),
                 None => info!(%term, from = %before, to = %after, "standby"),
@@ -184,7 +186,7 @@
         self.followed = None;
         if let Some(counts) = verification {
             self.verification = counts;
-            self.step(now, Event::Verified);
+            self.step(now, FailoverEvent::Verified);
             let taken = self.failover.last_failover().map(FailoverStatus::from);
             info!(%term, ?taken, ?counts, "standby: took over");
         }
@@ -221,11 +223,11 @@
 
     /// The transaction that takes the next term has an outcome.
     pub fn on_fence_outcome(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
-        self.step(now, Event::FenceAnswered(outcome));
+        self.step(now, FailoverEvent::FenceCompleted(outcome));
     }
 
     /// Whether the last failover led to this term and had that cause.
-    pub fn failed_over_by(&self, cause: Cause, term: Term) -> bool {
+    pub fn failed_over_by(&self, cause: FailoverCause, term: Term) -> bool {
         self.failover
             .last_failover()
             .is_some_and(|failover| failover.term == term && failover.cause == cause)
@@ -256,7 +258,7 @@
         let silence_ms =
             self.detector.silence_ms(now).filter(|_| !leads && self.followed.is_some());
         let state = self.log.as_ref().map_or(self.mirror.state(), DecisionLog::state);
-        let counts = self.mirror.counts();
+        let counts = self.mirror.counters();
         Status {
             controller,
             role,
@@ -270,7 +272,7 @@
             entries: state.len(),
             divergences: counts.divergences,
             malformed: counts.malformed,
-            last_back: self.failover.last_back().map(|reason| reason.to_string()),
+            last_stand_down: self.failover.last_stand_down().map(|reason| reason.to_string()),
             last_failover: self.failover.last_failover().map(FailoverStatus::from),
             verification: self.verification,
             refused_actions: self.refused_actions,
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -122,7 +122,7 @@
         assert!(site.controllers.logged("replacing the leader"), "no takeover was by suspicion");
         assert_eq!(status.divergences, 0);
         let old = site.controllers.status(first).await.expect("a status");
-        assert!(old.last_back.is_some(), "it says why it follows: {old:?}");
+        assert!(old.last_stand_down.is_some(), "it says why it follows: {old:?}");
         let broken = site.history.broken();
         assert!(broken.is_empty(), "{broken:?}\nlogs in {}", site.controllers.logs());
         // Every task of every job completed; none was forgotten, none ran on two machines at a time.
--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -75,7 +75,7 @@
     }
 
     /// A controller stands for the next term.
-    pub fn note_stands(&mut self, now: u64) {
+    pub fn record_candidacy(&mut self, now: u64) {
         let since = now - self.began;
         self.phases.noticed.get_or_insert(since);
     }
@@ -103,7 +103,7 @@
     }
 
     /// An answer reached a worker.
-    pub fn note_reply(
+    pub fn record_worker_response(
         &mut self,
         now: u64,
         reply: &HeartbeatResponse,
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -18,7 +18,7 @@
 use plotters::prelude::*;
 use site::{BRISK, Rhythm, SLOW};
 use willowshore_standby::settings::StandbySettings;
-use willowshore_standby::status::Durations;
+use willowshore_standby::status::DurationHistogram;
 use world::{Fault, World};
 
 /// How long the failed leader is frozen or cut off.
@@ -155,8 +155,8 @@
 }
 
 /// Median, nine of ten, and the longest of those that were seen, and how many were not.
-fn summary(times: &[Option<u64>]) -> (Durations, usize) {
-    let mut durations = Durations::default();
+fn summary(times: &[Option<u64>]) -> (DurationHistogram, usize) {
+    let mut durations = DurationHistogram::default();
     times.iter().flatten().for_each(|ms| durations.note(*ms));
     (durations, times.iter().filter(|time| time.is_none()).count())
 }
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -34,7 +34,7 @@
     world
 }
 
-/// A case of a takeover.
+/// A case of a failover.
 struct HardCase {
     name: &'static str,
     faults: Vec<(u64, Fault)>,
@@ -113,7 +113,7 @@
             false,
         ),
         case(
-            "all die after a takeover",
+            "all die after a failover",
             vec![(AT, FreezeLeader(6_000)), (AT + 1_500, WorkerCrash(1)), (AT + 3_000, CrashAll)],
             false,
         ),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn hard_cases_of_a_takeover_break_no_rule_and_lose_no_job() {
+fn hard_cases_of_a_failover_break_no_rule_and_lose_no_job() {
     let mut failovers = 0;
     for HardCase { name, faults, may_be_late } in hard_cases() {
         for seed in 1..=4 {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn gangs_bursts_and_two_versions_go_through_takeovers() {
+fn gangs_bursts_and_two_versions_go_through_failovers() {
     for seed in 1..=6 {
         for rhythm in [BRISK, SLOW] {
             for fault in [FreezeLeader(7_000), CrashLeader, CrashInEpoch(true)] {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn random_troubles_meet_takeovers() {
+fn random_troubles_meet_failovers() {
     for seed in 0..24 {
         for rhythm in [BRISK, SLOW] {
             let mut faults = world::faults::random_meetings(seed, rhythm);
@@ -241,7 +241,7 @@
     }
 }
 
-/// What the standby mirrored is the leader's state, and a takeover confirms most of it.
+/// What the standby mirrored is the leader's state, and a failover confirms most of it.
 #[test]
 fn a_successor_knows_what_the_leader_had_decided() {
     let mut confirmed = 0;
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -17,7 +17,7 @@
 use willowshore::shard::{DirectMessage, HeartbeatOutcome};
 use willowshore::store_client::TxnOutcome;
 use willowshore::wire::{Heartbeat, JobKind, JobSpec, Priority, TaskState, Txn};
-use willowshore_standby::failover::{Command, PeerAnswer, ProbeOutcome};
+use willowshore_standby::failover::{FailoverCommand, PeerObservation, ProbeOutcome};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::VerificationCounts;
 
@@ -28,9 +28,9 @@
 use crate::worker::{Answer, Change, Worker};
 
 mod controllers;
+mod failover;
 pub mod faults;
 mod scenarios;
-mod succession;
 mod users;
 
 pub use faults::Fault;
@@ -492,7 +492,7 @@
         for n in 0..3 {
             self.step_node(n);
         }
-        self.observe_takeover();
+        self.observe_failover();
         self.users();
         self.close_users();
         self.look_for_waiting();
@@ -640,7 +640,9 @@
             Message::Reply(w, sequence, answer) => {
                 if let (Answer::Take(reply), Some(trace)) = (&answer, &mut self.trace) {
                     let jobs = &self.jobs;
-                    trace.note_reply(now, reply, |job| jobs.get(&job.0).map(|j| j.priority));
+                    trace.record_worker_response(now, reply, |job| {
+                        jobs.get(&job.0).map(|j| j.priority)
+                    });
                 }
                 let changes = self.workers[w].answer(now, sequence, answer);
                 self.see(w, changes);
@@ -679,7 +681,9 @@
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
                 let steady = node.moment(now).steady;
-                if let Some(Command::Fence(_)) = node.controller.on_probe_outcome(steady, outcome) {
+                if let Some(FailoverCommand::Fence(_)) =
+                    node.controller.on_probe_completed(steady, outcome)
+                {
                     self.replace_leader(n);
                 }
             }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -215,9 +215,9 @@
             && let Some(txn) = controller.election_txn()
         {
             if let Some(trace) = &mut self.trace {
-                trace.note_stands(now);
+                trace.record_candidacy(now);
             }
-            controller.on_leader_lease_ended(moment.steady);
+            controller.on_leader_lease_expired(moment.steady);
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
--- a/tests/sim/world/succession.rs
+++ b/tests/sim/world/failover.rs
@@ -27,10 +27,10 @@
         let Ok(node) = &mut self.nodes[n] else { return };
         let steady = node.moment(now).steady;
         match node.controller.standby_tick(steady) {
-            Some(Command::ProbeLeader(_)) => self.probe_leader(n),
-            Some(Command::AskPeers(term)) => self.ask_when_leader_was_heard(n, term),
-            Some(Command::Fence(_)) => self.replace_leader(n),
-            Some(Command::Verify(_)) | None => {}
+            Some(FailoverCommand::ProbeLeader(_)) => self.probe_leader(n),
+            Some(FailoverCommand::QueryPeers(term)) => self.query_peers(n, term),
+            Some(FailoverCommand::Fence(_)) => self.replace_leader(n),
+            Some(FailoverCommand::Verify(_)) | None => {}
         }
     }
 
@@ -56,17 +56,19 @@
     }
 
     /// Asks the others when they heard the leader; answers come within the step.
-    pub(super) fn ask_when_leader_was_heard(&mut self, n: usize, term: Term) {
+    pub(super) fn query_peers(&mut self, n: usize, term: Term) {
         let now = self.now;
         for m in (0..3).filter(|m| *m != n) {
             let reached =
                 self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < now + 100);
             let Some(peer) = self.awake(m).filter(|_| reached && !self.old[m]) else { continue };
             let silence_ms = peer.controller.leader_silence_ms(peer.moment(now).steady, term);
-            let answer = PeerAnswer { node: NodeId(m as u8), silence_ms };
+            let answer = PeerObservation { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
             let steady = node.moment(now).steady;
-            if let Some(Command::Fence(_)) = node.controller.on_peer_answer(steady, answer) {
+            if let Some(FailoverCommand::Fence(_)) =
+                node.controller.on_peer_observation(steady, answer)
+            {
                 return self.replace_leader(n);
             }
         }
@@ -75,7 +77,7 @@
     pub(super) fn replace_leader(&mut self, n: usize) {
         let now = self.now;
         if let Some(trace) = &mut self.trace {
-            trace.note_stands(now);
+            trace.record_candidacy(now);
         }
         let txn = self.nodes[n].as_ref().ok().and_then(|node| node.controller.election_txn());
         if let Some(txn) = txn {
@@ -98,7 +100,7 @@
     }
 
     /// Follows a change of leader.
-    pub(super) fn observe_takeover(&mut self) {
+    pub(super) fn observe_failover(&mut self) {
         let leader = self.nodes.iter().flatten().filter(|node| node.frozen.is_none());
         let leader = leader.filter(|node| node.controller.leader.is_some());
         let leader = leader.max_by_key(|node| node.controller.leader.as_ref().map(|l| l.term));
@@ -121,12 +123,12 @@
         }
     }
 
-    /// What the leader's last takeover found of the mirrored records, and how many copies had not matched.
+    /// What the leader's last failover found of the mirrored records, and how many copies had not matched.
     pub fn verification_of_leader(&self) -> (VerificationCounts, u64) {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let standby = node.and_then(|node| node.controller.standby.as_ref());
         standby.map_or_else(Default::default, |standby| {
-            (standby.verification(), standby.mirror().counts().divergences)
+            (standby.verification(), standby.mirror().counters().divergences)
         })
     }
 
@@ -135,6 +137,6 @@
     pub fn log_of_leader(&self) -> (u64, usize, usize) {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let log = node.and_then(|node| node.controller.standby.as_ref()?.log());
-        log.map_or((0, 0, 0), |log| (log.bytes_sent(), log.kept(), log.state().len()))
+        log.map_or((0, 0, 0), |log| (log.bytes_sent(), log.retained(), log.state().len()))
     }
 }
