--- a/crates/standby/src/decisions.rs
+++ b/crates/standby/src/decisions.rs
@@ -3,6 +3,9 @@
 //! The leader and its standbys hold the same [`DecisionState`] and change it by the same code. The leader compares its
 //! state with what it is to be and gets the records that lead there ([`DecisionState::changes_to`]), so no place where
 //! it decides can forget to record that; the standby applies them. A digest tells whether both hold the same.
+//!
+//! Invariant: a state and its digest depend only on the entries, not on the order in which decisions were applied. What
+//! the records say is a hint to the next leader (`docs/safety.md`, "Replacing a leader that is not heard").
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,11 +49,11 @@
 /// What the leader decided about a job in its last epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Admission {
-    /// Tasks that it may have at a time; 0 while it waits below the waterline.
+    /// Tasks that it may run at a time; 0 while it waits below the admission threshold.
     pub share: u32,
 }
 
-/// A kind of machine that can be rented.
+/// A kind of machine that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MachineOfferRecord {
     /// The machine type.
@@ -61,19 +64,19 @@
     pub spot: bool,
 }
 
-/// How long a class's tasks run, compared with their owners' estimates.
+/// How long a class's tasks run, relative to their users' estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunTimeRatio {
-    /// Sum of the ratios, which fade.
+    /// Weighted sum of the ratios; older ones weigh less.
     pub sum: f64,
-    /// Their weight.
+    /// Sum of the weights.
     pub weight: f64,
 }
 
-/// How long tasks run on a machine, compared with others of their jobs.
+/// How long tasks run on a machine, relative to others of their jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineSpeed {
-    /// The ratio.
+    /// Run time here divided by that elsewhere.
     pub ratio: f64,
     /// Tasks that were compared.
     pub tasks: u32,
@@ -100,24 +103,24 @@
 pub enum Decision {
     /// A job was admitted with a share, or waits.
     Admitted(JobNumber, Option<Admission>),
-    /// A task was granted to a controller's part; the grant was used up or taken back.
+    /// A task was granted to a controller's shard; the grant was used up or revoked.
     Granted(TaskNumber, Option<NodeId>),
     /// A gang took a step, or is over.
     Gang(JobNumber, Option<GangStep>),
-    /// A machine was rented and is not up; it is up, or gone.
+    /// A machine was added by scaling out and is not up yet; `None` once it is up, or removed.
     #[serde(rename = "Rented")]
     ScaledOut(MachineId, Option<MachineOfferRecord>),
-    /// A machine takes nothing new and is returned once it is empty; it is gone, or stays.
+    /// A machine is cordoned and returned once it is empty; `None` once it is removed, or stays.
     Returning(MachineId, Option<Mark>),
-    /// A class's run times were learned.
+    /// A class's run times were measured.
     RunTime(String, Option<RunTimeRatio>),
-    /// A machine's speed was learned.
+    /// A machine's speed was measured.
     Speed(MachineId, Option<MachineSpeed>),
-    /// An offer was refused until then, by the time of day.
+    /// The cloud refused an offer, which is not tried again before this time of day.
     Refused(MachineOfferRecord, Option<WallTime>),
-    /// A job has had no task anywhere since then, by the time of day.
+    /// A job has had no running task since this time of day.
     Waiting(JobNumber, Option<WallTime>),
-    /// A machine is kept for gangs.
+    /// A machine is reserved for gangs.
     #[serde(rename = "Kept")]
     Reserved(MachineId, Option<Mark>),
 }
@@ -148,10 +151,10 @@
     }
 
     fn changes_to(&self, target: &BTreeMap<K, V>) -> Vec<(K, Option<V>)> {
-        let gone = self.entries.keys().filter(|key| !target.contains_key(*key));
-        let mut changes: Vec<(K, Option<V>)> = gone.map(|key| (key.clone(), None)).collect();
-        let new = target.iter().filter(|(key, value)| self.entries.get(*key) != Some(*value));
-        changes.extend(new.map(|(key, value)| (key.clone(), Some(value.clone()))));
+        let removed = self.entries.keys().filter(|key| !target.contains_key(*key));
+        let mut changes: Vec<(K, Option<V>)> = removed.map(|key| (key.clone(), None)).collect();
+        let updated = target.iter().filter(|(key, value)| self.entries.get(*key) != Some(*value));
+        changes.extend(updated.map(|(key, value)| (key.clone(), Some(value.clone()))));
         changes
     }
 
@@ -168,28 +171,28 @@
     })
 }
 
-/// What the leader's decisions are to add up to.
+/// The state that the leader's decisions are to lead to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DecisionTarget {
     /// Shares of jobs.
     pub admissions: BTreeMap<JobNumber, Admission>,
-    /// Tasks that are granted, and to which controller's part.
+    /// Tasks that are granted, and to which controller's shard.
     pub grants: BTreeMap<TaskNumber, NodeId>,
     /// Gangs under way.
     pub gangs: BTreeMap<JobNumber, GangStep>,
-    /// Machines that were rented and are not up.
+    /// Machines that were added and are not up yet.
     pub provisioning: BTreeMap<MachineId, MachineOfferRecord>,
-    /// Machines that are to be returned.
+    /// Machines that are returned once they are empty.
     pub returning: BTreeSet<MachineId>,
     /// Run times by class.
     pub run_times: BTreeMap<String, RunTimeRatio>,
     /// Speeds of machines.
     pub speeds: BTreeMap<MachineId, MachineSpeed>,
-    /// Offers that were refused.
+    /// Offers that the cloud refused, and until when they are not tried again.
     pub refusals: BTreeMap<MachineOfferRecord, WallTime>,
-    /// Jobs without a task anywhere.
+    /// Jobs without a running task, and since when.
     pub waiting: BTreeMap<JobNumber, WallTime>,
-    /// Machines kept for gangs.
+    /// Machines reserved for gangs.
     pub reserved: BTreeSet<MachineId>,
 }
 
@@ -198,23 +201,23 @@
 pub struct DecisionState {
     /// Shares of jobs.
     pub admissions: Table<JobNumber, Admission>,
-    /// Tasks that are granted, and to which controller's part.
+    /// Tasks that are granted, and to which controller's shard.
     pub grants: Table<TaskNumber, NodeId>,
     /// Gangs under way.
     pub gangs: Table<JobNumber, GangStep>,
-    /// Machines that were rented and are not up.
+    /// Machines that were added and are not up yet.
     pub provisioning: Table<MachineId, MachineOfferRecord>,
-    /// Machines that are to be returned.
+    /// Machines that are returned once they are empty.
     pub returning: Table<MachineId, Mark>,
     /// Run times by class.
     pub run_times: Table<String, RunTimeRatio>,
     /// Speeds of machines.
     pub speeds: Table<MachineId, MachineSpeed>,
-    /// Offers that were refused.
+    /// Offers that the cloud refused, and until when they are not tried again.
     pub refusals: Table<MachineOfferRecord, WallTime>,
-    /// Jobs without a task anywhere.
+    /// Jobs without a running task, and since when.
     pub waiting: Table<JobNumber, WallTime>,
-    /// Machines kept for gangs.
+    /// Machines reserved for gangs.
     pub reserved: Table<MachineId, Mark>,
 }
 
@@ -260,12 +263,12 @@
         changes
     }
 
-    /// All of it as decisions, in an order that only depends on what it holds.
+    /// The state as decisions, in an order that only depends on its entries.
     pub fn decisions(&self) -> Vec<Decision> {
         DecisionState::default().changes_to(&self.target())
     }
 
-    /// What this state holds, as a target.
+    /// This state as a target.
     pub fn target(&self) -> DecisionTarget {
         DecisionTarget {
             admissions: self.admissions.entries.clone(),
@@ -281,7 +284,8 @@
         }
     }
 
-    /// A digest of all of it. Each kind is turned by another amount, so that entries of two kinds don't cancel out.
+    /// A digest of the state. Each table's digest is rotated by another amount, so that entries of two kinds don't
+    /// cancel out.
     pub fn digest(&self) -> u64 {
         let digests = [
             self.admissions.digest,
@@ -295,8 +299,8 @@
             self.waiting.digest,
             self.reserved.digest,
         ];
-        let turned = digests.iter().zip((1..).step_by(5));
-        turned.fold(0, |sum: u64, (digest, by)| sum ^ digest.rotate_left(by))
+        let rotated = digests.iter().zip((1..).step_by(5));
+        rotated.fold(0, |sum: u64, (digest, by)| sum ^ digest.rotate_left(by))
     }
 
     /// How many entries it holds.
--- a/crates/standby/src/detector.rs
+++ b/crates/standby/src/detector.rs
@@ -18,7 +18,7 @@
 /// spread would suspect the first late packet.
 const MIN_DEVIATION_MS: f64 = 60.0;
 /// Intervals that have to be known before phi is computed from them.
-const MIN_SAMPLES: usize = 10;
+pub(crate) const MIN_SAMPLES: usize = 10;
 /// This process was stopped or starved if its own timer came that much late, in milliseconds. Its silence then says
 /// nothing about the leader.
 const LOCAL_PAUSE_MS: u64 = 400;
--- a/crates/standby/src/failover/outcome.rs
+++ b/crates/standby/src/failover/outcome.rs
@@ -50,6 +50,15 @@
     LeaseExpired,
 }
 
+impl fmt::Display for FailoverCause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            FailoverCause::Suspicion => "a majority did not hear the leader",
+            FailoverCause::LeaseExpired => "the leader's lease ended",
+        })
+    }
+}
+
 /// When the phases of a failover were over, by this controller's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailoverTimeline {
--- a/crates/standby/src/failover_order.rs
+++ b/crates/standby/src/failover_order.rs
@@ -1,8 +1,11 @@
-//! The order in which controllers replace a leader, the same at each of them.
+//! The order in which controllers replace a leader.
+//!
+//! Each computes it from the replica and the settings, so all get the same ranks once their replicas agree. While they
+//! don't, two may try at the same time, and the transaction's conditions let one of them through.
 
 use willowshore_model::NodeId;
 
-/// A controller as far as the failover order needs it.
+/// A controller of the site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The controller.
@@ -16,14 +19,17 @@
 /// The rank of a controller among those that may replace the leader, from 0; `None` if it may not. Controllers in
 /// another zone than the leader's come first: what stopped the leader may have stopped its zone.
 pub fn rank_of(node: NodeId, leader: NodeId, candidates: &[Candidate]) -> Option<u64> {
-    let leaders_zone = candidates.iter().find(|c| c.node == leader).map(|c| c.zone.as_str());
+    let leaders_zone = candidates
+        .iter()
+        .find(|candidate| candidate.node == leader)
+        .map(|candidate| candidate.zone.as_str());
     let mut order: Vec<(bool, NodeId)> = candidates
         .iter()
-        .filter(|c| c.eligible && c.node != leader)
-        .map(|c| (Some(c.zone.as_str()) == leaders_zone, c.node))
+        .filter(|candidate| candidate.eligible && candidate.node != leader)
+        .map(|candidate| (Some(candidate.zone.as_str()) == leaders_zone, candidate.node))
         .collect();
     order.sort_unstable();
-    order.iter().position(|(_, candidate)| *candidate == node).map(|rank| rank as u64)
+    order.iter().position(|(_, ranked)| *ranked == node).map(|rank| rank as u64)
 }
 
 #[cfg(test)]
--- a/crates/standby/src/settings.rs
+++ b/crates/standby/src/settings.rs
@@ -1,11 +1,13 @@
-//! The settings of the standby, as a file under `deploy/` gives them.
+//! The settings of the standby (`deploy/standby.toml`), and whether they fit the site.
 
 use serde::Deserialize;
 use thiserror::Error;
 
+use crate::detector::MIN_SAMPLES;
+
 /// Heartbeats that may be lost before the leader can be suspected.
 const MIN_HEARTBEATS: u64 = 3;
-/// Least size of the window from which a standby catches up without a snapshot.
+/// Lower bound of the window, in records, from which a standby catches up without a snapshot.
 const MIN_WINDOW: usize = 64;
 
 /// Why the settings of the standby cannot be used.
@@ -24,20 +26,20 @@
 pub struct StandbySettings {
     /// Names of the controllers that may replace the leader; all if there are none.
     pub controllers: Vec<String>,
-    /// The leader is never suspected before it was silent for that long, in milliseconds.
+    /// The leader is never suspected before this silence, in milliseconds.
     pub suspect_after_min_ms: u64,
-    /// It is always suspected after that long, in milliseconds.
+    /// It is always suspected after this silence, in milliseconds.
     pub suspect_after_max_ms: u64,
     /// In between, it is suspected from this value of phi on: 8 is one false suspicion in 10^8 heartbeats, if
     /// they come as they did before.
     pub phi: f64,
     /// Heartbeats whose intervals are remembered.
     pub samples: usize,
-    /// How much longer the next controller in rank waits before it asks the others, in milliseconds.
+    /// How much longer each further rank waits before it queries the others, in milliseconds.
     pub rank_delay_ms: u64,
-    /// Decisions that the leader keeps for standbys that are behind.
+    /// Decisions that the leader retains for standbys that are behind.
     pub window_records: usize,
-    /// Most decisions in one message.
+    /// Most decisions in one batch.
     pub batch_records: usize,
 }
 
@@ -56,12 +58,12 @@
     }
 }
 
-/// What the settings have to fit to.
+/// The site that the settings have to fit.
 #[derive(Clone, Debug)]
 pub struct Site<'a> {
     /// Names of all controllers of the site.
     pub controllers: Vec<&'a str>,
-    /// The leader's lease in the state service, in milliseconds: without a standby it is replaced after that.
+    /// The leader's lease in the state service, in milliseconds: without a standby the leader is replaced once it expires.
     pub leader_lease_ms: u64,
     /// Longest usual time between two heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
@@ -69,6 +71,10 @@
 
 impl StandbySettings {
     /// Checks the settings against the site.
+    ///
+    /// # Errors
+    ///
+    /// The first field that does not fit, and why.
     pub fn check(&self, site: &Site<'_>) -> Result<(), SettingsError> {
         self.check_controllers(site)?;
         self.check_bounds(site)?;
@@ -85,9 +91,9 @@
     }
 
     fn check_bounds(&self, site: &Site<'_>) -> Result<(), SettingsError> {
-        let least = site.heartbeat_ms * MIN_HEARTBEATS;
-        if self.suspect_after_min_ms < least {
-            let reason = format!("must be {least} or more, {MIN_HEARTBEATS} heartbeats");
+        let min_ms = site.heartbeat_ms * MIN_HEARTBEATS;
+        if self.suspect_after_min_ms < min_ms {
+            let reason = format!("must be {min_ms} or more, {MIN_HEARTBEATS} heartbeats");
             return error("standby.suspect_after_min_ms", reason);
         }
         if self.suspect_after_max_ms < self.suspect_after_min_ms {
@@ -106,8 +112,8 @@
         if !(self.phi.is_finite() && self.phi >= 1.0) {
             return error("standby.phi", "must be a number of 1 or more".into());
         }
-        if self.samples < 10 {
-            return error("standby.samples", "must be 10 or more".into());
+        if self.samples < MIN_SAMPLES {
+            return error("standby.samples", format!("must be {MIN_SAMPLES} or more"));
         }
         if self.rank_delay_ms < site.heartbeat_ms {
             let reason = format!("must be {} or more, a heartbeat", site.heartbeat_ms);
@@ -126,7 +132,7 @@
         Ok(())
     }
 
-    /// Whether that controller may replace the leader.
+    /// Whether the controller of that name may replace the leader.
     pub fn allows(&self, controller: &str) -> bool {
         self.controllers.is_empty() || self.controllers.iter().any(|name| name == controller)
     }
--- a/crates/standby/src/settings/tests.rs
+++ b/crates/standby/src/settings/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn settings_that_cannot_hold_are_refused_by_field() {
+fn settings_that_do_not_fit_the_site_are_refused_by_field() {
     let cases = [
         ("", None),
         ("controllers = [\"host-1\"]", None),
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -1,11 +1,12 @@
-//! What operators are shown of a controller's part in the warm standby.
+//! The status of a controller's warm standby, for operators: JSON, and the lines that the command line prints
+//! (`docs/standby.md`). Names in the JSON and the texts of the lines are an interface and stay.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::failover::{Failover, FailoverCause};
+use crate::failover::Failover;
 
-/// Longest duration that is told apart, in milliseconds.
+/// Longest duration that a histogram tells apart, in milliseconds; longer ones count as this.
 const MAX_RECORDABLE_MS: u64 = 600_000;
 
 /// A controller's role.
@@ -16,11 +17,11 @@
     Leader,
     /// It follows the leader's decisions and may replace it.
     Standby,
-    /// It may not replace the leader.
+    /// It follows, but may not replace the leader.
     Observer,
 }
 
-/// A failover and how long its phases took.
+/// A completed failover and how long its phases took.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverStatus {
     /// The term that was taken.
@@ -29,24 +30,20 @@
     pub cause: String,
     /// Milliseconds from the suspicion until the transaction was sent.
     pub agreeing_ms: u64,
-    /// Milliseconds until it was answered.
+    /// Milliseconds from there until its response.
     pub fencing_ms: u64,
-    /// Milliseconds until the replica showed the term.
+    /// Milliseconds from there until the replica showed the term.
     pub catching_up_ms: u64,
-    /// Milliseconds until what was mirrored had been compared.
+    /// Milliseconds from there until the mirrored decisions had been compared.
     pub verifying_ms: u64,
 }
 
 impl From<Failover> for FailoverStatus {
     fn from(failover: Failover) -> Self {
         let timeline = failover.timeline;
-        let cause = match failover.cause {
-            FailoverCause::Suspicion => "a majority did not hear the leader",
-            FailoverCause::LeaseExpired => "the leader's lease ended",
-        };
         FailoverStatus {
             term: failover.term.0,
-            cause: cause.into(),
+            cause: failover.cause.to_string(),
             agreeing_ms: timeline.fencing.since(timeline.suspected),
             fencing_ms: timeline.fenced.since(timeline.fencing),
             catching_up_ms: timeline.caught_up.since(timeline.fenced),
@@ -55,53 +52,53 @@
     }
 }
 
-/// Mirrored records compared with the state service at a failover.
+/// Mirrored records compared with the replica at a failover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerificationCounts {
-    /// Records that the state service confirms.
+    /// Records that the replica confirms.
     pub confirmed: u64,
-    /// Records that it does not, which were dropped.
+    /// Records that it does not confirm, which were dropped.
     pub dropped: u64,
-    /// Records of which it says nothing, used as hints only.
+    /// Records about which it says nothing, used as hints only.
     pub hints: u64,
 }
 
-/// All that is shown.
+/// The status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The controller's name.
     pub controller: String,
     /// Its role.
     pub role: Role,
-    /// Where it stands on the way to leading.
+    /// The phase of its failover.
     pub phase: String,
-    /// The term that it knows.
+    /// The newest term that it knows.
     pub term: u64,
-    /// The leader's name, if it knows one.
+    /// The leader's name; `None` if it knows no leader.
     pub leader: Option<String>,
-    /// Milliseconds since the leader was heard.
+    /// Milliseconds since the leader's last heartbeat; `None` while this controller leads, or before the first one.
     pub leader_silent_ms: Option<u64>,
-    /// How improbable that is, see [`crate::detector`].
+    /// How improbable that silence is, see [`crate::detector`].
     pub phi: f64,
     /// Decisions that the copy lacks.
     pub lag_records: u64,
-    /// How old the newest decision in it is, if it lacks some, in seconds.
+    /// Age of the newest decision in the copy, in seconds; 0 if it lacks none.
     pub lag_s: f64,
     /// Entries of the copy, or of the leader's own log.
     pub entries: usize,
-    /// Copies that did not match the leader's.
+    /// Copies that did not match the leader's state.
     pub divergences: u64,
-    /// Messages of decisions that could not be read.
+    /// Malformed batches.
     pub malformed: u64,
-    /// Why it went back to following last.
+    /// Why it last went back to following.
     #[serde(rename = "last_back")]
     pub last_stand_down: Option<String>,
-    /// The last failover.
+    /// The last failover that this controller completed.
     #[serde(rename = "last_takeover")]
     pub last_failover: Option<FailoverStatus>,
     /// What the last failover found of the mirrored records.
     pub verification: VerificationCounts,
-    /// Actions of this controller that were refused because it no longer led.
+    /// Actions that this controller gave up because it no longer led.
     pub refused_actions: u64,
 }
 
@@ -125,25 +122,30 @@
             ),
             format!("refused actions of an old leader: {}", self.refused_actions),
         ];
-        if let Some(back) = &self.last_stand_down {
-            lines.push(format!("back to following: {back}"));
+        if let Some(reason) = &self.last_stand_down {
+            lines.push(format!("back to following: {reason}"));
         }
-        if let Some(t) = &self.last_failover {
-            let v = self.verification;
+        if let Some(failover) = &self.last_failover {
+            let found = self.verification;
             lines.push(format!(
                 "last takeover: term {}, {}; agreeing {} ms, fencing {} ms, catching up {} ms, verifying {} ms",
-                t.term, t.cause, t.agreeing_ms, t.fencing_ms, t.catching_up_ms, t.verifying_ms
+                failover.term,
+                failover.cause,
+                failover.agreeing_ms,
+                failover.fencing_ms,
+                failover.catching_up_ms,
+                failover.verifying_ms
             ));
             lines.push(format!(
                 "mirrored records: {} confirmed, {} dropped, {} hints",
-                v.confirmed, v.dropped, v.hints
+                found.confirmed, found.dropped, found.hints
             ));
         }
         lines
     }
 }
 
-/// How long something took over many times.
+/// The distribution of many durations.
 #[derive(Clone, Debug)]
 pub struct DurationHistogram(Histogram<u64>);
 
@@ -157,23 +159,23 @@
 }
 
 impl DurationHistogram {
-    /// Notes one duration in milliseconds.
-    pub fn note(&mut self, ms: u64) {
+    /// Records a duration in milliseconds.
+    pub fn record(&mut self, ms: u64) {
         self.0.saturating_record(ms);
     }
 
-    /// How many were noted.
+    /// How many were recorded.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The duration that so many of a hundred do not exceed.
+    /// The duration in milliseconds that so many percent of them do not exceed.
     pub fn percentile(&self, percent: f64) -> u64 {
         self.0.value_at_percentile(percent)
     }
 
-    /// The longest one.
-    pub fn longest(&self) -> u64 {
+    /// The longest one in milliseconds.
+    pub fn max(&self) -> u64 {
         self.0.max()
     }
 }
--- a/crates/standby/src/status/tests.rs
+++ b/crates/standby/src/status/tests.rs
@@ -3,7 +3,7 @@
 use willowshore_model::{MonotonicTime, Term};
 
 use super::*;
-use crate::failover::FailoverTimeline;
+use crate::failover::{FailoverCause, FailoverTimeline};
 
 #[test]
 fn a_failover_is_shown_by_its_phases() {
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn durations_are_told_by_percentile() {
+fn durations_are_summarized_by_percentile() {
     let mut durations = DurationHistogram::default();
-    (1..=100).for_each(|ms| durations.note(ms));
-    durations.note(u64::MAX);
+    (1..=100).for_each(|ms| durations.record(ms));
+    durations.record(u64::MAX);
     assert_eq!(durations.count(), 101);
     assert_eq!(durations.percentile(50.0), 51);
-    assert!(durations.longest() >= MAX_RECORDABLE_MS);
+    assert!(durations.max() >= MAX_RECORDABLE_MS);
 }
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -157,7 +157,7 @@
 /// Median, nine of ten, and the longest of those that were seen, and how many were not.
 fn summary(times: &[Option<u64>]) -> (DurationHistogram, usize) {
     let mut durations = DurationHistogram::default();
-    times.iter().flatten().for_each(|ms| durations.note(*ms));
+    times.iter().flatten().for_each(|ms| durations.record(*ms));
     (durations, times.iter().filter(|time| time.is_none()).count())
 }
 
@@ -168,7 +168,7 @@
         for (phase, times) in PHASES.iter().zip(&outcome.phases) {
             let (d, unseen) = summary(times);
             let (half, most) = (d.percentile(50.0), d.percentile(90.0));
-            let longest = d.longest();
+            let longest = d.max();
             let _ = writeln!(
                 text,
                 "  {phase:20} p50 {half:6} p90 {most:6} max {longest:6} ms, {unseen} not seen"
