--- a/crates/standby/src/detector.rs
+++ b/crates/standby/src/detector.rs
@@ -14,8 +14,8 @@
 
 use crate::settings::StandbySettings;
 
-/// Lower bound of the standard deviation of the intervals in milliseconds: timers fire in steps, and a distribution without any
-/// spread would suspect the first late packet.
+/// Lower bound of the standard deviation of the intervals in milliseconds: timers fire in steps, and a distribution
+/// without any spread would suspect the first late packet.
 const MIN_DEVIATION_MS: f64 = 60.0;
 /// Intervals that have to be known before phi is computed from them.
 pub(crate) const MIN_SAMPLES: usize = 10;
@@ -36,8 +36,8 @@
     capacity: usize,
     /// The last intervals between heartbeats, oldest first, in milliseconds.
     intervals: VecDeque<u64>,
-    /// From when the silence counts: when the last request was sent that the leader responded to, or since then the watch
-    /// was restarted or this process was paused. `None` before the first heartbeat.
+    /// From when the silence counts: when the last request was sent that the leader responded to, or since then the
+    /// watch was restarted or this process was paused. `None` before the first heartbeat.
     last_heartbeat: Option<MonotonicTime>,
     /// When this process last ran [`HeartbeatDetector::tick`].
     last_tick: Option<MonotonicTime>,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// The leader responded to a request that was sent at `sent`. The time of sending counts, as the leader was alive at
-    /// some time after it; responses that come out of order count once.
+    /// The leader responded to a request that was sent at `sent`. The time of sending counts, as the leader was alive
+    /// at some time after it; responses that come out of order count once.
     pub fn record_heartbeat(&mut self, sent: MonotonicTime) {
         if let Some(last_heartbeat) = self.last_heartbeat {
             if sent <= last_heartbeat {
--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -1,7 +1,7 @@
 //! The way of a standby from following the leader to leading, as a state machine without I/O.
 //!
-//! [`FailoverMachine`] takes a [`FailoverEvent`] with the time and returns the [`FailoverCommand`] that the caller is to
-//! carry out. It owns the phase, the suspicion's evidence and the times of the failover; it never leads by itself:
+//! [`FailoverMachine`] takes a [`FailoverEvent`] with the time and returns the [`FailoverCommand`] that the caller is
+//! to carry out. It owns the phase, the suspicion's evidence and the times of the failover; it never leads by itself:
 //! leadership is taken by the transaction that [`FailoverCommand::Fence`] asks for, and held once the replica shows it.
 //!
 //! ```text
@@ -47,13 +47,13 @@
 //!
 //! # Why a suspicion alone changes nothing
 //!
-//! The leader itself is probed once more, with more time than a heartbeat has: a loaded leader is slow, and replacing it
-//! would add to its load. It is fenced, by a transaction that takes the next term and is guarded by the leader's key,
-//! only if it does not respond and a majority of all controllers, this one included, does not hear it. So a controller
-//! that is partitioned from the others never replaces a leader that serves them, and two controllers that do not hear
-//! each other do not replace each other in turn. Where no such majority can be had, the leader's lease in the state
-//! service decides, as it does without a standby. The argument is in `docs/safety.md`, "Replacing a leader that is not
-//! heard"; nothing that this machine assumes can break a rule, as the transaction's conditions decide.
+//! The leader itself is probed once more, with more time than a heartbeat has: a loaded leader is slow, and replacing
+//! it would add to its load. It is fenced, by a transaction that takes the next term and is guarded by the leader's
+//! key, only if it does not respond and a majority of all controllers, this one included, does not hear it. So a
+//! controller that is partitioned from the others never replaces a leader that serves them, and two controllers that do
+//! not hear each other do not replace each other in turn. Where no such majority can be had, the leader's lease in the
+//! state service decides, as it does without a standby. The argument is in `docs/safety.md`, "Replacing a leader that
+//! is not heard"; nothing that this machine assumes can break a rule, as the transaction's conditions decide.
 
 mod command;
 mod event;
--- a/crates/standby/src/failover/machine.rs
+++ b/crates/standby/src/failover/machine.rs
@@ -1,4 +1,5 @@
-//! The state machine itself: one method for each phase, and one for what the replica shows, which counts in all of them.
+//! The state machine itself: one method for each phase, and one for what the replica shows, which counts in all of
+//! them.
 
 use std::collections::BTreeMap;
 
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -15,8 +15,8 @@
 //!
 //! # Hints and proofs
 //!
-//! Nothing here proves anything. Suspicions, probes and observations of peers decide only whether a failover is tried; a
-//! standby leads by the same guarded transaction as any other controller, once its replica shows the term. Mirrored
+//! Nothing here proves anything. Suspicions, probes and observations of peers decide only whether a failover is tried;
+//! a standby leads by the same guarded transaction as any other controller, once its replica shows the term. Mirrored
 //! decisions are hints that the new leader confirms by its replica or drops. The argument is in `docs/safety.md`,
 //! "Replacing a leader that is not heard".
 
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -15,7 +15,8 @@
 use crate::decisions::{Decision, DecisionState};
 use crate::payload::{PayloadError, unpack};
 
-/// Most differences that are reported of one divergence: some are enough to find its cause, and they go into a log line.
+/// Most differences that are reported of one divergence: some are enough to find its cause, and they go into a log
+/// line.
 const MAX_REPORTED_DIFFERENCES: usize = 8;
 
 /// What is wrong with a malformed batch.
@@ -148,7 +149,8 @@
         self.applied.term == term && !self.needs_snapshot && self.lag_records() == 0
     }
 
-    /// Follows the leader of a term from its beginning. Nothing changes if that term, or a later one, is followed already.
+    /// Follows the leader of a term from its beginning. Nothing changes if that term, or a later one, is followed
+    /// already.
     pub fn begin_term(&mut self, term: Term) {
         if term <= self.applied.term {
             return;
--- a/crates/standby/src/settings.rs
+++ b/crates/standby/src/settings.rs
@@ -63,7 +63,8 @@
 pub struct Site<'a> {
     /// Names of all controllers of the site.
     pub controllers: Vec<&'a str>,
-    /// The leader's lease in the state service, in milliseconds: without a standby the leader is replaced once it expires.
+    /// The leader's lease in the state service, in milliseconds: without a standby the leader is replaced once it
+    /// expires.
     pub leader_lease_ms: u64,
     /// Longest usual time between two heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -132,7 +132,7 @@
 
     /// Applies what another leader's decisions are good for once the replica has been asked about them. None of it is
     /// needed, and nothing of it says where a task is.
-    pub fn take_hints(
+    pub fn apply_hints(
         &mut self,
         cluster: &ClusterView<'_>,
         state: &DecisionState,
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -1,4 +1,9 @@
-//! The loop of the warm standby: watches the leader, asks the other controllers, and replaces it.
+//! The loop of the warm standby: ticks the failover's state machine and executes its commands, each as a message or a
+//! transaction whose outcome goes back to the controller.
+//!
+//! Responses of the leader and of peers are hints. Two things here prove something: the commit of the election's
+//! transaction, whose effect the replica then shows, and that of [`Service::still_leads`]. The argument is in
+//! `docs/safety.md`, "Replacing a leader that is not heard".
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,37 +19,38 @@
 use crate::peer::{self, PeerRequest, PeerResponse};
 use crate::store_client::TxnOutcome;
 
-/// Time between two steps of the failure detector.
+/// Time between two ticks of the failure detector: short beside the least silence that it suspects.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// How long another controller has to answer when it last heard from the leader.
+/// How long another controller has to respond when it last heard the leader; it is queried again after that.
 const PEER_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the leader itself has to answer once it is suspected: more than for a summary, as it may only be slow.
+/// How long the leader has to respond to the probe: longer than to a summary, as it may only be slow.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time without the store's answer after which the transaction that takes a term is sent a second time.
+/// Time without the store's response after which the transaction that takes a term is sent a second time; its
+/// conditions let only one of the two commit.
 pub(super) const FENCE_HEDGE_AFTER: Duration = Duration::from_millis(150);
 
 impl Service {
-    /// Watches the leader while the warm standby is enabled.
+    /// Ticks the failover; runs only while the warm standby is enabled.
     pub(super) async fn watch_leader(self: Rc<Self>) {
         loop {
             sleep(LEADER_CHECK_PERIOD).await;
             let command = self.controller.borrow_mut().standby_tick(self.now());
-            self.carry_out(command).await;
+            self.execute(command).await;
         }
     }
 
-    /// Carries out what the failover's state machine commands.
-    async fn carry_out(self: &Rc<Self>, command: Option<FailoverCommand>) {
+    /// Executes a command of the failover's state machine.
+    async fn execute(self: &Rc<Self>, command: Option<FailoverCommand>) {
         match command {
             Some(FailoverCommand::ProbeLeader(term)) => self.probe_leader(term),
-            Some(FailoverCommand::QueryPeers(term)) => self.ask_peers_for_leader_silence(term),
-            Some(FailoverCommand::Fence(term)) => self.replace_leader(term).await,
+            Some(FailoverCommand::QueryPeers(term)) => self.query_peers(term),
+            Some(FailoverCommand::Fence(term)) => self.fence_leader(term).await,
             // The replica is compared where it shows the new term.
             Some(FailoverCommand::Verify(_)) | None => {}
         }
     }
 
-    /// Asks the leader itself whether it is alive.
+    /// Probes the leader. Any response shows that the process lives, which is all that is asked.
     fn probe_leader(self: &Rc<Self>, term: Term) {
         let leader =
             self.controller.borrow().replica.leader.as_ref().map(|leader| leader.value.node);
@@ -54,46 +60,49 @@
         let service = self.clone();
         spawn_local(async move {
             let body = peer::encode(&PeerRequest::LeaderSilence(term));
-            let answer = client.call("POST", "/peer", &body, PROBE_TIMEOUT).await;
-            let outcome = match answer.map(|answer| peer::decode::<PeerResponse>(&answer.body)) {
-                // Another process than the leader's answers there.
-                Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
-                // Whatever it answers: a version that does not know the request is alive as well.
-                Ok(_) => ProbeOutcome::Answered,
-                Err(CallError::Connect) => ProbeOutcome::Refused,
-                Err(_) => ProbeOutcome::Silent,
-            };
+            let response = client.call("POST", "/peer", &body, PROBE_TIMEOUT).await;
+            let outcome =
+                match response.map(|response| peer::decode::<PeerResponse>(&response.body)) {
+                    // Another process than the leader's responds at its address.
+                    Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
+                    // Whatever the response is: a version that does not know the request is alive as well.
+                    Ok(_) => ProbeOutcome::Answered,
+                    Err(CallError::Connect) => ProbeOutcome::Refused,
+                    Err(_) => ProbeOutcome::Silent,
+                };
             let command =
                 service.controller.borrow_mut().on_probe_completed(service.now(), outcome);
-            service.carry_out(command).await;
+            service.execute(command).await;
         });
     }
 
-    /// Asks all others but the leader at once, as one that is down must not delay the rest.
-    fn ask_peers_for_leader_silence(self: &Rc<Self>, term: Term) {
+    /// Queries all others but the leader concurrently, as one that is down must not delay the rest. Versions that don't
+    /// know the query are left out.
+    fn query_peers(self: &Rc<Self>, term: Term) {
         let leader = self.controller.borrow().leader();
-        let knows = |node: &NodeId| self.controller.borrow().replica.supports_standby(*node);
-        for node in self.others().filter(|node| Some(*node) != leader).filter(knows) {
+        let supports = |node: &NodeId| self.controller.borrow().replica.supports_standby(*node);
+        for node in self.others().filter(|node| Some(*node) != leader).filter(supports) {
             let service = self.clone();
             spawn_local(async move {
                 let response = service
                     .call_peer(node, &PeerRequest::LeaderSilence(term), PEER_QUERY_TIMEOUT)
                     .await;
                 let Ok(PeerResponse::LeaderSilence(silence_ms)) = response else { return };
-                let answer = PeerObservation { node, silence_ms };
+                let observation = PeerObservation { node, silence_ms };
                 let command =
-                    service.controller.borrow_mut().on_peer_observation(service.now(), answer);
-                service.carry_out(command).await;
+                    service.controller.borrow_mut().on_peer_observation(service.now(), observation);
+                service.execute(command).await;
             });
         }
     }
 
-    /// Takes the term after that one, whose leader a majority no longer hears.
-    async fn replace_leader(&self, term: Term) {
+    /// Takes the term after that one, whose leader a majority no longer hears, by the guarded transaction of an
+    /// election.
+    async fn fence_leader(&self, term: Term) {
         if self.controller.borrow().replica.term != term {
             self.controller
                 .borrow_mut()
-                .on_fence_outcome(self.now(), Some(&TxnOutcome::ConditionsFailed(Vec::new())));
+                .on_fence_completed(self.now(), Some(&TxnOutcome::ConditionsFailed(Vec::new())));
             return;
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
@@ -102,8 +111,8 @@
         }
     }
 
-    /// Whether this process still leads, as the store says now. Asked right before actions on the cloud, which cannot be
-    /// fenced by a condition in the store. False as well if the store does not say.
+    /// Whether this process still leads, proven by a transaction of the store. Called right before actions on the
+    /// cloud, which no condition in the store can fence. False as well if the store does not respond.
     pub(super) async fn still_leads(&self) -> bool {
         if self.controller.borrow().standby.is_none() {
             return true;
@@ -125,7 +134,7 @@
         }
     }
 
-    /// What operators are shown of the standby.
+    /// The standby's status as JSON.
     pub(super) fn answer_status(&self) -> Response {
         let status = self.controller.borrow().standby_status(self.moment());
         match status.and_then(|status| serde_json::to_vec(&status).ok()) {
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -142,7 +142,7 @@
             false => self.store.commit(&txn).await,
         };
         debug!(?outcome, "election");
-        self.controller.borrow_mut().on_fence_outcome(self.now(), outcome.as_ref().ok());
+        self.controller.borrow_mut().on_fence_completed(self.now(), outcome.as_ref().ok());
         outcome?;
         self.sync_replica(Duration::ZERO).await
     }
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -1,9 +1,12 @@
-//! The warm standby within a controller: it owns the state machines of `willowshore-standby` (failure detector, failover,
-//! mirror, decision log), passes events to them, and logs their steps.
+//! The warm standby within a controller: it owns the state machines of `willowshore-standby` (failure detector,
+//! failover, mirror, decision log), passes events to them, and logs their steps.
 //!
-//! Invariants: a controller has a decision log only while it leads, and follows a leader only while it does not. What is
-//! mirrored is a hint until the replica confirms it; leadership itself is taken only through the store. The argument is
-//! in `docs/safety.md`, operation in `docs/standby.md`.
+//! Invariants: a controller has a decision log only while it leads, and follows a leader only while it does not.
+//!
+//! Hints: heartbeats, suspicions, observations of peers and mirrored decisions. None of them proves anything; they
+//! decide when a transaction is tried, and what a new leader need not measure again. Proofs: the transaction's
+//! conditions in the store, and the replica, which shows the term and confirms mirrored decisions. The argument is in
+//! `docs/safety.md`, "Replacing a leader that is not heard"; operation in `docs/standby.md`.
 
 use tracing::{info, warn};
 use willowshore_standby::decision_log::{Batch, DecisionLog, FollowRequest};
@@ -18,10 +21,12 @@
 
 use crate::model::{ClockReading, MonotonicTime, NodeId, Term, WallTime};
 
-/// Least time between two records of the leader's decisions, in milliseconds: about that of summaries, which fetch them.
+/// Least time between two records of the leader's decisions, in milliseconds: about the period of summaries, which
+/// fetch them.
 const RECORD_PERIOD_MS: u64 = 200;
 
-/// The largest phi that operators are shown: beyond it the leader is as good as certainly down, and JSON has no infinity.
+/// The largest phi that operators are shown: beyond it the leader is as good as certainly down, and JSON has no
+/// infinity.
 const MAX_SHOWN_PHI: f64 = 999.0;
 
 /// The leader that a controller follows.
@@ -48,12 +53,12 @@
     followed: Option<FollowedLeader>,
     /// What the last failover found of the mirrored records.
     verification: VerificationCounts,
-    /// Actions as leader that were given up, as another controller led by then.
+    /// Actions that this process gave up, as it no longer led.
     refused_actions: u64,
 }
 
 impl Standby {
-    /// The standby in a site of so many controllers.
+    /// The standby of a controller in a site of so many controllers.
     pub fn new(settings: StandbySettings, controllers: usize) -> Self {
         Standby {
             detector: HeartbeatDetector::new(&settings),
@@ -97,12 +102,12 @@
         self.log.as_ref()
     }
 
-    /// The request for decisions that goes to the leader with each summary.
+    /// The request for decisions, sent to the leader with each summary.
     pub fn request(&self) -> FollowRequest {
         self.mirror.request()
     }
 
-    /// The replica shows that another process leads: follows it, and gives up the own decision log.
+    /// The replica shows that another process leads: follows it, and drops the decision log of an own term.
     pub fn follow(&mut self, now: MonotonicTime, leader: FollowedLeader) {
         if self.followed.replace(leader) == Some(leader) {
             return;
@@ -113,7 +118,8 @@
         self.step(now, FailoverEvent::ReplicaShows { term: leader.term, mine: false });
     }
 
-    /// The leader answered a request, sent at `sent`, with a plan: a sign of life, and decisions if there were new ones.
+    /// The leader responded to a request, sent at `sent`, with a plan: a heartbeat, and decisions if there were new
+    /// ones.
     pub fn receive_plan(&mut self, sent: MonotonicTime, term: Term, batch: Option<&Batch>) {
         if !self.record_heartbeat(sent, term) {
             return;
@@ -134,8 +140,8 @@
         }
     }
 
-    /// The leader of that term answered a request that was sent at `sent`; false if another leader is followed, whose silence
-    /// this does not end.
+    /// The leader of that term responded to a request that was sent at `sent`. Returns false, and records nothing, if
+    /// another leader is followed.
     pub fn record_heartbeat(&mut self, sent: MonotonicTime, term: Term) -> bool {
         let is_followed = self.followed.is_some_and(|leader| leader.term == term);
         if is_followed {
@@ -158,8 +164,8 @@
         let after = self.failover.phase();
         if before != after {
             let term = self.failover.term();
-            let returned = self.failover.last_stand_down().filter(|_| after == Phase::Following);
-            match returned {
+            let stand_down = self.failover.last_stand_down().filter(|_| after == Phase::Following);
+            match stand_down {
                 Some(reason) => info!(%term, from = %before, %reason, "standby: following again"),
                 None => info!(%term, from = %before, to = %after, "standby"),
             }
@@ -173,8 +179,8 @@
         self.detector.silence_ms(now)
     }
 
-    /// This process leads that term from now on. `verification` counts what the replica confirmed of the previous leader's
-    /// decisions, if they were compared.
+    /// This process leads that term from now on, as the replica shows. `verification` counts what the replica confirmed
+    /// of the previous leader's decisions; `None` if they were not compared.
     pub fn begin_leading(
         &mut self,
         now: MonotonicTime,
@@ -205,29 +211,29 @@
         }
     }
 
-    /// As the leader, the decisions for a standby that asked for them; `None` in another term than that of the log, or if
-    /// there are no new ones.
+    /// As the leader, the decisions for a standby that asked for them; `None` in another term than that of the log, or
+    /// if there are no new ones.
     pub fn batch_for(&mut self, term: Term, request: &FollowRequest) -> Option<Batch> {
         self.log.as_mut().filter(|log| log.term() == term)?.batch_for(request)
     }
 
-    /// Counts an action as leader that was given up, as this process no longer leads.
+    /// Counts an action that this process gave up, as it no longer leads.
     pub fn record_refused_action(&mut self) {
         self.refused_actions += 1;
     }
 
-    /// Actions as leader that were given up.
+    /// Actions that this process gave up, as it no longer led.
     pub fn refused_actions(&self) -> u64 {
         self.refused_actions
     }
 
     /// The transaction that takes the next term has an outcome.
-    pub fn on_fence_outcome(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
+    pub fn on_fence_completed(&mut self, now: MonotonicTime, outcome: FenceOutcome) {
         self.step(now, FailoverEvent::FenceCompleted(outcome));
     }
 
-    /// Whether the last failover led to this term and had that cause.
-    pub fn failed_over_by(&self, cause: FailoverCause, term: Term) -> bool {
+    /// Whether this controller took that term by a failover with that cause.
+    pub fn completed_failover(&self, cause: FailoverCause, term: Term) -> bool {
         self.failover
             .last_failover()
             .is_some_and(|failover| failover.term == term && failover.cause == cause)
@@ -254,11 +260,11 @@
             (false, true) => Role::Standby,
             (false, false) => Role::Observer,
         };
-        let leader = if leads { Some(me) } else { self.followed.map(|f| f.node) };
+        let leader = if leads { Some(me) } else { self.followed.map(|leader| leader.node) };
         let silence_ms =
             self.detector.silence_ms(now).filter(|_| !leads && self.followed.is_some());
         let state = self.log.as_ref().map_or(self.mirror.state(), DecisionLog::state);
-        let counts = self.mirror.counters();
+        let counters = self.mirror.counters();
         Status {
             controller,
             role,
@@ -270,8 +276,8 @@
             lag_records: if leads { 0 } else { self.mirror.lag_records() },
             lag_s: if leads { 0.0 } else { self.mirror.lag_ms(wall) as f64 / 1_000.0 },
             entries: state.len(),
-            divergences: counts.divergences,
-            malformed: counts.malformed,
+            divergences: counters.divergences,
+            malformed: counters.malformed,
             last_stand_down: self.failover.last_stand_down().map(|reason| reason.to_string()),
             last_failover: self.failover.last_failover().map(FailoverStatus::from),
             verification: self.verification,
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -14,7 +14,7 @@
         }
         if let Ok(node) = &mut self.nodes[n] {
             let steady = node.moment(now).steady;
-            node.controller.on_fence_outcome(steady, outcome.as_ref());
+            node.controller.on_fence_completed(steady, outcome.as_ref());
         }
     }
 
