--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -1,31 +1,31 @@
-//! Follows a change of leader through its phases, by what the stand-ins see.
+//! Traces a failover through its phases, by what the simulated store, controllers and workers see.
 
 use willowshore::model::{JobId, Term};
 use willowshore::wire::{HeartbeatResponse, Priority, WorkerCommand};
 
-/// Part of the machines that may be left when the fleet counts as settled: some are always booting or hanging.
-const UNSETTLED_PART: usize = 50;
+/// One machine in so many may be unreconciled when the fleet counts as reconciled: some are always booting or hanging.
+const UNRECONCILED_SHARE: usize = 50;
 
-/// When the phases of a change of leader were over, in milliseconds since the failure.
+/// When the phases of a failover were over, in milliseconds since the failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Phases {
-    /// A controller noticed that the leader is gone.
+    /// A controller ran for the next term.
     pub noticed: Option<u64>,
-    /// The next term was on record.
-    pub won: Option<u64>,
+    /// The store had the next term.
+    pub term_won: Option<u64>,
     /// The next leader's replica showed it.
-    pub current: Option<u64>,
-    /// All but a few machines had shown the next token.
+    pub replica_current: Option<u64>,
+    /// All but a few machines had shown the next fencing token.
     pub reconciled: Option<u64>,
-    /// The first epoch held.
+    /// The first epoch was published.
     pub first_epoch: Option<u64>,
-    /// The first start of the term reached a worker.
+    /// The first start command of the term reached a worker.
     pub first_start: Option<u64>,
-    /// The first start of urgent work did.
+    /// The first one of a task of high priority did.
     pub first_urgent_start: Option<u64>,
 }
 
-/// Phases by name, in their order.
+/// Names of the phases for reports, in the order of [`Phases::times`].
 pub const PHASES: [&str; 7] = [
     "noticed",
     "term won",
@@ -41,8 +41,8 @@
     pub fn times(&self) -> [Option<u64>; 7] {
         [
             self.noticed,
-            self.won,
-            self.current,
+            self.term_won,
+            self.replica_current,
             self.reconciled,
             self.first_epoch,
             self.first_start,
@@ -51,72 +51,86 @@
     }
 }
 
-/// What is seen of the controllers at one moment.
+/// A leader at one moment.
+pub struct ObservedLeader {
+    /// Its term.
+    pub term: u64,
+    /// Machines that it knows.
+    pub machines: usize,
+    /// Those of them that it has not reconciled.
+    pub unreconciled: usize,
+    /// Whether it has published an epoch.
+    pub published: bool,
+}
+
+/// The store and the leader at one moment.
 pub struct Observed {
-    /// The highest term on record.
+    /// The highest term in the store.
     pub stored_term: u64,
-    /// The leader's term, machines, machines that have not settled, and whether an epoch of it held.
-    pub leader: Option<(u64, usize, usize, bool)>,
+    /// The leader, if there is one.
+    pub leader: Option<ObservedLeader>,
 }
 
-/// Follows one change of leader.
+/// Traces one failover.
 #[derive(Clone, Copy, Debug)]
 pub struct FailoverTrace {
-    began: u64,
+    /// When the leader failed, in simulated milliseconds.
+    failed_at: u64,
+    /// The failed leader's term.
     old_term: u64,
-    /// What was seen so far.
+    /// The phases that are over.
     pub phases: Phases,
 }
 
 impl FailoverTrace {
-    /// The leader of that term fails now.
+    /// The leader of term `old_term` fails now.
     pub fn new(now: u64, old_term: u64) -> Self {
-        FailoverTrace { began: now, old_term, phases: Phases::default() }
+        FailoverTrace { failed_at: now, old_term, phases: Phases::default() }
     }
 
-    /// A controller stands for the next term.
+    /// A controller runs for the next term.
     pub fn record_candidacy(&mut self, now: u64) {
-        let since = now - self.began;
+        let since = now - self.failed_at;
         self.phases.noticed.get_or_insert(since);
     }
 
-    /// Takes what is seen now.
-    pub fn observe(&mut self, now: u64, seen: &Observed) {
-        let since = now - self.began;
+    /// Records the phases that are over by now.
+    pub fn observe(&mut self, now: u64, observed: &Observed) {
+        let since = now - self.failed_at;
         let phases = &mut self.phases;
-        if seen.stored_term <= self.old_term {
+        if observed.stored_term <= self.old_term {
             return;
         }
-        phases.won.get_or_insert(since);
-        let Some((term, machines, unreconciled, published)) = seen.leader else { return };
-        if term <= self.old_term {
+        phases.term_won.get_or_insert(since);
+        let Some(leader) = &observed.leader else { return };
+        if leader.term <= self.old_term {
             return;
         }
-        phases.current.get_or_insert(since);
-        if published {
+        phases.replica_current.get_or_insert(since);
+        if leader.published {
             phases.first_epoch.get_or_insert(since);
         }
-        // Owners are only known once an epoch has given them out.
-        if published && unreconciled <= machines / UNSETTLED_PART {
+        // Machines have owners only once an epoch was published.
+        if leader.published && leader.unreconciled <= leader.machines / UNRECONCILED_SHARE {
             phases.reconciled.get_or_insert(since);
         }
     }
 
-    /// An answer reached a worker.
+    /// A response reached a worker.
     pub fn record_worker_response(
         &mut self,
         now: u64,
-        reply: &HeartbeatResponse,
+        response: &HeartbeatResponse,
         priority: impl Fn(JobId) -> Option<Priority>,
     ) {
-        if reply.token <= Term(self.old_term) {
+        if response.token <= Term(self.old_term) {
             return;
         }
-        let since = now - self.began;
-        for order in &reply.commands {
-            if let WorkerCommand::Start { task, .. } = order {
+        let since = now - self.failed_at;
+        for command in &response.commands {
+            if let WorkerCommand::Start { task, .. } = command {
                 self.phases.first_start.get_or_insert(since);
-                if priority(task.job).is_some_and(|u| u <= Priority::High) {
+                if priority(task.job).is_some_and(|priority| priority <= Priority::High) {
                     self.phases.first_urgent_start.get_or_insert(since);
                 }
             }
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -1,5 +1,5 @@
-//! The report on changes of leader: plays them in simulation, without and with the warm standby, and writes how long
-//! each phase took, and what the standby costs, as text and as an HTML page with plots.
+//! The report on failovers: simulates them without and with the warm standby, and writes how long each phase took and
+//! what the standby costs, as text and as an HTML page with plots.
 //!
 //! `cargo run --release --example failovers -- [--seeds N] [--out FILE] [--sizes 600,4000] [--debug-log yes]`
 #![allow(dead_code, missing_docs)]
@@ -21,10 +21,12 @@
 use willowshore_standby::status::DurationHistogram;
 use world::{Fault, World};
 
-/// How long the failed leader is frozen or cut off.
+/// How long the failed leader is stopped or partitioned, in milliseconds.
 const FAILURE_MS: u64 = 20_000;
-/// How long after the failure a play goes on.
+/// How long a simulation goes on after the failure, in milliseconds.
 const WATCHED_MS: u64 = 40_000;
+/// For how long the new leader of a cost simulation writes its log, in seconds: from its election to the end.
+const LOG_WRITTEN_S: f64 = 40.0;
 /// Longest time in a plot, in milliseconds.
 const PLOTTED_MS: u64 = 12_000;
 
@@ -43,7 +45,7 @@
     broken: usize,
 }
 
-/// What a fleet of that size costs its leader.
+/// What a fleet of one size costs its leader.
 struct Cost {
     machines: usize,
     standby: bool,
@@ -51,17 +53,17 @@
     broken: usize,
     epochs: u64,
     epoch_us: f64,
-    reports: u64,
-    report_us: f64,
+    heartbeats: u64,
+    heartbeat_us: f64,
     bytes_per_s: f64,
     records: usize,
     entries: usize,
-    played_s: f64,
+    simulated_in_s: f64,
 }
 
 struct Arguments {
     seeds: u64,
-    /// Whether all lines of the log are written, and thrown away: what they cost shows in the times.
+    /// Whether all log lines are formatted and discarded, so that the times include what they cost.
     debug_log: bool,
     out: String,
     sizes: Vec<usize>,
@@ -109,7 +111,7 @@
     cases
 }
 
-fn play(case: Case, seeds: u64) -> Outcome {
+fn simulate(case: Case, seeds: u64) -> Outcome {
     let mut phases: [Vec<Option<u64>>; PHASES.len()] = Default::default();
     let mut broken = 0;
     for seed in 1..=seeds {
@@ -129,8 +131,8 @@
     let mut world = World::fleet(1, machines);
     world.standby = standby.then(StandbySettings::default);
     world.run(&[(18_000, Fault::CrashLeader)], 60_000);
-    let played_s = began.elapsed().as_secs_f64();
-    let (bytes, records, entries) = world.log_of_leader();
+    let simulated_in_s = began.elapsed().as_secs_f64();
+    let log = world.log_of_leader();
     Cost {
         machines,
         standby,
@@ -138,13 +140,13 @@
         broken: world.checker.broken.len(),
         epochs: world.epochs.count,
         epoch_us: world.epochs.mean_us(),
-        reports: world.reports.count,
-        report_us: world.reports.mean_us(),
-        // The log of the leader that took over, since the failure.
-        bytes_per_s: bytes as f64 / 40.0,
-        records,
-        entries,
-        played_s,
+        heartbeats: world.reports.count,
+        heartbeat_us: world.reports.mean_us(),
+        // The new leader's log, since the failure.
+        bytes_per_s: log.bytes as f64 / LOG_WRITTEN_S,
+        records: log.records,
+        entries: log.entries,
+        simulated_in_s,
     }
 }
 
@@ -154,7 +156,7 @@
     format!("{}, reports every {report_s} s, {standby}", case.failure)
 }
 
-/// Median, nine of ten, and the longest of those that were seen, and how many were not.
+/// The distribution of the times of a phase, and in how many runs the phase was not reached.
 fn summary(times: &[Option<u64>]) -> (DurationHistogram, usize) {
     let mut durations = DurationHistogram::default();
     times.iter().flatten().for_each(|ms| durations.record(*ms));
@@ -166,12 +168,12 @@
     for outcome in outcomes {
         let _ = writeln!(text, "{} ({} rules broken)", name(&outcome.case), outcome.broken);
         for (phase, times) in PHASES.iter().zip(&outcome.phases) {
-            let (d, unseen) = summary(times);
-            let (half, most) = (d.percentile(50.0), d.percentile(90.0));
-            let longest = d.max();
+            let (durations, unseen) = summary(times);
+            let (p50, p90) = (durations.percentile(50.0), durations.percentile(90.0));
+            let max = durations.max();
             let _ = writeln!(
                 text,
-                "  {phase:20} p50 {half:6} p90 {most:6} max {longest:6} ms, {unseen} not seen"
+                "  {phase:20} p50 {p50:6} p90 {p90:6} max {max:6} ms, {unseen} not seen"
             );
         }
     }
@@ -185,23 +187,23 @@
             c.standby,
             c.epoch_us,
             c.epochs,
-            c.report_us,
-            c.reports,
+            c.heartbeat_us,
+            c.heartbeats,
             c.bytes_per_s,
             c.records,
             c.entries,
             c.broken,
-            c.played_s
+            c.simulated_in_s
         );
     }
     text
 }
 
-/// The distribution of each phase as an SVG picture.
+/// The distribution of each phase as an SVG image.
 fn plot(outcome: &Outcome) -> Result<String, Box<dyn std::error::Error>> {
-    let mut picture = String::new();
+    let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut picture, (820, 340)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, (820, 340)).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(name(&outcome.case), ("sans-serif", 16))
@@ -224,7 +226,7 @@
         chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
         area.present()?;
     }
-    Ok(picture)
+    Ok(svg)
 }
 
 fn page(outcomes: &[Outcome], costs: &[Cost]) -> Result<String, Box<dyn std::error::Error>> {
@@ -246,7 +248,7 @@
         log.with_writer(std::io::sink).init();
     }
     let outcomes: Vec<Outcome> =
-        cases().into_iter().map(|case| play(case, arguments.seeds)).collect();
+        cases().into_iter().map(|case| simulate(case, arguments.seeds)).collect();
     let costs: Vec<Cost> = arguments
         .sizes
         .iter()
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -1,10 +1,11 @@
-//! The warm standby in simulation: leaders that are killed, stopped, cut off and refused, with a standby that replaces
-//! them, alone and with other troubles.
+//! The warm standby in simulation: leaders that are killed, stopped, partitioned and refused by the store, with a
+//! standby that replaces them, alone and with other faults.
 
 use willowshore_standby::settings::StandbySettings;
 
 use crate::failover::PHASES;
 use crate::site::{BRISK, Rhythm, SLOW};
+use crate::world::failover::DecisionLogCost;
 use crate::world::{self, Fault, World};
 
 use Fault::{
@@ -14,10 +15,10 @@
     StoreRefusesLeader, StoreRefusesStandby, Upgrade, WorkerCrash,
 };
 
-/// When the leader fails in most cases.
+/// When the leader fails in most cases, in simulated milliseconds.
 const AT: u64 = 21_300;
-/// The first decision has to hold by then.
-const FIRST_DECISION_MS: u64 = 10_000;
+/// The first epoch has to be published within this time of the failure.
+const FIRST_EPOCH_LIMIT_MS: u64 = 10_000;
 
 /// The same world with the warm standby enabled.
 pub fn with_standby(mut world: World) -> World {
@@ -25,8 +26,8 @@
     world
 }
 
-/// Plays and expects that no rule breaks and that all that was asked for ends. Returns the world.
-fn play(mut world: World, name: &str, rhythm: Rhythm, faults: &[(u64, Fault)]) -> World {
+/// Runs a world with these faults and expects that no rule is broken and each job ends. Returns the world.
+fn run_to_end(mut world: World, name: &str, rhythm: Rhythm, faults: &[(u64, Fault)]) -> World {
     world.run(faults, rhythm.lease_ms * 30);
     assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
     let open = world.unfinished();
@@ -38,7 +39,8 @@
 struct HardCase {
     name: &'static str,
     faults: Vec<(u64, Fault)>,
-    /// Whether there need not be a first decision within ten seconds: nobody has to be replaced, or safety forbids it.
+    /// Whether the first epoch may take longer than [`FIRST_EPOCH_LIMIT_MS`]: no leader has to be replaced, or safety
+    /// forbids it.
     may_be_late: bool,
 }
 
@@ -97,9 +99,9 @@
             false,
         ),
         case("back in a fraction of a second", vec![(AT, BriefLeaderCrash)], false),
-        case("cut off from everything", vec![(AT, PartitionLeader(25_000, true))], false),
+        case("partitioned from everything", vec![(AT, PartitionLeader(25_000, true))], false),
         case(
-            "machines are rented and jobs cancelled at that moment",
+            "machines are added and jobs cancelled at that moment",
             vec![(AT - 300, FastBoots(4)), (AT - 100, CancelNow(4, 0)), (AT, FreezeLeader(9_000))],
             false,
         ),
@@ -127,11 +129,12 @@
         for seed in 1..=4 {
             for rhythm in [BRISK, SLOW] {
                 let what = format!("{name} {seed} {rhythm:?}");
-                let world = play(with_standby(World::busy(seed, rhythm)), &what, rhythm, &faults);
+                let world =
+                    run_to_end(with_standby(World::busy(seed, rhythm)), &what, rhythm, &faults);
                 failovers += world.changes_of_leader;
                 let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
                 let first = phases.first_epoch;
-                let in_time = first.is_some_and(|ms| ms < FIRST_DECISION_MS);
+                let in_time = first.is_some_and(|ms| ms < FIRST_EPOCH_LIMIT_MS);
                 assert!(may_be_late || in_time, "{what}: {phases:?}");
             }
         }
@@ -147,9 +150,9 @@
                 let at = AT + seed * 400;
                 let name = format!("{fault:?} {seed} {rhythm:?}");
                 let gangs = with_standby(World::busy_with_gangs(seed, rhythm));
-                play(gangs, &format!("gangs, {name}"), rhythm, &[(at, fault)]);
+                run_to_end(gangs, &format!("gangs, {name}"), rhythm, &[(at, fault)]);
                 let burst = with_standby(World::burst(seed, rhythm));
-                play(burst, &format!("burst, {name}"), rhythm, &[(at, fault)]);
+                run_to_end(burst, &format!("burst, {name}"), rhythm, &[(at, fault)]);
                 let roll = [
                     (9_000, Upgrade(2)),
                     (16_000, Upgrade(0)),
@@ -159,14 +162,14 @@
                 ];
                 let mut world = with_standby(World::upgraded(seed, rhythm));
                 world.limits_fall_at = 24_000 + seed * 1_000;
-                play(world, &format!("versions, {name}"), rhythm, &roll);
+                run_to_end(world, &format!("versions, {name}"), rhythm, &roll);
             }
         }
     }
 }
 
 #[test]
-fn random_troubles_meet_failovers() {
+fn random_faults_meet_failovers() {
     for seed in 0..24 {
         for rhythm in [BRISK, SLOW] {
             let mut faults = world::faults::random_meetings(seed, rhythm);
@@ -174,25 +177,25 @@
             faults.extend(freezes);
             faults.sort_by_key(|f| f.0);
             let name = format!("meeting {faults:?}");
-            play(with_standby(World::busy(seed, rhythm)), &name, rhythm, &faults);
+            run_to_end(with_standby(World::busy(seed, rhythm)), &name, rhythm, &faults);
         }
     }
 }
 
-/// Without the standby the lease of 3 s is what is waited for; with it, the others notice within a second.
+/// Without the standby, the leader's lease of 3 s has to expire first; with it, the others notice within a second.
 #[test]
 fn a_standby_shortens_each_kind_of_failure_and_no_phase_gets_longer() {
     for fault in [CrashLeader, FreezeLeader(20_000), PartitionLeader(20_000, true)] {
         for seed in 1..=5 {
             let at = 20_000 + seed * 1_370;
-            let played = |standby: bool| {
+            let phase_times = |standby: bool| {
                 let world = World::busy(seed, BRISK);
                 let mut world = if standby { with_standby(world) } else { world };
                 world.run(&[(at, fault)], at + 25_000);
                 assert!(world.checker.broken.is_empty(), "{fault:?}: {:?}", world.checker.broken);
                 world.trace.map(|trace| trace.phases.times()).unwrap_or_default()
             };
-            let (before, after) = (played(false), played(true));
+            let (before, after) = (phase_times(false), phase_times(true));
             for (phase, (before, after)) in PHASES.iter().zip(before.iter().zip(after)).take(5) {
                 let (Some(before), Some(after)) = (*before, after) else {
                     panic!("{fault:?} {seed}: {phase} {before:?} {after:?}");
@@ -203,27 +206,27 @@
     }
 }
 
-/// Two controllers that don't hear each other must not replace each other in turn: each term stops the site for a
-/// second. A leader that only its standby does not hear is heard by the third.
+/// Two controllers that don't hear each other must not replace each other in turn, as each new term stops the site for
+/// a second. The third controller hears a leader that only its standby does not hear.
 #[test]
 fn a_leader_that_others_hear_is_not_replaced() {
-    for (name, fault, most) in [
+    for (name, fault, max_changes) in [
         ("the standby alone does not hear it", PartitionLeaderAndStandby(40_000), 0),
         ("it is stopped for a moment", FreezeLeader(400), 0),
-        ("the standby itself is refused by the store", StoreRefusesStandby(20_000), 0),
+        ("the store refuses the standby itself", StoreRefusesStandby(20_000), 0),
     ] {
         for seed in 1..=4 {
             let mut world = with_standby(World::busy(seed, BRISK));
             world.run(&[(AT, fault)], AT + 60_000);
             assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
             let changes = world.changes_of_leader - 1;
-            assert!(changes <= most, "{name} {seed}: {changes} changes of leader");
+            assert!(changes <= max_changes, "{name} {seed}: {changes} changes of leader");
         }
     }
 }
 
-/// A leader that was replaced while it was stopped acts once more before it learns of that. What the store guards
-/// fails; returning machines is not guarded, so it has to ask first.
+/// A leader that was replaced while it was stopped acts once more before it receives the new term. What the store
+/// guards fails; returning machines is not guarded, so it has to check its leadership first.
 #[test]
 fn a_leader_that_goes_on_gives_up_what_it_was_about_to_return() {
     for seed in 1..=8 {
@@ -241,9 +244,9 @@
     }
 }
 
-/// What the standby mirrored is the leader's state, and a failover confirms most of it.
+/// The mirrored decisions are the leader's, and a failover confirms most of them.
 #[test]
-fn a_successor_knows_what_the_leader_had_decided() {
+fn a_new_leader_knows_what_its_predecessor_had_decided() {
     let mut confirmed = 0;
     for seed in 1..=5 {
         let mut world = with_standby(World::busy(seed, BRISK));
@@ -263,7 +266,7 @@
     let mut world = with_standby(World::fleet(1, 600));
     world.run(&[(18_000, CrashLeader)], 45_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
-    let (bytes, records, entries) = world.log_of_leader();
+    let DecisionLogCost { bytes, records, entries } = world.log_of_leader();
     assert!(entries > 100, "{entries} entries");
     assert!(records <= settings.window_records, "{records} records");
     // Two standbys, 25 s.
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -22,13 +22,13 @@
 use willowshore_standby::status::VerificationCounts;
 
 use crate::check::{Checker, Event};
-use crate::failover::{FailoverTrace, Observed};
+use crate::failover::{FailoverTrace, Observed, ObservedLeader};
 use crate::site::{BRISK, Rhythm, SLOW, ZONES, catalog, spec};
 use crate::store::Store;
 use crate::worker::{Answer, Change, Worker};
 
 mod controllers;
-mod failover;
+pub mod failover;
 pub mod faults;
 mod scenarios;
 mod users;
@@ -684,7 +684,7 @@
                 if let Some(FailoverCommand::Fence(_)) =
                     node.controller.on_probe_completed(steady, outcome)
                 {
-                    self.replace_leader(n);
+                    self.fence_leader(n);
                 }
             }
             Message::PeerResponse(to, tell, sent) => {
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -1,9 +1,20 @@
-//! The loop of the warm standby, and what is seen of changes of leader.
+//! The loop of the warm standby in simulation, as `service::failover` runs it, and the trace of failovers.
 
 use super::*;
 
+/// What a leader's decision log costs.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct DecisionLogCost {
+    /// Bytes sent to standbys.
+    pub bytes: u64,
+    /// Records that are retained.
+    pub records: usize,
+    /// Entries of the state that the decisions add up to.
+    pub entries: usize,
+}
+
 impl World {
-    /// Takes the next term by that transaction.
+    /// Commits the transaction that takes the next term.
     pub(super) fn take_term(&mut self, n: usize, txn: &Txn) {
         let outcome = self.commit(n, txn);
         let now = self.now;
@@ -18,7 +29,7 @@
         }
     }
 
-    /// The loop of the warm standby.
+    /// Ticks the failover of a controller and executes its command.
     pub(super) fn watch_leader(&mut self, n: usize) {
         let now = self.now;
         if !now.is_multiple_of(100) {
@@ -29,19 +40,19 @@
         match node.controller.standby_tick(steady) {
             Some(FailoverCommand::ProbeLeader(_)) => self.probe_leader(n),
             Some(FailoverCommand::QueryPeers(term)) => self.query_peers(n, term),
-            Some(FailoverCommand::Fence(_)) => self.replace_leader(n),
+            Some(FailoverCommand::Fence(_)) => self.fence_leader(n),
             Some(FailoverCommand::Verify(_)) | None => {}
         }
     }
 
-    /// Asks the leader itself. A process that is gone refuses at once; one that is stopped or cut off says nothing.
+    /// Probes the leader. A process that is down refuses at once; one that is stopped or partitioned does not respond.
     pub(super) fn probe_leader(&mut self, n: usize) {
         let now = self.now;
         let leader = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leader());
-        let Some(leader) = leader.map(|l| usize::from(l.0)) else { return };
-        let ways =
-            [(n, leader), (leader, n)].map(|(a, b)| self.arrival(Place::Node(a), Place::Node(b)));
-        let reached = ways.iter().all(|at| at.is_some_and(|at| at < now + PROBE_MS));
+        let Some(leader) = leader.map(|leader| usize::from(leader.0)) else { return };
+        let arrivals = [(n, leader), (leader, n)]
+            .map(|(from, to)| self.arrival(Place::Node(from), Place::Node(to)));
+        let reached = arrivals.iter().all(|at| at.is_some_and(|at| at < now + PROBE_MS));
         let outcome = match (&self.nodes[leader], reached) {
             (Ok(node), true) if node.frozen.is_none() => match node.controller.leader {
                 Some(_) => ProbeOutcome::Answered,
@@ -50,12 +61,12 @@
             (Err(_), true) => ProbeOutcome::Refused,
             _ => ProbeOutcome::Silent,
         };
-        let takes = if outcome == ProbeOutcome::Silent { PROBE_MS } else { 20 };
+        let takes_ms = if outcome == ProbeOutcome::Silent { PROBE_MS } else { 20 };
         self.sent += 1;
-        self.messages.insert((now + takes, self.sent), Message::Probed(n, outcome));
+        self.messages.insert((now + takes_ms, self.sent), Message::Probed(n, outcome));
     }
 
-    /// Asks the others when they heard the leader; answers come within the step.
+    /// Queries the others when they last heard the leader; responses arrive within the same step.
     pub(super) fn query_peers(&mut self, n: usize, term: Term) {
         let now = self.now;
         for m in (0..3).filter(|m| *m != n) {
@@ -63,18 +74,19 @@
                 self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < now + 100);
             let Some(peer) = self.awake(m).filter(|_| reached && !self.old[m]) else { continue };
             let silence_ms = peer.controller.leader_silence_ms(peer.moment(now).steady, term);
-            let answer = PeerObservation { node: NodeId(m as u8), silence_ms };
+            let observation = PeerObservation { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
             let steady = node.moment(now).steady;
             if let Some(FailoverCommand::Fence(_)) =
-                node.controller.on_peer_observation(steady, answer)
+                node.controller.on_peer_observation(steady, observation)
             {
-                return self.replace_leader(n);
+                return self.fence_leader(n);
             }
         }
     }
 
-    pub(super) fn replace_leader(&mut self, n: usize) {
+    /// Takes the next term after a majority agreed that the leader is silent.
+    pub(super) fn fence_leader(&mut self, n: usize) {
         let now = self.now;
         if let Some(trace) = &mut self.trace {
             trace.record_candidacy(now);
@@ -86,7 +98,7 @@
         }
     }
 
-    /// Whether a controller still leads, as the store says: asked before what cannot be guarded.
+    /// Whether a controller still leads, proven by the store: checked before actions that no condition fences.
     pub(super) fn still_leads(&mut self, n: usize) -> bool {
         if self.standby.is_none() {
             return true;
@@ -99,11 +111,12 @@
         matches!(outcome, Some(TxnOutcome::Committed(_)))
     }
 
-    /// Follows a change of leader.
+    /// Counts changes of leader and traces the failover.
     pub(super) fn observe_failover(&mut self) {
         let leader = self.nodes.iter().flatten().filter(|node| node.frozen.is_none());
         let leader = leader.filter(|node| node.controller.leader.is_some());
-        let leader = leader.max_by_key(|node| node.controller.leader.as_ref().map(|l| l.term));
+        let leader =
+            leader.max_by_key(|node| node.controller.leader.as_ref().map(|leader| leader.term));
         let led =
             leader.map(|node| (usize::from(node.controller.me.0), node.controller.incarnation.0));
         if led.is_some() && led != self.last_led {
@@ -111,19 +124,21 @@
             self.last_led = led;
         }
         let leader = leader.and_then(|node| node.controller.leader.as_ref());
-        let seen = Observed {
+        let observed = Observed {
             stored_term: self.store.term(),
-            leader: leader.map(|l| {
-                let published = l.published().0 > 0;
-                (l.term.0, l.fleet.machines.len(), l.fleet.unreconciled.len(), published)
+            leader: leader.map(|leader| ObservedLeader {
+                term: leader.term.0,
+                machines: leader.fleet.machines.len(),
+                unreconciled: leader.fleet.unreconciled.len(),
+                published: leader.published().0 > 0,
             }),
         };
         if let Some(trace) = &mut self.trace {
-            trace.observe(self.now, &seen);
+            trace.observe(self.now, &observed);
         }
     }
 
-    /// What the leader's last failover found of the mirrored records, and how many copies had not matched.
+    /// What the leader's last failover found of the mirrored records, and the divergences of its copy.
     pub fn verification_of_leader(&self) -> (VerificationCounts, u64) {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let standby = node.and_then(|node| node.controller.standby.as_ref());
@@ -132,11 +147,14 @@
         })
     }
 
-    /// Bytes that the leader's log of decisions took in messages, records that it keeps, and entries that they add up
-    /// to.
-    pub fn log_of_leader(&self) -> (u64, usize, usize) {
+    /// What the leader's decision log costs; nothing if there is none.
+    pub fn log_of_leader(&self) -> DecisionLogCost {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let log = node.and_then(|node| node.controller.standby.as_ref()?.log());
-        log.map_or((0, 0, 0), |log| (log.bytes_sent(), log.retained(), log.state().len()))
+        log.map_or_else(DecisionLogCost::default, |log| DecisionLogCost {
+            bytes: log.bytes_sent(),
+            records: log.retained(),
+            entries: log.state().len(),
+        })
     }
 }
