--- a/src/leader.rs
+++ b/src/leader.rs
@@ -290,7 +290,7 @@
             });
             if idle {
                 self.remembered.rebalanced = now;
-                self.renew_term = Some("a controller came back and has no part");
+                self.renew_term = Some("a controller came back and has no shard");
             }
         }
     }
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -35,8 +35,8 @@
         let targets = self.fleet.targets(cluster);
         let free = targets.iter().fold(Cores(0), |sum, target| Cores(sum.0 + target.free.cores.0));
         format!(
-            "machines={} up={} spot={} owners={} tasks={} granted={} unresolved={} unsettled={} jobs={} \
-             cores: run={:.0} fetch={:.0} wait={:.0} free={:.0} ready={:.0}/{:.0} kept={} versions={}",
+            "machines={} up={} spot={} owners={} tasks={} granted={} unresolved={} unreconciled={} jobs={} \
+             cores: run={:.0} fetch={:.0} wait={:.0} free={:.0} ready={:.0}/{:.0} reserved={} versions={}",
             self.fleet.machines.len(),
             self.fleet.machines.values().filter(|machine| machine.up).count(),
             self.fleet.machines.values().filter(|machine| machine.up && machine.offer.spot).count(),
