--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_rented_where_it_is_cheap() {
+fn work_without_room_scales_out_to_the_cheapest_offer() {
     let job = spec(1, 4); // 4 cores: two fit on a machine
     let mut market = MarketState::default();
     let f = catalog();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn ordinary_machines_go_when_others_hold_their_work_for_long() {
+fn on_demand_machines_are_scaled_in_once_others_have_room_for_long() {
     let f = catalog();
     let job = spec(1, 4);
     let mut market = MarketState::default();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn idle_machines_go_unless_short_running_work_may_need_them() {
+fn idle_machines_are_scaled_in_unless_short_running_work_may_need_them() {
     let f = catalog();
     let mut market = MarketState::default();
     let all = [held("n-1", true, 170.0), held("n-2", false, 70.0), held("n-3", true, 10.0)];
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -4,7 +4,7 @@
 use ciborium::cbor;
 
 #[test]
-fn answers_say_whether_a_rental_is_open() {
+fn responses_say_whether_a_scale_out_is_undecided() {
     let answer = |status, error: &str| {
         let body = wire::encode(&cbor!({"error" => error}).unwrap());
         Ok(Answer { status, body, retry_after: None })
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -4,7 +4,7 @@
 use crate::model::Cores;
 
 #[test]
-fn times_follow_how_often_workers_report() {
+fn timing_follows_the_heartbeat_interval() {
     // Reports of the deployments, then odd ones: (report, lease, silent, unused, stray, quick).
     // With fixed times of 4 s, machines that report every 5 s were closed for most of the time.
     let cases = [
@@ -42,7 +42,7 @@
 pub(crate) const EXAMPLE: &str = include_str!("../../tests/settings.toml");
 
 #[test]
-fn settings_are_checked_once_and_say_what_is_wrong() {
+fn invalid_settings_are_rejected_with_a_reason() {
     let cases = [
         ("", "", None),
         ("site = \"a\"\napi", "api", Some("site")),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn everybody_numbers_the_controllers_alike() {
+fn all_controllers_are_numbered_alike() {
     let s = Settings::parse(EXAMPLE).unwrap();
     let (nodes, me) = s.all_nodes();
     assert_eq!(me, NodeId(0));
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -10,7 +10,7 @@
 use crate::wire::tests::spec;
 
 #[test]
-fn a_peers_word_ends_a_term_that_the_store_does_not_end() {
+fn a_peer_ends_a_term_that_the_store_does_not_end() {
     // Seen on a bench day: refused by the store, the old leader kept its workers under the
     // old token for 18 s. (told of node and term, term then, leader then)
     let cases = [
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn progress_of_jobs_that_go_on_leaves_the_store_to_others() {
+fn progress_of_open_jobs_leaves_store_writes_to_others() {
     // Seen on a bench day: the progress of some forty arrays took seven tenths of the leader's changes,
     // so that epochs and the ends of jobs waited for a second and more.
     const JOBS: u64 = 80;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn completed_tasks_are_counted_before_they_are_on_record() {
+fn completed_tasks_are_counted_before_they_are_recorded() {
     // The progress of jobs that go on is written late where many jobs share the store's budget.
     // (told by the leader, on record, shown)
     let cases = [(None, 0, 0), (Some(7), 2, 7), (Some(7), 9, 9), (Some(40), 9, 20)];
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn changes_are_asked_for_once_the_store_has_been_read() {
+fn watching_begins_once_the_store_has_been_read() {
     // Seen on a bench day: a worker's report with a later term reached a controller that had just started, which asked
     // for all changes since the beginning, 10,000 of them, and ended for memory.
     let mut controller =
--- a/src/feature_flags/tests.rs
+++ b/src/feature_flags/tests.rs
@@ -4,7 +4,7 @@
 use crate::config::tests::EXAMPLE;
 
 #[test]
-fn what_is_wrong_is_told_with_its_field() {
+fn errors_name_their_field() {
     let settings = Settings::parse(EXAMPLE).unwrap();
     let cases = [
         ("[standby]\n", ""),
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn heads_are_taken_or_refused() {
+fn request_heads_are_accepted_or_refused() {
     let long = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(HEAD_LIMIT));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(MAX_HEADERS + 1));
     let cases: Vec<(&str, Result<Option<usize>, HeadError>)> = vec![
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_an_owner_remembers_from_an_earlier_term_proves_nothing() {
+fn state_from_an_earlier_term_proves_no_absence() {
     // Seen on a bench day: a takeover, a summary from before the first plan with the task
     // on n-1, then one in which the owner had forgotten that machine. The task was
     // started on n-2 while it ran on n-1.
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_task_that_two_machines_show_is_noticed() {
+fn a_task_on_two_machines_is_detected() {
     // In production a controller owned both machines for seven seconds, and nobody said a word.
     // (tasks on n-1, tasks on n-2, whether n-2 has settled, tasks on both)
     type Case = (&'static [u32], &'static [u32], bool, &'static [u32]);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_proof_names_controllers_plans_and_machines() {
+fn evidence_names_controllers_plans_and_machines() {
     let mut controller = leader();
     tell(&mut controller, 1_100, 0, vec![]);
     tell(&mut controller, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn machines_that_run_slow_are_told_from_odd_tasks() {
+fn slow_machines_are_distinguished_from_slow_tasks() {
     let cases: [(&[f64], bool); 5] = [
         (&[1.0; 9], false),
         (&[5.0, 1.0, 1.0, 1.0], false),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_silent_machines_tasks_are_over_with_its_lease_and_not_before() {
+fn tasks_of_a_silent_machine_end_with_its_lease_and_not_before() {
     // Whole zones were returned a moment before their cut ended, though the run-out of
     // their leases had proven all that was needed.
     let mut controller = leader();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_machine_on_record_that_never_reports_is_returned() {
+fn a_recorded_machine_without_heartbeats_is_scaled_in() {
     // Seen on a bench day: the last leader returned machines and could not record it any
     // more; the next one took them for booting, and counted on them for minutes.
     let mut controller = leader();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn what_is_known_stays_until_all_pieces_of_a_summary_are_there() {
+fn a_full_summary_replaces_state_once_all_its_pieces_arrived() {
     // Seen on a simulated day with 1,800 machines: the first piece replaced what was known, a task
     // that an earlier term had started was on no machine for a moment, and started again.
     let mut controller = leader();
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn silence_from_before_the_term_counts_once_every_node_has_told() {
+fn silence_before_the_term_counts_once_every_controller_sent_a_summary() {
     // Seen on a bench day: machines that had been dead for a lease counted as possibly alive for
     // another one in every new term. (what, milliseconds for which a node has been up, when it
     // last answered n-1, whether all is proven over right after the term began)
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn a_machine_that_later_lists_lack_is_returned_once_it_is_silent() {
+fn a_machine_missing_from_later_lists_is_scaled_in_once_silent() {
     let host = |id: &str| wire::ListedMachine {
         id: MachineId::new(id),
         endpoint: None,
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn summaries_add_to_one_that_was_taken_or_are_asked_for_whole() {
+fn incremental_summaries_need_their_base_or_a_full_one_is_requested() {
     // What a missed summary told could be a task on a machine, or an answer to a worker.
     let other = Incarnation(8);
     let mut controller = leader();
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn what_is_on_record_ahead_is_unresolved_for_others_only() {
+fn ranges_recorded_ahead_are_unresolved_for_other_leaders_only() {
     let mut controller = leader();
     let accepted = Accepted { spec: spec(2, 20), at: WallTime(1) };
     let item = |key: String, v| KeyValue { key, value: v, version: Revision(10) };
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn nobody_waits_without_bound() {
+fn waiting_is_bounded_by_starvation_and_age() {
     // (age in s, seconds since it had a task anywhere, tasks done, held, team at its limit, starved); a
     // job due after 100 s.
     // Nobody may wait 90 s beside a machine with room while its team is under its limit: seen on
@@ -499,7 +499,7 @@
 }
 
 #[test]
-fn an_unsettled_machine_proves_nothing_about_its_tasks() {
+fn an_unreconciled_machine_proves_nothing_about_its_tasks() {
     // A late copy may show a task where it is no longer, and another one not show it.
     let mut controller = leader();
     let seen = |tasks| vec![view("n-1", false, tasks), view("n-2", true, &[])];
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn an_unresolved_task_waits_for_every_machine_that_may_have_it() {
+fn an_unresolved_task_waits_for_every_machine_that_may_hold_it() {
     let mut controller = leader();
     let seen = |reconciled| vec![view("n-1", reconciled, &[]), view("n-2", true, &[])];
     assert!(!tell(&mut controller, 1_100, 0, vec![]));
@@ -587,7 +587,7 @@
 }
 
 #[test]
-fn what_the_leader_writes_keeps_both_sets_of_limits_and_loses_nothing() {
+fn leader_writes_respect_current_and_next_limits_and_lose_nothing() {
     // Seen on a bench day: once the store's limits had fallen, every epoch's write got 400, and
     // nothing was granted any more. The limits of the deployments, then the smallest.
     let cases = [
@@ -790,7 +790,7 @@
 }
 
 #[test]
-fn a_gang_that_lost_a_task_is_stopped_and_begins_anew_once_all_are_gone() {
+fn a_gang_that_lost_a_task_is_stopped_and_restarted_once_no_task_is_left() {
     use TaskState::{Running, Unknown, WaitingForGang};
     type Shown = &'static [(u32, TaskState)];
     // What n-1 and n-2 show next, and whether the gang is stopped then.
@@ -852,7 +852,7 @@
 }
 
 #[test]
-fn a_gang_whose_machine_is_taken_is_stopped_in_order_if_time_allows() {
+fn a_gang_on_a_reclaimed_machine_is_stopped_gracefully_if_time_allows() {
     // (milliseconds until n-2 is taken, time to save, interval of checkpoints, leeway of the stop)
     let cases = [
         (60_000, 3.0, 20.0, None),
@@ -890,7 +890,7 @@
 }
 
 #[test]
-fn room_is_kept_for_gangs_but_not_all_and_not_from_work_that_waits_long() {
+fn machines_are_reserved_for_gangs_but_not_all_and_not_from_starved_jobs() {
     // Seen in the simulation: in a fleet of eight machines all were kept for gangs, and arrays never
     // began. (machines, age of the array in s, machines kept, whether the array begins)
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
@@ -929,7 +929,7 @@
 }
 
 #[test]
-fn places_about_to_be_left_are_granted_where_no_more_urgent_work_may_go() {
+fn grants_ahead_are_made_where_no_higher_priority_work_may_go() {
     // Seen on a bench day with all machines rented: a place that a task of 15 s had left stayed empty until its
     // machine had reported twice more. With grants ahead on all machines, small tasks filled every core and
     // services waited for two free cores beside each other.
@@ -1012,7 +1012,7 @@
 }
 
 #[test]
-fn what_has_ample_time_yields_at_first() {
+fn jobs_with_ample_time_yield_at_first() {
     // Seen on a bench day: arrays with a deadline of twice their run waited behind small ones that had 200 s for
     // 15 s of work, and missed it. (age, deadline, run, tasks) of a job and of one that goes before it
     let small = |age: f64| (age, 200.0, 15.0, 60);
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn rights_count_from_the_sending_of_what_was_confirmed() {
+fn rights_count_from_when_the_confirmed_request_was_sent() {
     // (renewed, synced, now, may answer, may lead), with a keep-alive of 18 s
     let cases = [
         (None, None, 0, false, false),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_absent_nodes_right_is_bounded_from_above() {
+fn the_rights_of_an_absent_controller_are_bounded() {
     // A node renews at 0 at the latest, its key vanishes at 3 s at the earliest.
     let bound = last_possible_answer(MonotonicTime(3_000), 18_000);
     let mut r = LeaseRights::new(18_000);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_start_needs_a_much_fresher_proof_than_keeping_alive() {
+fn a_start_needs_a_fresher_confirmation_than_keeping_alive() {
     // An owner that the store refuses started what others had confirmed as cancelled, until its right
     // to answer ended. (keep-alive, renewed, synced, now, may start, may answer)
     let cases = [
--- a/src/message_chunks/tests.rs
+++ b/src/message_chunks/tests.rs
@@ -5,7 +5,7 @@
 type Joined = Result<Vec<u8>, ChunkError>;
 
 #[test]
-fn messages_come_back_whole_or_not_at_all() {
+fn chunked_messages_are_reassembled_whole_or_not_at_all() {
     let long: Vec<u8> = (0..2_000u32).map(|n| n as u8).collect();
     let chunks = split(&long, 500);
     assert!(chunks.len() > 3 && chunks.iter().all(|p| p.len() <= 500));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_form_of_a_chunk_is_that_of_earlier_versions() {
+fn chunks_keep_the_format_of_earlier_versions() {
     // (message, its only chunk); the checksum of nothing is the hash's offset basis, and nothing has no chunk.
     assert_eq!(split(b"", 500), Vec::<String>::new());
     let chunks = split(b"a", 500);
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_line_tells_what_came_since_the_last() {
+fn a_log_line_covers_the_time_since_the_last() {
     let metrics = LatencyMetrics::default();
     assert_eq!(metrics.line(), "");
     metrics.record(Operation::Epoch, 100);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_operation_stands_at_its_index() {
+fn every_operation_has_its_own_index() {
     for (index, operation) in Operation::ALL.iter().enumerate() {
         assert_eq!(*operation as usize, index, "{operation:?}");
     }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,7 +4,7 @@
 use crate::model::JobId;
 
 #[test]
-fn peer_messages_of_the_wrong_shape_are_refused() {
+fn malformed_peer_messages_are_refused() {
     let good = encode(&PeerRequest::Query(JobId(3)));
     assert!(matches!(decode::<PeerRequest>(&good), Ok(PeerRequest::Query(JobId(3)))));
     let cases: [&[u8]; 5] = [b"", b"\xc1", b"GET / HTTP/1.1", b"\x93\x01\x02", &[0xdf; 9]];
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_jobs_tasks_are_placed_as_one_after_the_other() {
+fn placing_a_job_equals_placing_its_tasks_one_by_one() {
     // (cores of each machine, tasks, machines chosen in order); a task takes 4.
     type Case = (&'static [u64], usize, &'static [usize]);
     let cases: [Case; 4] = [
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn jobs_stay_where_they_are_allowed() {
+fn jobs_are_placed_only_where_they_are_allowed() {
     let mut job = spec(1, 1);
     job.machine_types = Some(vec!["small".into()]);
     job.zone = Some("a".into());
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_gang_goes_where_all_can_begin_first_on_as_few_machines_as_hold_it() {
+fn a_gang_is_placed_where_it_begins_first_on_the_fewest_machines() {
     // 4 cores and 8 GB a task, an image of 1 GB that takes 2 s. Machines: id, free cores, warm.
     type Machines = &'static [(&'static str, u64, bool)];
     let cases: [(&str, Machines, usize, Option<&[&str]>); 6] = [
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn what_must_run_at_once_needs_zones_that_allow_it() {
+fn gangs_and_services_need_zones_that_allow_them() {
     // Accepted, such jobs would wait for ever.
     // (shape, tasks, one zone, scattered, the only zone, zones of the type, whether it can run)
     use JobKind::{Array, Gang, Service};
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn overlapping_and_late_watches_change_nothing() {
+fn overlapping_and_late_watch_responses_change_nothing() {
     let id = JobId(7);
     let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: WallTime(1) }, 3);
     let leader =
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_forgotten_of_cancelled_jobs_is_known_to_be() {
+fn forgetting_usage_of_cancelled_jobs_is_remembered() {
     // Their tasks may run on machines of which nothing is heard; a limit must not be passed by
     // forgetting them. (cancelled jobs, kept, whether some are forgotten)
     let kept = RESIDUAL_USAGE_KEPT as u64;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_a_gang_that_is_done_may_still_use_is_on_record() {
+fn residual_usage_of_a_completed_gang_is_recorded() {
     // Found in the simulation: a machine that hung had tasks of a gang that was done, and after a
     // takeover they counted for no limit. (shape, tasks that may still be somewhere)
     for (kind, left) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn completions_that_lie_far_apart_fit_into_a_value_and_are_recorded_in_the_end() {
+fn scattered_completions_fit_into_a_value_and_are_recorded_in_the_end() {
     let mut job = Job {
         spec: spec(7, 4_000),
         at: WallTime(1),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_ended_lately_is_known_even_among_many_ends() {
+fn recently_ended_jobs_stay_known_among_many() {
     // All ends were forgotten at once when there were too many: tasks of a job that had been cancelled
     // just before got no kill any more, and ran on.
     let mut l = Replica::new(NodeId(0));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_replica_that_is_read_anew_keeps_what_cannot_change() {
+fn a_reloaded_replica_keeps_what_cannot_change() {
     let member = |capabilities| MemberRecord {
         incarnation: Incarnation(9),
         version: String::new(),
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn every_key_is_read_once_when_the_store_is_read_whole() {
+fn a_full_read_of_the_store_reads_every_key_once() {
     let keys = [
         job_key(JobId(412)),
         progress_key(JobId(412)),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn keys_of_other_versions_are_passed_over() {
+fn keys_of_other_versions_are_ignored() {
     let keys = [
         "",
         "lead/1",
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_record_that_cannot_be_used_says_why_and_changes_no_other() {
+fn an_unusable_record_says_why_and_changes_no_other() {
     let unsound = Progress {
         done: wire::from_value(&wire::to_value(&[(3, 4), (0, 1)])).unwrap(),
         ..Progress::default()
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_announced_term_settles_a_machine_once_and_its_lease_counts_from_there() {
+fn an_announced_term_reconciles_a_machine_once_and_its_lease_counts_from_there() {
     use TaskState::Running;
     let mut controller = node(0);
     controller.rights.confirm_renewal(MonotonicTime(1_000));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_machine_that_counts_from_the_start_again_is_told_from_late_copies() {
+fn a_restarted_machine_is_distinguished_from_late_copies() {
     // Seen on a simulated day: its owner refused it as a late copy, another controller kept it
     // alive as one that cannot reach its owner, and a new term came every 15 s.
     use TaskState::Running;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_summary_that_does_not_fit_comes_in_pieces() {
+fn an_oversized_summary_is_sent_in_pieces() {
     let mut controller = node(0);
     let timing = controller.settings.timing();
     for n in 0..40 {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn late_copies_change_nothing_but_what_they_completed() {
+fn late_copies_change_nothing_but_completions() {
     use TaskState::{Exited, Running};
     let mut controller = node(0);
     assert!(send(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_machine_that_never_shows_the_token_gets_no_answer_for_a_lease() {
+fn a_machine_that_never_shows_the_token_gets_no_response_for_a_lease() {
     // Seen with a machine that did not receive its responses: its heartbeats kept it alive in the leader's eyes, so that
     // every proof of where a task is waited for it. (ms, agent epoch, sequence, token, responded)
     type Heartbeats = &'static [(u64, u64, u64, u64, bool)];
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn starts_go_to_machines_that_hear_and_not_twice_to_one_that_misses_them() {
+fn starts_need_the_shown_token_and_lost_ones_are_not_repeated_at_once() {
     let mut controller = node(0);
     assert_eq!(send(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
     assert_eq!(send(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_node_that_reaches_nobody_sends_its_workers_away_once() {
+fn an_isolated_controller_redirects_its_workers_once() {
     // With the store out and connections between controllers refused, all nodes are alone:
     // then workers come back and must not lose their leases.
     let mut controller = node(0);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn only_strays_that_show_the_token_are_told_of() {
+fn only_foreign_machines_that_show_the_token_are_in_summaries() {
     // A late copy must not bring a machine back or move it to another owner.
     let mut controller = node(1);
     for (ms, sequence, token, told) in
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn an_owner_that_refuses_is_tried_again_and_one_out_of_reach_is_not() {
+fn a_refusing_owner_is_retried_and_an_unreachable_one_is_not() {
     // (ms, answered here, told that it cannot reach its owner). Seen after a crash: the
     // owner had just started and refused, and its machines were moved with a new term.
     type Case = &'static [(u64, bool, bool)];
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_gang_is_stopped_straight_away_and_in_answers_and_its_next_attempt_is_not() {
+fn gang_stops_are_sent_directly_and_in_responses_and_spare_the_next_attempt() {
     let mut controller = node(0);
     let seq = controller.shard.term_state.plan.seq;
     let with = |controller: &mut Controller, seq, stops| {
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn if_one_task_of_a_gang_is_done_all_are() {
+fn one_completed_task_of_a_gang_completes_all() {
     // Its machine may be lost before it tells, and nobody may start it again.
     for (kind, done) in [(JobKind::Gang, 2), (JobKind::Array, 1)] {
         let mut controller = node(0);
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn tasks_of_a_cancelled_job_are_ended_straight_away() {
+fn tasks_of_a_cancelled_job_are_killed_directly() {
     // A machine may reach nobody (mute), and its owner may not be allowed to answer any more.
     use TaskState::{Exited, Running};
     // (its last heartbeat's task and token, when that was, when the job is cancelled, whether it is told)
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn a_machine_that_only_commands_reach_is_told_of_earlier_cancellations() {
+fn earlier_cancellations_reach_a_machine_by_direct_commands_alone() {
     // The leader changed after the cancellation, and no heartbeat of the machine reaches the new owner.
     let mut controller = node(0);
     controller.rights.confirm_renewal(MonotonicTime(1_000));
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn nothing_starts_without_fresh_news_of_cancellations() {
+fn nothing_starts_unless_the_replica_was_confirmed_recently() {
     // (when the replica was last current, when the machine reports, whether it is answered, starts)
     for (synced, now, answered, starts) in
         [(1_000, 1_500, true, 1), (1_000, 4_400, true, 1), (1_000, 4_600, true, 0)]
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn a_place_is_filled_in_the_answer_to_the_report_that_shows_it_empty() {
+fn a_grant_ahead_starts_in_the_response_to_the_heartbeat_that_shows_room() {
     // Without that, each place stays empty for a heartbeat and more, see the leader's test.
     type Edit = fn(&mut wire::JobSpec);
     // (what, the urgent job, the image of the task that ends, starts in the answer)
@@ -665,7 +665,7 @@
 }
 
 #[test]
-fn a_term_voids_all_that_was_followed_and_keeps_what_was_observed() {
+fn a_new_term_voids_the_leaders_decisions_and_keeps_observations() {
     // Both structs are taken apart whole: a new field has to be given its place here.
     for way in WAYS {
         let mut controller = filled_shard();
@@ -769,7 +769,7 @@
 }
 
 #[test]
-fn a_start_is_refused_if_another_term_granted_it_whichever_way_it_came() {
+fn a_start_granted_in_another_term_is_refused_whichever_way_it_came() {
     // The next defect of that kind: something of an earlier term is followed in the present one.
     type Outlives = fn(&mut TermState, TermState);
     let cases: [(&str, Outlives); 3] = [
@@ -813,7 +813,7 @@
 }
 
 #[test]
-fn nobody_is_sent_to_an_owner_of_an_earlier_term() {
+fn no_machine_is_redirected_to_an_owner_of_an_earlier_term() {
     // (owner in the earlier term, whether the machine is sent away then, and after the next term began)
     for (owner, before, after) in [(0, false, false), (1, true, false)] {
         for way in WAYS {
@@ -831,7 +831,7 @@
 }
 
 #[test]
-fn late_copies_are_known_before_the_first_plan_of_a_term_whatever_the_size_of_the_fleet() {
+fn late_copies_are_recognized_before_the_first_plan_whatever_the_fleet_size() {
     // Without owners, room made for a new machine would have meant forgetting all heartbeats.
     let mut controller = node(0);
     let of = |n: usize, sequence| Heartbeat {
--- a/src/store_client/tests.rs
+++ b/src/store_client/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_waits_does_not_wait_for_all_that_users_took() {
+fn waiting_requests_pay_a_bounded_debt_for_user_writes() {
     // Seen on a bench day: users' writes took from a controller's budget without waiting until it was 650 changes
     // in debt, and when it was to lead, its election and every epoch waited 5 s. (rate, taken at once)
     for (rate, taken) in [(7.4, 650), (27.0, 400), (0.5, 30)] {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn bodies_that_are_no_map_are_seen() {
+fn bodies_that_are_no_map_are_detected() {
     let deep = vec![0x81u8; 5000];
     let cases: Vec<(Vec<u8>, bool)> = vec![
         (encode(&cbor!({"a" => [1, {"b" => null}]}).unwrap()), true),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn reports_take_what_this_version_does_not_know() {
+fn heartbeats_accept_fields_and_states_of_other_versions() {
     let body = encode(
         &cbor!({
             "Host" => "n-1", "Endpoint" => "10.1.0.2:9000", "Hull" => "g8", "Yard" => "a",
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn orders_have_their_published_form() {
+fn commands_have_their_published_form() {
     let order = WorkerCommand::Kill {
         task: TaskId::parse("wk-000377/1").unwrap(),
         attempt: Attempt(1),
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -95,7 +95,7 @@
 /// Two failures of the leader in the middle of bursts: it is stopped by a signal for longer than a takeover and goes
 /// on, and its successor is killed and restarted.
 #[test]
-fn a_leader_that_is_stopped_or_killed_in_a_burst_is_replaced_and_no_job_is_lost_or_doubled() {
+fn a_leader_stopped_or_killed_in_a_burst_is_replaced_and_no_job_is_lost_or_duplicated() {
     on_one_thread(async {
         let mut site = Site::start("replaced", true).await;
         let first = site.leader(None).await;
@@ -132,7 +132,7 @@
 
 /// Without the file the same failures are survived as before, by the leader's lease, and there is no status.
 #[test]
-fn without_the_standby_the_lease_decides() {
+fn without_the_standby_failover_follows_lease_expiry() {
     on_one_thread(async {
         let mut site = Site::start("lease", false).await;
         site.users.submit_every(1..=BURST, Duration::from_millis(100));
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn rules_hold_and_work_ends_through_each_failure() {
+fn invariants_hold_and_work_ends_through_each_fault() {
     let cases: Vec<(&str, Vec<(u64, Fault)>)> = vec![
         ("quiet", vec![]),
         ("leader crashes", vec![(21_300, CrashLeader)]),
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn rules_hold_when_troubles_meet() {
+fn invariants_hold_under_combined_faults() {
     for (name, faults) in meetings() {
         for seed in 1..=3 {
             for rhythm in [BRISK, SLOW] {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn rules_hold_when_random_troubles_meet() {
+fn invariants_hold_under_random_combined_faults() {
     for seed in 0..24 {
         for rhythm in [BRISK, SLOW] {
             let faults = world::faults::random_meetings(seed, rhythm);
@@ -388,7 +388,7 @@
 /// and nothing of the jobs starts long after it was confirmed. The same with a leader that nobody tells
 /// anything, which keeps most machines: then only the bounds of its rights help.
 #[test]
-fn cancelled_tasks_are_gone_in_time_whatever_the_store_does() {
+fn cancelled_tasks_end_in_time_whatever_the_store_does() {
     // (report, lease, cancel) of the deployments, and the smallest that the settings allow.
     let rhythms = [
         (1_500, 10_000, 30_000),
@@ -446,7 +446,7 @@
 /// Tasks of a cancelled job on a machine that does not answer have a second way to end: the kill in the
 /// answer to a report, a direct command, the machine's lease, or its return.
 #[test]
-fn cancelled_tasks_end_when_one_way_to_their_machine_fails() {
+fn cancelled_tasks_end_when_one_path_to_their_machine_fails() {
     type Troubles = fn(u64) -> Vec<Fault>;
     let cases: [(&str, Troubles); 7] = [
         ("no direct command arrives", |ms| vec![HoldCommands(ms)]),
@@ -480,7 +480,7 @@
 }
 
 #[test]
-fn many_small_jobs_of_which_a_quarter_is_cancelled_leave_little_behind() {
+fn many_small_jobs_with_a_quarter_cancelled_leave_few_records() {
     let faults = [(60_000, CrashLeader), (1_000, AggressivePolling(120_000))];
     let mut faults = faults.to_vec();
     faults.sort_by_key(|f| f.0);
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn a_large_job_begins_in_time_beside_a_crowd_of_urgent_work() {
+fn a_large_job_begins_in_time_beside_much_high_priority_work() {
     let mut world = World::crowded(1);
     world.run(&[], 320_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_leaves_nobody_waiting() {
+fn no_job_starves_while_a_team_is_at_its_limit() {
     // More comes than its limit holds; between two tasks a few cores are free all the time.
     for seed in 1..=5 {
         for (rhythm, every) in [(BRISK, 800), (SLOW, 1_600)] {
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn a_fleet_of_many_machines_keeps_the_rules_and_its_messages_small() {
+fn a_large_fleet_keeps_the_invariants_and_its_messages_small() {
     // (what, failures): the largest arrays, all machines in use, at the rhythm of large fleets.
     let cases: Vec<(&str, Vec<(u64, Fault)>)> = vec![
         (
@@ -560,7 +560,7 @@
 /// However the leader fails, each phase of the change of leader is seen, and its first decision holds within ten
 /// seconds.
 #[test]
-fn a_change_of_leader_goes_through_its_phases_in_time() {
+fn a_failover_goes_through_its_phases_in_time() {
     for fault in [CrashLeader, FreezeLeader(20_000), PartitionLeader(20_000, true)] {
         for seed in 1..=5 {
             let at = 20_000 + seed * 1_370;
@@ -578,7 +578,7 @@
 
 /// The size that the operators run: the leader crashes with all machines in use, and a zone is cut later.
 #[test]
-fn four_thousand_machines_keep_the_rules_and_settle_after_a_takeover() {
+fn four_thousand_machines_keep_the_invariants_and_reconcile_after_a_failover() {
     let faults = [(18_000, CrashLeader), (40_000, PartitionZones(40_000, false))];
     let mut world = World::fleet(1, 4_000);
     world.run(&faults, 200_000);
@@ -597,7 +597,7 @@
 }
 
 #[test]
-fn rules_hold_through_random_failures() {
+fn invariants_hold_under_random_faults() {
     // The last ones were found among many: a write that was repeated late put older machines and
     // grants back, and a restarted machine brought a new term every 15 s.
     for seed in (100..140).chain([1144, 1768, 12_606, 14_641]) {
@@ -609,7 +609,7 @@
 }
 
 #[test]
-fn a_gang_on_a_machine_that_is_taken_saves_as_a_whole() {
+fn a_gang_on_a_reclaimed_machine_checkpoints_as_a_whole() {
     let mut saved = 0;
     for seed in 1..=20 {
         for rhythm in [BRISK, SLOW] {
@@ -632,7 +632,7 @@
 }
 
 #[test]
-fn gangs_keep_the_rules_and_end_through_random_failures() {
+fn gangs_keep_the_invariants_and_end_under_random_faults() {
     for seed in 200..240 {
         for rhythm in [BRISK, SLOW] {
             let mut faults = world::faults::random_faults(seed, rhythm);
@@ -649,7 +649,7 @@
 }
 
 #[test]
-fn rules_hold_while_versions_are_exchanged_and_limits_fall() {
+fn invariants_hold_through_upgrades_and_falling_limits() {
     // The last one was found among many: a machine that hung had tasks of a gang that was done, and
     // they did not count for the team's limit after a takeover.
     for seed in (300..330).chain([3803]) {
--- a/tests/sim/stopped.rs
+++ b/tests/sim/stopped.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_controller_that_goes_on_does_nothing_on_the_word_of_an_earlier_leader() {
+fn a_resumed_controller_does_nothing_for_an_earlier_leader() {
     // Seen in production (docs/incidents/2026-12-02-ran-twice.md). It takes a report that shows the next token and
     // waits at the stopped leader: mostly with reports every 5 s, where machines are told of the term before they
     // report again.
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn only_versions_that_read_it_are_told_of_cancellations_directly() {
+fn only_versions_that_support_them_are_sent_cancellation_notices() {
     // (what a member says that it understands, whether it is told)
     for (capabilities, told) in [(0, false), (1, false), (2, true), (3, true)] {
         let mut replica = Replica::new(NodeId(0));
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn only_versions_that_read_it_are_asked_when_they_heard_the_leader() {
+fn only_versions_that_support_the_standby_are_asked_for_leader_silence() {
     // (what a member says that it understands, whether it is asked)
     for (capabilities, asked) in [(0, false), (3, false), (4, true)] {
         let mut replica = Replica::new(NodeId(0));
