--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -76,9 +76,8 @@
     }
 }
 
-/// Tells the leader what the only controller knows and plays an epoch; says whether it
-/// grants anything.
-fn tell(
+/// Sends the leader a full summary of its only controller and runs an epoch; returns whether it granted anything.
+fn run_epoch(
     controller: &mut Controller,
     ms: u64,
     applied_plan: u64,
@@ -114,22 +113,28 @@
 
 #[test]
 fn state_from_an_earlier_term_proves_no_absence() {
-    // Seen on a bench day: a takeover, a summary from before the first plan with the task
+    // Seen on a bench day: a failover, a summary from before the first plan with the task
     // on n-1, then one in which the owner had forgotten that machine. The task was
     // started on n-2 while it ran on n-1.
     let mut controller = leader();
     let both = |tasks| vec![view("n-1", true, tasks), view("n-2", true, &[])];
-    assert!(!tell(&mut controller, 1_100, 0, vec![]), "owners are assigned");
-    assert!(!tell(&mut controller, 1_300, 0, both(&[0])), "remembered from before");
-    assert!(!tell(&mut controller, 1_500, 1, vec![view("n-2", true, &[])]), "n-1 is not told of");
-    assert!(!tell(&mut controller, 1_700, 1, both(&[0])), "it runs");
-    assert!(tell(&mut controller, 1_900, 1, both(&[])), "n-1 says itself that it is not there");
+    assert!(!run_epoch(&mut controller, 1_100, 0, vec![]), "owners are assigned");
+    assert!(!run_epoch(&mut controller, 1_300, 0, both(&[0])), "remembered from before");
+    assert!(
+        !run_epoch(&mut controller, 1_500, 1, vec![view("n-2", true, &[])]),
+        "n-1 is not in the summary"
+    );
+    assert!(!run_epoch(&mut controller, 1_700, 1, both(&[0])), "it runs");
+    assert!(
+        run_epoch(&mut controller, 1_900, 1, both(&[])),
+        "n-1 says itself that it is not there"
+    );
 }
 
 #[test]
 fn a_task_on_two_machines_is_detected() {
     // In production a controller owned both machines for seven seconds, and nobody said a word.
-    // (tasks on n-1, tasks on n-2, whether n-2 has settled, tasks on both)
+    // (tasks on n-1, tasks on n-2, whether n-2 is reconciled, tasks on both)
     type Case = (&'static [u32], &'static [u32], bool, &'static [u32]);
     let cases: [Case; 4] = [
         (&[0], &[], true, &[]),
@@ -139,8 +144,8 @@
     ];
     for (first, second, reconciled, both) in cases {
         let mut controller = leader();
-        tell(&mut controller, 1_100, 0, vec![]);
-        tell(
+        run_epoch(&mut controller, 1_100, 0, vec![]);
+        run_epoch(
             &mut controller,
             1_300,
             1,
@@ -156,8 +161,8 @@
 #[test]
 fn evidence_names_controllers_plans_and_machines() {
     let mut controller = leader();
-    tell(&mut controller, 1_100, 0, vec![]);
-    tell(&mut controller, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
+    run_epoch(&mut controller, 1_100, 0, vec![]);
+    run_epoch(&mut controller, 1_300, 1, vec![view("n-1", true, &[]), view("n-2", true, &[])]);
     let evidence = controller.leader.as_ref().unwrap().fleet.evidence().to_string();
     assert_eq!(evidence, "node 0: 2 by plan 1; leases ended: 0; gone: 0");
 }
@@ -207,7 +212,7 @@
     // Whole zones were returned a moment before their cut ended, though the run-out of
     // their leases had proven all that was needed.
     let mut controller = leader();
-    let speaks_for = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
+    let summarize = |controller: &mut Controller, ms: u64, alive: bool, agent_epoch: u64| {
         controller.rights.confirm_renewal(MonotonicTime(ms));
         controller.rights.confirm_sync(MonotonicTime(ms));
         let mut n1 = view("n-1", true, if agent_epoch == 1 { &[0] } else { &[] });
@@ -232,15 +237,19 @@
         let task = TaskId { job: JobId(1), index: 0 };
         (leader.fleet.on_machines().contains_key(&task), leader.fleet.expired_leases.len())
     };
-    speaks_for(&mut controller, 1_100, true, 1);
-    assert_eq!(speaks_for(&mut controller, 30_000, true, 1), (true, 0));
-    assert_eq!(speaks_for(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
-    assert_eq!(speaks_for(&mut controller, 42_000, false, 1), (false, 1));
+    summarize(&mut controller, 1_100, true, 1);
+    assert_eq!(summarize(&mut controller, 30_000, true, 1), (true, 0));
+    assert_eq!(summarize(&mut controller, 38_000, false, 1), (true, 0), "its lease may still run");
+    assert_eq!(summarize(&mut controller, 42_000, false, 1), (false, 1));
     let plan = controller.plan_for(NodeId(0), MonotonicTime(42_000)).unwrap().0;
-    let told = plan.body.map(|b| b.expired_leases);
-    assert_eq!(told, Some(vec![(MachineId::new("n-1"), AgentEpoch(1))]), "its part is told");
-    assert_eq!(speaks_for(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
-    speaks_for(&mut controller, 44_000, true, 2);
+    let expired = plan.body.map(|body| body.expired_leases);
+    assert_eq!(
+        expired,
+        Some(vec![(MachineId::new("n-1"), AgentEpoch(1))]),
+        "its shard is informed"
+    );
+    assert_eq!(summarize(&mut controller, 43_000, false, 1), (false, 1), "remembered from before");
+    summarize(&mut controller, 44_000, true, 2);
     assert!(controller.leader.as_ref().unwrap().fleet.views().any(|m| &*m.id.0 == "n-1"), "back");
 }
 
@@ -250,16 +259,16 @@
     // more; the next one took them for booting, and counted on them for minutes.
     let mut controller = leader();
     let alive = || vec![view("n-2", true, &[])];
-    let returned = |controller: &mut Controller, ms| {
+    let scaled_in = |controller: &mut Controller, ms| {
         controller.rights.confirm_renewal(MonotonicTime(ms));
-        tell(controller, ms, 1, alive());
+        run_epoch(controller, ms, 1, alive());
         controller
             .with_leader(at(ms), |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
             .unwrap()
     };
-    assert!(returned(&mut controller, 1_100).is_empty());
-    assert!(returned(&mut controller, 9_000).is_empty(), "its lease may still run");
-    assert_eq!(returned(&mut controller, 12_500), [MachineId::new("n-1")]);
+    assert!(scaled_in(&mut controller, 1_100).is_empty());
+    assert!(scaled_in(&mut controller, 9_000).is_empty(), "its lease may still run");
+    assert_eq!(scaled_in(&mut controller, 12_500), [MachineId::new("n-1")]);
 }
 
 #[test]
@@ -268,8 +277,8 @@
     // that an earlier term had started was on no machine for a moment, and started again.
     let mut controller = leader();
     let all = |tasks| vec![view("n-1", true, tasks), view("n-2", true, &[])];
-    tell(&mut controller, 1_100, 0, all(&[]));
-    assert!(!tell(&mut controller, 1_200, 1, all(&[0])), "it runs on n-1");
+    run_epoch(&mut controller, 1_100, 0, all(&[]));
+    assert!(!run_epoch(&mut controller, 1_200, 1, all(&[0])), "it runs on n-1");
     // (number, base, whether more comes, machines)
     let pieces = [
         (1_300, 0, true, vec![view("n-2", true, &[])]),
@@ -314,7 +323,7 @@
         controller.rights.confirm_sync(now);
         for node in 0..3 {
             let age = answered.filter(|_| node == 1).map(|ms| (MachineId::new("n-1"), ms));
-            let told = Summary {
+            let summary = Summary {
                 node: NodeId(node),
                 echo_ms: now.0,
                 up_ms: if node == 2 { up_ms } else { 200_000 },
@@ -322,13 +331,13 @@
                 machines: vec![],
                 ..summary(1, 0, INCARNATION)
             };
-            controller.receive_summary(now, told);
+            controller.receive_summary(now, summary);
             let leader = controller.leader.as_ref().unwrap();
-            assert_eq!(leader.fleet.unreconciled.len(), 2, "{what}: not before all have told");
+            assert_eq!(leader.fleet.unreconciled.len(), 2, "{what}: not before all sent a summary");
         }
         controller.epoch(at(now.0)).unwrap();
-        let left = &controller.leader.as_ref().unwrap().fleet.unreconciled;
-        assert_eq!(left.contains(&MachineId::new("n-1")), !over, "{what}");
+        let unreconciled = &controller.leader.as_ref().unwrap().fleet.unreconciled;
+        assert_eq!(unreconciled.contains(&MachineId::new("n-1")), !over, "{what}");
     }
 }
 
@@ -344,14 +353,14 @@
         age_s: 50.0,
     };
     // The list lags by 6 s. (when the second list came, its first name, whether it is cut off
-    // after n-1, when the answer is wanted, whether n-2 is returned then)
+    // after n-1, when n-2 is looked at, whether it is scaled in then)
     let cases = [
         (9_000, None, false, 9_100, false),
         (15_000, None, false, 15_100, true),
         (15_000, None, true, 15_100, false),
         (15_000, Some("n-2"), false, 15_100, false),
     ];
-    for (second, after, truncated, when, returned) in cases {
+    for (second, after, truncated, when, expected) in cases {
         let mut controller = leader();
         let list =
             |controller: &mut Controller, ms, names: &[&str], after: Option<&str>, truncated| {
@@ -365,46 +374,46 @@
                 });
             };
         controller.rights.confirm_renewal(MonotonicTime(1_000));
-        tell(&mut controller, 1_000, 0, vec![view("n-1", true, &[])]);
+        run_epoch(&mut controller, 1_000, 0, vec![view("n-1", true, &[])]);
         list(&mut controller, 500, &["n-1", "n-2"], None, false);
         list(&mut controller, second, &["n-1"], after, truncated);
         controller.rights.confirm_renewal(MonotonicTime(when));
         controller.leader.as_mut().unwrap().task_grants.unresolved.clear();
-        tell(&mut controller, when, 0, vec![view("n-1", true, &[])]);
-        let gone = controller.with_leader(at(when), |l, cluster| {
+        run_epoch(&mut controller, when, 0, vec![view("n-1", true, &[])]);
+        let scaled_in = controller.with_leader(at(when), |l, cluster| {
             let n2 = MachineId::new("n-2");
             l.fleet.machines[&n2].missing && l.fleet.machines_to_scale_in(cluster).contains(&n2)
         });
-        assert_eq!(gone, Some(returned), "{second} {after:?} {truncated}");
+        assert_eq!(scaled_in, Some(expected), "{second} {after:?} {truncated}");
     }
 }
 
 #[test]
 fn incremental_summaries_need_their_base_or_a_full_one_is_requested() {
-    // What a missed summary told could be a task on a machine, or an answer to a worker.
+    // A missed summary may have held a task on a machine, or a response to a worker.
     let other = Incarnation(8);
     let mut controller = leader();
-    let mut take = |s| controller.receive_summary(MonotonicTime(1_000), s).0;
+    let mut receive = |s| controller.receive_summary(MonotonicTime(1_000), s).0;
     assert!(
-        matches!(take(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
+        matches!(receive(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
         "nothing is known yet"
     );
-    assert!(!matches!(take(summary(5, 0, INCARNATION)), PeerResponse::SendWhole));
-    assert!(!matches!(take(summary(6, 5, INCARNATION)), PeerResponse::SendWhole));
+    assert!(!matches!(receive(summary(5, 0, INCARNATION)), PeerResponse::SendWhole));
+    assert!(!matches!(receive(summary(6, 5, INCARNATION)), PeerResponse::SendWhole));
     assert!(
-        matches!(take(summary(9, 8, INCARNATION)), PeerResponse::SendWhole),
+        matches!(receive(summary(9, 8, INCARNATION)), PeerResponse::SendWhole),
         "7 and 8 are missing"
     );
     let late = Summary { machines: vec![], ..summary(5, 0, INCARNATION) };
-    take(late);
-    let told = |controller: &Controller| {
+    receive(late);
+    let newest_number = |controller: &Controller| {
         controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
     };
-    assert_eq!(told(&controller), Some(6), "a late one changes nothing");
+    assert_eq!(newest_number(&controller), Some(6), "a late one changes nothing");
     controller.receive_summary(MonotonicTime(1_100), summary(1, 0, other));
     let leader = controller.leader.as_ref().unwrap();
-    assert!(leader.renew_term.is_some(), "a new life needs a new term");
-    assert_eq!(told(&controller), Some(6));
+    assert!(leader.renew_term.is_some(), "a new incarnation needs a new term");
+    assert_eq!(newest_number(&controller), Some(6));
 }
 
 #[test]
@@ -416,8 +425,8 @@
     let job = item(replica::job_key(JobId(2)), wire::to_value(&accepted));
     controller.replica.load(&job, &mut replica_changes);
     let idle = || vec![view("n-1", true, &[0]), view("n-2", true, &[])];
-    tell(&mut controller, 1_100, 0, vec![]);
-    tell(&mut controller, 1_300, 1, idle());
+    run_epoch(&mut controller, 1_100, 0, vec![]);
+    run_epoch(&mut controller, 1_300, 1, idle());
     let leader = controller.leader.as_ref().unwrap();
     let granted: Vec<TaskId> = leader.task_grants.granted.keys().copied().collect();
     assert!(!granted.is_empty() && granted.len() < 4, "{granted:?}");
@@ -502,19 +511,22 @@
 fn an_unreconciled_machine_proves_nothing_about_its_tasks() {
     // A late copy may show a task where it is no longer, and another one not show it.
     let mut controller = leader();
-    let seen = |tasks| vec![view("n-1", false, tasks), view("n-2", true, &[])];
-    assert!(!tell(&mut controller, 1_100, 0, vec![]));
-    assert!(!tell(&mut controller, 1_300, 1, seen(&[0])));
-    assert!(!tell(&mut controller, 1_500, 1, seen(&[])));
+    let machines = |tasks| vec![view("n-1", false, tasks), view("n-2", true, &[])];
+    assert!(!run_epoch(&mut controller, 1_100, 0, vec![]));
+    assert!(!run_epoch(&mut controller, 1_300, 1, machines(&[0])));
+    assert!(!run_epoch(&mut controller, 1_500, 1, machines(&[])));
 }
 
 #[test]
 fn an_unresolved_task_waits_for_every_machine_that_may_hold_it() {
     let mut controller = leader();
-    let seen = |reconciled| vec![view("n-1", reconciled, &[]), view("n-2", true, &[])];
-    assert!(!tell(&mut controller, 1_100, 0, vec![]));
-    assert!(!tell(&mut controller, 1_300, 1, seen(false)), "n-1 may still take older orders");
-    assert!(tell(&mut controller, 1_500, 1, seen(true)));
+    let machines = |reconciled| vec![view("n-1", reconciled, &[]), view("n-2", true, &[])];
+    assert!(!run_epoch(&mut controller, 1_100, 0, vec![]));
+    assert!(
+        !run_epoch(&mut controller, 1_300, 1, machines(false)),
+        "n-1 may still accept older commands"
+    );
+    assert!(run_epoch(&mut controller, 1_500, 1, machines(true)));
 }
 
 /// A leader of term 3 with those limits of the store, now and to come, and what an earlier
@@ -603,10 +615,10 @@
         let kb = next.map_or(now.0, |n| n.0.min(now.0));
         let ops = next.map_or(now.1, |n| n.1.min(now.1));
         let before = controller.replica.unfinished_granted_tasks();
-        let rented: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
+        let provisioned: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
         let offer = MachineOffer { machine_type: "small".into(), zone: "a".into(), spot: false };
         controller.with_leader(at(1_000), |l, cluster| {
-            l.fleet.add_provisioned(cluster.now, &rented, &offer)
+            l.fleet.add_provisioned(cluster.now, &provisioned, &offer)
         });
         let mut revision = 9;
         let mut granted: FxHashSet<TaskId> = FxHashSet::default();
@@ -614,7 +626,7 @@
             let ms = 1_200 + step * 450;
             controller.rights.confirm_renewal(MonotonicTime(ms));
             controller.rights.confirm_sync(MonotonicTime(ms));
-            let told = Summary {
+            let summary = Summary {
                 node: NodeId(0),
                 number: step + 1,
                 echo_ms: ms,
@@ -623,7 +635,7 @@
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
                 ..summary(1, 0, INCARNATION)
             };
-            controller.receive_summary(MonotonicTime(ms), told);
+            controller.receive_summary(MonotonicTime(ms), summary);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
                 assert!(
@@ -655,15 +667,18 @@
             controller.publish(at(ms), epoch, term);
             // Whoever leads next knows every machine and every task that may run.
             if step % 40 == 39 {
-                let mut other = Controller::new(controller.settings.clone(), Incarnation(6));
+                let mut successor = Controller::new(controller.settings.clone(), Incarnation(6));
                 let all: Vec<KeyValue> = store.values().cloned().collect();
-                other.load(&all, Revision(revision));
-                let known = other.replica.unfinished_granted_tasks();
+                successor.load(&all, Revision(revision));
+                let known = successor.replica.unfinished_granted_tasks();
                 assert!(
                     before.iter().chain(&granted).all(|t| known.contains(t)),
                     "{now:?} {next:?}"
                 );
-                assert_eq!(other.replica.machines, controller.replica.machines, "{now:?} {next:?}");
+                assert_eq!(
+                    successor.replica.machines, controller.replica.machines,
+                    "{now:?} {next:?}"
+                );
             }
         }
         assert_eq!(
@@ -695,7 +710,7 @@
         let ms = 1_200 + step * 450;
         controller.rights.confirm_renewal(MonotonicTime(ms));
         controller.rights.confirm_sync(MonotonicTime(ms));
-        let told = Summary {
+        let summary = Summary {
             node: NodeId(0),
             number: step + 1,
             echo_ms: ms,
@@ -704,7 +719,7 @@
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
             ..summary(1, 0, INCARNATION)
         };
-        controller.receive_summary(MonotonicTime(ms), told);
+        controller.receive_summary(MonotonicTime(ms), summary);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.changes);
@@ -719,7 +734,7 @@
     assert!(granted > 20, "{granted} jobs");
 }
 
-/// A leader that knows two machines of two places each, and a gang besides the job of the others.
+/// A leader with two machines that hold two tasks each, and a gang besides job 1.
 fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), capabilities: u32) -> Controller {
     let mut controller = leader();
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
@@ -781,10 +796,10 @@
     for (what, tasks, edit, capabilities, want) in cases {
         let mut controller = leader_with_gang(tasks, edit, capabilities);
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
-        tell(&mut controller, 1_100, 0, vec![]);
+        run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.replica.jobs.remove(&JobId(1));
-        tell(&mut controller, 1_300, 1, idle());
-        tell(&mut controller, 1_500, 1, idle());
+        run_epoch(&mut controller, 1_300, 1, idle());
+        run_epoch(&mut controller, 1_500, 1, idle());
         assert_eq!(granted_of(&controller).0, want, "{what}");
     }
 }
@@ -809,23 +824,23 @@
             &[(2, Unknown)],
             false,
         ),
-        ("one is gone while others run", &[(0, Running), (1, Running)], &[], true),
+        ("one ended while others run", &[(0, Running), (1, Running)], &[], true),
     ];
     for (what, first, second, stopped) in cases {
         let mut controller = leader_with_gang(3, |_| {}, 1);
-        tell(&mut controller, 1_100, 0, vec![]);
+        run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.replica.jobs.remove(&JobId(1));
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
-        tell(&mut controller, 1_300, 1, idle());
-        tell(&mut controller, 1_500, 1, idle());
+        run_epoch(&mut controller, 1_300, 1, idle());
+        run_epoch(&mut controller, 1_500, 1, idle());
         let attempt = granted_of(&controller).1.unwrap();
         let now = || vec![shows("n-1", first), shows("n-2", second)];
         controller.rights.confirm_renewal(MonotonicTime(1_700));
         if stopped {
             let all = [shows("n-1", &[(0, Running), (1, Running)]), shows("n-2", &[(2, Running)])];
-            tell(&mut controller, 1_800, 2, all.to_vec());
+            run_epoch(&mut controller, 1_800, 2, all.to_vec());
         }
-        tell(&mut controller, 2_000, 2, now());
+        run_epoch(&mut controller, 2_000, 2, now());
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(!stops.is_empty(), stopped, "{what}");
         if !stopped {
@@ -833,10 +848,10 @@
         }
         assert!(stops[0].before > attempt && stops[0].leeway_ms == 0);
         let plan = controller.plan_for(NodeId(0), MonotonicTime(2_000)).unwrap().0;
-        assert_eq!(plan.body.unwrap().stops, stops, "parts are told");
-        // While any is left, whatever else is free, none starts: it would be beside the old ones.
+        assert_eq!(plan.body.unwrap().stops, stops, "shards are informed");
+        // While any task is left, none starts, whatever is free: it would run beside the old ones.
         for ms in [2_300, 2_600] {
-            assert!(!tell(
+            assert!(!run_epoch(
                 &mut controller,
                 ms,
                 9,
@@ -844,8 +859,8 @@
             ));
             assert_eq!(granted_of(&controller).0, 0, "{what}");
         }
-        tell(&mut controller, 3_000, 9, idle());
-        tell(&mut controller, 3_200, 9, idle());
+        run_epoch(&mut controller, 3_000, 9, idle());
+        run_epoch(&mut controller, 3_200, 9, idle());
         let (count, again) = granted_of(&controller);
         assert!(count == 3 && again.unwrap() >= stops[0].before, "a new attempt for all");
     }
@@ -853,7 +868,7 @@
 
 #[test]
 fn a_gang_on_a_reclaimed_machine_is_stopped_gracefully_if_time_allows() {
-    // (milliseconds until n-2 is taken, time to save, interval of checkpoints, leeway of the stop)
+    // (milliseconds until n-2 is reclaimed, time to save, interval of checkpoints, leeway of the stop)
     let cases = [
         (60_000, 3.0, 20.0, None),
         (6_500, 3.0, 20.0, Some(8_000)),
@@ -867,9 +882,9 @@
                 (checkpoint_save_s, checkpoint_interval_s);
         }
         controller.replica.jobs.remove(&JobId(1));
-        tell(&mut controller, 1_100, 0, vec![]);
+        run_epoch(&mut controller, 1_100, 0, vec![]);
         let runs = TaskState::Running;
-        let told = Summary {
+        let summary = Summary {
             node: NodeId(0),
             number: 1_300,
             applied_plan: PlanSeq(1),
@@ -878,7 +893,7 @@
             notices: vec![(MachineId::new("n-2"), ms)],
             ..summary(1, 0, INCARNATION)
         };
-        controller.receive_summary(MonotonicTime(1_300), told);
+        controller.receive_summary(MonotonicTime(1_300), summary);
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(
@@ -891,8 +906,8 @@
 
 #[test]
 fn machines_are_reserved_for_gangs_but_not_all_and_not_from_starved_jobs() {
-    // Seen in the simulation: in a fleet of eight machines all were kept for gangs, and arrays never
-    // began. (machines, age of the array in s, machines kept, whether the array begins)
+    // Seen in the simulation: in a fleet of eight machines all were reserved for gangs, and arrays never
+    // began. (machines, age of the array in s, machines reserved, whether the array begins)
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
     for (machines, age_s, reserved, begins) in cases {
         let mut controller =
@@ -911,7 +926,7 @@
             &mut replica_changes,
         );
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
-        tell(&mut controller, 1_100, 0, vec![]);
+        run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
             l.remembered.market.record_gangs(
                 MonotonicTime(1_150),
@@ -919,8 +934,8 @@
                 Default::default(),
             );
         });
-        tell(&mut controller, 1_200, 1, idle());
-        tell(&mut controller, 1_400, 1, idle());
+        run_epoch(&mut controller, 1_200, 1, idle());
+        run_epoch(&mut controller, 1_400, 1, idle());
         let leader = controller.leader.as_ref().unwrap();
         assert_eq!(leader.gangs.reserved.len(), reserved, "{machines} {age_s}");
         let began = leader.task_grants.granted.keys().any(|t| t.job == JobId(8));
@@ -930,8 +945,8 @@
 
 #[test]
 fn grants_ahead_are_made_where_no_higher_priority_work_may_go() {
-    // Seen on a bench day with all machines rented: a place that a task of 15 s had left stayed empty until its
-    // machine had reported twice more. With grants ahead on all machines, small tasks filled every core and
+    // Seen on a bench day with all machines in use: the room that a task of 15 s had left stayed empty until its
+    // machine had sent two more heartbeats. With grants ahead on all machines, small tasks filled every core and
     // services waited for two free cores beside each other.
     type Edit = fn(&mut wire::JobSpec);
     // (what, the urgent job, what the controller understands, tasks granted ahead)
@@ -973,8 +988,11 @@
             capabilities,
         };
         put(replica::member_key(NodeId(0)), wire::to_value(&member));
-        let brief = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
-        put(replica::job_key(JobId(8)), wire::to_value(&Accepted { spec: brief, at: WallTime(1) }));
+        let short_running = wire::JobSpec { estimated_run_s: 2.0, ..spec(8, 20) };
+        put(
+            replica::job_key(JobId(8)),
+            wire::to_value(&Accepted { spec: short_running, at: WallTime(1) }),
+        );
         if let Some(edit) = urgent {
             let mut other =
                 wire::JobSpec { priority: Priority::High, team: "blue".into(), ..spec(9, 1) };
@@ -984,11 +1002,11 @@
                 wire::to_value(&Accepted { spec: other, at: WallTime(1) }),
             );
         }
-        tell(&mut controller, 1_100, 0, vec![]);
+        run_epoch(&mut controller, 1_100, 0, vec![]);
         for step in 0..4 {
             let applied_plan = controller.leader.as_ref().unwrap().plans.seq.0;
             let full = vec![running("n-1", [0, 1]), running("n-2", [2, 3])];
-            tell(&mut controller, 1_300 + step * 100, applied_plan, full);
+            run_epoch(&mut controller, 1_300 + step * 100, applied_plan, full);
         }
         let leader = controller.leader.as_ref().unwrap();
         let normal = |t: &TaskId| t.job != JobId(9) || urgent.is_none();
@@ -1006,8 +1024,9 @@
             .count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
-        let told: u32 = leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
-        assert_eq!(told as usize, ahead + as_urgent, "{what}");
+        let planned: u32 =
+            leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
+        assert_eq!(planned as usize, ahead + as_urgent, "{what}");
     }
 }
 
