--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -5,8 +5,9 @@
 
 #[test]
 fn timing_follows_the_heartbeat_interval() {
-    // Reports of the deployments, then odd ones: (report, lease, silent, unused, stray, quick).
-    // With fixed times of 4 s, machines that report every 5 s were closed for most of the time.
+    // Heartbeat intervals of the deployments, then odd ones: (interval, lease, unavailable after, unused grant,
+    // foreign machine, presumed stopped). With fixed times of 4 s, machines with a heartbeat every 5 s got nothing for
+    // most of the time.
     let cases = [
         (1.0, 11.0, 4_000, 4_500, 3_000, 5_000),
         (1.5, 10.0, 4_000, 4_500, 3_000, 6_000),
@@ -15,7 +16,7 @@
         (0.5, 3.0, 4_000, 4_500, 3_000, 5_000),
         (10.0, 30.0, 14_500, 15_000, 13_500, 30_000),
     ];
-    for (heartbeat_s, lease_s, silent, unused, stray, quick) in cases {
+    for (heartbeat_s, lease_s, unavailable, unused_grant, foreign, stopped) in cases {
         let timing = HeartbeatTiming::of(&WorkerSettings {
             heartbeat_s,
             lease_s,
@@ -29,7 +30,7 @@
             timing.foreign_machine_ms,
             timing.presumed_stopped_ms,
         );
-        assert_eq!(got, (silent, unused, stray, quick), "{heartbeat_s} {lease_s}");
+        assert_eq!(got, (unavailable, unused_grant, foreign, stopped), "{heartbeat_s} {lease_s}");
         assert!(
             timing.max_interval_ms + 1_000 <= timing.foreign_machine_ms
                 && timing.max_interval_ms < timing.unavailable_after_ms
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_peer_ends_a_term_that_the_store_does_not_end() {
     // Seen on a bench day: refused by the store, the old leader kept its workers under the
-    // old token for 18 s. (told of node and term, term then, leader then)
+    // old token for 18 s. (leader and term in the peer's message, term then, leader then)
     let cases = [
         (1, 4, 5, 0),
         (1, 5, 5, 0),
@@ -47,7 +47,7 @@
         assert_eq!(controller.leader.is_some(), leader == 0, "{node} {term}");
     }
     controller.follow(now, &leader);
-    assert!(controller.leader.is_none(), "what the replica tells is of an earlier term");
+    assert!(controller.leader.is_none(), "what the replica holds is of an earlier term");
     controller.load(&items(1, 9), Revision(12));
     controller.follow(now, &leader);
     assert_eq!((controller.shard.term(), controller.leader()), (Term(9), Some(NodeId(1))));
@@ -107,9 +107,9 @@
 #[test]
 fn completed_tasks_are_counted_before_they_are_recorded() {
     // The progress of jobs that go on is written late where many jobs share the store's budget.
-    // (told by the leader, on record, shown)
+    // (in the leader's plan, on record, shown)
     let cases = [(None, 0, 0), (Some(7), 2, 7), (Some(7), 9, 9), (Some(40), 9, 20)];
-    for (told, recorded, shown) in cases {
+    for (planned, recorded, shown) in cases {
         let mut controller =
             Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
         let record = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(5) };
@@ -130,7 +130,7 @@
             ClockReading { steady: MonotonicTime(0), wall: WallTime(0) },
             &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
         );
-        let completed = told.map(|count| (1, count)).into_iter().collect();
+        let completed = planned.map(|count| (1, count)).into_iter().collect();
         assert!(controller.shard.follow(Plan {
             term: Term(5),
             incarnation: Incarnation(5),
@@ -142,20 +142,20 @@
             decisions: None,
         }));
         let answer = controller.open_answer(JobId(1)).unwrap();
-        assert_eq!(answer.done, shown, "{told:?} {recorded}");
-        assert_eq!(answer.state, wire::JobState::Pending, "{told:?} {recorded}");
+        assert_eq!(answer.done, shown, "{planned:?} {recorded}");
+        assert_eq!(answer.state, wire::JobState::Pending, "{planned:?} {recorded}");
     }
 }
 
 #[test]
 fn watching_begins_once_the_store_has_been_read() {
-    // Seen on a bench day: a worker's report with a later term reached a controller that had just started, which asked
+    // Seen on a bench day: a worker's heartbeat with a later term reached a controller that had just started, which asked
     // for all changes since the beginning, 10,000 of them, and ended for memory.
     let mut controller =
         Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
     assert_eq!(controller.changes_from(), None);
     controller.load(&[], Revision(9));
     assert_eq!(controller.changes_from(), Some(Revision(9)));
-    controller.loaded = false; // What the store told was too old to go on from.
+    controller.loaded = false; // The store no longer had the changes to go on from.
     assert_eq!(controller.changes_from(), None);
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn only_a_large_fleet_gives_up_machines_that_merely_do_not_respond() {
-    // Seen at a site of 30 machines: a cut made large ones go back that ran long tasks.
+    // Seen at a site of 30 machines: a partition made the leader scale in large ones that ran long tasks.
     let cases = [(1, 30, false), (2, 49, false), (1, 50, true), (14, 700, true), (15, 700, false)];
     for (machines, up, few) in cases {
         assert_eq!(are_few(machines, up), few, "{machines} of {up}");
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Opens connections to a server that takes six, three of users, two without a request, and
-/// says what each is answered; `None` for a closed one.
+/// returns the status of each response; `None` for a closed one.
 async fn flood(paths: &[Option<&str>]) -> Vec<Option<u16>> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -17,7 +17,7 @@
     let server = tokio::task::spawn_local(serve(listener, limits, |_| async {
         Response::new(200, vec![1])
     }));
-    let mut kept = Vec::new();
+    let mut open = Vec::new();
     let mut answers = Vec::new();
     for path in paths {
         let mut stream = TcpStream::connect(addr).await.unwrap();
@@ -31,7 +31,7 @@
                 .flatten();
             answers.push(answer);
         }
-        kept.push(stream);
+        open.push(stream);
     }
     server.abort();
     answers
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn rights_count_from_when_the_confirmed_request_was_sent() {
-    // (renewed, synced, now, may answer, may lead), with a keep-alive of 18 s
+    // (renewed, synced, now, may respond, may lead), with a keep-alive of 18 s
     let cases = [
         (None, None, 0, false, false),
         (Some(1_000), None, 1_001, false, true),
@@ -34,7 +34,7 @@
 
 #[test]
 fn the_rights_of_an_absent_controller_are_bounded() {
-    // A node renews at 0 at the latest, its key vanishes at 3 s at the earliest.
+    // A controller renews at 0 at the latest, its key vanishes at 3 s at the earliest.
     let bound = last_possible_answer(MonotonicTime(3_000), 18_000);
     let mut r = LeaseRights::new(18_000);
     r.confirm_renewal(MonotonicTime(0));
@@ -45,12 +45,12 @@
 #[test]
 fn a_start_needs_a_fresher_confirmation_than_keeping_alive() {
     // An owner that the store refuses started what others had confirmed as cancelled, until its right
-    // to answer ended. (keep-alive, renewed, synced, now, may start, may answer)
+    // to respond ended. (keep-alive, renewed, synced, now, may start, may respond)
     let cases = [
         (18_000, 1_000, 1_000, 4_400, true, true),
         (18_000, 1_000, 1_000, 4_500, false, true),
         (18_000, 9_000, 1_000, 9_100, false, true),
-        // Being current is what counts; a lease that is not renewed costs the right to answer.
+        // Being current is what counts; a lease that is not renewed costs the right to respond.
         (18_000, 1_000, 9_000, 12_000, true, true),
         (18_000, 1_000, 20_000, 20_100, false, false),
         (2_000, 1_000, 1_000, 2_900, true, true),
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -43,67 +43,71 @@
     let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: WallTime(1) }, 3);
     let leader =
         |term| LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(term) };
-    let mut l = Replica::new(NodeId(0));
-    assert!(l.apply(&changes(4, vec![job.clone()])).new_jobs);
-    l.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
+    let mut replica = Replica::new(NodeId(0));
+    assert!(replica.apply(&changes(4, vec![job.clone()])).new_jobs);
+    replica.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
     // A slower watch that covers only older changes comes back afterwards.
     let late = vec![job, set(LEADER_KEY.into(), &leader(1), 5), dropped(LEADER_KEY.into(), 6)];
-    assert_eq!(l.apply(&changes(7, late)), ReplicaChanges::default());
-    assert_eq!(l.leader.as_ref().unwrap().value.term, Term(2));
-    assert_eq!(l.revision, Revision(9));
-    l.apply(&changes(10, vec![dropped(LEADER_KEY.into(), 10)]));
-    assert!(l.leader.is_none());
+    assert_eq!(replica.apply(&changes(7, late)), ReplicaChanges::default());
+    assert_eq!(replica.leader.as_ref().unwrap().value.term, Term(2));
+    assert_eq!(replica.revision, Revision(9));
+    replica.apply(&changes(10, vec![dropped(LEADER_KEY.into(), 10)]));
+    assert!(replica.leader.is_none());
 }
 
 #[test]
 fn progress_may_be_read_before_its_job() {
-    let mut l = Replica::new(NodeId(0));
-    let mut b = ReplicaChanges::default();
+    let mut replica = Replica::new(NodeId(0));
+    let mut replica_changes = ReplicaChanges::default();
     let done = Progress { done: TaskRanges::span(0, 1), ..Progress::default() };
     let item = |key: String, v, version| KeyValue { key, value: v, version: Revision(version) };
-    l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
+    replica.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut replica_changes);
     let accepted = Accepted { spec: spec(7, 2), at: WallTime(1) };
-    l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
-    let job = &l.jobs[&JobId(7)];
+    replica.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut replica_changes);
+    let job = &replica.jobs[&JobId(7)];
     assert!(job.is_done(0) && !job.is_done(1));
     assert_eq!(job.progress_version, Revision(5));
     let end = job.with_completed([1, 1, 99], 2_048).unwrap();
     assert_eq!(end.end, Some(JobState::Done));
     assert!(job.with_completed([0], 2_048).is_none());
-    l.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut b);
-    assert_eq!(l.ended[&JobId(7)], EndedJob { state: JobState::Done, done: 2 });
+    replica.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut replica_changes);
+    assert_eq!(replica.ended[&JobId(7)], EndedJob { state: JobState::Done, done: 2 });
     // An ended job stays ended whatever is read later.
-    l.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut b);
-    l.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut b);
-    assert!(l.jobs.is_empty() && l.ended.len() == 1);
+    replica.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut replica_changes);
+    replica.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut replica_changes);
+    assert!(replica.jobs.is_empty() && replica.ended.len() == 1);
 }
 
 #[test]
 fn forgetting_usage_of_cancelled_jobs_is_remembered() {
-    // Their tasks may run on machines of which nothing is heard; a limit must not be passed by
-    // forgetting them. (cancelled jobs, kept, whether some are forgotten)
-    let kept = RESIDUAL_USAGE_KEPT as u64;
-    for (cancelled, left, forgotten) in [(3, 3, false), (kept, kept, false), (kept + 1, kept, true)]
+    // Their tasks may run on machines that send no heartbeats; a limit must not be passed by
+    // forgetting them. (cancelled jobs, remembered, whether some are forgotten)
+    let most = RESIDUAL_USAGE_KEPT as u64;
+    for (cancelled, remembered, forgotten) in
+        [(3, 3, false), (most, most, false), (most + 1, most, true)]
     {
-        let mut l = Replica::new(NodeId(0));
-        let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
+        let mut replica = Replica::new(NodeId(0));
+        let cancelled_progress = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
         for n in 1..=cancelled {
             let accepted = Accepted { spec: spec(n, 2), at: WallTime(1) };
             let news = vec![
                 set(job_key(JobId(n)), &accepted, 2 * n),
-                set(progress_key(JobId(n)), &gone, 2 * n + 1),
+                set(progress_key(JobId(n)), &cancelled_progress, 2 * n + 1),
             ];
-            l.apply(&changes(2 * n + 1, news));
+            replica.apply(&changes(2 * n + 1, news));
         }
-        assert_eq!((l.residual_usage.len() as u64, l.residual_usage_truncated), (left, forgotten));
+        assert_eq!(
+            (replica.residual_usage.len() as u64, replica.residual_usage_truncated),
+            (remembered, forgotten)
+        );
     }
 }
 
 #[test]
 fn residual_usage_of_a_completed_gang_is_recorded() {
     // Found in the simulation: a machine that hung had tasks of a gang that was done, and after a
-    // takeover they counted for no limit. (shape, tasks that may still be somewhere)
-    for (kind, left) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
+    // failover they counted for no limit. (shape, tasks that may still be somewhere)
+    for (kind, residual) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
         let job = Job {
             spec: JobSpec { kind, ..spec(7, 3) },
             at: WallTime(1),
@@ -113,9 +117,18 @@
         let end = job.with_completed(0..3, 2_048).unwrap();
         let mut replica_changes = ReplicaChanges::default();
         // A controller that has never seen the job read its end alone.
-        let mut l = Replica::new(NodeId(0));
-        l.put(&progress_key(JobId(7)), &wire::to_value(&end), Revision(3), &mut replica_changes);
-        assert_eq!(l.residual_usage.get(&JobId(7)).map(|w| w.unfinished_tasks), left, "{kind:?}");
+        let mut replica = Replica::new(NodeId(0));
+        replica.put(
+            &progress_key(JobId(7)),
+            &wire::to_value(&end),
+            Revision(3),
+            &mut replica_changes,
+        );
+        assert_eq!(
+            replica.residual_usage.get(&JobId(7)).map(|w| w.unfinished_tasks),
+            residual,
+            "{kind:?}"
+        );
     }
 }
 
@@ -143,19 +156,32 @@
 fn recently_ended_jobs_stay_known_among_many() {
     // All ends were forgotten at once when there were too many: tasks of a job that had been cancelled
     // just before got no kill any more, and ran on.
-    let mut l = Replica::new(NodeId(0));
-    let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
-    let gone = wire::to_value(&gone);
+    let mut replica = Replica::new(NodeId(0));
+    let cancelled_progress = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
+    let cancelled_progress = wire::to_value(&cancelled_progress);
     let mut replica_changes = ReplicaChanges::default();
     let ends = ENDED_KEPT as u64 + 3;
     for n in 1..=ends {
-        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
-        // What is told once more counts once.
-        l.put(&progress_key(JobId(n)), &gone, Revision(n), &mut replica_changes);
+        replica.put(
+            &progress_key(JobId(n)),
+            &cancelled_progress,
+            Revision(n),
+            &mut replica_changes,
+        );
+        // What is applied twice counts once.
+        replica.put(
+            &progress_key(JobId(n)),
+            &cancelled_progress,
+            Revision(n),
+            &mut replica_changes,
+        );
     }
-    assert_eq!((l.ended.len(), replica_changes.cancelled_jobs.len() as u64), (ENDED_KEPT, ends));
+    assert_eq!(
+        (replica.ended.len(), replica_changes.cancelled_jobs.len() as u64),
+        (ENDED_KEPT, ends)
+    );
     for (id, known) in [(1, false), (3, false), (4, true), (ends - 1, true), (ends, true)] {
-        assert_eq!(l.ended.contains_key(&JobId(id)), known, "{id}");
+        assert_eq!(replica.ended.contains_key(&JobId(id)), known, "{id}");
     }
 }
 
@@ -167,31 +193,31 @@
         capabilities,
     };
     let done = Progress { end: Some(JobState::Done), ..Progress::default() };
-    let mut l = Replica::new(NodeId(0));
-    l.apply(&changes(
+    let mut replica = Replica::new(NodeId(0));
+    replica.apply(&changes(
         4,
         vec![set(member_key(NodeId(1)), &member(CAPABILITY_CANCELLATION_NOTICE), 3)],
     ));
-    l.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
-    l.apply(&changes(8, vec![set(progress_key(JobId(7)), &done, 7)]));
-    let moves = l.membership_changes[&NodeId(1)];
+    replica.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
+    replica.apply(&changes(8, vec![set(progress_key(JobId(7)), &done, 7)]));
+    let moves = replica.membership_changes[&NodeId(1)];
     let mut read = Replica::new(NodeId(0));
-    let mut b = ReplicaChanges::default();
+    let mut replica_changes = ReplicaChanges::default();
     let other = KeyValue {
         key: progress_key(JobId(8)),
         value: wire::to_value(&done),
         version: Revision(9),
     };
-    read.load(&other, &mut b);
-    l.replace(read);
-    // It came and went while nobody followed; whom the store refuses is told of cancellations.
-    assert!(l.membership_changes[&NodeId(1)] > moves && l.members.is_empty());
+    read.load(&other, &mut replica_changes);
+    replica.replace(read);
+    // It was created and deleted between two reads; controllers that the store refuses get cancellation notices.
+    assert!(replica.membership_changes[&NodeId(1)] > moves && replica.members.is_empty());
     assert!(
-        l.supports_cancellation_notices(NodeId(1))
-            && !l.supports_gangs(NodeId(1))
-            && !l.supports_cancellation_notices(NodeId(2))
+        replica.supports_cancellation_notices(NodeId(1))
+            && !replica.supports_gangs(NodeId(1))
+            && !replica.supports_cancellation_notices(NodeId(2))
     );
-    assert_eq!(l.ended.len(), 2);
+    assert_eq!(replica.ended.len(), 2);
 }
 
 #[test]
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -28,7 +28,7 @@
 const TERM: Term = Term(3);
 const TASK: TaskId = TaskId { job: JobId(1), index: 0 };
 
-/// A node in a term of another leader, which owns n-1 of two machines and may start a task.
+/// A controller in a term of another leader, which owns n-1 of two machines and may start a task.
 fn node(owner: u8) -> Controller {
     let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), INCARNATION);
     controller.set_machine_types(&wire::MachineTypes {
@@ -94,7 +94,7 @@
     controller.rights.confirm_sync(MonotonicTime(ms));
     match controller.on_heartbeat(MonotonicTime(ms), heartbeat) {
         HeartbeatOutcome::Respond(reply) => {
-            let starts = |o: &&WorkerCommand| matches!(o, WorkerCommand::Start { .. });
+            let starts = |command: &&WorkerCommand| matches!(command, WorkerCommand::Start { .. });
             (true, reply.commands.iter().filter(starts).count())
         }
         _ => (false, 0),
@@ -155,9 +155,9 @@
 #[test]
 fn a_restarted_machine_is_distinguished_from_late_copies() {
     // Seen on a simulated day: its owner refused it as a late copy, another controller kept it
-    // alive as one that cannot reach its owner, and a new term came every 15 s.
+    // alive as one that cannot reach its owner, and a new term began every 15 s.
     use TaskState::Running;
-    // (order of its answer to the question, whether it was restarted)
+    // (agent epoch and sequence of its response to the check, whether it was restarted)
     for (agent_epoch, sequence, restarted) in [(2, 10, false), (3, 1, false), (1, 4, true)] {
         let mut controller = node(0);
         send(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running)));
@@ -175,8 +175,8 @@
             &asked[0],
             &heartbeat(agent_epoch, sequence, 3, None),
         );
-        let told = controller.summary(MonotonicTime(1_300), 900_000).restarted;
-        assert_eq!(!told.is_empty(), restarted, "{agent_epoch} {sequence}");
+        let reported = controller.summary(MonotonicTime(1_300), 900_000).restarted;
+        assert_eq!(!reported.is_empty(), restarted, "{agent_epoch} {sequence}");
     }
 }
 
@@ -189,13 +189,13 @@
         machine.changed_in_summary = 1;
         controller.shard.machines.insert(MachineId::new(&format!("n-{n:02}")), machine);
     }
-    let mut told = BTreeSet::new();
+    let mut summarized = BTreeSet::new();
     let mut pieces = 0;
     loop {
         let piece = controller.shard.summary(MonotonicTime(1_000), &timing, 2_048);
         assert!(crate::peer::encode(&piece).len() <= 2_048);
         assert_eq!(piece.base == 0, pieces == 0);
-        told.extend(piece.machines.into_iter().map(|m| m.id));
+        summarized.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
         controller.shard.term_state.acknowledged_summary =
             Some(SentSummary { number: piece.number, at: MonotonicTime(1_000) });
@@ -203,7 +203,7 @@
             break;
         }
     }
-    assert_eq!((told.len(), pieces), (40, 4));
+    assert_eq!((summarized.len(), pieces), (40, 4));
 }
 
 #[test]
@@ -211,7 +211,7 @@
     use TaskState::{Exited, Running};
     let mut controller = node(0);
     assert!(send(&mut controller, 1_000, &heartbeat(2, 9, 3, Some(Running))).0);
-    let told = controller.summary(MonotonicTime(2_000), 900_000);
+    let before = controller.summary(MonotonicTime(2_000), 900_000);
     let copies = [
         heartbeat(2, 9, 3, Some(Running)),
         heartbeat(2, 8, 3, None),
@@ -222,8 +222,8 @@
         assert_eq!(send(&mut controller, 2_000, copy), (false, 0), "{copy:?}");
     }
     let now = controller.summary(MonotonicTime(2_000), 900_000);
-    assert_eq!(now.machines, told.machines, "nothing freed, settled or revived");
-    assert_eq!(now.answered, told.answered, "its silence goes on");
+    assert_eq!(now.machines, before.machines, "nothing freed, reconciled or revived");
+    assert_eq!(now.answered, before.answered, "its silence goes on");
     assert_eq!(
         now.completed_tasks,
         [(1, TaskRanges::span(0, 1))],
@@ -276,7 +276,7 @@
 
 #[test]
 fn an_isolated_controller_redirects_its_workers_once() {
-    // With the store out and connections between controllers refused, all nodes are alone:
+    // With the store out and connections between controllers refused, all controllers are isolated:
     // then workers come back and must not lose their leases.
     let mut controller = node(0);
     assert!(send(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
@@ -291,13 +291,13 @@
 fn only_foreign_machines_that_show_the_token_are_in_summaries() {
     // A late copy must not bring a machine back or move it to another owner.
     let mut controller = node(1);
-    for (ms, sequence, token, told) in
+    for (ms, sequence, token, expected) in
         [(0, 1, 2, 0), (1_000, 2, 2, 0), (1_400, 3, 3, 1), (1_450, 2, 2, 1)]
     {
         send(&mut controller, ms, &heartbeat(1, sequence, token, None));
         assert_eq!(
             controller.summary(MonotonicTime(ms), 900_000).foreign_machines.len(),
-            told,
+            expected,
             "{ms}"
         );
     }
@@ -305,7 +305,7 @@
 
 #[test]
 fn a_refusing_owner_is_retried_and_an_unreachable_one_is_not() {
-    // (ms, answered here, told that it cannot reach its owner). Seen after a crash: the
+    // (ms, responded to here, whether the summary says that it cannot reach its owner). Seen after a crash: the
     // owner had just started and refused, and its machines were moved with a new term.
     type Case = &'static [(u64, bool, bool)];
     let refused: Case =
@@ -313,12 +313,16 @@
     let cut: Case = &[(0, false, false), (5_000, true, true), (6_000, true, true)];
     for case in [refused, cut] {
         let mut controller = node(1);
-        for (n, (ms, kept, told)) in case.iter().enumerate() {
+        for (n, (ms, responded, unreachable)) in case.iter().enumerate() {
             let got = send(&mut controller, *ms, &heartbeat(1, n as u64 + 1, 3, None)).0;
-            assert_eq!(got, *kept, "{ms}");
+            assert_eq!(got, *responded, "{ms}");
             let foreign_machines =
                 controller.summary(MonotonicTime(*ms + 3_000), 900_000).foreign_machines;
-            assert_eq!(foreign_machines.iter().any(|s| s.since_ms > 2_500), *told, "{ms}");
+            assert_eq!(
+                foreign_machines.iter().any(|foreign| foreign.since_ms > 2_500),
+                *unreachable,
+                "{ms}"
+            );
         }
     }
 }
@@ -348,26 +352,26 @@
         let stop = GangStop { job: 1, before: Attempt(before), leeway_ms };
         assert!(with(&mut controller, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
         let leeway = |commands: &[WorkerCommand]| {
-            commands.iter().find_map(|o| match o {
+            commands.iter().find_map(|command| match command {
                 WorkerCommand::Kill { grace_s, .. } => Some(*grace_s),
                 _ => None,
             })
         };
-        let told = controller.direct_messages_due(MonotonicTime(200 + i as u64), 8);
-        assert_eq!(told.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
+        let direct = controller.direct_messages_due(MonotonicTime(200 + i as u64), 8);
+        assert_eq!(direct.iter().find_map(|a| leeway(&a.commands)), want, "{before} direct");
         let shown = heartbeat(1, 2 + i as u64, 3, Some(TaskState::Running));
         let HeartbeatOutcome::Respond(reply) =
             controller.on_heartbeat(MonotonicTime(300 + i as u64), &shown)
         else {
             panic!("refused");
         };
-        assert_eq!(leeway(&reply.commands), want, "{before} in the answer");
+        assert_eq!(leeway(&reply.commands), want, "{before} in the response");
     }
 }
 
 #[test]
 fn one_completed_task_of_a_gang_completes_all() {
-    // Its machine may be lost before it tells, and nobody may start it again.
+    // Its machine may be lost before it reports the others, and none of them may start again.
     for (kind, done) in [(JobKind::Gang, 2), (JobKind::Array, 1)] {
         let mut controller = node(0);
         if let Some(job) = controller.replica.jobs.get_mut(&JobId(1)) {
@@ -380,40 +384,40 @@
     }
 }
 
-/// Makes job 1 cancelled, as a peer tells or the store.
+/// Cancels job 1, as a notice of a peer or the store would.
 fn cancel(controller: &mut Controller, ms: u64) {
-    let gone = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
-    let replica_changes = controller.apply_cancellation_notice(JobId(1), &gone, Revision(12));
+    let cancelled = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
+    let replica_changes = controller.apply_cancellation_notice(JobId(1), &cancelled, Revision(12));
     controller
         .follow(ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) }, &replica_changes);
 }
 
 #[test]
 fn tasks_of_a_cancelled_job_are_killed_directly() {
-    // A machine may reach nobody (mute), and its owner may not be allowed to answer any more.
+    // A machine may reach nobody, and its owner may not be allowed to respond any more.
     use TaskState::{Exited, Running};
-    // (its last heartbeat's task and token, when that was, when the job is cancelled, whether it is told)
+    // (its last heartbeat's task and token, when that was, when the job is cancelled, whether a kill is sent)
     let cases = [
         (Some(Running), 3, 1_000, 1_100, true),
         (Some(Running), 2, 1_000, 1_100, true), // it is not reconciled
-        (Some(Running), 3, 1_000, 60_000, true), // no right to answer is left
+        (Some(Running), 3, 1_000, 60_000, true), // no right to respond is left
         (Some(Exited), 3, 1_000, 1_100, false),
-        (None, 3, 1_000, 1_100, true), // it was to start with the answer, which may be on its way
+        (None, 3, 1_000, 1_100, true), // it was to start with the response, which may be on its way
     ];
-    for (state, token, heard, cancelled, told) in cases {
+    for (state, token, heartbeat_at, cancelled_at, killed) in cases {
         let mut controller = node(0);
-        send(&mut controller, heard, &heartbeat(1, 5, token, state));
-        while !controller.direct_messages_due(MonotonicTime(heard), 8).is_empty() {}
-        cancel(&mut controller, cancelled);
-        let out = controller.direct_messages_due(MonotonicTime(cancelled), 8);
+        send(&mut controller, heartbeat_at, &heartbeat(1, 5, token, state));
+        while !controller.direct_messages_due(MonotonicTime(heartbeat_at), 8).is_empty() {}
+        cancel(&mut controller, cancelled_at);
+        let out = controller.direct_messages_due(MonotonicTime(cancelled_at), 8);
         let kills: Vec<&WorkerCommand> = out.iter().flat_map(|a| &a.commands).collect();
-        let what = format!("{state:?} {token} {cancelled}");
-        assert_eq!(kills.len(), usize::from(told), "{what}: {out:?}");
+        let what = format!("{state:?} {token} {cancelled_at}");
+        assert_eq!(kills.len(), usize::from(killed), "{what}: {out:?}");
         let shown =
             |k: &&WorkerCommand| matches!(k, WorkerCommand::Kill { attempt: Attempt(7), .. });
-        assert_eq!(kills.iter().all(shown), state.is_some() || !told, "{what}");
-        let again = controller.direct_messages_due(MonotonicTime(cancelled), 8);
-        assert!(again.iter().all(|a| a.commands.is_empty()), "{what}: told once");
+        assert_eq!(kills.iter().all(shown), state.is_some() || !killed, "{what}");
+        let again = controller.direct_messages_due(MonotonicTime(cancelled_at), 8);
+        assert!(again.iter().all(|a| a.commands.is_empty()), "{what}: sent once");
     }
 }
 
@@ -438,8 +442,8 @@
 
 #[test]
 fn nothing_starts_unless_the_replica_was_confirmed_recently() {
-    // (when the replica was last current, when the machine reports, whether it is answered, starts)
-    for (synced, now, answered, starts) in
+    // (when the replica was last current, when the heartbeat comes, whether it gets a response, starts)
+    for (synced, now, responded, starts) in
         [(1_000, 1_500, true, 1), (1_000, 4_400, true, 1), (1_000, 4_600, true, 0)]
     {
         let mut controller = node(0);
@@ -449,17 +453,17 @@
             HeartbeatOutcome::Respond(reply) => (true, reply.commands.len()),
             _ => (false, 0),
         };
-        assert_eq!(got, (answered, starts), "{synced} {now}");
-        // It starts once the store serves this node again.
+        assert_eq!(got, (responded, starts), "{synced} {now}");
+        // It starts once the store serves this controller again.
         assert_eq!(send(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1, 1 - starts);
     }
 }
 
 #[test]
 fn a_grant_ahead_starts_in_the_response_to_the_heartbeat_that_shows_room() {
-    // Without that, each place stays empty for a heartbeat and more, see the leader's test.
+    // Without that, room stays unused for a heartbeat and more, see the leader's test.
     type Edit = fn(&mut wire::JobSpec);
-    // (what, the urgent job, the image of the task that ends, starts in the answer)
+    // (what, the urgent job, the image of the task that ends, starts in the response)
     let cases: [(&str, Option<Edit>, &str, usize); 4] = [
         ("warm", None, "img", 1),
         ("urgent work may go there", Some(|_| {}), "img", 0),
@@ -513,21 +517,21 @@
     }
 }
 
-/// By what a controller knows of a new term.
+/// How a controller learns of a new term.
 #[derive(Clone, Copy, Debug)]
 enum Way {
     /// A watch shows another controller's election.
     Watch,
-    /// A peer tells, as the store does not serve this node.
+    /// A peer's message says so, as the store does not serve this controller.
     Peer,
-    /// This node was elected itself.
+    /// This controller was elected itself.
     OwnElection,
 }
 
 const WAYS: [Way; 3] = [Way::Watch, Way::Peer, Way::OwnElection];
 const NEXT_TERM: Term = Term(4);
 
-/// Begins the next term in that way.
+/// Begins the next term, known in that way.
 fn begin_next_term(controller: &mut Controller, way: Way) {
     let leader = |node, incarnation| LeaderRecord { node, incarnation, term: NEXT_TERM };
     let other = leader(NodeId(2), Incarnation(11));
@@ -553,7 +557,7 @@
 
 #[test]
 fn nothing_that_an_earlier_term_granted_starts_in_the_next() {
-    // Seen in production (docs/incidents/2026-12-02-ran-twice.md): a leader that had stood still learned that it was
+    // Seen in production (docs/incidents/2026-12-02-ran-twice.md): a leader that had been suspended learned that it was
     // replaced, and in the same instant started what it had granted ahead to itself, with the new term's token.
     let granted = || Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
     let with_room = PlanBody { grants: vec![granted()], ..PlanBody::default() };
@@ -574,7 +578,7 @@
             }));
             begin_next_term(&mut controller, way);
             assert_eq!(controller.shard.term(), NEXT_TERM, "{way:?}");
-            // Its new owner has told the machine of the term; its heartbeat waited here meanwhile.
+            // Its new owner has announced the term to the machine, whose heartbeat was delayed here meanwhile.
             let shown = heartbeat(1, 1, NEXT_TERM.0, None);
             assert_eq!(send(&mut controller, 1_000, &shown).1, 0, "{way:?}, granted {kind}");
         }
@@ -814,7 +818,7 @@
 
 #[test]
 fn no_machine_is_redirected_to_an_owner_of_an_earlier_term() {
-    // (owner in the earlier term, whether the machine is sent away then, and after the next term began)
+    // (owner in the earlier term, whether the machine is redirected then, and after the next term began)
     for (owner, before, after) in [(0, false, false), (1, true, false)] {
         for way in WAYS {
             let mut controller = node(owner);
