--- a/tests/loopback/cloud_server.rs
+++ b/tests/loopback/cloud_server.rs
@@ -12,7 +12,7 @@
 use crate::machines::Machines;
 use crate::site::catalog;
 
-/// Most machines that are rented in all.
+/// Most machines that are scaled out in all.
 const MOST_MACHINES: usize = 80;
 
 /// Serves on a free port and says which.
--- a/tests/loopback/history.rs
+++ b/tests/loopback/history.rs
@@ -1,4 +1,4 @@
-//! What happened on the machines and what users were told, by one clock, for the checker of the simulation.
+//! What happened on the machines and the states users were shown, by one clock, for the checker of the simulation.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,14 +48,14 @@
         self.completed.borrow_mut().entry(job).or_default().insert(index);
     }
 
-    /// A user was told that a job is done.
+    /// A user was shown that a job is done.
     pub fn called_done(&self, job: u64) {
         let done = self.completed.borrow().get(&job).map_or(0, BTreeSet::len) as u32;
         let of = self.sizes.borrow().get(&job).copied().unwrap_or(0);
         self.see(Event::CalledDone { job, done, of });
     }
 
-    /// Rules that were broken.
+    /// Invariants that were broken.
     pub fn broken(&self) -> Vec<String> {
         self.checker.borrow().broken.clone()
     }
--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -1,4 +1,4 @@
-//! Machines with the worker of the simulation, which report to real controllers and take direct commands.
+//! Machines with the worker of the simulation, which send heartbeats to real controllers and take direct commands.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -51,20 +51,20 @@
         }
     }
 
-    /// Where controllers take reports.
+    /// Where controllers take heartbeats.
     pub fn set_controllers(&self, addresses: Vec<SocketAddr>) {
         *self.controllers.borrow_mut() = addresses;
     }
 
     /// Machines that are there.
     pub fn count(&self) -> usize {
-        self.workers.borrow().iter().filter(|(w, _)| !w.borrow().gone).count()
+        self.workers.borrow().iter().filter(|(w, _)| !w.borrow().terminated).count()
     }
 
     /// What the cloud lists after that name.
     pub fn listed(&self, after: &str) -> Vec<ListedMachine> {
         let workers = self.workers.borrow();
-        let there = workers.iter().filter(|(w, _)| !w.borrow().gone);
+        let there = workers.iter().filter(|(w, _)| !w.borrow().terminated);
         let listed = there.map(|(w, spot)| {
             let w = w.borrow();
             ListedMachine {
@@ -80,17 +80,17 @@
         listed.filter(|listed| *listed.id.0 > *after).collect()
     }
 
-    /// The machines of a rental that was carried out under that name.
+    /// The machines of a scale-out with that idempotency key, if it was carried out.
     pub fn provisioned_by(&self, key: &str) -> Option<Vec<MachineId>> {
         self.provisioned.borrow().get(key).cloned()
     }
 
-    /// A rental was carried out under that name.
+    /// A scale-out with that idempotency key was carried out.
     pub fn note_request(&self, key: &str, machines: &[MachineId]) {
         self.provisioned.borrow_mut().insert(key.into(), machines.to_vec());
     }
 
-    /// A machine and all on it are gone.
+    /// A machine and all on it are terminated.
     pub fn vanish(&self, id: &MachineId) {
         let workers = self.workers.borrow();
         if let Some((worker, _)) = workers.iter().find(|(w, _)| w.borrow().name() == *id) {
@@ -139,7 +139,7 @@
         Response::new(if refused { 409 } else { 200 }, wire::encode(&heartbeat))
     }
 
-    /// Runs a machine until it is gone.
+    /// Runs a machine until it is terminated.
     async fn work(self: Rc<Self>, worker: Rc<RefCell<Worker>>) {
         let clients: Vec<Rc<Client>> = self
             .controllers
@@ -148,7 +148,7 @@
             .map(|addr| Rc::new(Client::new(*addr, wire::BODY_LIMIT)))
             .collect();
         let machine = worker.borrow().id;
-        while !worker.borrow().gone {
+        while !worker.borrow().terminated {
             let now = self.history.now();
             let run_ms =
                 |task: willowshore::model::TaskId| RUN_MS + 100 * u64::from(task.index % 4);
@@ -190,7 +190,7 @@
         self.see(worker.borrow().id, changes);
     }
 
-    /// Tells the history what changed on a machine.
+    /// Records in the history what changed on a machine.
     fn see(&self, machine: usize, changes: Vec<Change>) {
         for change in changes {
             match change {
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -31,7 +31,7 @@
 use tokio::time::sleep;
 use users::Users;
 
-/// How often workers report and how long their leases are here.
+/// The heartbeat interval of workers and their leases here.
 const RHYTHM: Rhythm = Rhythm { report_ms: 500, lease_ms: 6_000, cancel_ms: 16_000 };
 /// Machines at the start.
 const MACHINES: usize = 36;
@@ -75,7 +75,7 @@
         panic!("nobody but {before:?} leads");
     }
 
-    /// Waits until users were told that all jobs have ended.
+    /// Waits until users were shown that all jobs have ended.
     async fn all_ended(&self) {
         for _ in 0..1_200 {
             if self.users.open().is_empty() {
@@ -92,8 +92,8 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Two failures of the leader in the middle of bursts: it is stopped by a signal for longer than a takeover and goes
-/// on, and its successor is killed and restarted.
+/// Two failures of the leader in the middle of bursts: it is stopped by a signal for longer than a failover and
+/// continued, and its successor is killed and restarted.
 #[test]
 fn a_leader_stopped_or_killed_in_a_burst_is_replaced_and_no_job_is_lost_or_duplicated() {
     on_one_thread(async {
@@ -119,7 +119,7 @@
 
         let status = site.controllers.status(third).await.expect("a status");
         assert!(status.last_failover.is_some_and(|t| t.term > 1), "{:?}", site.controllers.logs());
-        assert!(site.controllers.logged("replacing the leader"), "no takeover was by suspicion");
+        assert!(site.controllers.logged("replacing the leader"), "no failover was by suspicion");
         assert_eq!(status.divergences, 0);
         let old = site.controllers.status(first).await.expect("a status");
         assert!(old.last_back.is_some(), "it says why it follows: {old:?}");
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -1,4 +1,4 @@
-//! Users that submit jobs to any controller, repeat what was not answered, and ask until they are told the end.
+//! Users that submit jobs to any controller, repeat what was not answered, and ask until they are shown the end.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use willowshore::model::JobId;
 use willowshore::wire::{self, JobAnswer, JobSpec, JobState};
 
-use crate::check::{Event, Told};
+use crate::check::{Event, ShownState};
 use crate::history::History;
 use crate::site::spec;
 
@@ -34,7 +34,7 @@
         Users { history, controllers, open: RefCell::default() }
     }
 
-    /// Jobs of which no user was told the end.
+    /// Jobs that no user was shown as ended.
     pub fn open(&self) -> Vec<u64> {
         self.open.borrow().iter().copied().collect()
     }
@@ -76,19 +76,19 @@
         let client = Client::new(self.controllers[node], wire::BODY_LIMIT);
         let Ok(answer) = client.call(method, path, body, ANSWER_LIMIT).await else { return false };
         if answer.status == 404 {
-            self.history.see(Event::Told { job: id, node, told: Told::Unknown });
+            self.history.see(Event::StateShown { job: id, node, state: ShownState::Unknown });
         }
         if !matches!(answer.status, 200 | 201) {
             return false;
         }
         let Ok(answer) = wire::decode::<JobAnswer>(&answer.body) else { return false };
-        let told = match answer.state {
-            JobState::Pending | JobState::Running => Told::Open,
-            JobState::Done => Told::Done,
-            JobState::Cancelled => Told::Withdrawn,
+        let state = match answer.state {
+            JobState::Pending | JobState::Running => ShownState::Open,
+            JobState::Done => ShownState::Done,
+            JobState::Cancelled => ShownState::Cancelled,
         };
-        self.history.see(Event::Told { job: id, node, told });
-        if told == Told::Done && self.open.borrow_mut().remove(&id) {
+        self.history.see(Event::StateShown { job: id, node, state });
+        if state == ShownState::Done && self.open.borrow_mut().remove(&id) {
             self.history.called_done(id);
         }
         true
--- a/tests/sim/check.rs
+++ b/tests/sim/check.rs
@@ -1,4 +1,4 @@
-//! The rules, checked against what really happens on the machines and what users are told.
+//! The invariants, checked against what really happens on the machines and the states that users are shown.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,13 +28,13 @@
         done: u32,
         of: u32,
     },
-    /// A node told a user something about a job, whoever asked and whatever for.
-    Told {
+    /// A controller showed a user a job's state, whoever asked and whatever for.
+    StateShown {
         job: u64,
         node: usize,
-        told: Told,
+        state: ShownState,
     },
-    /// With troubles over, a job that nobody cancelled has tasks that wait, while a machine has room and
+    /// With all faults over, a job that nobody cancelled has tasks that wait, while a machine has room and
     /// its team is under its limit (or not).
     JobWaiting {
         job: u64,
@@ -56,13 +56,13 @@
     Began {
         job: u64,
     },
-    /// With troubles over, a node answers whether it knows an accepted job.
+    /// With all faults over, a node answers whether it knows an accepted job.
     Answered {
         job: u64,
         node: usize,
         known: bool,
     },
-    /// With troubles over, a node does not answer about an accepted job.
+    /// With all faults over, a node does not answer about an accepted job.
     Unanswered {
         job: u64,
         node: usize,
@@ -70,15 +70,15 @@
     Tick,
 }
 
-/// What a user was told of a job.
+/// The state of a job as a controller shows it to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ShownState {
     /// Nobody knows it.
     Unknown,
     /// It is accepted and has not ended.
     Open,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 pub struct Checker {
@@ -93,8 +93,8 @@
     /// Jobs that have not begun, and when they were accepted.
     waiting: BTreeMap<u64, u64>,
     begun: BTreeSet<u64>,
-    /// The newest that any node told of a job.
-    told: BTreeMap<u64, Told>,
+    /// The newest state that any controller showed of a job.
+    shown: BTreeMap<u64, ShownState>,
     /// Jobs that users submitted; no other may be known.
     submitted: BTreeSet<u64>,
     /// Jobs that users asked to cancel; nobody else's may be called cancelled.
@@ -126,7 +126,7 @@
             unanswered: BTreeMap::new(),
             waiting: BTreeMap::new(),
             begun: BTreeSet::new(),
-            told: BTreeMap::new(),
+            shown: BTreeMap::new(),
             submitted: BTreeSet::new(),
             asked_to_cancel: BTreeSet::new(),
             could: BTreeMap::new(),
@@ -157,12 +157,12 @@
                 if used > self.team_limit {
                     self.broken.push(format!("{at}: team {team} uses {used}"));
                 }
-                if let Some(told) = self.cancelled.get(&task.0) {
+                if let Some(cancelled_at) = self.cancelled.get(&task.0) {
                     self.late_starts += 1;
-                    self.latest_start_ms = self.latest_start_ms.max(at - told);
+                    self.latest_start_ms = self.latest_start_ms.max(at - cancelled_at);
                 }
                 self.could.remove(&task.0);
-                self.late(at, task);
+                self.check_cancelled(at, task);
             }
             Event::Leaves { task, machine } => {
                 if let Some(on) = self.on.get_mut(&task) {
@@ -187,23 +187,24 @@
                 }
                 self.done.insert(job);
             }
-            Event::Told { job, node, told } => {
-                let before = self.told.get(&job).copied();
-                let older = match (before, told) {
-                    (None, _) | (Some(Told::Unknown), _) => false,
-                    (Some(Told::Open), told) => told == Told::Unknown,
-                    (Some(end), told) => told != end,
+            Event::StateShown { job, node, state } => {
+                let before = self.shown.get(&job).copied();
+                let older = match (before, state) {
+                    (None, _) | (Some(ShownState::Unknown), _) => false,
+                    (Some(ShownState::Open), state) => state == ShownState::Unknown,
+                    (Some(end), state) => state != end,
                 };
                 if older {
-                    self.broken
-                        .push(format!("{at}: {job} was told {before:?} and is {told:?} at {node}"));
+                    self.broken.push(format!(
+                        "{at}: {job} was shown as {before:?} and is {state:?} at {node}"
+                    ));
                     return;
                 }
-                self.told.insert(job, told);
-                if told != Told::Unknown && !self.submitted.contains(&job) {
-                    self.broken.push(format!("{at}: {job} is invented by {node}: {told:?}"));
+                self.shown.insert(job, state);
+                if state != ShownState::Unknown && !self.submitted.contains(&job) {
+                    self.broken.push(format!("{at}: {job} is invented by {node}: {state:?}"));
                 }
-                if told == Told::Withdrawn {
+                if state == ShownState::Cancelled {
                     if !self.asked_to_cancel.contains(&job) {
                         self.broken.push(format!("{at}: {job} is called cancelled by {node}"));
                     }
@@ -256,13 +257,13 @@
                 });
                 let tasks: Vec<Task> = self.on.keys().copied().collect();
                 for task in tasks {
-                    self.late(at, task);
+                    self.check_cancelled(at, task);
                 }
             }
         }
     }
 
-    /// How many jobs were told cancelled.
+    /// How many jobs were shown as cancelled.
     pub fn cancelled_jobs(&self) -> usize {
         self.cancelled.len()
     }
@@ -278,8 +279,12 @@
         self.on.contains_key(&task)
     }
 
-    fn late(&mut self, at: u64, task: Task) {
-        if self.cancelled.get(&task.0).is_some_and(|told| at > told + self.cancel_ms) {
+    fn check_cancelled(&mut self, at: u64, task: Task) {
+        if self
+            .cancelled
+            .get(&task.0)
+            .is_some_and(|cancelled_at| at > cancelled_at + self.cancel_ms)
+        {
             self.broken.push(format!("{at}: {task:?} outlives its cancellation"));
         }
     }
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -1,5 +1,5 @@
 //! Three controllers driven through failures on stand-ins for the store, the cloud and the
-//! workers, in simulated time with seeded randomness. The rules are checked at every step.
+//! workers, in simulated time with seeded randomness. The invariants are checked at every step.
 
 mod check;
 mod failover;
@@ -11,7 +11,7 @@
 mod worker;
 mod world;
 
-use check::{Checker, Event, Told};
+use check::{Checker, Event, ShownState};
 use failover::PHASES;
 use site::{BRISK, Rhythm, SLOW};
 use world::{Fault, World};
@@ -26,7 +26,7 @@
     WorkersHang,
 };
 
-/// Plays a day of 20 leases and expects that no rule breaks and that all that was asked for ends.
+/// Plays a day of 20 leases and expects that no invariant breaks and that all that was asked for ends.
 fn play(name: &str, seed: u64, rhythm: Rhythm, faults: &[(u64, Fault)]) {
     play_in(World::new(seed, rhythm), name, seed, rhythm, faults);
 }
@@ -91,7 +91,7 @@
         ("a machine hangs beyond it", vec![(20_000, WorkerHangs(2, 40_000))]),
         ("zones are cut", vec![(20_000, PartitionZones(30_000, false))]),
         (
-            "held packets arrive after a takeover",
+            "held packets arrive after a failover",
             vec![(20_000, PartitionZones(25_000, true)), (28_000, CrashLeader)],
         ),
         ("the leader loses its network", vec![(20_000, PartitionLeader(40_000, true))]),
@@ -112,18 +112,18 @@
                 (40_000, CrashLeader),
             ],
         ),
-        ("a deaf machine", vec![(20_000, UnansweredWorker(1, 40_000))]),
+        ("a machine without responses", vec![(20_000, UnansweredWorker(1, 40_000))]),
         (
-            "a deaf machine at a takeover",
+            "a machine without responses at a failover",
             vec![(20_000, UnansweredWorker(1, 60_000)), (21_000, CrashLeader)],
         ),
         (
-            "a deaf machine and a cancellation",
+            "a machine without responses and a cancellation",
             vec![(20_000, UnansweredWorker(1, 50_000)), (21_000, CancelAt(3)), (30_000, CrashAll)],
         ),
-        ("late copies of reports", vec![(5_000, LateCopies(60_000)), (22_000, WorkerCrash(1))]),
+        ("late copies of heartbeats", vec![(5_000, LateCopies(60_000)), (22_000, WorkerCrash(1))]),
         (
-            "late copies at takeovers",
+            "late copies at failovers",
             vec![(5_000, LateCopies(60_000)), (21_000, CrashLeader), (33_000, CrashAll)],
         ),
         (
@@ -166,9 +166,8 @@
     }
 }
 
-/// The meetings of troubles that operators saw rules break in, in a world where jobs keep coming.
-/// Moments are in tenths of a lease, durations in hundredths.
-fn meetings() -> Vec<(&'static str, Vec<(u64, Fault)>)> {
+/// The combinations of faults in which operators saw invariants break, in a world where jobs keep coming. Times are in tenths of a lease, durations in hundredths.
+fn combined_faults() -> Vec<(&'static str, Vec<(u64, Fault)>)> {
     let all = |from: usize, ms| (0..4).map(move |w| (20, WorkerReachesNoController(from + w, ms)));
     vec![
         (
@@ -235,7 +234,7 @@
             ],
         ),
         (
-            "old reports come after newer ones, also of an earlier session",
+            "old heartbeats come after newer ones, also of an earlier agent epoch",
             vec![
                 (5, LateCopies(600)),
                 (20, PartitionWorker(1, 140, true)),
@@ -266,7 +265,7 @@
             ],
         ),
         (
-            "copies of reports reach every controller as a new leader begins",
+            "copies of heartbeats reach every controller as a new leader begins",
             vec![
                 (15, LateCopiesForNextLeader(60)),
                 (21, CrashLeader),
@@ -355,7 +354,7 @@
 
 #[test]
 fn invariants_hold_under_combined_faults() {
-    for (name, faults) in meetings() {
+    for (name, faults) in combined_faults() {
         for seed in 1..=3 {
             for rhythm in [BRISK, SLOW] {
                 let faults = at_rhythm(rhythm, &faults);
@@ -370,7 +369,7 @@
 fn invariants_hold_under_random_combined_faults() {
     for seed in 0..24 {
         for rhythm in [BRISK, SLOW] {
-            let faults = world::faults::random_meetings(seed, rhythm);
+            let faults = world::faults::random_combined_faults(seed, rhythm);
             let name = format!("meeting {faults:?}");
             let world = World::busy(seed, rhythm);
             play_for(rhythm.lease_ms * 30, world, &name, seed, rhythm, &faults);
@@ -384,12 +383,12 @@
 }
 
 /// The store refuses the leader alone; others confirm cancellations; then it is down for all for longer
-/// than `cancel_s`, while workers keep reporting to the old leader. The tasks have to be gone all the same,
-/// and nothing of the jobs starts long after it was confirmed. The same with a leader that nobody tells
-/// anything, which keeps most machines: then only the bounds of its rights help.
+/// than `cancel_s`, while workers keep sending heartbeats to the old leader. The tasks have to end all the same,
+/// and nothing of the jobs starts long after it was confirmed. The same with a leader that nobody informs,
+/// which keeps most machines: then only the bounds of its rights help.
 #[test]
 fn cancelled_tasks_end_in_time_whatever_the_store_does() {
-    // (report, lease, cancel) of the deployments, and the smallest that the settings allow.
+    // (heartbeat interval, lease, cancel) of the deployments, and the smallest that the settings allow.
     let rhythms = [
         (1_500, 10_000, 30_000),
         (1_000, 11_000, 36_000),
@@ -413,24 +412,24 @@
                 (lease_ms * 8 / 10, true, true),
                 (0, false, true),
             ] {
-                let (refused, told) = (20_000, 20_000 + after);
+                let (refused_at, cancelled_at) = (20_000, 20_000 + after);
                 let mut faults = vec![
                     (
-                        refused,
+                        refused_at,
                         if stranded {
                             LeaderStrandedWithMachines(outage)
                         } else {
                             StoreRefusesLeader(14_000)
                         },
                     ),
-                    (told, CancelNow(4, hang)),
-                    (told + before, StoreOutage(outage)),
+                    (cancelled_at, CancelNow(4, hang)),
+                    (cancelled_at + before, StoreOutage(outage)),
                 ];
                 if blink {
-                    faults.push((told + before + 3_000, BriefLeaderCrash));
+                    faults.push((cancelled_at + before + 3_000, BriefLeaderCrash));
                 }
                 let mut world = World::long(seed as u64, rhythm);
-                world.run(&faults, told + before + outage + 20_000);
+                world.run(&faults, cancelled_at + before + outage + 20_000);
                 let name = format!("{rhythm:?} {after} {before} {hang} {blink} {stranded}");
                 assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
                 // A proof of 3.5 s, the way of the answer, and the fetch of the image.
@@ -444,27 +443,27 @@
 }
 
 /// Tasks of a cancelled job on a machine that does not answer have a second way to end: the kill in the
-/// answer to a report, a direct command, the machine's lease, or its return.
+/// response to a heartbeat, a direct command, the machine's lease, or its return.
 #[test]
 fn cancelled_tasks_end_when_one_path_to_their_machine_fails() {
-    type Troubles = fn(u64) -> Vec<Fault>;
-    let cases: [(&str, Troubles); 7] = [
+    type Faults = fn(u64) -> Vec<Fault>;
+    let cases: [(&str, Faults); 7] = [
         ("no direct command arrives", |ms| vec![HoldCommands(ms)]),
-        ("no report arrives", |ms| (0..8).map(|w| WorkerReachesNoController(w, ms)).collect()),
-        ("no answer arrives", |ms| (0..8).map(|w| UnansweredWorker(w, ms)).collect()),
+        ("no heartbeat arrives", |ms| (0..8).map(|w| WorkerReachesNoController(w, ms)).collect()),
+        ("no response arrives", |ms| (0..8).map(|w| UnansweredWorker(w, ms)).collect()),
         ("nothing arrives", |ms| (0..8).map(|w| PartitionWorker(w, ms, false)).collect()),
         ("everything arrives late", |ms| (0..8).map(|w| PartitionWorker(w, ms, true)).collect()),
         ("they hang", |ms| vec![WorkersHang(8, ms)]),
-        ("reports find nobody, and commands are held", |ms| {
+        ("heartbeats reach nobody, and commands are held", |ms| {
             (0..8).map(|w| WorkerReachesNoController(w, ms)).chain([HoldCommands(ms)]).collect()
         }),
     ];
-    for (name, troubles) in cases {
+    for (name, faults_for) in cases {
         for rhythm in [BRISK, SLOW] {
             for leader in [false, true] {
                 let ms = rhythm.cancel_ms + rhythm.lease_ms;
                 let mut faults: Vec<(u64, Fault)> =
-                    troubles(ms).into_iter().map(|f| (20_000, f)).collect();
+                    faults_for(ms).into_iter().map(|f| (20_000, f)).collect();
                 faults.push((20_500, CancelNow(4, 0)));
                 if leader {
                     faults.push((20_600, CrashLeader));
@@ -489,7 +488,7 @@
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
     assert!(world.unfinished().is_empty(), "{:?}", world.unfinished());
     for n in 0..3 {
-        let (keys, [open, ended, cancelled]) = world.kept(n);
+        let (keys, [open, ended, cancelled]) = world.held_records(n);
         assert_eq!((open, ended), (0, 720), "{n}");
         assert!((100..=180).contains(&cancelled), "{n}: {cancelled}");
         // Two keys a job, and some for all.
@@ -589,7 +588,7 @@
     assert!(direct <= world::DIRECT_BYTES, "{direct} bytes to a controller");
     assert!(relayed <= world::STORE_MESSAGE_BYTES, "{relayed} bytes through the store");
     assert!(world.writes < 8_000, "{} writes", world.writes);
-    // All but a few machines show the next token within two reports.
+    // All but a few machines show the next token within two heartbeats.
     let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
     assert!(phases.reconciled.is_some_and(|ms| ms <= 12_500), "{phases:?}");
     // For whoever looks; how long they take depends on the machine that plays this.
@@ -624,7 +623,7 @@
             world.run(&faults, rhythm.lease_ms * 20);
             assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
             assert!(world.unfinished().is_empty(), "{seed}: {:?}", world.unfinished());
-            assert!(world.latest_save < 5_000, "{seed}: told {} ms apart", world.latest_save);
+            assert!(world.latest_save < 5_000, "{seed}: commanded {} ms apart", world.latest_save);
             saved += world.gangs_saved();
         }
     }
@@ -651,7 +650,7 @@
 #[test]
 fn invariants_hold_through_upgrades_and_falling_limits() {
     // The last one was found among many: a machine that hung had tasks of a gang that was done, and
-    // they did not count for the team's limit after a takeover.
+    // they did not count for the team's limit after a failover.
     for seed in (300..330).chain([3803]) {
         for rhythm in [BRISK, SLOW] {
             let mut faults = world::faults::random_faults(seed, rhythm);
@@ -683,7 +682,7 @@
         ),
         ("not in one zone", vec![(0, within((1, 0), 0, "a")), (1, within((1, 1), 1, "b"))], 1),
         (
-            "in another zone once the first is gone",
+            "in another zone once the first has ended",
             vec![(0, within((1, 0), 0, "a")), (1, ends((1, 0), 0)), (2, within((1, 0), 1, "b"))],
             0,
         ),
@@ -697,7 +696,7 @@
             1,
         ),
     ];
-    let told = |told| Event::Told { job: 1, node: 0, told };
+    let shown = |state| Event::StateShown { job: 1, node: 0, state };
     let known = (0, Event::Submitted { job: 1 });
     let asked_to = |at| (at, Event::AskedToCancel { job: 1 });
     let could = |from: u64, to: u64, could| -> Vec<(u64, Event)> {
@@ -705,38 +704,56 @@
     };
     let gone_on = |at| vec![(at, start((1, 0), 0))];
     let closely: Vec<Case> = vec![
-        ("open, then done", vec![known.clone(), (0, told(Told::Open)), (1, told(Told::Done))], 0),
-        ("known though nobody submitted it", vec![(0, told(Told::Open))], 1),
-        ("not known, and nobody submitted it", vec![(0, told(Told::Unknown))], 0),
+        (
+            "open, then done",
+            vec![known.clone(), (0, shown(ShownState::Open)), (1, shown(ShownState::Done))],
+            0,
+        ),
+        ("known though nobody submitted it", vec![(0, shown(ShownState::Open))], 1),
+        ("not known, and nobody submitted it", vec![(0, shown(ShownState::Unknown))], 0),
         (
             "unknown, then open",
-            vec![known.clone(), (0, told(Told::Unknown)), (1, told(Told::Open))],
+            vec![known.clone(), (0, shown(ShownState::Unknown)), (1, shown(ShownState::Open))],
             0,
         ),
         (
             "open, then unknown",
-            vec![known.clone(), (0, told(Told::Open)), (1, told(Told::Unknown))],
+            vec![known.clone(), (0, shown(ShownState::Open)), (1, shown(ShownState::Unknown))],
+            1,
+        ),
+        (
+            "done, then open",
+            vec![known.clone(), (0, shown(ShownState::Done)), (1, shown(ShownState::Open))],
             1,
         ),
-        ("done, then open", vec![known.clone(), (0, told(Told::Done)), (1, told(Told::Open))], 1),
         (
             "done, then unknown",
-            vec![known.clone(), (0, told(Told::Done)), (1, told(Told::Unknown))],
+            vec![known.clone(), (0, shown(ShownState::Done)), (1, shown(ShownState::Unknown))],
             1,
         ),
         (
             "cancelled, then open",
-            vec![known.clone(), asked_to(0), (0, told(Told::Withdrawn)), (1, told(Told::Open))],
+            vec![
+                known.clone(),
+                asked_to(0),
+                (0, shown(ShownState::Cancelled)),
+                (1, shown(ShownState::Open)),
+            ],
             1,
         ),
         (
             "cancelled, then done",
-            vec![known.clone(), asked_to(0), (0, told(Told::Withdrawn)), (1, told(Told::Done))],
+            vec![
+                known.clone(),
+                asked_to(0),
+                (0, shown(ShownState::Cancelled)),
+                (1, shown(ShownState::Done)),
+            ],
             1,
         ),
         (
             "cancelled without having been asked to",
-            vec![known.clone(), (0, told(Told::Withdrawn))],
+            vec![known.clone(), (0, shown(ShownState::Cancelled))],
             1,
         ),
         ("has no room", could(0, 200_000, false), 0),
--- a/tests/sim/reach.rs
+++ b/tests/sim/reach.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_machine_that_cannot_reach_its_owner_is_moved_with_one_term() {
     // The next term gave such a machine to the same owner again, so that a new one came every 10 s while the cut lasted, and
-    // nothing started for a part of each. At reports every second the machine is returned before that.
+    // nothing started for some time of each. With heartbeats every second the machine is returned before that.
     const CUT_MS: u64 = 50_000;
     for seed in 0..4 {
         let machine = 1 + seed as usize;
--- a/tests/sim/site.rs
+++ b/tests/sim/site.rs
@@ -8,7 +8,7 @@
 
 const SETTINGS: &str = include_str!("../settings.toml");
 
-/// How often workers report, their lease, and the time that a cancellation has.
+/// The heartbeat interval of workers, their lease, and the time within which a cancelled job has to end.
 #[derive(Clone, Copy, Debug)]
 pub struct Rhythm {
     pub report_ms: u64,
@@ -16,9 +16,9 @@
     pub cancel_ms: u64,
 }
 
-/// Frequent reports and short leases, as small deployments have them.
+/// Frequent heartbeats and short leases, as small deployments have them.
 pub const BRISK: Rhythm = Rhythm { report_ms: 1_000, lease_ms: 10_000, cancel_ms: 30_000 };
-/// Rare reports and long leases, as large ones have them.
+/// Rare heartbeats and long leases, as large ones have them.
 pub const SLOW: Rhythm = Rhythm { report_ms: 5_000, lease_ms: 26_500, cancel_ms: 46_500 };
 
 impl Rhythm {
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -169,7 +169,7 @@
 fn random_troubles_meet_takeovers() {
     for seed in 0..24 {
         for rhythm in [BRISK, SLOW] {
-            let mut faults = world::faults::random_meetings(seed, rhythm);
+            let mut faults = world::faults::random_combined_faults(seed, rhythm);
             let freezes = [(14_000 + seed * 911, FreezeLeader(400 + seed * 350))];
             faults.extend(freezes);
             faults.sort_by_key(|f| f.0);
--- a/tests/sim/stopped.rs
+++ b/tests/sim/stopped.rs
@@ -71,9 +71,9 @@
 
 #[test]
 fn a_resumed_controller_does_nothing_for_an_earlier_leader() {
-    // Seen in production (docs/incidents/2026-12-02-ran-twice.md). It takes a report that shows the next token and
-    // waits at the stopped leader: mostly with reports every 5 s, where machines are told of the term before they
-    // report again.
+    // Seen in production (docs/incidents/2026-12-02-ran-twice.md). It takes a heartbeat that shows the next token and
+    // waits at the stopped leader: mostly with heartbeats every 5 s, where the term is announced to machines before
+    // their next one.
     for (name, day) in DAYS {
         for seed in 0..seeds() {
             for rhythm in [BRISK, SLOW] {
--- a/tests/sim/worker.rs
+++ b/tests/sim/worker.rs
@@ -24,7 +24,7 @@
     Runs(TaskId),
     /// It has completed.
     Completes(TaskId),
-    /// It is gone without having completed.
+    /// It has ended without having completed.
     Leaves(TaskId),
 }
 
@@ -33,7 +33,7 @@
     /// Where it listens for direct commands.
     pub endpoint: String,
     pub zone: &'static str,
-    pub gone: bool,
+    pub terminated: bool,
     pub hung_until: u64,
     /// When the cloud takes it, if it gave notice.
     pub taken_at: Option<u64>,
@@ -45,7 +45,7 @@
     answered: u64,
     next: u64,
     in_flight: Option<(u64, u64)>, // sequence, sent
-    told_to_save: Vec<(TaskId, Attempt)>,
+    checkpoint_commands: Vec<(TaskId, Attempt)>,
     rhythm: u64,
     lease: u64,
 }
@@ -56,7 +56,7 @@
             id,
             endpoint: id.to_string(),
             zone,
-            gone: false,
+            terminated: false,
             hung_until: 0,
             taken_at: None,
             target: id % 3,
@@ -67,7 +67,7 @@
             answered: now,
             next: now + 100 * id as u64 % rhythm.report_ms,
             in_flight: None,
-            told_to_save: Vec::new(),
+            checkpoint_commands: Vec::new(),
             rhythm: rhythm.report_ms,
             lease: rhythm.lease_ms,
         }
@@ -78,17 +78,17 @@
     }
 
     pub fn active(&self, now: u64) -> bool {
-        !self.gone && now >= self.hung_until
+        !self.terminated && now >= self.hung_until
     }
 
     /// Ends everything, as the cloud does with a machine that is returned or dies.
     pub fn vanish(&mut self) -> Vec<Change> {
-        self.gone = true;
+        self.terminated = true;
         self.leave(|_| true)
     }
 
     /// Restarts at once: nothing is left, and it counts from 1 again.
-    pub fn reborn(&mut self, now: u64) -> Vec<Change> {
+    pub fn restart(&mut self, now: u64) -> Vec<Change> {
         let out = self.leave(|_| true);
         (self.agent_epoch, self.sequence, self.token) = (1, 0, 0);
         (self.answered, self.in_flight, self.next) = (now, None, now + 300);
@@ -123,7 +123,7 @@
         is_gang: impl Fn(TaskId) -> bool,
     ) -> Vec<Change> {
         let mut out = Vec::new();
-        if self.gone {
+        if self.terminated {
             return out;
         }
         // A hanging machine goes on with its tasks within its lease or not at all.
@@ -204,9 +204,9 @@
         all.map(|((task, attempt), t)| (*task, *attempt, t.state))
     }
 
-    /// Gang tasks that were told to save since this was last asked.
+    /// Gang tasks that were commanded to save since the last call.
     pub fn saving(&mut self) -> Vec<(TaskId, Attempt)> {
-        std::mem::take(&mut self.told_to_save)
+        std::mem::take(&mut self.checkpoint_commands)
     }
 
     /// All tasks of its gang are there: it runs until then.
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Another task of its gang is gone.
+    /// Another task of its gang has ended.
     pub fn gang_breaks(&mut self, task: TaskId, attempt: Attempt, now: u64) -> Vec<Change> {
         let Some(t) = self.tasks.get_mut(&(task, attempt)) else { return Vec::new() };
         end(t, ExitReason::GangTaskLost);
@@ -231,7 +231,7 @@
         self.next = now + 1_000;
     }
 
-    /// The next report, if one is due: the node it goes to and the report.
+    /// The next heartbeat, if one is due, and the controller that it goes to.
     pub fn heartbeat(&mut self, now: u64) -> Option<(usize, Heartbeat)> {
         if !self.active(now) || self.in_flight.is_some() || now < self.next {
             return None;
@@ -242,7 +242,7 @@
         Some((self.target, self.state(now)))
     }
 
-    /// Answers a direct command: with its report, whether it took the token or not.
+    /// Answers a direct command with a heartbeat, whether it accepted the token or not.
     pub fn direct(
         &mut self,
         now: u64,
@@ -263,7 +263,7 @@
     }
 
     fn state(&self, now: u64) -> Heartbeat {
-        let pieces = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
+        let statuses = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: *task,
             attempt: *attempt,
             state: t.state,
@@ -279,11 +279,11 @@
             sequence: self.sequence,
             token: Term(self.token),
             spot_notice_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1000.0),
-            tasks: pieces.collect(),
+            tasks: statuses.collect(),
         }
     }
 
-    /// The answer to the report with that sequence; others are too late and go unheard.
+    /// The response to the heartbeat with that sequence; others are too late and ignored.
     pub fn answer(&mut self, now: u64, sequence: u64, answer: Answer) -> Vec<Change> {
         let Some((expected, sent)) = self.in_flight else { return Vec::new() };
         if !self.active(now) || expected != sequence {
@@ -335,7 +335,7 @@
                         if grace_s > 0.0 && t.state == TaskState::Running {
                             t.state = TaskState::SavingCheckpoint;
                             t.until = now + 1_000;
-                            self.told_to_save.push((task, attempt));
+                            self.checkpoint_commands.push((task, attempt));
                             return Vec::new();
                         }
                         if grace_s > 0.0 && t.state == TaskState::SavingCheckpoint {
@@ -362,12 +362,12 @@
     (t.state, t.exit_reason, t.until) = (TaskState::Exited, Some(exit_reason), u64::MAX);
 }
 
-/// Whether a task is on its machine as the rules see it: it has its image.
+/// Whether a task is on its machine as the invariants see it: it has its image.
 fn is_there(state: TaskState) -> bool {
     matches!(state, TaskState::Running | TaskState::WaitingForGang | TaskState::SavingCheckpoint)
 }
 
-/// How a report was answered.
+/// How a heartbeat was answered.
 #[derive(Clone, Debug)]
 pub enum Answer {
     Take(HeartbeatResponse),
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -45,11 +45,11 @@
 /// How long the leader has to answer once it is suspected.
 const PROBE_MS: u64 = 700;
 const TEAM_LIMIT: u64 = 32;
-/// Time in which a gang's tasks notice that one is gone.
+/// Time in which a gang's tasks notice that one has ended, in milliseconds.
 const GANG_NOTICE_MS: u64 = 2_000;
 
 /// The job of [`World::long`] whose tasks are short.
-const BRIEF: u64 = 3;
+const SHORT_RUNNING_JOB: u64 = 3;
 
 struct Node {
     controller: Controller,
@@ -64,9 +64,9 @@
 impl Node {
     fn moment(&self, now: u64) -> ClockReading {
         // A clock that runs a little fast, differently on each node.
-        let gone = now - self.started;
-        let drift = gone * u64::from(self.controller.me.0) / 4_000;
-        ClockReading { steady: MonotonicTime(gone + drift), wall: WallTime(1_000_000 + now) }
+        let elapsed = now - self.started;
+        let drift = elapsed * u64::from(self.controller.me.0) / 4_000;
+        ClockReading { steady: MonotonicTime(elapsed + drift), wall: WallTime(1_000_000 + now) }
     }
 }
 
@@ -79,7 +79,7 @@
 
 enum Message {
     Heartbeat(usize, usize, Heartbeat),
-    /// A late copy of a report to that node; nobody waits for its answer.
+    /// A late copy of a heartbeat to that controller; nobody waits for its response.
     Copy(usize, Heartbeat),
     Reply(usize, u64, Answer),
     /// A node announces its term to a worker; when it was sent.
@@ -90,8 +90,8 @@
     Summary(usize, usize, Box<Summary>, MonotonicTime),
     /// The answer; when the summary was sent, if it came directly.
     PeerResponse(usize, PeerResponse, Option<MonotonicTime>),
-    /// A node tells another one of a cancellation.
-    Ended(usize, PeerRequest),
+    /// A cancellation notice from another controller.
+    CancellationNotice(usize, PeerRequest),
     /// What became of a node's question to the leader.
     Probed(usize, ProbeOutcome),
 }
@@ -105,7 +105,7 @@
             | Message::Announced(n, ..)
             | Message::Summary(_, n, ..)
             | Message::PeerResponse(n, ..)
-            | Message::Ended(n, _)
+            | Message::CancellationNotice(n, _)
             | Message::Probed(n, _) => Some(*n),
             Message::Reply(..) | Message::Announce(..) => None,
         }
@@ -157,17 +157,17 @@
     lost_answers_until: u64,
     hold_until: u64,
     copies_kept_until: u64,
-    kept_copies: Vec<Heartbeat>,
+    held_copies: Vec<Heartbeat>,
     last_leader: Option<(usize, u64)>,
     cancel_at_end_until: u64,
     looks_until: u64,
-    /// Jobs of which a user was told something in this step.
+    /// Jobs whose state a user was shown in this step.
     looked_at: Vec<u64>,
     just_completed: Vec<u64>,
     /// Cancellations that users repeat, and when.
     cancels: Vec<(u64, u64)>,
-    /// Whether controllers tell each other of cancellations directly.
-    pub tells_ends: bool,
+    /// Whether controllers send each other cancellation notices.
+    pub sends_cancellation_notices: bool,
     /// Jobs whose users cancel them a while after they were submitted.
     pub cancel_every: u64,
     /// How long the shortest task runs.
@@ -179,7 +179,8 @@
     incarnations: u64,
     jobs: BTreeMap<u64, JobSpec>,
     completed: BTreeSet<TaskId>,
-    told: BTreeSet<u64>,
+    /// Jobs that a user was shown as ended.
+    ended_for_users: BTreeSet<u64>,
     wanted_cancels: BTreeSet<u64>,
     /// Milliseconds between two submissions.
     pub every: u64,
@@ -193,7 +194,7 @@
     broken_gangs: BTreeMap<(JobId, Attempt), u64>,
     /// Tasks of gangs that began to run.
     pub gangs_begun: usize,
-    /// When the first task of a gang was told to save, and how much later the last one was at most.
+    /// When the first task of a gang was commanded to save, and how much later the last one was at most.
     saves: BTreeMap<(JobId, Attempt), u64>,
     pub latest_save: u64,
     /// How long a gang runs.
@@ -205,7 +206,7 @@
     /// Whether the leader ends in its next epoch that writes something, after the write or before it.
     crash_in_epoch: Option<bool>,
     crash_successor: bool,
-    /// Whether a leader that goes on after it was stopped always acts before it can learn that it was replaced.
+    /// Whether a leader that is resumed always acts before it can learn that it was replaced.
     pub acts_before_learning: bool,
     log_lags_until: u64,
     /// How often another process than before led, the first one included.
@@ -215,12 +216,12 @@
     pub refused_actions: u64,
     /// Epochs that leaders worked out and published.
     pub epochs: Timed,
-    /// Reports that controllers answered.
+    /// Heartbeats that controllers answered.
     pub reports: Timed,
 }
 
-/// A member of the version before gangs does not say what it understands.
-fn forget_what_is_new(change: &mut willowshore::wire::Change) {
+/// Leaves what the version before gangs writes in its member record: no capabilities.
+fn strip_member_for_version_before(change: &mut willowshore::wire::Change) {
     if let willowshore::wire::Change::Put { value: willowshore::wire::Value::Map(fields), .. } =
         change
     {
@@ -228,9 +229,9 @@
     }
 }
 
-/// What the version before gangs reads of a plan.
-fn read_by_old(tell: &mut PeerResponse) {
-    if let PeerResponse::Plan(plan) = tell
+/// Leaves what the version before gangs reads of a plan.
+fn strip_for_version_before(response: &mut PeerResponse) {
+    if let PeerResponse::Plan(plan) = response
         && let Some(body) = &mut plan.body
     {
         body.stops.clear();
@@ -263,14 +264,14 @@
             lost_answers_until: 0,
             hold_until: 0,
             copies_kept_until: 0,
-            kept_copies: Vec::new(),
+            held_copies: Vec::new(),
             last_leader: None,
             cancel_at_end_until: 0,
             looks_until: 0,
             looked_at: Vec::new(),
             just_completed: Vec::new(),
             cancels: Vec::new(),
-            tells_ends: true,
+            sends_cancellation_notices: true,
             cancel_every: 0,
             run_ms: 5_000,
             calm: 0,
@@ -280,7 +281,7 @@
             incarnations: 0,
             jobs: (1..9).map(|id| (id, spec(id, 3 + id as u32 % 4, 8.0))).collect(),
             completed: BTreeSet::new(),
-            told: BTreeSet::new(),
+            ended_for_users: BTreeSet::new(),
             wanted_cancels: BTreeSet::new(),
             every: 3_500,
             old: [false; 3],
@@ -306,10 +307,10 @@
     }
 
     /// The store's keys and the jobs that node `n` has in memory: open, ended, cancelled.
-    pub fn kept(&self, n: usize) -> (usize, [usize; 3]) {
+    pub fn held_records(&self, n: usize) -> (usize, [usize; 3]) {
         let jobs = self.nodes[n].as_ref().map_or([0; 3], |node| {
-            let l = &node.controller.replica;
-            [l.jobs.len(), l.ended.len(), l.residual_usage.len()]
+            let replica = &node.controller.replica;
+            [replica.jobs.len(), replica.ended.len(), replica.residual_usage.len()]
         });
         (self.store.len(), jobs)
     }
@@ -336,14 +337,14 @@
         &self.store.too_large
     }
 
-    /// Gangs that were told to save.
+    /// Gangs that were commanded to save a checkpoint.
     pub fn gangs_saved(&self) -> usize {
         self.saves.len()
     }
 
-    /// Jobs that have neither been told done nor cancelled.
+    /// Jobs that no user was shown as done or cancelled.
     pub fn unfinished(&self) -> Vec<u64> {
-        self.jobs.keys().filter(|j| !self.told.contains(j)).copied().collect()
+        self.jobs.keys().filter(|j| !self.ended_for_users.contains(j)).copied().collect()
     }
 
     fn leader(&self) -> usize {
@@ -446,7 +447,7 @@
             let jobs = &self.jobs;
             let gang = |t: TaskId| jobs.get(&t.job.0).is_some_and(|j| j.kind == JobKind::Gang);
             let long = self.run_ms;
-            let run_ms = |t: TaskId| match long > 60_000 && t.job.0 == BRIEF {
+            let run_ms = |t: TaskId| match long > 60_000 && t.job.0 == SHORT_RUNNING_JOB {
                 true => 500 + 100 * u64::from(t.index % 5),
                 false => long + 1_000 * u64::from(t.index % 5),
             };
@@ -472,8 +473,8 @@
                     let copy = Message::Copy(node, heartbeat.clone());
                     self.messages.insert((late, self.sent), copy);
                 }
-                if now < self.copies_kept_until && self.kept_copies.len() < 200 {
-                    self.kept_copies.push(heartbeat.clone());
+                if now < self.copies_kept_until && self.held_copies.len() < 200 {
+                    self.held_copies.push(heartbeat.clone());
                 }
                 if self.mute.iter().any(|m| m.0 == w && now < m.1) {
                     continue;
@@ -482,9 +483,9 @@
                 self.send(Place::Worker(w), Place::Node(node), message);
             }
         }
-        (0..self.workers.len()).for_each(|w| self.note_saves(w));
-        self.gangs();
-        self.deliver_kept_copies();
+        (0..self.workers.len()).for_each(|w| self.record_checkpoint_commands(w));
+        self.step_gangs();
+        self.deliver_held_copies();
         while let Some(entry) = self.messages.first_entry().filter(|e| e.key().0 <= now) {
             let message = entry.remove();
             self.deliver(message);
@@ -495,13 +496,13 @@
         self.observe_takeover();
         self.users();
         self.close_users();
-        self.look_for_waiting();
+        self.check_waiting_jobs();
         self.checker.see(now, Event::Tick);
     }
 
-    /// Tells the checker which jobs have tasks that wait although a machine has room in every zone and
+    /// Shows the checker which jobs have tasks that wait although a machine has room in every zone and
     /// their team is under its limit.
-    fn look_for_waiting(&mut self) {
+    fn check_waiting_jobs(&mut self) {
         let now = self.now;
         if now < self.calm || !now.is_multiple_of(1_000) {
             return;
@@ -511,11 +512,12 @@
             self.workers.iter().any(|w| there(&w))
         });
         // What fetches its image counts as used.
-        let there = self.workers.iter().filter(|w| !w.gone).map(Worker::held).sum::<usize>() as u64;
+        let there =
+            self.workers.iter().filter(|w| !w.terminated).map(Worker::held).sum::<usize>() as u64;
         let could = room && there * 4 + 4 <= self.team_limit;
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
             let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
-            let open = !self.told.contains(&id) && !self.wanted_cancels.contains(&id);
+            let open = !self.ended_for_users.contains(&id) && !self.wanted_cancels.contains(&id);
             let job = &self.jobs[&id];
             let free = (0..job.task_count).any(|index| {
                 let task = TaskId { job: JobId(id), index };
@@ -527,8 +529,8 @@
         }
     }
 
-    /// Gangs begin when all tasks of an attempt wait, and break when one is gone or hangs.
-    fn gangs(&mut self) {
+    /// Gangs begin when all tasks of an attempt wait, and break when one has ended or hangs.
+    fn step_gangs(&mut self) {
         let now = self.now;
         type OnWorker = (usize, TaskId, TaskState);
         let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
@@ -608,7 +610,7 @@
             Message::Announce(_, w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
             Message::Announce(n, w, announced, sent) => {
                 let worker = &mut self.workers[w];
-                if worker.gone {
+                if worker.terminated {
                     return;
                 }
                 if !worker.active(now) {
@@ -649,23 +651,23 @@
                 let Ok(node) = &mut self.nodes[to] else { return };
                 let steady = node.moment(now).steady;
                 node.controller.last_peer_contact = steady;
-                let (mut tell, _) = node.controller.receive_summary(steady, *summary);
-                if let PeerResponse::Plan(plan) = &mut tell
+                let (mut response, _) = node.controller.receive_summary(steady, *summary);
+                if let PeerResponse::Plan(plan) = &mut response
                     && now < self.log_lags_until
                 {
                     plan.decisions = None;
                 }
                 if self.old[from] || self.old[to] {
-                    read_by_old(&mut tell);
+                    strip_for_version_before(&mut response);
                 }
-                self.largest[0] = self.largest[0].max(peer::encode(&tell).len());
+                self.largest[0] = self.largest[0].max(peer::encode(&response).len());
                 self.send(
                     Place::Node(to),
                     Place::Node(from),
-                    Message::PeerResponse(from, tell, Some(sent)),
+                    Message::PeerResponse(from, response, Some(sent)),
                 );
             }
-            Message::Ended(to, ask) => {
+            Message::CancellationNotice(to, ask) => {
                 let (Ok(node), PeerRequest::Ended(job, progress, version)) =
                     (&mut self.nodes[to], ask)
                 else {
@@ -683,35 +685,35 @@
                     self.replace_leader(n);
                 }
             }
-            Message::PeerResponse(to, tell, sent) => {
+            Message::PeerResponse(to, response, sent) => {
                 if let Ok(node) = &mut self.nodes[to] {
                     match sent {
-                        Some(sent) => node.controller.record_leader_response(sent, &tell),
+                        Some(sent) => node.controller.record_leader_response(sent, &response),
                         None => {
                             let steady = node.moment(now).steady;
-                            node.controller.record_leader_message_from_store(steady, &tell);
+                            node.controller.record_leader_message_from_store(steady, &response);
                         }
                     }
                     node.controller.last_peer_contact = node.moment(now).steady;
-                    node.controller.apply_leader_response(tell);
+                    node.controller.apply_leader_response(response);
                 }
             }
         }
     }
 
-    /// Whether a machine is gone.
+    /// Whether a machine has been terminated.
     pub fn is_gone(&self, w: usize) -> bool {
-        self.workers[w].gone
+        self.workers[w].terminated
     }
 
-    /// A controller whose process is there and not stopped.
+    /// A controller whose process is up and not suspended.
     fn awake(&self, n: usize) -> Option<&Node> {
         self.nodes[n].as_ref().ok().filter(|node| node.frozen.is_none())
     }
 
-    /// Notes when tasks of a gang are told to stop and save: all have to hear it within
+    /// Records when tasks of a gang are commanded to save a checkpoint: all have to get the command within
     /// `gang_peer_s`, or nothing is saved.
-    fn note_saves(&mut self, w: usize) {
+    fn record_checkpoint_commands(&mut self, w: usize) {
         let now = self.now;
         for (task, attempt) in self.workers[w].saving() {
             let first = *self.saves.entry((task.job, attempt)).or_insert(now);
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -4,13 +4,13 @@
 
 use super::*;
 
-/// What a process does first when it goes on after it was stopped.
+/// What a process does when it is resumed.
 enum Resumed {
     ReturnMachines,
     Epoch,
     Summarize,
     Watch,
-    /// What reached it meanwhile, in its order.
+    /// The messages that reached it meanwhile, in order of arrival.
     Messages(Vec<Message>),
 }
 
@@ -71,7 +71,7 @@
 
     /// Whether a controller's process is stopped. When it goes on, its loops and what has reached it meanwhile come in
     /// any order: an old leader may act before it can learn that it was replaced, and may learn it just before it
-    /// answers a report that has waited.
+    /// answers a heartbeat that has waited.
     pub(super) fn stays_frozen(&mut self, n: usize) -> bool {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return false };
@@ -178,7 +178,7 @@
         let lease = self.store.grant(now, CONTROLLER_LEASE_MS);
         let mut txn = node.controller.member_txn(lease);
         if self.old[n] {
-            txn.changes.iter_mut().for_each(forget_what_is_new);
+            txn.changes.iter_mut().for_each(strip_member_for_version_before);
         }
         let done = self.commit(n, &txn);
         if let (Some(TxnOutcome::Committed(_)), Ok(node)) = (done, &mut self.nodes[n]) {
@@ -250,8 +250,8 @@
         };
         if leader == n {
             let summary = node.controller.summary(steady, usize::MAX);
-            let (tell, _) = node.controller.receive_summary(steady, summary);
-            node.controller.apply_leader_response(tell);
+            let (response, _) = node.controller.receive_summary(steady, summary);
+            node.controller.apply_leader_response(response);
             return;
         }
         // Peers that cannot reach each other go through the store, which takes longer.
@@ -283,9 +283,9 @@
         }
         let Ok(leader) = &mut self.nodes[leader] else { return };
         let steady = leader.moment(now).steady;
-        let (tell, _) = leader.controller.receive_summary(steady, summary);
+        let (response, _) = leader.controller.receive_summary(steady, summary);
         self.sent += 1;
-        self.messages.insert((now + 600, self.sent), Message::PeerResponse(n, tell, None));
+        self.messages.insert((now + 600, self.sent), Message::PeerResponse(n, response, None));
     }
 
     pub(super) fn run_epoch(&mut self, n: usize) {
@@ -339,21 +339,21 @@
         if !node.controller.rights.may_lead(moment.steady) {
             return;
         }
-        let gone = node
+        let scaled_in = node
             .controller
             .with_leader(moment, |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
             .unwrap_or_default();
-        if !gone.is_empty() && !self.still_leads(n) {
+        if !scaled_in.is_empty() && !self.still_leads(n) {
             return;
         }
-        for id in &gone {
+        for id in &scaled_in {
             if let Some(w) = (0..self.workers.len()).find(|w| self.workers[*w].name() == *id) {
                 let changes = self.workers[w].vanish();
                 self.see(w, changes);
             }
         }
         let mut add_provisioned = Vec::new();
-        for _ in &gone {
+        for _ in &scaled_in {
             let id = self.workers.len();
             let mut worker = Worker::new(id, ZONES[id % 2], now + BOOT_MS, self.rhythm);
             worker.hung_until = now + BOOT_MS;
@@ -363,7 +363,7 @@
         if let Ok(node) = &mut self.nodes[n]
             && let Some(leader) = &mut node.controller.leader
         {
-            leader.machines_gone(&gone);
+            leader.machines_gone(&scaled_in);
             for (id, zone) in add_provisioned {
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -1,4 +1,4 @@
-//! What fails in the simulation, and how.
+//! The faults of the simulation.
 
 use super::*;
 
@@ -44,11 +44,11 @@
     PartitionZones(u64, bool),
     /// The leader is cut off from everything.
     PartitionLeader(u64, bool),
-    /// The user cancels a job, and is told.
+    /// The user cancels a job, and gets the confirmation.
     CancelAt(u64),
-    /// A machine's reports arrive; no answer reaches it.
+    /// A machine's heartbeats arrive; no response reaches it.
     UnansweredWorker(usize, u64),
-    /// Every report is delivered once more, up to well over a lease late.
+    /// Every heartbeat is delivered once more, up to well over a lease late.
     LateCopies(u64),
     /// The leader's process is back in a fraction of a second.
     BriefLeaderCrash,
@@ -77,16 +77,16 @@
     LostStoreResponses(u64),
     /// Direct commands are held up until it is over.
     HoldCommands(u64),
-    /// Copies of reports are kept for that long, and reach every controller 200 ms after the next
+    /// Heartbeats are copied for that long, and the copies reach every controller 200 ms after the next
     /// leader has begun.
     LateCopiesForNextLeader(u64),
     /// Users cancel that many jobs that run; up to eight of their machines hang that long.
     CancelNow(usize, u64),
     /// Jobs are cancelled at the moment of their end.
     CancelAtEnd(u64),
-    /// Users ask and submit at all nodes right after anything was told.
+    /// Users ask and submit at all controllers right after any answer.
     AggressivePolling(u64),
-    /// That many machines are rented and up within 2 s.
+    /// That many machines are scaled out and up within 2 s.
     FastBoots(usize),
 }
 
@@ -170,8 +170,8 @@
     }
 }
 
-/// Two or three troubles that meet, with cancellations at bad moments, while users look closely.
-pub fn random_meetings(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
+/// Two or three faults at the same time, with cancellations at bad moments, while users look closely.
+pub fn random_combined_faults(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let unit = rhythm.lease_ms / 100;
     let mut faults = vec![(1_000, Fault::AggressivePolling(rhythm.lease_ms * 12))];
@@ -264,7 +264,7 @@
         others.min_by_key(|n| (n % 2 == leader % 2, *n)).unwrap_or(0)
     }
 
-    /// Machines are rented and up within 2 s, before any list shows them.
+    /// Machines are scaled out and up within 2 s, before any list shows them.
     pub(super) fn quick_boots(&mut self, count: usize) {
         let leader = self.leader();
         for _ in 0..count {
@@ -288,14 +288,14 @@
         }
     }
 
-    /// Copies of reports that were kept for the next leader reach every controller.
-    pub(super) fn deliver_kept_copies(&mut self) {
+    /// Copies of heartbeats that were held for the next leader reach every controller.
+    pub(super) fn deliver_held_copies(&mut self) {
         let leads = self.leads();
-        if self.kept_copies.is_empty() || leads.is_none() || leads == self.last_leader {
+        if self.held_copies.is_empty() || leads.is_none() || leads == self.last_leader {
             return;
         }
         self.last_leader = leads;
-        for heartbeat in std::mem::take(&mut self.kept_copies) {
+        for heartbeat in std::mem::take(&mut self.held_copies) {
             for n in 0..3 {
                 self.sent += 1;
                 let at = self.now + self.rng.random_range(0..400);
@@ -367,7 +367,7 @@
             Fault::UnansweredWorker(w, ms) => self.deaf.push((w, now + ms)),
             Fault::LateCopies(ms) => self.copies_until = now + ms,
             Fault::WorkerRestart(w) => {
-                let changes = self.workers[w].reborn(now);
+                let changes = self.workers[w].restart(now);
                 self.see(w, changes);
             }
             Fault::LeaderOnlyReachesWorkers(ms) => {
--- a/tests/sim/world/scenarios.rs
+++ b/tests/sim/world/scenarios.rs
@@ -125,9 +125,9 @@
         let mut world = World::new(seed, rhythm);
         world.every = 700;
         world.run_ms = rhythm.cancel_ms * 3;
-        let loose = |job| JobSpec { spread_zones: false, ..job };
-        world.jobs = (1..=2).map(|id| (id, loose(spec(id, 2, 100.0)))).collect();
-        world.jobs.insert(BRIEF, loose(spec(BRIEF, 400, 3.0)));
+        let in_any_zone = |job| JobSpec { spread_zones: false, ..job };
+        world.jobs = (1..=2).map(|id| (id, in_any_zone(spec(id, 2, 100.0)))).collect();
+        world.jobs.insert(SHORT_RUNNING_JOB, in_any_zone(spec(SHORT_RUNNING_JOB, 400, 3.0)));
         world
     }
 
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -11,16 +11,16 @@
 use willowshore::wire::{JobKind, JobState};
 
 use super::{Message, World};
-use crate::check::{Event, Told};
+use crate::check::{Event, ShownState};
 
 /// A job that nobody submits.
 const NOBODYS: u64 = 999_999;
 
-fn told(state: JobState) -> Told {
+fn shown(state: JobState) -> ShownState {
     match state {
-        JobState::Done => Told::Done,
-        JobState::Cancelled => Told::Withdrawn,
-        JobState::Pending | JobState::Running => Told::Open,
+        JobState::Done => ShownState::Done,
+        JobState::Cancelled => ShownState::Cancelled,
+        JobState::Pending | JobState::Running => ShownState::Open,
     }
 }
 
@@ -41,7 +41,7 @@
             }
             let gang = self.jobs[&id].kind == JobKind::Gang;
             let may = !gang || self.old == [false; 3];
-            if may && now >= id * self.every && !self.told.contains(&id) {
+            if may && now >= id * self.every && !self.ended_for_users.contains(&id) {
                 let n = self.rng.random_range(0..3);
                 self.ask(n, id);
             }
@@ -85,13 +85,13 @@
         if let Some(EndedJob { state, .. }) = replica.ended.get(&JobId(id)).copied() {
             let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
-            self.told.insert(id);
-            let (event, told) = match state {
-                JobState::Done => (Event::CalledDone { job: id, done, of }, Told::Done),
-                _ => (Event::Cancelled { job: id }, Told::Withdrawn),
+            self.ended_for_users.insert(id);
+            let (event, state) = match state {
+                JobState::Done => (Event::CalledDone { job: id, done, of }, ShownState::Done),
+                _ => (Event::Cancelled { job: id }, ShownState::Cancelled),
             };
             self.checker.see(now, event);
-            self.checker.see(now, Event::Told { job: id, node: n, told });
+            self.checker.see(now, Event::StateShown { job: id, node: n, state });
             if now < self.looks_until {
                 self.looked_at.push(id);
             }
@@ -118,10 +118,10 @@
 
     /// What node `n` answers at once: what nothing can change any more, or a refusal if it does not reach
     /// the store. `None` if it has to look further.
-    fn at_once(&mut self, n: usize, job: JobId) -> Option<Option<Told>> {
+    fn at_once(&mut self, n: usize, job: JobId) -> Option<Option<ShownState>> {
         let Some(node) = self.awake(n) else { return Some(None) };
         if let Some(answer) = node.controller.final_answer(job) {
-            return Some(Some(told(answer.state)));
+            return Some(Some(shown(answer.state)));
         }
         if !node.controller.loaded || !self.reaches_store(n) {
             return Some(None);
@@ -130,7 +130,7 @@
     }
 
     /// What node `n` answers to a question; `None` if it refuses.
-    fn answer(&mut self, n: usize, id: u64) -> Option<Told> {
+    fn answer(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
         if let Some(answer) = self.at_once(n, job) {
             return answer;
@@ -139,14 +139,14 @@
         let controller = &self.awake(n)?.controller;
         let answer = controller.final_answer(job).or_else(|| controller.open_answer(job));
         match answer {
-            Some(answer) => Some(told(answer.state)),
+            Some(answer) => Some(shown(answer.state)),
             None if self.store.has(&replica::job_key(job)) => None,
-            None => Some(Told::Unknown),
+            None => Some(ShownState::Unknown),
         }
     }
 
     /// What a node answers to a submission, new or repeated.
-    fn submit(&mut self, n: usize, id: u64) -> Option<Told> {
+    fn submit(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
         self.checker.see(self.now, Event::Submitted { job: id });
         if let Some(answer) = self.at_once(n, job) {
@@ -169,16 +169,16 @@
                     let replica_changes = controller.apply_committed(&txn, version);
                     controller.follow(moment, &replica_changes);
                     let answer = controller.final_answer(job);
-                    return Some(answer.map_or(Told::Open, |a| told(a.state)));
+                    return Some(answer.map_or(ShownState::Open, |a| shown(a.state)));
                 }
                 TxnOutcome::ConditionsFailed(_) => {}
             }
         }
-        self.answer(n, id).filter(|t| *t != Told::Unknown)
+        self.answer(n, id).filter(|t| *t != ShownState::Unknown)
     }
 
     /// What a node answers to a cancellation.
-    fn abort(&mut self, n: usize, id: u64) -> Option<Told> {
+    fn abort(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
         for _ in 0..4 {
             if let Some(answer) = self.at_once(n, job) {
@@ -187,7 +187,7 @@
             let Some((txn, progress)) = self.nodes[n].as_ref().ok()?.controller.cancel_txn(job)
             else {
                 match self.answer(n, id)? {
-                    Told::Unknown => return Some(Told::Unknown),
+                    ShownState::Unknown => return Some(ShownState::Unknown),
                     _ => continue,
                 }
             };
@@ -198,14 +198,14 @@
                     let replica_changes = controller.apply_committed(&txn, version);
                     controller.follow(moment, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
-                        if self.old[to] || !self.tells_ends {
+                        if self.old[to] || !self.sends_cancellation_notices {
                             continue;
                         }
                         let ask = PeerRequest::Ended(job, progress.clone(), version);
                         self.send(
                             super::Place::Node(n),
                             super::Place::Node(to),
-                            Message::Ended(to, ask),
+                            Message::CancellationNotice(to, ask),
                         );
                     }
                 }
@@ -216,7 +216,12 @@
     }
 
     /// A request at node `n`, handed over to the others if it can't serve it and reaches them.
-    fn request(&mut self, n: usize, id: u64, ask: fn(&mut World, usize, u64) -> Option<Told>) {
+    fn request(
+        &mut self,
+        n: usize,
+        id: u64,
+        ask: fn(&mut World, usize, u64) -> Option<ShownState>,
+    ) {
         let mut answer = ask(self, n, id);
         if answer.is_none() && self.nodes[n].is_ok() {
             for m in (0..3).filter(|m| *m != n) {
@@ -228,16 +233,16 @@
             }
         }
         let Some(answer) = answer else { return };
-        if answer == Told::Done {
+        if answer == ShownState::Done {
             let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.checker.see(self.now, Event::CalledDone { job: id, done, of });
         }
-        if matches!(answer, Told::Done | Told::Withdrawn) {
-            self.told.insert(id);
+        if matches!(answer, ShownState::Done | ShownState::Cancelled) {
+            self.ended_for_users.insert(id);
         }
-        self.checker.see(self.now, Event::Told { job: id, node: n, told: answer });
-        let ended = !matches!(answer, Told::Open | Told::Unknown);
+        self.checker.see(self.now, Event::StateShown { job: id, node: n, state: answer });
+        let ended = !matches!(answer, ShownState::Open | ShownState::Unknown);
         if self.now < self.looks_until && !self.looked_at.contains(&id) && ended {
             self.looked_at.push(id);
         }
@@ -291,7 +296,7 @@
         self.cancels = later;
         let due: Vec<(u64, u64)> = due;
         for (_, id) in due {
-            if !self.told.contains(&id) {
+            if !self.ended_for_users.contains(&id) {
                 self.cancel(id);
             }
         }
@@ -300,7 +305,7 @@
             for id in ended {
                 let of = self.jobs[&id].task_count as usize;
                 let done = self.completed.iter().filter(|t| t.job.0 == id).count();
-                if done == of && !self.told.contains(&id) {
+                if done == of && !self.ended_for_users.contains(&id) {
                     // At the moment of the end, when a node may or may not have heard of it.
                     self.cancel(id);
                     self.cancels.extend([20, 40, 80, 160, 320, 640].map(|ms| (now + ms, id)));
@@ -321,7 +326,7 @@
             let fresh: Vec<u64> = self.jobs.keys().copied().collect();
             for id in fresh {
                 let due = now >= id * self.every && now < id * self.every + 40;
-                if due && !self.told.contains(&id) {
+                if due && !self.ended_for_users.contains(&id) {
                     self.request(0, id, World::submit);
                     self.request(1, id, World::submit);
                     self.look(id);
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -58,7 +58,7 @@
         tasks: vec![task(412, 3, TaskState::Running), task(412, 4, TaskState::Unknown)],
         images: vec![("img-07".into(), 6.25)],
     };
-    let stray = ForeignMachine {
+    let foreign_machine = ForeignMachine {
         id: machine("n-000002"),
         machine_type: "kleine".into(),
         zone: "b".into(),
@@ -80,7 +80,7 @@
         heard_ms: 30,
         machines: vec![view],
         answered: vec![(machine("n-000001"), 15)],
-        foreign_machines: vec![stray],
+        foreign_machines: vec![foreign_machine],
         restarted: vec![machine("n-000002")],
         failing: vec![398],
         completed_tasks: vec![(412, TaskRanges::span(0, 3))],
@@ -159,15 +159,17 @@
 fn messages_of_the_version_before_are_read() {
     let f = fixtures();
     let ask = |name: &str| peer::decode::<PeerRequest>(&f[name]);
-    let tell = |name: &str| peer::decode::<PeerResponse>(&f[name]);
+    let response = |name: &str| peer::decode::<PeerResponse>(&f[name]);
     assert!(matches!(ask("ask-summary"), Ok(PeerRequest::Summary(s)) if s == summary()));
     assert!(matches!(ask("ask-submit"), Ok(PeerRequest::Submit(s)) if s == spec()));
     assert!(matches!(ask("ask-lead"), Ok(PeerRequest::Leader)));
     assert!(matches!(ask("ask-query"), Ok(PeerRequest::Query(JobId(412)))));
-    assert!(matches!(tell("tell-plan"), Ok(PeerResponse::Plan(p)) if *p == plan()));
-    assert!(matches!(tell("tell-send-whole"), Ok(PeerResponse::SendWhole)));
-    assert!(matches!(tell("tell-lead"), Ok(PeerResponse::Leader(Some(l))) if l.term == Term(41)));
-    assert!(matches!(tell("tell-answer"), Ok(PeerResponse::Answer(200, b)) if b == [1, 2]));
+    assert!(matches!(response("tell-plan"), Ok(PeerResponse::Plan(p)) if *p == plan()));
+    assert!(matches!(response("tell-send-whole"), Ok(PeerResponse::SendWhole)));
+    assert!(
+        matches!(response("tell-lead"), Ok(PeerResponse::Leader(Some(l))) if l.term == Term(41))
+    );
+    assert!(matches!(response("tell-answer"), Ok(PeerResponse::Answer(200, b)) if b == [1, 2]));
     let relayed = |name: &str| peer::decode::<StoreMessage>(&f[name]);
     assert!(matches!(relayed("relayed-summary"), Ok(StoreMessage::Summary(s)) if *s == summary()));
     let not_leading = relayed("relayed-tell");
@@ -196,21 +198,21 @@
     assert!(member.capabilities < CAPABILITIES);
     assert_eq!(value::<TermRecord>(&f["term"]).term, Term(41));
     let group: MachineGroup = value(&f["m"]);
-    let told: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
-    assert_eq!(told, [(true, None), (true, Some(WallTime(5)))]);
+    let states: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
+    assert_eq!(states, [(true, None), (true, Some(WallTime(5)))]);
     assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), TaskRanges::span(0, 9))]);
     assert_eq!(value::<OfferedLoad>(&f["load"]), OfferedLoad::default());
 }
 
 #[test]
 fn the_version_before_reads_what_this_one_writes() {
-    // With what it does not know: a waiting task, notices, stops and kept machines.
-    let mut told = summary();
-    told.machines[0].tasks.push(task(398, 1, TaskState::WaitingForGang));
-    told.notices = vec![(machine("n-000001"), 9_000)];
-    told.follow = Some(FollowRequest::default());
+    // With what it does not know: a waiting task, notices, stops and reserved machines.
+    let mut extended = summary();
+    extended.machines[0].tasks.push(task(398, 1, TaskState::WaitingForGang));
+    extended.notices = vec![(machine("n-000001"), 9_000)];
+    extended.follow = Some(FollowRequest::default());
     let frozen::Ask::Summary(s) =
-        rmp_serde::from_slice(&peer::encode(&PeerRequest::Summary(told))).unwrap()
+        rmp_serde::from_slice(&peer::encode(&PeerRequest::Summary(extended))).unwrap()
     else {
         panic!("not a summary");
     };
@@ -270,8 +272,8 @@
         vec![(machine("n-000001"), up.clone()), (machine("n-000002"), up.tombstone(WallTime(7)))];
     let old: frozen::MachineGroup =
         wire::from_value(&wire::to_value(&MachineGroup { machines })).unwrap();
-    let told: Vec<_> = old.machines.iter().map(|(id, m)| (id.as_str(), m.up, m.gone)).collect();
-    assert_eq!(told, [("n-000001", true, None), ("n-000002", true, Some(7))]);
+    let states: Vec<_> = old.machines.iter().map(|(id, m)| (id.as_str(), m.up, m.gone)).collect();
+    assert_eq!(states, [("n-000001", true, None), ("n-000002", true, Some(7))]);
     assert_eq!((old.machines[0].1.hull.as_str(), old.machines[0].1.spot), ("kleine", false));
     assert_eq!((old.machines[0].1.zone.as_str(), &*old.machines[0].1.endpoint), ("a", ""));
 }
@@ -300,26 +302,26 @@
 
 #[test]
 fn only_versions_that_support_them_are_sent_cancellation_notices() {
-    // (what a member says that it understands, whether it is told)
-    for (capabilities, told) in [(0, false), (1, false), (2, true), (3, true)] {
+    // (a member's capabilities, whether it is sent cancellation notices)
+    for (capabilities, supported) in [(0, false), (1, false), (2, true), (3, true)] {
         let mut replica = Replica::new(NodeId(0));
         let member =
             MemberRecord { incarnation: Incarnation(77), version: String::new(), capabilities };
         let item =
             KeyValue { key: "n/1".into(), value: wire::to_value(&member), version: Revision(3) };
         replica.load(&item, &mut ReplicaChanges::default());
-        assert_eq!(replica.supports_cancellation_notices(NodeId(1)), told, "{capabilities}");
+        assert_eq!(replica.supports_cancellation_notices(NodeId(1)), supported, "{capabilities}");
     }
-    let gone = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
-    let sent = peer::encode(&PeerRequest::Ended(JobId(412), gone.clone(), Revision(9)));
+    let cancelled = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
+    let sent = peer::encode(&PeerRequest::Ended(JobId(412), cancelled.clone(), Revision(9)));
     let read = peer::decode::<PeerRequest>(&sent);
-    assert!(matches!(read, Ok(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == gone));
+    assert!(matches!(read, Ok(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == cancelled));
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
 
 #[test]
 fn only_versions_that_support_the_standby_are_asked_for_leader_silence() {
-    // (what a member says that it understands, whether it is asked)
+    // (a member's capabilities, whether it is asked)
     for (capabilities, asked) in [(0, false), (3, false), (4, true)] {
         let mut replica = Replica::new(NodeId(0));
         let member =
