--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud's interface, kept within its rate.
+//! Client of the cloud's interface, limited to its rate.
 //!
 //! An error says whether a request may have been carried out. A scale-out request of which that is not known is
 //! repeated under the same idempotency key, so that no machine is paid for twice.
@@ -91,7 +91,7 @@
         Ok(Self::body::<MachineNames>(&answer)?.machines)
     }
 
-    /// Gives machines back; once this is `Ok`, they and all tasks on them are gone.
+    /// Returns machines; once this is `Ok`, they and all tasks on them are terminated.
     pub async fn scale_in(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = wire::encode(&MachineNames { machines: machines.to_vec() });
         self.call("POST", "/machines/return", &body).await.map(|_| ())
--- a/src/config.rs
+++ b/src/config.rs
@@ -104,7 +104,7 @@
 
     /// How long a node may keep workers alive after its last proof of being current, in
     /// milliseconds: what remains of `cancel_s` after a whole worker lease and a margin.
-    /// `docs/safety.md` says why a lost controller's tasks are gone by then.
+    /// `docs/safety.md` says why a lost controller's tasks have ended by then.
     pub fn keep_alive_ms(&self) -> u64 {
         let workers = &self.params.workers;
         let margin = 2.0 + workers.cancel_s * 0.001;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -130,7 +130,7 @@
     pub heartbeat_s: f64,
     /// A worker's lease: without an answer for that long, it ends all its tasks.
     pub lease_s: f64,
-    /// The time within which a cancelled job's tasks have to be gone.
+    /// The time within which a cancelled job's tasks have to end.
     pub cancel_s: f64,
     /// How long a gang's task waits for the others to start.
     #[serde(default = "gang_wait_s")]
--- a/src/config/timing.rs
+++ b/src/config/timing.rs
@@ -22,7 +22,7 @@
     /// A machine that was well and has sent no heartbeat for that long is presumed to have stopped, if its
     /// owner gets those of others.
     pub presumed_stopped_ms: u64,
-    /// How long a controller remembers which machines it answered: who asks it is told of every
+    /// How long a controller remembers which machines it answered: whoever asks is given every
     /// answer whose lease may still run.
     pub answer_memory_ms: u64,
 }
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -12,7 +12,7 @@
 use crate::replica::{self, LeaderRecord, MemberRecord, TermRecord, Versioned};
 use crate::wire::{self, Change, Condition, Txn};
 
-/// How old, in milliseconds, the proof may be that the replica is current when peers are told who leads. A watch that
+/// How old, in milliseconds, the proof may be that the replica is current when peers ask who leads. A watch that
 /// brings nothing is answered within a second, so a served controller stays below this.
 const LEADER_FRESHNESS_MS: u64 = 2_500;
 
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -5,7 +5,7 @@
 //!
 //! - **What an earlier term granted is unresolved until proven.** A term begins with nothing granted.
 //!   Whatever an earlier term granted and is not done may be running, until every machine that may
-//!   hold it has reported with the new token, and so refuses older commands, or is proven gone. The
+//!   hold it has shown the new token, and so refuses older commands, or is proven terminated. The
 //!   `task_grants` module keeps this ("When a task is free").
 //! - **Durable before said.** An [`Epoch`] holds only once its transaction is carried out:
 //!   [`Leader::epoch`] works it out, [`Leader::publish`] makes it hold.
@@ -81,7 +81,7 @@
     began: MonotonicTime,
     /// Set when a new term is needed, with the reason.
     pub renew_term: Option<&'static str>,
-    /// The machines. Those stay in the next term; what controllers told of them does not.
+    /// The machines. Those stay in the next term; what shards summarized of them does not.
     pub fleet: Fleet,
     /// What stays in this leader's next term.
     pub remembered: Remembered,
@@ -121,7 +121,7 @@
     seq: PlanSeq,
     /// What that plan tells each controller.
     bodies: BTreeMap<NodeId, PlanBody>,
-    /// When controllers were last told how jobs stand.
+    /// When a plan last carried the jobs' status.
     job_statuses_sent: MonotonicTime,
 }
 
@@ -300,7 +300,7 @@
         self.plans.seq
     }
 
-    /// The cloud confirmed that these machines and all on them are gone.
+    /// The cloud confirmed that these machines and all on them are terminated.
     pub fn machines_gone(&mut self, ids: &[MachineId]) {
         self.fleet.remove_machines(ids, self.plans.next());
         self.remembered.machine_speeds.retain(|id, _| !ids.contains(id));
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -70,7 +70,7 @@
     spot: bool,
 }
 
-/// Places that count as one kind. They are visited in the order of these fields.
+/// Releases that count as one kind. They are visited in the order of these fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleaseGroup<'a> {
     owner: NodeId,
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -31,7 +31,7 @@
 struct Reservation<'a> {
     /// Machines that may be reserved, best first, by their place among the targets.
     order: Vec<usize>,
-    /// Zones to reserve in first, with equal parts of it.
+    /// Zones to reserve in first, with equal shares of it.
     zones: &'a [String],
     /// Cores that are to be free there.
     cores: f64,
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -3,7 +3,7 @@
 //! A gang is granted whole, with one attempt for all of its tasks, and only while none of them is
 //! on a machine, granted, or may be running. While it gathers, a start that was lost is granted
 //! again with that attempt. When a task is lost that a worker had shown, or the gang does not come
-//! together in time, the rest is stopped, and once all are proven gone the gang begins anew. The
+//! together in time, the rest is stopped, and once all are proven to have ended the gang begins anew. The
 //! argument is in `docs/safety.md`, "Gangs".
 
 use super::Leader;
@@ -17,7 +17,7 @@
 use crate::placement::{self, PlacementTarget};
 use crate::replica::Job;
 
-/// Part of the time that a gang's tasks wait for each other in which it has to be whole.
+/// Share of the time that a gang's tasks wait for each other in which it has to be whole.
 const GATHER_PART: f64 = 0.4;
 /// What a stop's way to all controllers and machines may take, besides one heartbeat, in milliseconds.
 const STOP_WAY_MS: u64 = 1_500;
@@ -42,7 +42,7 @@
 /// A gang that is being stopped.
 #[derive(Clone, Debug)]
 pub(super) struct PendingStop {
-    /// What controllers are told.
+    /// As plans carry it to controllers.
     pub(super) stop: GangStop,
     /// When it is stopped at once if it has not ended.
     until: MonotonicTime,
@@ -100,7 +100,7 @@
         self.stop_gang(cluster, id, 0, reason);
     }
 
-    /// Stops a running gang whose machine is about to be taken, if all its machines can be told in
+    /// Stops a running gang whose machine is about to be reclaimed, if all its machines can be reached in
     /// time and saving is worth anything: as late as that allows.
     fn stop_in_order(&mut self, cluster: &ClusterView<'_>, job: &Job, presence: &GangPresence) {
         let all_run = presence.running == job.spec.task_count;
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -19,7 +19,7 @@
 use crate::resources::Resources;
 use crate::wire::JobKind;
 
-/// Part of its limit from which on a team counts as being at it.
+/// Share of its limit from which on a team counts as being at it.
 const AT_LIMIT: f64 = 0.5;
 
 /// Jobs that fail wherever some controller tries them.
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -17,7 +17,7 @@
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
-/// Part of its time that a job may have left beyond what it needs before it counts for less, and what it
+/// Share of its time that a job may have left beyond what it needs before it counts for less, and what it
 /// loses when all of its time is left.
 const AMPLE_SLACK: f64 = 0.5;
 
@@ -26,7 +26,7 @@
 /// How much less each further task of a job is worth than the one before.
 const FADE: f64 = 0.995;
 
-/// Part of its tasks that it begins with.
+/// Share of its tasks that it begins with.
 const STARVED_PART: u32 = 8;
 
 pub(super) fn rank(priority: Priority) -> u32 {
@@ -79,7 +79,7 @@
     base * pressing * if required { 1.5 } else { 1.0 }
 }
 
-/// Part of its importance that a job keeps while so much of its time is left beyond what it needs.
+/// Share of its importance that a job keeps while so much of its time is left beyond what it needs.
 fn slack_part(slack: f64) -> f64 {
     let beyond = ((slack - AMPLE_SLACK) / (1.0 - AMPLE_SLACK)).clamp(0.0, 1.0);
     1.0 - AMPLE_LOSS * beyond
--- a/src/leader/machine_records.rs
+++ b/src/leader/machine_records.rs
@@ -1,5 +1,5 @@
 //! Machines on record. They become durable before anything can start on them, and stay as tombstones for
-//! a while once they are gone, so a new leader knows every machine that may hold a task
+//! a while once they are terminated, so a new leader knows every machine that may hold a task
 //! (`docs/safety.md`, "When a task is free"). They are written in groups.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use crate::replica::{self, MachineGroup, MachineRecord};
 use crate::wire::{self, Change};
 
-/// How long a machine that is gone stays known, against late heartbeats, in milliseconds.
+/// How long a terminated machine stays known, against late heartbeats, in milliseconds.
 const TOMBSTONE_MS: u64 = 600_000;
 /// Bytes of a group of machines besides those.
 const GROUP_BYTES: usize = 32;
@@ -62,7 +62,7 @@
         machine.up && known.is_none_or(|record| !record.up && record.gone.is_none())
     }
 
-    /// Whether a machine is gone and not on record as that.
+    /// Whether a machine is terminated and not recorded as that.
     fn has_died(&self, id: &MachineId, record: &MachineRecord) -> bool {
         record.gone.is_none() && self.fleet.gone.contains(id)
     }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -11,7 +11,7 @@
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
-/// Longest time for which shards are not told how jobs stand, in milliseconds. Users see what is told.
+/// Longest time between two plans with the jobs' status, in milliseconds. Users see that status.
 const JOB_STATUS_PERIOD_MS: u64 = 1_000;
 
 /// What a controller is granted.
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -49,7 +49,7 @@
             if let Some(job) = cluster.replica.jobs.get(&id) {
                 used.add(&job.spec.team, &Resources::of(&job.spec), tasks);
             } else if let Some(residual) = cluster.replica.residual_usage.get(&id) {
-                // Tasks of jobs that have ended still use cores until they are gone.
+                // Tasks of jobs that have ended still use cores until they end.
                 used.add(&residual.owner, &residual.need, tasks);
             }
         }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -1,4 +1,4 @@
-//! What the autoscaler is told of machines and of work that waits, and what becomes of its decision.
+//! The autoscaler's input (machines and pending work), and how its decision is applied.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
 use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 
-/// Time between two decisions on what to rent and return, in milliseconds.
+/// Time between two scaling decisions, in milliseconds.
 pub(super) const SCALING_PERIOD_MS: u64 = 1_000;
 
 /// What open jobs would use.
@@ -28,7 +28,7 @@
     gangs: [GangSample; 2],
 }
 
-/// How one job stands when the autoscaler is told of it.
+/// One job's demand as given to the autoscaler.
 struct JobLoad<'a> {
     job: &'a Job,
     need: Resources,
@@ -67,7 +67,7 @@
 }
 
 impl Leader {
-    /// Decides which machines to rent and which to return.
+    /// Decides which machines to scale out and which to scale in.
     pub(super) fn decide_scaling(
         &mut self,
         inputs: &EpochInputs<'_>,
@@ -180,12 +180,12 @@
         }
     }
 
-    /// What to rent now. Asked once per decision, so that nothing is rented twice.
+    /// The scale-out to request now. Taken once per decision, so that nothing is requested twice.
     pub fn take_scale_out(&mut self) -> Vec<(MachineOffer, u32)> {
         std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
-    /// Forgets what was decided to be rented before the last rentals were known.
+    /// Forgets a scale-out that was decided before the results of the last one were known.
     pub fn decide_anew(&mut self) {
         if !self.scaling.decision.scale_out.is_empty() {
             self.scaling.decision.scale_out.clear();
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Gives a machine that is reserved for gangs to work that has waited long: it is not kept from that.
+    /// Gives a machine that is reserved for gangs to work that has waited long: the reservation does not hold against that.
     /// False if none of them holds a task of it.
     fn release_reserved(
         &mut self,
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -3,7 +3,7 @@
 //! **The invariant:** a task is granted only if it is proven to be nowhere
 //! ([`TaskGrants::is_free`]). A term begins with nothing granted, and everything that an earlier
 //! term granted and that is not done is *unresolved*. It stays so until a reconciled machine shows
-//! the task, it is done, or every machine that may hold it is reconciled or proven gone. Within the
+//! the task, it is done, or every machine that may hold it is reconciled or proven terminated. Within the
 //! term a task has one grant; a revoked one blocks the task until its shard follows a plan without it.
 //! The argument is in `docs/safety.md`, "When a task is free".
 
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -15,7 +15,7 @@
     pub fn begin(cluster: &ClusterView<'_>, term: Term, before: Option<Leader>) -> Self {
         let (mut fleet, mut task_grants, mut remembered) = (None, None, None);
         if let Some(old) = before {
-            // Whoever led meanwhile may have returned machines and rented others.
+            // Whoever led meanwhile may have scaled in machines and scaled out others.
             fleet = Some(old.fleet);
             task_grants = Some((old.term, old.task_grants));
             remembered = Some(old.remembered);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! - The leader: [`leader`] works out epochs on a [`cluster_view`], with [`admission`], [`autoscaler`] and [`fleet`].
 //! - A shard: [`shard`] owns machines; [`placement`] chooses among them.
 //! - The store: [`store_client`] talks to it, [`replica`] mirrors it, [`message_chunks`] sends messages through it.
-//! - Interfaces: [`api`] serves users and workers, [`peer`] other controllers, [`cloud`] rents machines, [`wire`] and
+//! - Interfaces: [`api`] serves users and workers, [`peer`] other controllers, [`cloud`] scales machines out and in, [`wire`] and
 //!   [`http`] carry all of it.
 
 pub mod admission;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The longest time that is told apart, in microseconds: a minute.
+/// The longest time that is distinguished, in microseconds: a minute.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant digits of a recorded time: with two, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
--- a/src/offered_load.rs
+++ b/src/offered_load.rs
@@ -63,7 +63,7 @@
 pub struct LoadSample {
     /// What short-running work would use if all of it began on arrival.
     pub short_running: Cores,
-    /// The urgent part of that.
+    /// The urgent share of that.
     pub urgent: Cores,
     /// What long-running work uses.
     pub long_running: Cores,
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -9,7 +9,7 @@
 //!   watches come back.
 //! - A job that has ended stays so: its end is written once, and neither an older record nor a read
 //!   from the start takes it back. `docs/safety.md` relies on it for cancelled jobs.
-//! - A machine that is known to be gone stays gone for as long as any key names it.
+//! - A machine that is known to be terminated stays so for as long as any key names it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -91,7 +91,7 @@
     pub term: Term,
     /// Version of the term's key; 0 if there is none yet.
     pub term_version: Revision,
-    /// Machines that tasks may be on, and those lately gone.
+    /// Machines that tasks may be on, and those lately terminated.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// The keys that [`Replica::machines`] is merged from.
     machine_groups: MachineGroups,
--- a/src/replica/machine_groups.rs
+++ b/src/replica/machine_groups.rs
@@ -2,7 +2,7 @@
 //!
 //! A machine is mostly in one group. A version of the program with larger values may have written it to
 //! a further one; then the replica shows the record that is furthest along: a machine that any key
-//! calls gone is gone.
+//! calls terminated is terminated.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -22,7 +22,7 @@
         self.member_supports(node, CAPABILITY_GRANTS_AHEAD)
     }
 
-    /// Whether a controller can be told of cancellations directly. One that the store refuses is
+    /// Whether a controller can be sent cancellation notices. One that the store refuses is
     /// no member for a while, and needs it most, so that what it last supported counts.
     pub fn supports_cancellation_notices(&self, node: NodeId) -> bool {
         self.last_supported(node, CAPABILITY_CANCELLATION_NOTICE)
@@ -66,12 +66,12 @@
         tasks
     }
 
-    /// Whether a machine may be given tasks: it is durably known to be up and not gone.
+    /// Whether a machine may be given tasks: it is durably known to be up and not terminated.
     pub fn is_machine_up(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.up && machine.gone.is_none())
     }
 
-    /// Whether a machine is durably known to be gone.
+    /// Whether a machine is durably known to be terminated.
     pub fn is_machine_gone(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
     }
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -87,7 +87,7 @@
     /// boots never holds up the proof that a task is nowhere.
     #[serde(default)]
     pub up: bool,
-    /// Set once it is proven gone; the record stays for a while so that late heartbeats are known
+    /// Set once it is proven terminated; the record stays for a while so that late heartbeats are known
     /// for what they are.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gone: Option<WallTime>,
@@ -97,7 +97,7 @@
 }
 
 impl MachineRecord {
-    /// What is kept of a machine that is gone at `at`: that it is, and since when.
+    /// The record that stays of a machine terminated at `at`: that it is, and since when.
     pub fn tombstone(&self, at: WallTime) -> Self {
         MachineRecord {
             machine_type: String::new(),
@@ -116,7 +116,7 @@
     pub machines: Vec<(MachineId, MachineRecord)>,
 }
 
-/// What the tasks of a cancelled job, or of a gang that is done, may use until they are proven gone; it
+/// What the tasks of a cancelled job, or of a gang that is done, may use until they are proven to have ended; it
 /// counts towards quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualUsage {
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::wire;
 
 impl Service {
-    /// Answers a worker's heartbeat: 200 with commands, 421 with the controller to report to, 503 while this controller may
+    /// Answers a worker's heartbeat: 200 with commands, 421 with the controller to send them to, 503 while this controller may
     /// not answer, 400 for what is no heartbeat.
     pub(crate) fn on_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(heartbeat) = wire::decode::<wire::Heartbeat>(body) else {
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -22,7 +22,7 @@
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// Pause of the loop while scale-out requests are open, and while there are none. Requests go out one at a time, and the
-/// cloud's rate limit is kept by its client.
+/// cloud's rate limit is observed by its client.
 const BUSY_PERIOD: Duration = Duration::from_millis(50);
 const IDLE_PERIOD: Duration = Duration::from_millis(400);
 /// Time, in milliseconds, for which machine types and prices are used before they are read again.
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Queues what the leader wants to rent.
+    /// Queues the leader's scale-out requests.
     fn queue_wanted_machines(&self, term: Term, queue: &mut ScaleOutQueue) {
         let mut controller = self.controller.borrow_mut();
         let incarnation = controller.incarnation;
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -1,6 +1,6 @@
 //! Completed tasks whose outcome may not be durable yet.
 //!
-//! A completion is true forever, whoever reports it and however late (`docs/safety.md`, "Durable before said"). A task
+//! A completion is true forever, whoever shows it and however late (`docs/safety.md`, "Durable before said"). A task
 //! in here is not started again.
 
 use super::Shard;
--- a/src/shard/plan_following.rs
+++ b/src/shard/plan_following.rs
@@ -82,7 +82,7 @@
             }
         }
         let (me, owners) = (self.me, &term_state.owners);
-        // The tasks of a machine that this shard no longer has are its new owner's to report, or ended with the machine.
+        // The tasks of a machine that this shard no longer has are its new owner's to summarize, or ended with the machine.
         self.machines.retain(|id, _| owners.get(id) == Some(&me));
         term_state.foreign_machines.retain(|id, _| owners.get(id) != Some(&me));
         self.restarted.retain(|id| owners.contains_key(id));
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,5 +1,5 @@
 //! Client of the state store: reads, transactions, leases and watches, kept within this
-//! controller's part of the budgets.
+//! controller's share of the budgets.
 //!
 //! Retries: the client repeats nothing by itself but for the second request of a hedged transaction. An error
 //! says whether the request may have been carried out ([`StoreError`]), and callers repeat it or look the
@@ -36,7 +36,7 @@
     /// The lease named in the request has ended.
     #[error("no such lease")]
     NoLease,
-    /// The changes asked for are no longer kept.
+    /// The store no longer retains the changes asked for.
     #[error("changes too old")]
     TooOld,
     /// The request is wrong, which is a defect here.
