--- /dev/null
+++ b/src/leader/tests/limits.rs
@@ -0,0 +1,212 @@
+//! The limits of the store: sizes of values and transactions, and changes per epoch.
+
+use rustc_hash::FxHashSet;
+
+use super::*;
+use crate::autoscaler::MachineOffer;
+use crate::wire::Change;
+
+/// A leader of term 3 with those limits of the store, now and to come, and what an earlier
+/// version left there: full groups of machines and granted ranges as large as it might write.
+fn leader_under(
+    now: (f64, usize),
+    next: Option<(f64, usize)>,
+) -> (Controller, BTreeMap<String, KeyValue>) {
+    let mut text = EXAMPLE
+        .replacen("value_kb = 8.0", &format!("value_kb = {:.1}", now.0), 1)
+        .replacen("txn_ops = 12", &format!("txn_ops = {}", now.1), 1)
+        .replacen("cpus_max = 32.0", "cpus_max = 9000.0", 1);
+    if let Some((kb, ops)) = next {
+        text += &format!("\n[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
+    }
+    let mut controller = Controller::new(Rc::new(Settings::parse(&text).unwrap()), INCARNATION);
+    controller.set_machine_types(&wire::MachineTypes {
+        machine_types: vec![machine_type("small", 8.0, 64.0)],
+    });
+    let leader = LeaderRecord { node: NodeId(0), incarnation: INCARNATION, term: Term(3) };
+    let mut items: Vec<(String, wire::Value)> = vec![
+        (replica::LEADER_KEY.into(), wire::to_value(&leader)),
+        (replica::TERM_KEY.into(), wire::to_value(&TermRecord { term: Term(3) })),
+        (
+            replica::member_key(NodeId(0)),
+            wire::to_value(&replica::MemberRecord {
+                incarnation: INCARNATION,
+                version: String::new(),
+                capabilities: replica::CAPABILITIES,
+            }),
+        ),
+    ];
+    for id in 1..=600 {
+        let accepted = Accepted { spec: spec(id, 3), at: WallTime(1) };
+        items.push((replica::job_key(JobId(id)), wire::to_value(&accepted)));
+    }
+    for key in 0..16u64 {
+        // Tasks of earlier jobs that may still run, more than fit into 2 KiB.
+        let jobs = (1..=400).filter(|j| j % 16 == key);
+        let apart: TaskRanges = [0, 2].into_iter().collect();
+        let granted = jobs.map(|j| (JobId(j), apart.clone())).collect();
+        let record = EpochRecord { term: Term(2), granted };
+        items.push((replica::epoch_key(key as u32), wire::to_value(&record)));
+    }
+    let names: Vec<MachineId> = (24..48).map(|n| MachineId::new(&format!("n-{n:06}"))).collect();
+    let ids: Vec<&str> = names.iter().map(|id| &*id.0).collect();
+    let mut machines = group(&ids);
+    for (_, m) in &mut machines.machines {
+        m.endpoint = "10.255.255.255:65535".into();
+    }
+    items.push((replica::machine_key(1), wire::to_value(&machines)));
+    let items: BTreeMap<String, KeyValue> = items
+        .into_iter()
+        .map(|(key, v)| (key.clone(), KeyValue { key, value: v, version: Revision(9) }))
+        .collect();
+    let all: Vec<KeyValue> = items.values().cloned().collect();
+    controller.load(&all, Revision(9));
+    controller.rights.lease = Some(StoreLease(1));
+    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    (controller, items)
+}
+
+/// Machines free for everything, by number.
+fn free(ids: std::ops::Range<u32>) -> Vec<MachineView> {
+    let view = |n| MachineView {
+        endpoint: "10.255.255.255:65535".into(),
+        ..view(&format!("n-{n:06}"), true, &[])
+    };
+    ids.map(view).collect()
+}
+
+#[test]
+fn leader_writes_respect_current_and_next_limits_and_lose_nothing() {
+    // Seen on a bench day: once the store's limits had fallen, every epoch's write got 400, and
+    // nothing was granted any more. The limits of the deployments, then the smallest.
+    let cases = [
+        ((8.0, 32), None),
+        ((8.0, 12), None),
+        ((8.0, 32), Some((2.0, 10))),
+        ((8.0, 12), Some((2.0, 4))),
+        ((2.0, 4), Some((8.0, 12))),
+        ((1.0, 2), None),
+    ];
+    for (now, next) in cases {
+        let (mut controller, mut store) = leader_under(now, next);
+        let kb = next.map_or(now.0, |n| n.0.min(now.0));
+        let ops = next.map_or(now.1, |n| n.1.min(now.1));
+        let before = controller.replica.unfinished_granted_tasks();
+        let provisioned: Vec<MachineId> = free(48..72).into_iter().map(|m| m.id).collect();
+        let offer = MachineOffer { machine_type: "small".into(), zone: "a".into(), spot: false };
+        controller.with_leader(at(1_000), |l, cluster| {
+            l.fleet.add_provisioned(cluster.now, &provisioned, &offer)
+        });
+        let mut revision = 9;
+        let mut granted: FxHashSet<TaskId> = FxHashSet::default();
+        for step in 0..400u64 {
+            let ms = 1_200 + step * 450;
+            controller.rights.confirm_renewal(MonotonicTime(ms));
+            controller.rights.confirm_sync(MonotonicTime(ms));
+            let summary = Summary {
+                node: NodeId(0),
+                number: step + 1,
+                echo_ms: ms,
+                applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
+                machines: free(24..72),
+                answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
+                ..summary(1, 0, INCARNATION)
+            };
+            controller.receive_summary(MonotonicTime(ms), summary);
+            let (epoch, term) = controller.epoch(at(ms)).unwrap();
+            if let Some(txn) = epoch.txn.clone() {
+                assert!(
+                    txn.changes.len() <= ops,
+                    "{now:?} {next:?}: {} changes",
+                    txn.changes.len()
+                );
+                assert!(txn.conditions.len() <= 4 * ops);
+                revision += 1;
+                let conditions: BTreeMap<&str, Revision> =
+                    txn.conditions.iter().map(|g| (g.key.as_str(), g.version)).collect();
+                assert!(conditions.contains_key(replica::LEADER_KEY));
+                for change in &txn.changes {
+                    let wire::Change::Put { key, value, .. } = change else { continue };
+                    // Carried out late, or once more, it puts nothing older back: without this, a
+                    // machine and grants that a later write had added were lost (random day 1144
+                    // of the simulation as it was then).
+                    let before = store.get(key).map_or(Revision(0), |i| i.version);
+                    assert_eq!(conditions.get(key.as_str()), Some(&before), "{key}");
+                    let bytes = wire::stored_bytes(value);
+                    assert!(bytes as f64 <= kb * 1024.0, "{now:?} {next:?}: {key} has {bytes}");
+                    let version = Revision(revision);
+                    let item = KeyValue { key: key.clone(), value: value.clone(), version };
+                    store.insert(key.clone(), item);
+                }
+                controller.apply_committed(&txn, Revision(revision));
+            }
+            granted.extend(epoch.grants.iter().map(|g| g.0));
+            controller.publish(at(ms), epoch, term);
+            // Whoever leads next knows every machine and every task that may run.
+            if step % 40 == 39 {
+                let mut successor = Controller::new(controller.settings.clone(), Incarnation(6));
+                let all: Vec<KeyValue> = store.values().cloned().collect();
+                successor.load(&all, Revision(revision));
+                let known = successor.replica.unfinished_granted_tasks();
+                assert!(
+                    before.iter().chain(&granted).all(|t| known.contains(t)),
+                    "{now:?} {next:?}"
+                );
+                assert_eq!(
+                    successor.replica.machines, controller.replica.machines,
+                    "{now:?} {next:?}"
+                );
+            }
+        }
+        assert_eq!(
+            controller.replica.machines.len(),
+            48,
+            "{now:?} {next:?}: all machines are on record"
+        );
+        assert!(granted.len() > 90, "{now:?} {next:?}: {} grants", granted.len());
+    }
+}
+
+#[test]
+fn grants_of_many_jobs_are_recorded_with_few_changes() {
+    // Seen on a bench day with 50 changes a second for all: an epoch's grants were spread over 16 keys
+    // by the jobs' numbers, and each epoch waited a second until it could write them.
+    const CHANGES: usize = 2;
+    let (earlier, items) = leader_under((8.0, 24), None);
+    let recorded = |key: &str| key.starts_with("e/");
+    let fresh: Vec<KeyValue> = items.into_values().filter(|i| !recorded(&i.key)).collect();
+    let mut controller = Controller::new(earlier.settings.clone(), INCARNATION);
+    controller.set_machine_types(&wire::MachineTypes {
+        machine_types: vec![machine_type("small", 8.0, 64.0)],
+    });
+    controller.load(&fresh, Revision(9));
+    controller.rights.lease = Some(StoreLease(1));
+    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    let mut granted = 0;
+    for step in 0..6u64 {
+        let ms = 1_200 + step * 450;
+        controller.rights.confirm_renewal(MonotonicTime(ms));
+        controller.rights.confirm_sync(MonotonicTime(ms));
+        let summary = Summary {
+            node: NodeId(0),
+            number: step + 1,
+            echo_ms: ms,
+            applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
+            machines: free(24..48),
+            answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
+            ..summary(1, 0, INCARNATION)
+        };
+        controller.receive_summary(MonotonicTime(ms), summary);
+        let (epoch, term) = controller.epoch(at(ms)).unwrap();
+        let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
+        let changes = epoch.txn.iter().flat_map(|t| &t.changes);
+        let paths: Vec<&str> = changes.map(Change::key).filter(|p| recorded(p)).collect();
+        assert!(paths.len() <= CHANGES, "{} jobs in {paths:?}", jobs.len());
+        granted += jobs.len();
+        if let Some(txn) = epoch.txn.clone() {
+            controller.apply_committed(&txn, Revision(10 + step));
+        }
+        controller.publish(at(ms), epoch, term);
+    }
+    assert!(granted > 20, "{granted} jobs");
+}
