--- a/src/leader/tests/limits.rs
+++ b/src/leader/tests/limits.rs
@@ -75,6 +75,27 @@
     ids.map(view).collect()
 }
 
+/// Confirms the leader's rights and sends it a summary in which machines with these numbers are free.
+fn send_free_machines(
+    controller: &mut Controller,
+    ms: u64,
+    number: u64,
+    machines: std::ops::Range<u32>,
+) {
+    controller.rights.confirm_renewal(MonotonicTime(ms));
+    controller.rights.confirm_sync(MonotonicTime(ms));
+    let summary = Summary {
+        node: NodeId(0),
+        number,
+        echo_ms: ms,
+        applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |leader| leader.plans.seq),
+        machines: free(machines.clone()),
+        answered: free(machines).into_iter().map(|machine| (machine.id, 0)).collect(),
+        ..summary(1, 0, INCARNATION)
+    };
+    controller.receive_summary(MonotonicTime(ms), summary);
+}
+
 #[test]
 fn leader_writes_respect_current_and_next_limits_and_lose_nothing() {
     // Seen on a bench day: once the store's limits had fallen, every epoch's write got 400, and
@@ -101,18 +122,7 @@
         let mut granted: FxHashSet<TaskId> = FxHashSet::default();
         for step in 0..400u64 {
             let ms = 1_200 + step * 450;
-            controller.rights.confirm_renewal(MonotonicTime(ms));
-            controller.rights.confirm_sync(MonotonicTime(ms));
-            let summary = Summary {
-                node: NodeId(0),
-                number: step + 1,
-                echo_ms: ms,
-                applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
-                machines: free(24..72),
-                answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
-                ..summary(1, 0, INCARNATION)
-            };
-            controller.receive_summary(MonotonicTime(ms), summary);
+            send_free_machines(&mut controller, ms, step + 1, 24..72);
             let (epoch, term) = controller.epoch(at(ms)).unwrap();
             if let Some(txn) = epoch.txn.clone() {
                 assert!(
@@ -185,18 +195,7 @@
     let mut granted = 0;
     for step in 0..6u64 {
         let ms = 1_200 + step * 450;
-        controller.rights.confirm_renewal(MonotonicTime(ms));
-        controller.rights.confirm_sync(MonotonicTime(ms));
-        let summary = Summary {
-            node: NodeId(0),
-            number: step + 1,
-            echo_ms: ms,
-            applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
-            machines: free(24..48),
-            answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
-            ..summary(1, 0, INCARNATION)
-        };
-        controller.receive_summary(MonotonicTime(ms), summary);
+        send_free_machines(&mut controller, ms, step + 1, 24..48);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
         let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.changes);
