--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -29,11 +29,14 @@
 
 mod controllers;
 pub mod faults;
+mod gangs;
+mod messages;
 mod scenarios;
 mod succession;
 mod users;
 
 pub use faults::Fault;
+use messages::{Message, Place};
 
 const STEP: u64 = 20;
 const BACK_MS: u64 = 3_000;
@@ -70,48 +73,6 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
-    Node(usize),
-    Worker(usize),
-    Store,
-}
-
-enum Message {
-    Heartbeat(usize, usize, Heartbeat),
-    /// A late copy of a heartbeat to that controller; nobody waits for its response.
-    Copy(usize, Heartbeat),
-    Reply(usize, u64, Answer),
-    /// A node announces its term to a worker; when it was sent.
-    Announce(usize, usize, DirectMessage, u64),
-    /// The worker's answer to that.
-    Announced(usize, DirectMessage, Heartbeat, u64),
-    /// A summary, and when it was sent by the sender's clock.
-    Summary(usize, usize, Box<Summary>, MonotonicTime),
-    /// The answer; when the summary was sent, if it came directly.
-    PeerResponse(usize, PeerResponse, Option<MonotonicTime>),
-    /// A cancellation notice from another controller.
-    CancellationNotice(usize, PeerRequest),
-    /// What became of a node's question to the leader.
-    Probed(usize, ProbeOutcome),
-}
-
-impl Message {
-    /// The controller that it is for, if it is for one.
-    fn to_node(&self) -> Option<usize> {
-        match self {
-            Message::Heartbeat(_, n, _)
-            | Message::Copy(n, _)
-            | Message::Announced(n, ..)
-            | Message::Summary(_, n, ..)
-            | Message::PeerResponse(n, ..)
-            | Message::CancellationNotice(n, _)
-            | Message::Probed(n, _) => Some(*n),
-            Message::Reply(..) | Message::Announce(..) => None,
-        }
-    }
-}
-
 /// How often something was done, and how long that took in all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Timed {
@@ -229,16 +190,6 @@
     }
 }
 
-/// Leaves what the version before gangs reads of a plan.
-fn strip_for_version_before(response: &mut PeerResponse) {
-    if let PeerResponse::Plan(plan) = response
-        && let Some(body) = &mut plan.body
-    {
-        body.stops.clear();
-        body.reserved.clear();
-    }
-}
-
 impl World {
     pub fn new(seed: u64, rhythm: Rhythm) -> Self {
         let workers = (0..8).map(|i| Worker::new(i, ZONES[i % 2], 0, rhythm)).collect();
@@ -373,29 +324,6 @@
         Some(usize::from(owner.0))
     }
 
-    /// When a packet arrives that is sent now; `None` if never.
-    fn arrival(&mut self, a: Place, b: Place) -> Option<u64> {
-        let mut at = self.now + self.rng.random_range(1..15);
-        for c in self.cuts.iter().filter(|c| c.until > self.now) {
-            let crosses = (c.from.contains(&a) && c.to.contains(&b))
-                || (c.from.contains(&b) && c.to.contains(&a));
-            if crosses && !c.hold {
-                return None;
-            }
-            if crosses {
-                at = at.max(c.until + 5);
-            }
-        }
-        Some(at)
-    }
-
-    fn send(&mut self, a: Place, b: Place, message: Message) {
-        if let Some(at) = self.arrival(a, b) {
-            self.sent += 1;
-            self.messages.insert((at, self.sent), message);
-        }
-    }
-
     fn reaches_store(&mut self, node: usize) -> bool {
         let now = self.now;
         self.store.up(now)
@@ -529,178 +457,6 @@
         }
     }
 
-    /// Gangs begin when all tasks of an attempt wait, and break when one has ended or hangs.
-    fn step_gangs(&mut self) {
-        let now = self.now;
-        type OnWorker = (usize, TaskId, TaskState);
-        let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
-        for (w, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.active(now)) {
-            for (task, attempt, state) in worker.gang_tasks() {
-                let of = self.jobs.get(&task.job.0);
-                if of.is_some_and(|j| j.kind == JobKind::Gang) {
-                    gangs.entry((task.job, attempt)).or_default().push((w, task, state));
-                }
-            }
-        }
-        self.broken_gangs.retain(|g, _| gangs.contains_key(g));
-        for ((job, attempt), tasks) in gangs {
-            let task_count = self.jobs[&job.0].task_count as usize;
-            let runs = tasks.iter().any(|t| t.2 == TaskState::Running);
-            if tasks.len() == task_count && !runs {
-                for (w, task, _) in tasks {
-                    self.workers[w].gang_runs(task, attempt, now + self.gang_run_ms, now);
-                    self.gangs_begun += 1;
-                }
-            } else if tasks.len() < task_count && runs && !self.completed.contains(&tasks[0].1) {
-                let since = *self.broken_gangs.entry((job, attempt)).or_insert(now);
-                if now - since >= GANG_NOTICE_MS {
-                    for (w, task, _) in tasks {
-                        let changes = self.workers[w].gang_breaks(task, attempt, now);
-                        self.see(w, changes);
-                    }
-                }
-            }
-        }
-    }
-
-    fn deliver(&mut self, message: Message) {
-        let now = self.now;
-        if let Some(n) = message.to_node()
-            && let Ok(node) = &mut self.nodes[n]
-            && node.frozen.is_some()
-        {
-            node.held.push(message);
-            return;
-        }
-        match message {
-            Message::Heartbeat(w, n, heartbeat) => {
-                let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
-                let began = Instant::now();
-                let answer = node.controller.on_heartbeat(steady, &heartbeat);
-                self.reports.count += 1;
-                self.reports.total += began.elapsed();
-                let answer = match answer {
-                    HeartbeatOutcome::Respond(reply) => Answer::Take(reply),
-                    HeartbeatOutcome::Redirect(name) => Answer::Go(
-                        node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
-                    ),
-                    HeartbeatOutcome::Refuse => Answer::Refuse,
-                };
-                if now < self.lossy_until && self.rng.random_bool(0.3) {
-                    return;
-                }
-                let reply = Message::Reply(w, heartbeat.sequence, answer);
-                self.send(Place::Node(n), Place::Worker(w), reply);
-            }
-            Message::Copy(n, heartbeat) => {
-                if let Ok(node) = &mut self.nodes[n] {
-                    let steady = node.moment(now).steady;
-                    node.controller.on_heartbeat(steady, &heartbeat);
-                }
-            }
-            Message::Announce(n, w, announced, sent)
-                if now < self.hold_until && now < sent + 60 =>
-            {
-                // A command is held up and carried out when all is over.
-                self.sent += 1;
-                let message = Message::Announce(n, w, announced, sent);
-                self.messages.insert((self.hold_until, self.sent), message);
-            }
-            Message::Announce(_, w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Announce(n, w, announced, sent) => {
-                let worker = &mut self.workers[w];
-                if worker.terminated {
-                    return;
-                }
-                if !worker.active(now) {
-                    // A hanging machine carries it out when it goes on.
-                    let until = worker.hung_until;
-                    self.sent += 1;
-                    let message = Message::Announce(n, w, announced, sent);
-                    self.messages.insert((until, self.sent), message);
-                    return;
-                }
-                let (term, agent_epoch) = (announced.term.0, announced.agent_epoch.0);
-                let (heartbeat, changes) =
-                    worker.direct(now, term, agent_epoch, &announced.commands);
-                self.see(w, changes);
-                let message = Message::Announced(n, announced, heartbeat, sent);
-                self.send(Place::Worker(w), Place::Node(n), message);
-            }
-            Message::Announced(n, asked, heartbeat, sent) => {
-                // Nobody waits for it any more after a second.
-                if let Ok(node) = &mut self.nodes[n]
-                    && now - sent < 1_000
-                    && sent >= node.started
-                {
-                    let steady = node.moment(now).steady;
-                    node.controller.on_direct_response(steady, &asked, &heartbeat);
-                }
-            }
-            Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Reply(w, sequence, answer) => {
-                if let (Answer::Take(reply), Some(trace)) = (&answer, &mut self.trace) {
-                    let jobs = &self.jobs;
-                    trace.note_reply(now, reply, |job| jobs.get(&job.0).map(|j| j.priority));
-                }
-                let changes = self.workers[w].answer(now, sequence, answer);
-                self.see(w, changes);
-            }
-            Message::Summary(from, to, summary, sent) => {
-                let Ok(node) = &mut self.nodes[to] else { return };
-                let steady = node.moment(now).steady;
-                node.controller.last_peer_contact = steady;
-                let (mut response, _) = node.controller.receive_summary(steady, *summary);
-                if let PeerResponse::Plan(plan) = &mut response
-                    && now < self.log_lags_until
-                {
-                    plan.decisions = None;
-                }
-                if self.old[from] || self.old[to] {
-                    strip_for_version_before(&mut response);
-                }
-                self.largest[0] = self.largest[0].max(peer::encode(&response).len());
-                self.send(
-                    Place::Node(to),
-                    Place::Node(from),
-                    Message::PeerResponse(from, response, Some(sent)),
-                );
-            }
-            Message::CancellationNotice(to, ask) => {
-                let (Ok(node), PeerRequest::Ended(job, progress, version)) =
-                    (&mut self.nodes[to], ask)
-                else {
-                    return;
-                };
-                let moment = node.moment(now);
-                let replica_changes =
-                    node.controller.apply_cancellation_notice(job, &progress, version);
-                node.controller.follow(moment, &replica_changes);
-            }
-            Message::Probed(n, outcome) => {
-                let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
-                if let Some(Command::Fence(_)) = node.controller.on_probe_outcome(steady, outcome) {
-                    self.replace_leader(n);
-                }
-            }
-            Message::PeerResponse(to, response, sent) => {
-                if let Ok(node) = &mut self.nodes[to] {
-                    match sent {
-                        Some(sent) => node.controller.record_leader_response(sent, &response),
-                        None => {
-                            let steady = node.moment(now).steady;
-                            node.controller.record_leader_message_from_store(steady, &response);
-                        }
-                    }
-                    node.controller.last_peer_contact = node.moment(now).steady;
-                    node.controller.apply_leader_response(response);
-                }
-            }
-        }
-    }
-
     /// Whether a machine has been terminated.
     pub fn is_gone(&self, w: usize) -> bool {
         self.workers[w].terminated
@@ -710,14 +466,4 @@
     fn awake(&self, n: usize) -> Option<&Node> {
         self.nodes[n].as_ref().ok().filter(|node| node.frozen.is_none())
     }
-
-    /// Records when tasks of a gang are commanded to save a checkpoint: all have to get the command within
-    /// `gang_peer_s`, or nothing is saved.
-    fn record_checkpoint_commands(&mut self, w: usize) {
-        let now = self.now;
-        for (task, attempt) in self.workers[w].saving() {
-            let first = *self.saves.entry((task.job, attempt)).or_insert(now);
-            self.latest_save = self.latest_save.max(now - first);
-        }
-    }
 }
