--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -4,9 +4,10 @@
 use crate::model::Cores;
 
 #[test]
-fn times_follow_how_often_workers_report() {
-    // Reports of the deployments, then odd ones: (report, lease, silent, unused, stray, quick).
-    // With fixed times of 4 s, machines that report every 5 s were closed for most of the time.
+fn timing_follows_the_heartbeat_interval() {
+    // Heartbeat intervals of the deployments, then odd ones: (interval, lease, unavailable after, unused grant,
+    // foreign machine, presumed stopped). With fixed times of 4 s, machines with a heartbeat every 5 s got nothing for
+    // most of the time.
     let cases = [
         (1.0, 11.0, 4_000, 4_500, 3_000, 5_000),
         (1.5, 10.0, 4_000, 4_500, 3_000, 6_000),
@@ -15,7 +16,7 @@
         (0.5, 3.0, 4_000, 4_500, 3_000, 5_000),
         (10.0, 30.0, 14_500, 15_000, 13_500, 30_000),
     ];
-    for (heartbeat_s, lease_s, silent, unused, stray, quick) in cases {
+    for (heartbeat_s, lease_s, unavailable, unused_grant, foreign, stopped) in cases {
         let timing = HeartbeatTiming::of(&WorkerSettings {
             heartbeat_s,
             lease_s,
@@ -29,7 +30,7 @@
             timing.foreign_machine_ms,
             timing.presumed_stopped_ms,
         );
-        assert_eq!(got, (silent, unused, stray, quick), "{heartbeat_s} {lease_s}");
+        assert_eq!(got, (unavailable, unused_grant, foreign, stopped), "{heartbeat_s} {lease_s}");
         assert!(
             timing.max_interval_ms + 1_000 <= timing.foreign_machine_ms
                 && timing.max_interval_ms < timing.unavailable_after_ms
@@ -42,7 +43,7 @@
 pub(crate) const EXAMPLE: &str = include_str!("../../tests/settings.toml");
 
 #[test]
-fn settings_are_checked_once_and_say_what_is_wrong() {
+fn invalid_settings_are_rejected_with_a_reason() {
     let cases = [
         ("", "", None),
         ("site = \"a\"\napi", "api", Some("site")),
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn everybody_numbers_the_controllers_alike() {
+fn all_controllers_are_numbered_alike() {
     let s = Settings::parse(EXAMPLE).unwrap();
     let (nodes, me) = s.all_nodes();
     assert_eq!(me, NodeId(0));
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -30,10 +30,13 @@
 mod controllers;
 pub mod failover;
 pub mod faults;
+mod gangs;
+mod messages;
 mod scenarios;
 mod users;
 
 pub use faults::Fault;
+use messages::{Message, Place};
 
 const STEP: u64 = 20;
 const BACK_MS: u64 = 3_000;
@@ -45,11 +48,11 @@
 /// How long the leader has to answer once it is suspected.
 const PROBE_MS: u64 = 700;
 const TEAM_LIMIT: u64 = 32;
-/// Time in which a gang's tasks notice that one is gone.
+/// Time in which a gang's tasks notice that one has ended, in milliseconds.
 const GANG_NOTICE_MS: u64 = 2_000;
 
 /// The job of [`World::long`] whose tasks are short.
-const BRIEF: u64 = 3;
+const SHORT_RUNNING_JOB: u64 = 3;
 
 struct Node {
     controller: Controller,
@@ -64,51 +67,9 @@
 impl Node {
     fn moment(&self, now: u64) -> ClockReading {
         // A clock that runs a little fast, differently on each node.
-        let gone = now - self.started;
-        let drift = gone * u64::from(self.controller.me.0) / 4_000;
-        ClockReading { steady: MonotonicTime(gone + drift), wall: WallTime(1_000_000 + now) }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
-    Node(usize),
-    Worker(usize),
-    Store,
-}
-
-enum Message {
-    Heartbeat(usize, usize, Heartbeat),
-    /// A late copy of a report to that node; nobody waits for its answer.
-    Copy(usize, Heartbeat),
-    Reply(usize, u64, Answer),
-    /// A node announces its term to a worker; when it was sent.
-    Announce(usize, usize, DirectMessage, u64),
-    /// The worker's answer to that.
-    Announced(usize, DirectMessage, Heartbeat, u64),
-    /// A summary, and when it was sent by the sender's clock.
-    Summary(usize, usize, Box<Summary>, MonotonicTime),
-    /// The answer; when the summary was sent, if it came directly.
-    PeerResponse(usize, PeerResponse, Option<MonotonicTime>),
-    /// A node tells another one of a cancellation.
-    Ended(usize, PeerRequest),
-    /// What became of a node's question to the leader.
-    Probed(usize, ProbeOutcome),
-}
-
-impl Message {
-    /// The controller that it is for, if it is for one.
-    fn to_node(&self) -> Option<usize> {
-        match self {
-            Message::Heartbeat(_, n, _)
-            | Message::Copy(n, _)
-            | Message::Announced(n, ..)
-            | Message::Summary(_, n, ..)
-            | Message::PeerResponse(n, ..)
-            | Message::Ended(n, _)
-            | Message::Probed(n, _) => Some(*n),
-            Message::Reply(..) | Message::Announce(..) => None,
-        }
+        let elapsed = now - self.started;
+        let drift = elapsed * u64::from(self.controller.me.0) / 4_000;
+        ClockReading { steady: MonotonicTime(elapsed + drift), wall: WallTime(1_000_000 + now) }
     }
 }
 
@@ -157,17 +118,17 @@
     lost_answers_until: u64,
     hold_until: u64,
     copies_kept_until: u64,
-    kept_copies: Vec<Heartbeat>,
+    held_copies: Vec<Heartbeat>,
     last_leader: Option<(usize, u64)>,
     cancel_at_end_until: u64,
     looks_until: u64,
-    /// Jobs of which a user was told something in this step.
+    /// Jobs whose state a user was shown in this step.
     looked_at: Vec<u64>,
     just_completed: Vec<u64>,
     /// Cancellations that users repeat, and when.
     cancels: Vec<(u64, u64)>,
-    /// Whether controllers tell each other of cancellations directly.
-    pub tells_ends: bool,
+    /// Whether controllers send each other cancellation notices.
+    pub sends_cancellation_notices: bool,
     /// Jobs whose users cancel them a while after they were submitted.
     pub cancel_every: u64,
     /// How long the shortest task runs.
@@ -179,7 +140,8 @@
     incarnations: u64,
     jobs: BTreeMap<u64, JobSpec>,
     completed: BTreeSet<TaskId>,
-    told: BTreeSet<u64>,
+    /// Jobs that a user was shown as ended.
+    ended_for_users: BTreeSet<u64>,
     wanted_cancels: BTreeSet<u64>,
     /// Milliseconds between two submissions.
     pub every: u64,
@@ -193,7 +155,7 @@
     broken_gangs: BTreeMap<(JobId, Attempt), u64>,
     /// Tasks of gangs that began to run.
     pub gangs_begun: usize,
-    /// When the first task of a gang was told to save, and how much later the last one was at most.
+    /// When the first task of a gang was commanded to save, and how much later the last one was at most.
     saves: BTreeMap<(JobId, Attempt), u64>,
     pub latest_save: u64,
     /// How long a gang runs.
@@ -205,7 +167,7 @@
     /// Whether the leader ends in its next epoch that writes something, after the write or before it.
     crash_in_epoch: Option<bool>,
     crash_successor: bool,
-    /// Whether a leader that goes on after it was stopped always acts before it can learn that it was replaced.
+    /// Whether a leader that is resumed always acts before it can learn that it was replaced.
     pub acts_before_learning: bool,
     log_lags_until: u64,
     /// How often another process than before led, the first one included.
@@ -215,12 +177,12 @@
     pub refused_actions: u64,
     /// Epochs that leaders worked out and published.
     pub epochs: Timed,
-    /// Reports that controllers answered.
+    /// Heartbeats that controllers answered.
     pub reports: Timed,
 }
 
-/// A member of the version before gangs does not say what it understands.
-fn forget_what_is_new(change: &mut willowshore::wire::Change) {
+/// Leaves what the version before gangs writes in its member record: no capabilities.
+fn strip_member_for_version_before(change: &mut willowshore::wire::Change) {
     if let willowshore::wire::Change::Put { value: willowshore::wire::Value::Map(fields), .. } =
         change
     {
@@ -228,16 +190,6 @@
     }
 }
 
-/// What the version before gangs reads of a plan.
-fn read_by_old(tell: &mut PeerResponse) {
-    if let PeerResponse::Plan(plan) = tell
-        && let Some(body) = &mut plan.body
-    {
-        body.stops.clear();
-        body.reserved.clear();
-    }
-}
-
 impl World {
     pub fn new(seed: u64, rhythm: Rhythm) -> Self {
         let workers = (0..8).map(|i| Worker::new(i, ZONES[i % 2], 0, rhythm)).collect();
@@ -263,14 +215,14 @@
             lost_answers_until: 0,
             hold_until: 0,
             copies_kept_until: 0,
-            kept_copies: Vec::new(),
+            held_copies: Vec::new(),
             last_leader: None,
             cancel_at_end_until: 0,
             looks_until: 0,
             looked_at: Vec::new(),
             just_completed: Vec::new(),
             cancels: Vec::new(),
-            tells_ends: true,
+            sends_cancellation_notices: true,
             cancel_every: 0,
             run_ms: 5_000,
             calm: 0,
@@ -280,7 +232,7 @@
             incarnations: 0,
             jobs: (1..9).map(|id| (id, spec(id, 3 + id as u32 % 4, 8.0))).collect(),
             completed: BTreeSet::new(),
-            told: BTreeSet::new(),
+            ended_for_users: BTreeSet::new(),
             wanted_cancels: BTreeSet::new(),
             every: 3_500,
             old: [false; 3],
@@ -306,10 +258,10 @@
     }
 
     /// The store's keys and the jobs that node `n` has in memory: open, ended, cancelled.
-    pub fn kept(&self, n: usize) -> (usize, [usize; 3]) {
+    pub fn held_records(&self, n: usize) -> (usize, [usize; 3]) {
         let jobs = self.nodes[n].as_ref().map_or([0; 3], |node| {
-            let l = &node.controller.replica;
-            [l.jobs.len(), l.ended.len(), l.residual_usage.len()]
+            let replica = &node.controller.replica;
+            [replica.jobs.len(), replica.ended.len(), replica.residual_usage.len()]
         });
         (self.store.len(), jobs)
     }
@@ -336,14 +288,14 @@
         &self.store.too_large
     }
 
-    /// Gangs that were told to save.
+    /// Gangs that were commanded to save a checkpoint.
     pub fn gangs_saved(&self) -> usize {
         self.saves.len()
     }
 
-    /// Jobs that have neither been told done nor cancelled.
+    /// Jobs that no user was shown as done or cancelled.
     pub fn unfinished(&self) -> Vec<u64> {
-        self.jobs.keys().filter(|j| !self.told.contains(j)).copied().collect()
+        self.jobs.keys().filter(|j| !self.ended_for_users.contains(j)).copied().collect()
     }
 
     fn leader(&self) -> usize {
@@ -372,29 +324,6 @@
         Some(usize::from(owner.0))
     }
 
-    /// When a packet arrives that is sent now; `None` if never.
-    fn arrival(&mut self, a: Place, b: Place) -> Option<u64> {
-        let mut at = self.now + self.rng.random_range(1..15);
-        for c in self.cuts.iter().filter(|c| c.until > self.now) {
-            let crosses = (c.from.contains(&a) && c.to.contains(&b))
-                || (c.from.contains(&b) && c.to.contains(&a));
-            if crosses && !c.hold {
-                return None;
-            }
-            if crosses {
-                at = at.max(c.until + 5);
-            }
-        }
-        Some(at)
-    }
-
-    fn send(&mut self, a: Place, b: Place, message: Message) {
-        if let Some(at) = self.arrival(a, b) {
-            self.sent += 1;
-            self.messages.insert((at, self.sent), message);
-        }
-    }
-
     fn reaches_store(&mut self, node: usize) -> bool {
         let now = self.now;
         self.store.up(now)
@@ -446,7 +375,7 @@
             let jobs = &self.jobs;
             let gang = |t: TaskId| jobs.get(&t.job.0).is_some_and(|j| j.kind == JobKind::Gang);
             let long = self.run_ms;
-            let run_ms = |t: TaskId| match long > 60_000 && t.job.0 == BRIEF {
+            let run_ms = |t: TaskId| match long > 60_000 && t.job.0 == SHORT_RUNNING_JOB {
                 true => 500 + 100 * u64::from(t.index % 5),
                 false => long + 1_000 * u64::from(t.index % 5),
             };
@@ -472,8 +401,8 @@
                     let copy = Message::Copy(node, heartbeat.clone());
                     self.messages.insert((late, self.sent), copy);
                 }
-                if now < self.copies_kept_until && self.kept_copies.len() < 200 {
-                    self.kept_copies.push(heartbeat.clone());
+                if now < self.copies_kept_until && self.held_copies.len() < 200 {
+                    self.held_copies.push(heartbeat.clone());
                 }
                 if self.mute.iter().any(|m| m.0 == w && now < m.1) {
                     continue;
@@ -482,9 +411,9 @@
                 self.send(Place::Worker(w), Place::Node(node), message);
             }
         }
-        (0..self.workers.len()).for_each(|w| self.note_saves(w));
-        self.gangs();
-        self.deliver_kept_copies();
+        (0..self.workers.len()).for_each(|w| self.record_checkpoint_commands(w));
+        self.step_gangs();
+        self.deliver_held_copies();
         while let Some(entry) = self.messages.first_entry().filter(|e| e.key().0 <= now) {
             let message = entry.remove();
             self.deliver(message);
@@ -495,13 +424,13 @@
         self.observe_failover();
         self.users();
         self.close_users();
-        self.look_for_waiting();
+        self.check_waiting_jobs();
         self.checker.see(now, Event::Tick);
     }
 
-    /// Tells the checker which jobs have tasks that wait although a machine has room in every zone and
+    /// Shows the checker which jobs have tasks that wait although a machine has room in every zone and
     /// their team is under its limit.
-    fn look_for_waiting(&mut self) {
+    fn check_waiting_jobs(&mut self) {
         let now = self.now;
         if now < self.calm || !now.is_multiple_of(1_000) {
             return;
@@ -511,11 +440,12 @@
             self.workers.iter().any(|w| there(&w))
         });
         // What fetches its image counts as used.
-        let there = self.workers.iter().filter(|w| !w.gone).map(Worker::held).sum::<usize>() as u64;
+        let there =
+            self.workers.iter().filter(|w| !w.terminated).map(Worker::held).sum::<usize>() as u64;
         let could = room && there * 4 + 4 <= self.team_limit;
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
             let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
-            let open = !self.told.contains(&id) && !self.wanted_cancels.contains(&id);
+            let open = !self.ended_for_users.contains(&id) && !self.wanted_cancels.contains(&id);
             let job = &self.jobs[&id];
             let free = (0..job.task_count).any(|index| {
                 let task = TaskId { job: JobId(id), index };
@@ -527,199 +457,13 @@
         }
     }
 
-    /// Gangs begin when all tasks of an attempt wait, and break when one is gone or hangs.
-    fn gangs(&mut self) {
-        let now = self.now;
-        type OnWorker = (usize, TaskId, TaskState);
-        let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
-        for (w, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.active(now)) {
-            for (task, attempt, state) in worker.gang_tasks() {
-                let of = self.jobs.get(&task.job.0);
-                if of.is_some_and(|j| j.kind == JobKind::Gang) {
-                    gangs.entry((task.job, attempt)).or_default().push((w, task, state));
-                }
-            }
-        }
-        self.broken_gangs.retain(|g, _| gangs.contains_key(g));
-        for ((job, attempt), tasks) in gangs {
-            let task_count = self.jobs[&job.0].task_count as usize;
-            let runs = tasks.iter().any(|t| t.2 == TaskState::Running);
-            if tasks.len() == task_count && !runs {
-                for (w, task, _) in tasks {
-                    self.workers[w].gang_runs(task, attempt, now + self.gang_run_ms, now);
-                    self.gangs_begun += 1;
-                }
-            } else if tasks.len() < task_count && runs && !self.completed.contains(&tasks[0].1) {
-                let since = *self.broken_gangs.entry((job, attempt)).or_insert(now);
-                if now - since >= GANG_NOTICE_MS {
-                    for (w, task, _) in tasks {
-                        let changes = self.workers[w].gang_breaks(task, attempt, now);
-                        self.see(w, changes);
-                    }
-                }
-            }
-        }
-    }
-
-    fn deliver(&mut self, message: Message) {
-        let now = self.now;
-        if let Some(n) = message.to_node()
-            && let Ok(node) = &mut self.nodes[n]
-            && node.frozen.is_some()
-        {
-            node.held.push(message);
-            return;
-        }
-        match message {
-            Message::Heartbeat(w, n, heartbeat) => {
-                let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
-                let began = Instant::now();
-                let answer = node.controller.on_heartbeat(steady, &heartbeat);
-                self.reports.count += 1;
-                self.reports.total += began.elapsed();
-                let answer = match answer {
-                    HeartbeatOutcome::Respond(reply) => Answer::Take(reply),
-                    HeartbeatOutcome::Redirect(name) => Answer::Go(
-                        node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
-                    ),
-                    HeartbeatOutcome::Refuse => Answer::Refuse,
-                };
-                if now < self.lossy_until && self.rng.random_bool(0.3) {
-                    return;
-                }
-                let reply = Message::Reply(w, heartbeat.sequence, answer);
-                self.send(Place::Node(n), Place::Worker(w), reply);
-            }
-            Message::Copy(n, heartbeat) => {
-                if let Ok(node) = &mut self.nodes[n] {
-                    let steady = node.moment(now).steady;
-                    node.controller.on_heartbeat(steady, &heartbeat);
-                }
-            }
-            Message::Announce(n, w, announced, sent)
-                if now < self.hold_until && now < sent + 60 =>
-            {
-                // A command is held up and carried out when all is over.
-                self.sent += 1;
-                let message = Message::Announce(n, w, announced, sent);
-                self.messages.insert((self.hold_until, self.sent), message);
-            }
-            Message::Announce(_, w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Announce(n, w, announced, sent) => {
-                let worker = &mut self.workers[w];
-                if worker.gone {
-                    return;
-                }
-                if !worker.active(now) {
-                    // A hanging machine carries it out when it goes on.
-                    let until = worker.hung_until;
-                    self.sent += 1;
-                    let message = Message::Announce(n, w, announced, sent);
-                    self.messages.insert((until, self.sent), message);
-                    return;
-                }
-                let (term, agent_epoch) = (announced.term.0, announced.agent_epoch.0);
-                let (heartbeat, changes) =
-                    worker.direct(now, term, agent_epoch, &announced.commands);
-                self.see(w, changes);
-                let message = Message::Announced(n, announced, heartbeat, sent);
-                self.send(Place::Worker(w), Place::Node(n), message);
-            }
-            Message::Announced(n, asked, heartbeat, sent) => {
-                // Nobody waits for it any more after a second.
-                if let Ok(node) = &mut self.nodes[n]
-                    && now - sent < 1_000
-                    && sent >= node.started
-                {
-                    let steady = node.moment(now).steady;
-                    node.controller.on_direct_response(steady, &asked, &heartbeat);
-                }
-            }
-            Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Reply(w, sequence, answer) => {
-                if let (Answer::Take(reply), Some(trace)) = (&answer, &mut self.trace) {
-                    let jobs = &self.jobs;
-                    trace.record_worker_response(now, reply, |job| {
-                        jobs.get(&job.0).map(|j| j.priority)
-                    });
-                }
-                let changes = self.workers[w].answer(now, sequence, answer);
-                self.see(w, changes);
-            }
-            Message::Summary(from, to, summary, sent) => {
-                let Ok(node) = &mut self.nodes[to] else { return };
-                let steady = node.moment(now).steady;
-                node.controller.last_peer_contact = steady;
-                let (mut tell, _) = node.controller.receive_summary(steady, *summary);
-                if let PeerResponse::Plan(plan) = &mut tell
-                    && now < self.log_lags_until
-                {
-                    plan.decisions = None;
-                }
-                if self.old[from] || self.old[to] {
-                    read_by_old(&mut tell);
-                }
-                self.largest[0] = self.largest[0].max(peer::encode(&tell).len());
-                self.send(
-                    Place::Node(to),
-                    Place::Node(from),
-                    Message::PeerResponse(from, tell, Some(sent)),
-                );
-            }
-            Message::Ended(to, ask) => {
-                let (Ok(node), PeerRequest::Ended(job, progress, version)) =
-                    (&mut self.nodes[to], ask)
-                else {
-                    return;
-                };
-                let moment = node.moment(now);
-                let replica_changes =
-                    node.controller.apply_cancellation_notice(job, &progress, version);
-                node.controller.follow(moment, &replica_changes);
-            }
-            Message::Probed(n, outcome) => {
-                let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
-                if let Some(FailoverCommand::Fence(_)) =
-                    node.controller.on_probe_completed(steady, outcome)
-                {
-                    self.fence_leader(n);
-                }
-            }
-            Message::PeerResponse(to, tell, sent) => {
-                if let Ok(node) = &mut self.nodes[to] {
-                    match sent {
-                        Some(sent) => node.controller.record_leader_response(sent, &tell),
-                        None => {
-                            let steady = node.moment(now).steady;
-                            node.controller.record_leader_message_from_store(steady, &tell);
-                        }
-                    }
-                    node.controller.last_peer_contact = node.moment(now).steady;
-                    node.controller.apply_leader_response(tell);
-                }
-            }
-        }
-    }
-
-    /// Whether a machine is gone.
+    /// Whether a machine has been terminated.
     pub fn is_gone(&self, w: usize) -> bool {
-        self.workers[w].gone
+        self.workers[w].terminated
     }
 
-    /// A controller whose process is there and not stopped.
+    /// A controller whose process is up and not suspended.
     fn awake(&self, n: usize) -> Option<&Node> {
         self.nodes[n].as_ref().ok().filter(|node| node.frozen.is_none())
     }
-
-    /// Notes when tasks of a gang are told to stop and save: all have to hear it within
-    /// `gang_peer_s`, or nothing is saved.
-    fn note_saves(&mut self, w: usize) {
-        let now = self.now;
-        for (task, attempt) in self.workers[w].saving() {
-            let first = *self.saves.entry((task.job, attempt)).or_insert(now);
-            self.latest_save = self.latest_save.max(now - first);
-        }
-    }
 }
