--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -38,6 +38,22 @@
 /// A controller receives heartbeats if it got one within that many milliseconds.
 const RECEIVES_MS: u64 = 2_000;
 
+/// Who owns a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Ownership {
+    /// The controller that owns it.
+    pub owner: NodeId,
+    /// The first plan that names this owner.
+    pub since: PlanSeq,
+}
+
+/// A machine that was owned until the cloud confirmed that it is gone.
+struct RemovedMachine {
+    id: MachineId,
+    /// The first plan that says so.
+    since: PlanSeq,
+}
+
 /// The next owner of a machine that could not reach its owner.
 struct Reassigned {
     /// The controller that received its heartbeats.
@@ -70,10 +86,10 @@
     began: MonotonicTime,
     /// What controllers reported in this term.
     pub nodes: BTreeMap<NodeId, ControllerState>,
-    /// Owner of each machine, and the first plan that names it.
-    pub owners: BTreeMap<MachineId, (NodeId, PlanSeq)>,
-    /// Machines that are gone, and the first plan that says so; the newest ones only.
-    removed: Vec<(MachineId, PlanSeq)>,
+    /// Who owns each machine.
+    pub owners: BTreeMap<MachineId, Ownership>,
+    /// Machines that are gone, in the order in which they were removed; the newest ones only.
+    removed: Vec<RemovedMachine>,
     /// Machines that may still accept or run what earlier terms commanded.
     pub unreconciled: BTreeSet<MachineId>,
     /// Machines that the cloud confirmed to be gone.
@@ -141,7 +157,7 @@
     fn speaks_for(&self, node: NodeId, state: &ControllerState, id: &MachineId) -> bool {
         self.owners
             .get(id)
-            .is_some_and(|(owner, since)| *owner == node && state.applied_plan >= *since)
+            .is_some_and(|owned| owned.owner == node && state.applied_plan >= owned.since)
             && !self.gone.contains(id)
     }
 
@@ -178,7 +194,7 @@
     }
 
     fn owner_state(&self, id: &MachineId) -> Option<&ControllerState> {
-        self.nodes.get(&self.owners.get(id)?.0)
+        self.nodes.get(&self.owners.get(id)?.owner)
     }
 
     /// When the cloud preempts a machine, if it gave notice.
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -263,9 +263,9 @@
             return;
         }
         let mut owned_up: HashMap<NodeId, usize> = HashMap::new();
-        for (id, (owner, _)) in &self.owners {
+        for (id, owned) in &self.owners {
             if self.machines.get(id).is_some_and(|machine| machine.up) {
-                *owned_up.entry(*owner).or_default() += 1;
+                *owned_up.entry(owned.owner).or_default() += 1;
             }
         }
         for id in eligible_owners {
--- a/src/fleet/machine_records.rs
+++ b/src/fleet/machine_records.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use super::Fleet;
+use super::{Fleet, RemovedMachine};
 use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
 use crate::model::{AgentEpoch, MachineId, MonotonicTime, PlanSeq};
@@ -149,7 +149,7 @@
         for id in ids {
             self.gone.insert(id.clone());
             if self.owners.remove(id).is_some() {
-                self.removed.push((id.clone(), next));
+                self.removed.push(RemovedMachine { id: id.clone(), since: next });
             }
             if self.removed.len() > REMOVED_KEPT {
                 self.removed.remove(0);
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -3,22 +3,35 @@
 use std::collections::HashMap;
 
 use super::machine_records::REMOVED_KEPT;
-use super::{Fleet, NODE_LOST_MS, Reassigned, UNSERVED_MS};
+use super::{Fleet, NODE_LOST_MS, Ownership, Reassigned, UNSERVED_MS};
 use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
 use crate::config::HeartbeatTiming;
 use crate::model::{MachineId, MonotonicTime, NodeId, PlanSeq};
 use crate::peer::OwnershipChanges;
 
-/// How long a stray must have been unable to reach its owner before it is moved.
+/// Milliseconds for which a foreign machine must have been unable to reach its owner before it is moved.
 const OUT_OF_REACH_MS: u64 = 2_500;
 /// The same when it is one of a few, which may be at fault themselves: moving it costs a term.
 const FEW_OUT_OF_REACH_MS: u64 = 12_000;
-/// How long a machine that could not reach its owner is given to the controller that heard it.
+/// Foreign machines are few up to one of so many that are owned.
+const FEW_DIVISOR: usize = 20;
+/// Milliseconds for which a machine that could not reach its owner is given to the controller that receives its
+/// heartbeats.
 const REASSIGNED_MS: u64 = 60_000;
+/// Milliseconds without service by the store after which a controller is given no more machines: it would soon
+/// have to hand them over.
+const ASSIGNABLE_UNSERVED_MS: u64 = UNSERVED_MS * 2 / 5;
+/// Milliseconds beyond [`UNSERVED_MS`] for which the store must have served the leader before it judges others.
+const SERVED_MARGIN_MS: u64 = 2_000;
+/// Milliseconds of a term in which machines are assigned only if all members sent summaries.
+const ALL_MEMBERS_MS: u64 = 1_000;
+/// Milliseconds beyond the time to reach an owner for which a foreign machine's last heartbeat counts.
+const FOREIGN_MARGIN_MS: u64 = 2_000;
 
 impl Fleet {
-    /// Why a new term is needed, if one is: an owner is lost, or machines cannot reach theirs.
+    /// Why a new term is needed, if one is: an owner is lost, or machines cannot reach theirs. `served_for` is
+    /// for how many milliseconds the store has served this controller.
     pub fn wants_new_term(
         &mut self,
         now: MonotonicTime,
@@ -29,15 +42,15 @@
             return None;
         }
         let live_controllers = self.live_controllers(now);
-        if self.owners.values().any(|(o, _)| !live_controllers.contains(o)) {
+        if self.owners.values().any(|owned| !live_controllers.contains(&owned.owner)) {
             return Some("the owner of machines is not heard");
         }
         let eligible_owners = self.eligible_owners(now);
-        // After an outage for all, the others' last word is still of that time.
-        let calm = served_for > UNSERVED_MS + 2_000;
+        // After an outage for all, the others' last summaries are still of that time.
+        let calm = served_for > UNSERVED_MS + SERVED_MARGIN_MS;
         if calm
             && !eligible_owners.is_empty()
-            && self.owners.values().any(|(o, _)| !eligible_owners.contains(o))
+            && self.owners.values().any(|owned| !eligible_owners.contains(&owned.owner))
         {
             return Some("the store or the workers do not reach the owner of machines");
         }
@@ -45,8 +58,9 @@
             .then_some("machines cannot reach their owner")
     }
 
-    /// Notes which machines cannot reach their owner and which controller hears them instead, so that it gets them in
-    /// the next term. Says whether they are enough, or have waited long enough, to take one for them.
+    /// Records which machines cannot reach their owner and which controller receives their heartbeats instead, so
+    /// that it gets them in the next term. Says whether they are enough, or have waited long enough, to take
+    /// one for them.
     fn reassign_out_of_reach(
         &mut self,
         now: MonotonicTime,
@@ -54,33 +68,34 @@
         timing: &HeartbeatTiming,
     ) -> bool {
         // They go back to the cloud; no owner would take them.
-        let restarted: Vec<&MachineId> = self.nodes.values().flat_map(|n| &n.restarted).collect();
+        let restarted: Vec<&MachineId> =
+            self.nodes.values().flat_map(|state| &state.restarted).collect();
         let mut found: Vec<(MachineId, NodeId)> = Vec::new();
-        let mut long = false;
+        let mut any_long_waiting = false;
         for node in live_controllers {
             let Some(state) = self.nodes.get(node) else { continue };
-            for s in &state.foreign_machines {
-                if s.since_ms > OUT_OF_REACH_MS
-                    && s.silent_ms < timing.foreign_machine_ms
-                    && self.owners.get(&s.id).is_some_and(|(owner, _)| owner != node)
-                    && !self.owner_hears(now, &s.id, s.silent_ms)
-                    && !restarted.contains(&&s.id)
+            for foreign in &state.foreign_machines {
+                if foreign.since_ms > OUT_OF_REACH_MS
+                    && foreign.silent_ms < timing.foreign_machine_ms
+                    && self.owners.get(&foreign.id).is_some_and(|owned| owned.owner != *node)
+                    && !self.reaches_owner(now, &foreign.id, foreign.silent_ms)
+                    && !restarted.contains(&&foreign.id)
                 {
-                    found.push((s.id.clone(), *node));
-                    long |= s.since_ms > FEW_OUT_OF_REACH_MS;
+                    found.push((foreign.id.clone(), *node));
+                    any_long_waiting |= foreign.since_ms > FEW_OUT_OF_REACH_MS;
                 }
             }
         }
-        let takes_term = found.len() > self.owners.len() / 20 || long;
-        if takes_term {
+        let needs_term = found.len() > self.owners.len() / FEW_DIVISOR || any_long_waiting;
+        if needs_term {
             let until = now.plus(REASSIGNED_MS);
             let reassigned = found.into_iter().map(|(id, node)| (id, Reassigned { node, until }));
             self.reassigned.extend(reassigned);
         }
-        takes_term
+        needs_term
     }
 
-    /// The controller that hears a machine which could not reach its owner.
+    /// The controller that receives the heartbeats of a machine which could not reach its owner.
     fn reassigned_to(
         &self,
         now: MonotonicTime,
@@ -91,21 +106,22 @@
         live_controllers.contains(&reassigned.node).then_some(reassigned.node)
     }
 
-    /// Whether a machine's owner has heard it lately, or later than the controller that heard it
-    /// that many milliseconds ago.
-    fn owner_hears(&self, now: MonotonicTime, id: &MachineId, silent_ms: u64) -> bool {
-        let owner = self.owners.get(id).and_then(|(owner, _)| self.nodes.get(owner));
-        let known = owner.and_then(|n| n.machines.get(id));
-        known.is_some_and(|k| now.since(k.last_heartbeat) < silent_ms.max(OUT_OF_REACH_MS))
+    /// Whether a machine's owner received a heartbeat of it lately, or later than the controller that received
+    /// one `silent_ms` milliseconds ago.
+    fn reaches_owner(&self, now: MonotonicTime, id: &MachineId, silent_ms: u64) -> bool {
+        let owner = self.owners.get(id).and_then(|owned| self.nodes.get(&owned.owner));
+        let machine = owner.and_then(|state| state.machines.get(id));
+        let limit_ms = silent_ms.max(OUT_OF_REACH_MS);
+        machine.is_some_and(|machine| now.since(machine.last_heartbeat) < limit_ms)
     }
 
     fn zone_of<'a>(&'a self, cluster: &'a ClusterView<'_>, id: &MachineId) -> Option<&'a str> {
-        let held = self.machines.get(id).map(|m| m.offer.zone.as_str());
-        held.or_else(|| cluster.replica.machines.get(id).map(|m| m.zone.as_str()))
+        let held = self.machines.get(id).map(|machine| machine.offer.zone.as_str());
+        held.or_else(|| cluster.replica.machines.get(id).map(|record| record.zone.as_str()))
     }
 
-    /// The owner of a machine among live controllers: the one that hears it if it could not reach its owner lately,
-    /// else those of its zone if one is up, else all; the highest hash wins.
+    /// The owner of a machine among live controllers: the one that receives its heartbeats if it could not reach its
+    /// owner lately, else those of its zone if one is up, else all; the highest hash wins.
     pub fn owner_for(
         &self,
         cluster: &ClusterView<'_>,
@@ -119,115 +135,138 @@
         let near: Vec<NodeId> = live_controllers
             .iter()
             .copied()
-            .filter(|n| zone == cluster.nodes.get(usize::from(n.0)).map(|n| n.zone.as_str()))
+            .filter(|id| {
+                zone == cluster.nodes.get(usize::from(id.0)).map(|node| node.zone.as_str())
+            })
             .collect();
         let pool = if near.is_empty() { live_controllers } else { &near };
-        pool.iter().copied().max_by_key(|n| rendezvous(id, *n))
+        pool.iter().copied().max_by_key(|node| rendezvous(id, *node))
     }
 
     /// Gives every machine without an owner one; `next` is the plan that will say so.
     pub fn assign(&mut self, cluster: &ClusterView<'_>, next: PlanSeq) {
-        let now = cluster.now;
-        let mut live_controllers = self.eligible_owners(now);
-        live_controllers.retain(|id| self.nodes[id].served_ms < UNSERVED_MS * 2 / 5);
-        let replaced = self.replaced.filter(|id| !live_controllers.contains(id));
-        let reconciliation_awaited =
-            cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
-        let expected = reconciliation_awaited.count().min(cluster.nodes.len());
-        if live_controllers.is_empty()
-            || (live_controllers.len() < expected && now.since(self.began) < 1_000)
-        {
-            return;
+        let Some(live_controllers) = self.assignable_controllers(cluster) else { return };
+        let out_of_reach = self.add_foreign_machines(cluster, &live_controllers);
+        self.add_recorded_machines(cluster);
+        let unowned: Vec<MachineId> = self
+            .machines
+            .keys()
+            .filter(|id| !self.owners.contains_key(*id) && !self.gone.contains(*id))
+            .cloned()
+            .collect();
+        for id in unowned {
+            let receiver = out_of_reach.get(&id).copied();
+            let owner = receiver.or_else(|| self.owner_for(cluster, &id, &live_controllers));
+            if let Some(owner) = owner {
+                self.owners.insert(id, Ownership { owner, since: next });
+            }
         }
-        let heard_ms = cluster.settings.timing().foreign_machine_ms + 2_000;
-        let mut foreign_machines: HashMap<MachineId, NodeId> = HashMap::new();
+    }
+
+    /// Controllers that may be given machines now, or `None` if machines are not assigned yet: none may, or the
+    /// term is young and members are missing.
+    fn assignable_controllers(&self, cluster: &ClusterView<'_>) -> Option<Vec<NodeId>> {
+        let mut controllers = self.eligible_owners(cluster.now);
+        controllers.retain(|id| self.nodes[id].served_ms < ASSIGNABLE_UNSERVED_MS);
+        let replaced = self.replaced.filter(|id| !controllers.contains(id));
+        let awaited = cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
+        let expected = awaited.count().min(cluster.nodes.len());
+        let is_young = cluster.now.since(self.began) < ALL_MEMBERS_MS;
+        let too_early = controllers.is_empty() || (controllers.len() < expected && is_young);
+        (!too_early).then_some(controllers)
+    }
+
+    /// Adds the machines that send heartbeats to controllers that do not own them. Returns those that have
+    /// been unable to reach their owner for long, with the controller that receives their heartbeats.
+    fn add_foreign_machines(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        live_controllers: &[NodeId],
+    ) -> HashMap<MachineId, NodeId> {
+        let limit_ms = cluster.settings.timing().foreign_machine_ms + FOREIGN_MARGIN_MS;
+        let mut out_of_reach: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
-        for (node, n) in self.nodes.iter().filter(|(id, _)| live_controllers.contains(id)) {
-            for s in n.foreign_machines.iter().filter(|s| s.silent_ms < heard_ms) {
+        let live = self.nodes.iter().filter(|(id, _)| live_controllers.contains(id));
+        for (node, state) in live {
+            let recent = state.foreign_machines.iter().filter(|m| m.silent_ms < limit_ms);
+            for foreign in recent {
                 let offer = MachineOffer {
-                    machine_type: s.machine_type.clone(),
-                    zone: s.zone.clone(),
-                    spot: s.spot,
+                    machine_type: foreign.machine_type.clone(),
+                    zone: foreign.zone.clone(),
+                    spot: foreign.spot,
                 };
-                found.push((s.id.clone(), offer));
-                if s.since_ms > OUT_OF_REACH_MS {
-                    foreign_machines.insert(s.id.clone(), *node);
+                found.push((foreign.id.clone(), offer));
+                if foreign.since_ms > OUT_OF_REACH_MS {
+                    out_of_reach.insert(foreign.id.clone(), *node);
                 }
             }
         }
         for (id, offer) in found {
             if !self.is_gone(cluster, &id) {
-                self.add_machine(now, &id, offer);
+                self.add_machine(cluster.now, &id, offer);
             }
         }
-        for (id, m) in &cluster.replica.machines {
-            if m.gone.is_none() && !self.machines.contains_key(id) && !self.gone.contains(id) {
-                let offer = MachineOffer {
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                };
-                self.add_machine(now, id, offer);
-                // It may be gone without the record saying so: then it is returned when its
-                // silence has lasted, and does not count as one that still boots.
-                if let Some(known) = self.machines.get_mut(id) {
-                    known.up = m.up;
-                }
+        out_of_reach
+    }
+
+    /// Adds the machines that are on record and not known to be gone.
+    fn add_recorded_machines(&mut self, cluster: &ClusterView<'_>) {
+        for (id, record) in &cluster.replica.machines {
+            if record.gone.is_some() || self.machines.contains_key(id) || self.gone.contains(id) {
+                continue;
             }
-        }
-        let open: Vec<MachineId> = self
-            .machines
-            .keys()
-            .filter(|id| !self.owners.contains_key(*id) && !self.gone.contains(*id))
-            .cloned()
-            .collect();
-        for id in open {
-            let owner = foreign_machines
-                .get(&id)
-                .copied()
-                .or_else(|| self.owner_for(cluster, &id, &live_controllers));
-            if let Some(owner) = owner {
-                self.owners.insert(id, (owner, next));
+            let offer = MachineOffer {
+                machine_type: record.machine_type.clone(),
+                zone: record.zone.clone(),
+                spot: record.spot,
+            };
+            self.add_machine(cluster.now, id, offer);
+            // It may be gone without the record saying so: then it is returned when its
+            // silence has lasted, and does not count as one that still boots.
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.up = record.up;
             }
         }
     }
 
-    /// Owners as a part has to be told that follows that plan.
+    /// Changes of owners for a controller that follows that plan; all owners if it missed more than is
+    /// remembered.
     pub fn ownership_changes(&self, applied_plan: PlanSeq) -> OwnershipChanges {
-        let lost = self.removed.first().is_some_and(|r| r.1 > applied_plan)
+        let missed_some = self.removed.first().is_some_and(|oldest| oldest.since > applied_plan)
             && self.removed.len() >= REMOVED_KEPT;
-        let base = if lost { PlanSeq(0) } else { applied_plan };
+        let base = if missed_some { PlanSeq(0) } else { applied_plan };
         OwnershipChanges {
             base,
             set: self
                 .owners
                 .iter()
-                .filter(|(_, (_, since))| *since > base || base == PlanSeq(0))
-                .map(|(id, (owner, _))| (id.clone(), *owner))
+                .filter(|(_, owned)| owned.since > base || base == PlanSeq(0))
+                .map(|(id, owned)| (id.clone(), owned.owner))
                 .collect(),
             gone: self
                 .removed
                 .iter()
-                .filter(|(_, since)| base > PlanSeq(0) && *since > base)
-                .map(|(id, _)| id.clone())
+                .filter(|removed| base > PlanSeq(0) && removed.since > base)
+                .map(|removed| removed.id.clone())
                 .collect(),
         }
     }
 
-    /// The newest plan that owners need.
-    pub fn newest(&self) -> PlanSeq {
-        let set = self.owners.values().map(|o| o.1);
-        set.chain(self.removed.iter().map(|r| r.1)).max().unwrap_or_default()
+    /// The newest plan that changes owners.
+    pub fn newest_change(&self) -> PlanSeq {
+        let assigned = self.owners.values().map(|owned| owned.since);
+        let removed = self.removed.iter().map(|removed| removed.since);
+        assigned.chain(removed).max().unwrap_or_default()
     }
 }
 
 /// Highest-random-weight hashing of a machine over controllers.
 fn rendezvous(id: &MachineId, node: NodeId) -> u64 {
-    let mut h: u64 = 0xcbf2_9ce4_8422_2325;
-    for b in id.0.bytes().chain([b'#', node.0]) {
-        h = (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
+    let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
+    for byte in id.0.bytes().chain([b'#', node.0]) {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     }
-    h ^= h >> 33;
-    h = h.wrapping_mul(0xff51_afd7_ed55_8ccd);
-    h ^ (h >> 29)
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
+    hash ^ (hash >> 29)
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -285,7 +285,7 @@
             let owners = &self.fleet.owners;
             let idle = live.iter().any(|id| {
                 owners.len() >= 2 * live.len()
-                    && !owners.values().any(|(o, _)| o == id)
+                    && !owners.values().any(|owned| owned.owner == *id)
                     && owners.keys().any(|m| self.fleet.owner_for(cluster, m, &live) == Some(*id))
             });
             if idle {
--- a/src/leader/inputs.rs
+++ b/src/leader/inputs.rs
@@ -19,7 +19,7 @@
 impl EpochInputs<'_> {
     /// The controller that owns a machine.
     pub(super) fn owner(&self, machine: &MachineId) -> Option<NodeId> {
-        self.fleet.owners.get(machine).map(|(owner, _)| *owner)
+        self.fleet.owners.get(machine).map(|owned| owned.owner)
     }
 
     /// Whether the machine's owner looks after gangs. One that does not know them would not keep its
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -167,7 +167,9 @@
     pub(super) fn free_revoked(&mut self, fleet: &Fleet, node: NodeId, applied_plan: PlanSeq) {
         let held: FxHashSet<TaskId> = fleet
             .views()
-            .filter(|machine| fleet.owners.get(&machine.id).is_some_and(|owner| owner.0 == node))
+            .filter(|machine| {
+                fleet.owners.get(&machine.id).is_some_and(|owned| owned.owner == node)
+            })
             .flat_map(|machine| machine.tasks.iter().map(|view| view.task))
             .collect();
         self.revoked.retain(|task, revoked| {
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -368,8 +368,8 @@
     pub fn owner_of(&self, w: usize) -> Option<usize> {
         let (leader, _) = self.leads()?;
         let leader = self.nodes[leader].as_ref().ok()?.controller.leader.as_ref()?;
-        let (owner, _) = leader.fleet.owners.get(&self.workers[w].name())?;
-        Some(usize::from(owner.0))
+        let owned = leader.fleet.owners.get(&self.workers[w].name())?;
+        Some(usize::from(owned.owner.0))
     }
 
     /// When a packet arrives that is sent now; `None` if never.
