--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -120,11 +120,20 @@
     }
 }
 
+/// Machines of one offer that are to be rented.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestedMachines {
+    /// The offer.
+    pub offer: MachineOffer,
+    /// Number of machines.
+    pub count: u32,
+}
+
 /// What is to be rented and returned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScalingDecision {
-    /// Machines to rent, with their number by offer.
-    pub scale_out: Vec<(MachineOffer, u32)>,
+    /// Machines to rent; each offer comes once.
+    pub scale_out: Vec<RequestedMachines>,
     /// Machines to drain and return.
     pub scale_in: Vec<MachineId>,
     /// Whether some machines are surplus; they are scaled in if that lasts.
@@ -176,8 +185,8 @@
 }
 
 impl Inputs<'_> {
-    /// Number of machines to rent by offer.
-    fn scale_out(&self) -> Vec<(MachineOffer, u32)> {
+    /// Machines to rent.
+    fn scale_out(&self) -> Vec<RequestedMachines> {
         // Counted once: each machine that is to be rented asks for it.
         let mut machines_per_zone: HashMap<&str, usize> = HashMap::new();
         for machine in self.machines {
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-use super::{MachineOffer, MachineUsage, MarketState, PendingWork};
+use super::{MachineOffer, MachineUsage, MarketState, PendingWork, RequestedMachines};
 use crate::model::MonotonicTime;
 use crate::placement::{allowed, slots};
 use crate::resources::{MachineCatalog, Resources};
@@ -54,6 +54,7 @@
     catalog: &'a MachineCatalog,
     machines_per_zone: &'a HashMap<&'a str, usize>,
     bins: Vec<CapacityBin>,
+    /// Number of machines to request by offer.
     requests: BTreeMap<MachineOffer, u32>,
 }
 
@@ -73,9 +74,10 @@
         ScaleOutPlan { catalog, machines_per_zone, bins, requests }
     }
 
-    /// Number of machines to request by offer.
-    pub fn into_requests(self) -> Vec<(MachineOffer, u32)> {
-        self.requests.into_iter().collect()
+    /// Machines to request, in the order of their offers.
+    pub fn into_requests(self) -> Vec<RequestedMachines> {
+        let requested = self.requests.into_iter();
+        requested.map(|(offer, count)| RequestedMachines { offer, count }).collect()
     }
 
     /// Packs pending tasks into free room and requests machines for the rest. Returns how many tasks
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -32,7 +32,7 @@
     LoadSample { short_running, urgent, long_running: Cores(0) }
 }
 fn rented(d: &ScalingDecision) -> u32 {
-    d.scale_out.iter().map(|r| r.1).sum()
+    d.scale_out.iter().map(|requested| requested.count).sum()
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let f = catalog();
     let now = MonotonicTime(1_000);
     let d = decide(now, &f, &[], &[want(&job, 4, false)], &market);
-    assert!(d.scale_out.iter().all(|(o, _)| o.spot));
+    assert!(d.scale_out.iter().all(|requested| requested.offer.spot));
     assert_eq!((d.scale_out.len(), rented(&d)), (2, 2), "spread over zones");
     let one = [held("n-1", true, 0.0)];
     assert_eq!(rented(&decide(now, &f, &one, &[want(&job, 4, false)], &market)), 1);
@@ -50,9 +50,12 @@
     market.record_refusal(&offer("a", true), now);
     market.record_refusal(&offer("b", true), now);
     let d = decide(now, &f, &[], &[want(&job, 2, false)], &market);
-    assert!(d.scale_out.iter().all(|(o, _)| !o.spot), "ordinary ones when spot is refused");
+    assert!(
+        d.scale_out.iter().all(|requested| !requested.offer.spot),
+        "ordinary ones when spot is refused"
+    );
     let d = decide(now.plus(market::REFUSED_MS), &f, &[], &[want(&job, 2, false)], &market);
-    assert!(d.scale_out.iter().all(|(o, _)| o.spot), "refusals pass");
+    assert!(d.scale_out.iter().all(|requested| requested.offer.spot), "refusals pass");
 }
 
 #[test]
@@ -95,7 +98,7 @@
     market.record_load(MonotonicTime(100), load(Cores(16_000), Cores(16_000)));
     let d = decide(MonotonicTime(1_000), &f, &[], &[want(&job, 1, true)], &market);
     assert_eq!(rented(&d), 2, "its peak of 16 cores");
-    assert!(d.scale_out.iter().all(|(o, _)| o.spot));
+    assert!(d.scale_out.iter().all(|requested| requested.offer.spot));
     for s in 1..900 {
         market.record_load(MonotonicTime(s * 1_000), load(Cores(0), Cores(0)));
     }
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -12,7 +12,7 @@
 use super::task_grants::TaskGrant;
 use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
-use crate::placement::{self, PlacementTarget};
+use crate::placement::{self, PlacementRequest, PlacementTarget};
 use crate::replica::Job;
 use crate::resources::Resources;
 use crate::wire::JobSpec;
@@ -89,8 +89,9 @@
         }
         let GrantRequest { job, need, .. } = request;
         let mut places = Vec::new();
-        for i in placement::spread(&job.spec, need, &mut self.targets, None, count) {
-            places.extend(self.place_on(inputs, i, false));
+        let spread = PlacementRequest { spec: &job.spec, need, zone: None, count };
+        for index in placement::spread(&spread, &mut self.targets) {
+            places.extend(self.place_on(inputs, index, false));
         }
         let missing = if request.may_await_release { count - places.len() } else { 0 };
         let releases = &mut self.expected_releases;
@@ -267,10 +268,12 @@
             }
             let shard = shards.get(&group.node).and_then(|shard| targets.get_mut(shard.clone()));
             let shard = shard.unwrap_or_default();
+            let zone = group.zone;
+            let request = PlacementRequest { spec: &job.spec, need: &need, zone, count };
             if group.attempt.is_some() {
-                placement::pack_in(&job.spec, &need, shard, group.zone, count);
+                placement::pack_in(&request, shard);
             } else {
-                placement::spread(&job.spec, &need, shard, group.zone, count);
+                placement::spread(&request, shard);
             }
         }
     }
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -14,7 +14,7 @@
 use crate::cluster_view::ClusterView;
 use crate::model::{Attempt, JobId, MonotonicTime, TaskId};
 use crate::peer::{GangStop, WaitReason};
-use crate::placement::{self, PlacementTarget};
+use crate::placement::{self, GangPlacement, PlacementRequest, PlacementTarget};
 use crate::replica::Job;
 
 /// Part of the time that a gang's tasks wait for each other in which it has to be whole.
@@ -209,19 +209,21 @@
         targets.iter().map(|target| inputs.owner_knows_gangs(target)).collect();
     let spec = &request.job.spec;
     let pack = |zone: Option<&str>, count| {
-        placement::pack(spec, &request.need, targets, &capable, zone, count)
+        let gang = PlacementRequest { spec, need: &request.need, zone, count };
+        placement::pack(&gang, targets, &capable)
     };
     let names = &inputs.cluster.settings.params.zones;
     if !zones.binds() {
-        return pack(None, request.count).map(|(_, chosen)| chosen);
+        return pack(None, request.count).map(|placed| placed.machines);
     }
     if zones.one {
         let open = zones.open(names);
         let found = open.iter().filter_map(|zone| pack(Some(zone), request.count));
-        return found.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, chosen)| chosen);
+        let earliest = found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s));
+        return earliest.map(|placed| placed.machines);
     }
     // Spread: as many in one zone as the rule allows, the rest in another.
-    let mut best: Option<(f64, Vec<usize>)> = None;
+    let mut best: Option<GangPlacement> = None;
     for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
         let in_first = (zones.room(first) as usize).min(request.count);
         let in_second = request.count - in_first;
@@ -229,16 +231,16 @@
             continue;
         }
         let pack_some = |zone: &str, count| match count {
-            0 => Some((0.0, Vec::new())),
+            0 => Some(GangPlacement::default()),
             _ => pack(Some(zone), count),
         };
-        let Some((first_s, mut chosen)) = pack_some(first, in_first) else { continue };
-        let Some((second_s, rest)) = pack_some(second, in_second) else { continue };
-        let all_begin_s = f64::max(first_s, second_s);
-        if best.as_ref().is_none_or(|(best_s, _)| all_begin_s < *best_s) {
-            chosen.extend(rest);
-            best = Some((all_begin_s, chosen));
+        let Some(mut placed) = pack_some(first, in_first) else { continue };
+        let Some(rest) = pack_some(second, in_second) else { continue };
+        placed.last_start_s = f64::max(placed.last_start_s, rest.last_start_s);
+        if best.as_ref().is_none_or(|best| placed.last_start_s < best.last_start_s) {
+            placed.machines.extend(rest.machines);
+            best = Some(placed);
         }
     }
-    best.map(|(_, chosen)| chosen)
+    best.map(|placed| placed.machines)
 }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -7,7 +7,7 @@
 use super::inputs::EpochInputs;
 use super::starvation::waiting_ms;
 use super::{Epoch, Leader};
-use crate::autoscaler::{self, MachineOffer, MachineUsage, PendingWork};
+use crate::autoscaler::{self, MachineUsage, PendingWork, RequestedMachines};
 use crate::cluster_view::ClusterView;
 use crate::model::{Cores, JobId, MachineId, TaskId};
 use crate::offered_load::{GangSample, LoadSample};
@@ -181,11 +181,11 @@
     }
 
     /// What to rent now. Asked once per decision, so that nothing is rented twice.
-    pub fn take_scale_out(&mut self) -> Vec<(MachineOffer, u32)> {
+    pub fn take_scale_out(&mut self) -> Vec<RequestedMachines> {
         std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
-    /// Forgets what was decided to be rented before the last rentals were known.
+    /// Drops what was decided to be rented before the last scale-outs were known.
     pub fn decide_anew(&mut self) {
         if !self.scaling.decision.scale_out.is_empty() {
             self.scaling.decision.scale_out.clear();
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -6,8 +6,7 @@
 use super::{ClusterView, Leader};
 use crate::admission::Demand;
 use crate::model::JobId;
-use crate::placement;
-use crate::placement::PlacementTarget;
+use crate::placement::{self, PlacementRequest, PlacementTarget};
 use crate::replica::Job;
 use crate::resources::Resources;
 use crate::wire::{JobKind, JobSpec};
@@ -63,7 +62,10 @@
         true => cluster.settings.params.zones.iter().map(|zone| Some(zone.as_str())).collect(),
         false => vec![None],
     };
-    let fits = |zone| placement::pack(&job.spec, need, targets, &all, zone, count).is_some();
+    let fits = |zone| {
+        let gang = PlacementRequest { spec: &job.spec, need, zone, count };
+        placement::pack(&gang, targets, &all).is_some()
+    };
     if zones.iter().any(|zone| fits(*zone)) {
         return;
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -20,6 +20,10 @@
 use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec, MachineType, Priority, TaskState};
 
+mod gangs;
+
+pub use gangs::{GangPlacement, pack, pack_in};
+
 /// Whether a job may use machines of that type, zone and kind at all.
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.machine_types.as_ref().is_none_or(|names| names.iter().any(|name| name == machine_type))
@@ -176,6 +180,26 @@
     }
 }
 
+/// Tasks of a job that are to be placed.
+#[derive(Clone, Copy)]
+pub struct PlacementRequest<'a> {
+    /// The job's specification.
+    pub spec: &'a JobSpec,
+    /// What each task needs.
+    pub need: &'a Resources,
+    /// The only zone in which they may run, if one is given.
+    pub zone: Option<&'a str>,
+    /// Number of tasks.
+    pub count: usize,
+}
+
+impl PlacementRequest<'_> {
+    /// Whether one of the tasks may start on a machine now.
+    fn fits_on(&self, target: &PlacementTarget) -> bool {
+        target.takes(self.spec, self.need, self.zone)
+    }
+}
+
 /// Seconds that one core left over costs: image fetches of many GB outweigh the fit, and among machines that are
 /// alike in that the tightest fit wins.
 const LEFTOVER_CORE_S: f64 = 0.05;
@@ -189,8 +213,6 @@
 const OTHER_IMAGES_S_PER_GB: f64 = 0.5;
 /// The same where the job's own image is, too: a warm machine is mostly worth it.
 const OTHER_IMAGES_WARM_S_PER_GB: f64 = 0.1;
-/// Starts that differ by no more than these seconds are alike when a gang's machines are chosen.
-const ALIKE_START_S: f64 = 0.5;
 /// Most tasks that are counted to fit on one machine; a task that needs nothing fits without end.
 const MAX_SLOTS: u64 = 10_000;
 
@@ -214,14 +236,6 @@
     if target.slow { spec.estimated_run_s * SLOW_SHARE } else { 0.0 }
 }
 
-/// Seconds until a gang's task can begin on a machine, with what is worth waiting to avoid it. The fit does not
-/// count: the gang as a whole is to fit.
-fn gang_start_s(spec: &JobSpec, target: &PlacementTarget) -> f64 {
-    let is_dearer = spec.allows_spot && !target.spot;
-    let ordinary_s = if is_dearer { spec.estimated_run_s * ORDINARY_SHARE } else { 0.0 };
-    target.fetch_s(spec) + target.delay_s + slowness_s(spec, target) + ordinary_s
-}
-
 /// The index of the cheapest machine for a task, in a zone if one is given; among equals the first by id.
 pub fn choose(
     spec: &JobSpec,
@@ -238,122 +252,32 @@
         .map(|(_, index)| index)
 }
 
-/// Places up to `count` tasks of a job, each on the machine that is cheapest when its turn comes, and counts
-/// them in there. A job's tasks are alike, so every machine is weighed once, and again only when it got a
-/// task. Returns the index of each task's machine.
-pub fn spread(
-    spec: &JobSpec,
-    need: &Resources,
-    targets: &mut [PlacementTarget],
-    zone: Option<&str>,
-    count: usize,
-) -> Vec<usize> {
+/// Places tasks of a job, each on the machine that is cheapest when its turn comes, as many of them as fit, and
+/// counts them in there. A job's tasks are alike, so every machine is weighed once, and again only when it got
+/// a task. Returns the index of each task's machine.
+pub fn spread(request: &PlacementRequest<'_>, targets: &mut [PlacementTarget]) -> Vec<usize> {
+    let PlacementRequest { spec, need, .. } = *request;
     // Costs are not negative, so their bits sort as they do.
     let cost_bits = |target: &PlacementTarget| cost_s(spec, need, target).max(0.0).to_bits();
     let mut open: BinaryHeap<Reverse<(u64, usize)>> = targets
         .iter()
         .enumerate()
-        .filter(|(_, target)| target.takes(spec, need, zone))
+        .filter(|(_, target)| request.fits_on(target))
         .map(|(index, target)| Reverse((cost_bits(target), index)))
         .collect();
     let mut chosen = Vec::new();
-    while chosen.len() < count
+    while chosen.len() < request.count
         && let Some(Reverse((_, index))) = open.pop()
     {
         targets[index].add(spec, need);
         chosen.push(index);
-        if targets[index].takes(spec, need, zone) {
+        if request.fits_on(&targets[index]) {
             open.push(Reverse((cost_bits(&targets[index]), index)));
         }
     }
     chosen
 }
 
-/// A machine on which some of a gang's tasks fit.
-#[derive(Clone, Copy)]
-struct GangBin {
-    /// Seconds until tasks can begin there, as [`gang_start_s`] counts them.
-    start_s: f64,
-    /// Index of the machine.
-    index: usize,
-    /// Tasks that fit.
-    slots: usize,
-}
-
-/// Machines for all of a gang's tasks, or `None` if they do not all fit: those where all can begin first, and
-/// among them as few as hold it, as each further one can be late or be lost. Also says when the last can
-/// begin, in seconds. `may` says which machines can be used at all.
-pub fn pack(
-    spec: &JobSpec,
-    need: &Resources,
-    targets: &[PlacementTarget],
-    may: &[bool],
-    zone: Option<&str>,
-    count: usize,
-) -> Option<(f64, Vec<usize>)> {
-    let mut bins: Vec<GangBin> = targets
-        .iter()
-        .enumerate()
-        .filter(|(index, target)| {
-            may.get(*index).copied().unwrap_or(false) && target.takes(spec, need, zone)
-        })
-        .map(|(index, target)| {
-            let slots = slots(need, &target.free) as usize;
-            GangBin { start_s: gang_start_s(spec, target), index, slots }
-        })
-        .collect();
-    bins.sort_by(|a, b| {
-        let by_start = a.start_s.total_cmp(&b.start_s);
-        by_start.then_with(|| targets[a.index].id.cmp(&targets[b.index].id))
-    });
-    pack_into_fewest(earliest_bins(&bins, count)?, count)
-}
-
-/// The bins, in order of their start, where all tasks can begin first, with those that are alike.
-fn earliest_bins(bins: &[GangBin], count: usize) -> Option<Vec<GangBin>> {
-    let mut slots = 0;
-    let last = bins.iter().find(|bin| {
-        slots += bin.slots;
-        slots >= count
-    })?;
-    let latest_s = last.start_s + ALIKE_START_S;
-    Some(bins.iter().copied().filter(|bin| bin.start_s <= latest_s).collect())
-}
-
-/// Fills few bins with all tasks: the tightest that holds the rest, else the widest. Large machines stay whole
-/// for others. Returns when the last can begin, and the machine of each task.
-fn pack_into_fewest(mut bins: Vec<GangBin>, count: usize) -> Option<(f64, Vec<usize>)> {
-    let (mut chosen, mut last_start_s) = (Vec::with_capacity(count), 0.0f64);
-    while chosen.len() < count {
-        let remaining = count - chosen.len();
-        let by_slots = |a: usize, b: usize| bins[a].slots.cmp(&bins[b].slots);
-        let by_start = |a: usize, b: usize| bins[a].start_s.total_cmp(&bins[b].start_s);
-        let tightest = (0..bins.len())
-            .filter(|&position| bins[position].slots >= remaining)
-            .min_by(|&a, &b| by_slots(a, b).then(by_start(a, b)));
-        let widest = || (0..bins.len()).max_by(|&a, &b| by_slots(a, b).then(by_start(b, a)));
-        let position = tightest.or_else(widest)?;
-        let bin = bins.swap_remove(position);
-        last_start_s = last_start_s.max(bin.start_s);
-        chosen.extend(std::iter::repeat_n(bin.index, bin.slots.min(remaining)));
-    }
-    Some((last_start_s, chosen))
-}
-
-/// Packs a gang on any of some machines and counts its tasks in there at once; nothing if they do not all fit.
-pub fn pack_in(
-    spec: &JobSpec,
-    need: &Resources,
-    targets: &mut [PlacementTarget],
-    zone: Option<&str>,
-    count: usize,
-) -> Vec<usize> {
-    let all = vec![true; targets.len()];
-    let chosen = pack(spec, need, targets, &all, zone, count).map_or(vec![], |(_, chosen)| chosen);
-    chosen.iter().for_each(|index| targets[*index].add(spec, need));
-    chosen
-}
-
 /// How many tasks fit into what is offered or free.
 pub fn slots(need: &Resources, offered: &Resources) -> u32 {
     let fitting = |need: Cores, offered: Cores| offered.0.checked_div(need.0).unwrap_or(u64::MAX);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -86,7 +86,8 @@
     ];
     for (what, targets, zone, want) in cases {
         assert_eq!(choose(&job, &need, &targets, zone), want, "{what}");
-        let first = spread(&job, &need, &mut targets.clone(), zone, 1);
+        let one = PlacementRequest { spec: &job, need: &need, zone, count: 1 };
+        let first = spread(&one, &mut targets.clone());
         assert_eq!(first.first().copied(), want, "{what}, in one pass");
     }
 }
@@ -108,7 +109,8 @@
         let mut targets: Vec<PlacementTarget> =
             cores.iter().zip(names).map(|(c, id)| target(id, *c, 64)).collect();
         let mut one_by_one = targets.clone();
-        let chosen = spread(&job, &need, &mut targets, None, count);
+        let request = PlacementRequest { spec: &job, need: &need, zone: None, count };
+        let chosen = spread(&request, &mut targets);
         assert_eq!(chosen, want, "{cores:?} {count}");
         let mut singly = Vec::new();
         while singly.len() < count
@@ -185,7 +187,8 @@
             })
             .collect();
         let may = vec![true; targets.len()];
-        let got = pack(&job, &need, &targets, &may, Some("a"), count).map(|(_, chosen)| {
+        let gang = PlacementRequest { spec: &job, need: &need, zone: Some("a"), count };
+        let got = pack(&gang, &targets, &may).map(|GangPlacement { machines: chosen, .. }| {
             assert_eq!(chosen.len(), count, "{what}");
             let used: std::collections::BTreeSet<&str> =
                 chosen.iter().map(|i| &*targets[*i].id.0).collect();
@@ -194,8 +197,10 @@
         assert_eq!(got.as_deref(), want, "{what}");
     }
     let targets = [target("n-1", 8, 512)];
-    assert!(pack(&job, &need, &targets, &[false], None, 1).is_none(), "it may not be used");
-    assert!(pack(&job, &need, &targets, &[true], Some("b"), 1).is_none(), "another zone");
+    let one = PlacementRequest { spec: &job, need: &need, zone: None, count: 1 };
+    assert!(pack(&one, &targets, &[false]).is_none(), "it may not be used");
+    let elsewhere = PlacementRequest { zone: Some("b"), ..one };
+    assert!(pack(&elsewhere, &targets, &[true]).is_none(), "another zone");
 }
 
 #[test]
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -11,7 +11,7 @@
 use tracing::{debug, error, info, warn};
 
 use super::Service;
-use crate::autoscaler::MachineOffer;
+use crate::autoscaler::{MachineOffer, RequestedMachines};
 use crate::cloud::CloudError;
 use crate::leader::Leader;
 use crate::model::{Incarnation, MonotonicTime, Term};
@@ -159,7 +159,7 @@
         let mut controller = self.controller.borrow_mut();
         let incarnation = controller.incarnation;
         let wanted = controller.leader.as_mut().map(Leader::take_scale_out).unwrap_or_default();
-        for (offer, count) in wanted {
+        for RequestedMachines { offer, count } in wanted {
             queue.push(term, incarnation, &offer, count);
         }
     }
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -13,7 +13,7 @@
 use super::{Shard, ShardContext};
 use crate::model::{MachineId, MonotonicTime, TaskId};
 use crate::peer::Grant;
-use crate::placement::{self, PlacementTarget};
+use crate::placement::{self, PlacementRequest, PlacementTarget};
 use crate::replica::Replica;
 use crate::resources::Resources;
 use crate::wire::{JobSpec, Priority};
@@ -65,7 +65,9 @@
                 Some(_) => placement::pack_in,
                 None => placement::spread,
             };
-            let chosen = place(&job.spec, &need, &mut self.targets, zone, tasks.len());
+            let request =
+                PlacementRequest { spec: &job.spec, need: &need, zone, count: tasks.len() };
+            let chosen = place(&request, &mut self.targets);
             self.has_unplaced |= chosen.len() < tasks.len();
             for (task, target) in tasks.into_iter().zip(chosen) {
                 let start = GrantedStart::with_room(plan, task, grant.attempt);
@@ -90,7 +92,9 @@
                 .targets
                 .extract_if(.., |target| is_most_urgent(highest_priority, &job.spec, target))
                 .collect();
-            let chosen = placement::spread(&job.spec, &need, &mut usable, None, tasks.len());
+            let request =
+                PlacementRequest { spec: &job.spec, need: &need, zone: None, count: tasks.len() };
+            let chosen = placement::spread(&request, &mut usable);
             let mut starts = tasks.iter().map(|task| GrantedStart::ahead(plan, *task));
             for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
                 self.start_queues.entry(usable[target].id.clone()).or_default().push(start);
