--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -12,10 +12,14 @@
 impl Controller {
     /// The summary of this shard for the leader, in about `byte_budget` bytes.
     pub fn summary(&mut self, now: MonotonicTime, byte_budget: usize) -> Summary {
-        let (served_ms, timing) = (self.rights.served_age(now), self.settings.timing());
+        let timing = self.settings.timing();
         let is_follower = self.leader.is_none();
         let follow = self.standby.as_ref().filter(|_| is_follower).map(Standby::request);
-        Summary { served_ms, follow, ..self.shard.summary(now, &timing, byte_budget) }
+        Summary {
+            since_store_response_ms: self.rights.served_age(now),
+            follow,
+            ..self.shard.summary(now, &timing, byte_budget)
+        }
     }
 
     /// As the leader, merges a controller's summary and answers with its plan; also says whether the next epoch should be
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -20,17 +20,17 @@
     /// Incarnation of its process.
     pub incarnation: Incarnation,
     /// Number of its last summary.
-    pub number: u64,
+    pub seq: u64,
     /// The plan that it follows.
     pub applied_plan: PlanSeq,
     /// The leader's clock that it echoed, in milliseconds.
-    pub echo_ms: u64,
+    pub echoed_clock_ms: u64,
     /// Milliseconds for which its process had been up.
-    pub up_ms: u64,
-    /// Milliseconds since the store had last served it.
-    pub served_ms: u64,
+    pub uptime_ms: u64,
+    /// Milliseconds since the store had last responded to it.
+    pub since_store_response_ms: u64,
     /// Milliseconds since any worker had last sent it a heartbeat.
-    pub heard_ms: u64,
+    pub since_heartbeat_ms: u64,
     /// When its last summary was received.
     pub received_at: MonotonicTime,
     /// When its first summary of this term was received, which contained all answers that it remembered.
@@ -78,7 +78,7 @@
     pub fn accepts_tasks(&self, cluster: &ClusterView<'_>) -> bool {
         let OwnedView { machine, controller, .. } = self;
         cluster.now.since(controller.received_at) < NODE_LOST_MS
-            && controller.served_ms < UNSERVED_MS / 2
+            && controller.since_store_response_ms < UNSERVED_MS / 2
             && cluster.now.since(machine.last_heartbeat)
                 < cluster.settings.timing().unavailable_after_ms
             && machine.view.reconciled
@@ -108,12 +108,12 @@
     fn new(incarnation: Incarnation, now: MonotonicTime) -> Self {
         ControllerState {
             incarnation,
-            number: 0,
+            seq: 0,
             applied_plan: PlanSeq(0),
-            echo_ms: 0,
-            up_ms: 0,
-            served_ms: 0,
-            heard_ms: 0,
+            echoed_clock_ms: 0,
+            uptime_ms: 0,
+            since_store_response_ms: 0,
+            since_heartbeat_ms: 0,
             received_at: now,
             first_received_at: now,
             failing: Vec::new(),
@@ -133,10 +133,10 @@
 
     /// Applies what holds at once, whether more pieces follow or not; takes it out of the summary.
     fn apply_status(&mut self, now: MonotonicTime, summary: &mut Summary) {
-        self.number = summary.number;
-        self.up_ms = summary.up_ms;
-        self.served_ms = summary.served_ms;
-        self.heard_ms = summary.heard_ms;
+        self.seq = summary.seq;
+        self.uptime_ms = summary.uptime_ms;
+        self.since_store_response_ms = summary.since_store_response_ms;
+        self.since_heartbeat_ms = summary.since_heartbeat_ms;
         self.received_at = now;
         self.failing = std::mem::take(&mut summary.failing);
         self.foreign_machines = std::mem::take(&mut summary.foreign_machines);
@@ -177,7 +177,7 @@
         let state = self.nodes.entry(node).or_insert_with(new_state);
         let changed = state.is_changed_by(&summary);
         state.apply_status(now, &mut summary);
-        let is_difference = summary.base > 0;
+        let is_difference = summary.base_seq > 0;
         let mut pieces = state.pending.take().filter(|_| is_difference).unwrap_or_default();
         pieces.whole |= !is_difference;
         pieces.views.extend(summary.machines);
@@ -187,12 +187,12 @@
             *last_answer = (*last_answer).max(at);
             pieces.answered.push((id, at));
         }
-        if summary.more {
+        if summary.has_more {
             state.pending = Some(pieces);
             return SummaryOutcome::Applied { changed: false };
         }
         state.applied_plan = summary.applied_plan;
-        state.echo_ms = summary.echo_ms;
+        state.echoed_clock_ms = summary.echoed_clock_ms;
         state.apply_machines(now, pieces);
         self.remove_reconciled(node);
         SummaryOutcome::Applied { changed }
@@ -204,9 +204,9 @@
             Some(known) if known.incarnation != summary.incarnation => {
                 Some(SummaryOutcome::NewIncarnation)
             }
-            Some(known) if summary.number <= known.number => Some(SummaryOutcome::Late),
-            Some(known) if summary.base > known.number => Some(SummaryOutcome::MissingBase),
-            None if summary.base > 0 => Some(SummaryOutcome::MissingBase),
+            Some(known) if summary.seq <= known.seq => Some(SummaryOutcome::Late),
+            Some(known) if summary.base_seq > known.seq => Some(SummaryOutcome::MissingBase),
+            None if summary.base_seq > 0 => Some(SummaryOutcome::MissingBase),
             _ => None,
         }
     }
@@ -238,8 +238,9 @@
     /// Controllers that may own machines: they are live, the store serves them, and workers reach them. One
     /// that the store refuses knows neither new jobs nor cancellations, and its right to answer ends soon.
     pub fn eligible_owners(&self, now: MonotonicTime) -> Vec<NodeId> {
-        let served =
-            |id: &NodeId| self.nodes.get(id).is_some_and(|state| state.served_ms < UNSERVED_MS);
+        let served = |id: &NodeId| {
+            self.nodes.get(id).is_some_and(|state| state.since_store_response_ms < UNSERVED_MS)
+        };
         let reached =
             |id: &NodeId| self.without_heartbeats.get(id).is_none_or(|until| *until <= now);
         let live_controllers = self.live_controllers(now).into_iter();
@@ -258,8 +259,8 @@
             return;
         }
         let eligible_owners = self.eligible_owners(now);
-        let heard_ms = |id: &NodeId| self.nodes.get(id).map(|state| state.heard_ms);
-        if !eligible_owners.iter().any(|id| heard_ms(id).is_some_and(|ms| ms < RECEIVES_MS)) {
+        let silent_ms = |id: &NodeId| self.nodes.get(id).map(|state| state.since_heartbeat_ms);
+        if !eligible_owners.iter().any(|id| silent_ms(id).is_some_and(|ms| ms < RECEIVES_MS)) {
             return;
         }
         let mut owned_up: HashMap<NodeId, usize> = HashMap::new();
@@ -269,7 +270,7 @@
             }
         }
         for id in eligible_owners {
-            let silent = self.nodes.get(&id).is_some_and(|state| state.heard_ms > limit);
+            let silent = self.nodes.get(&id).is_some_and(|state| state.since_heartbeat_ms > limit);
             if silent && owned_up.get(&id).is_some_and(|count| *count >= MANY_LEAST) {
                 tracing::warn!(node = id.0, "hears none of its machines");
                 self.without_heartbeats.insert(id, now.plus(WITHOUT_HEARTBEATS_MS));
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -78,11 +78,11 @@
         for index in 0..cluster.nodes.len() {
             let id = NodeId(index as u8);
             match self.nodes.get(&id) {
-                Some(state) if state.echo_ms > 0 => {
-                    known_until = known_until.min(MonotonicTime(state.echo_ms));
+                Some(state) if state.echoed_clock_ms > 0 => {
+                    known_until = known_until.min(MonotonicTime(state.echoed_clock_ms));
                     // Its predecessor ended before this process started.
                     last_unknown = last_unknown
-                        .max(state.received_at.less(state.up_ms))
+                        .max(state.received_at.less(state.uptime_ms))
                         .max(state.first_received_at.less(remembered_ms));
                 }
                 _ => {
@@ -117,7 +117,7 @@
         let stable_ms = plus_drift(cluster.settings.worker_lease_ms()) + 5_000;
         self.nodes.len() == cluster.nodes.len()
             && self.nodes.values().all(|state| {
-                cluster.now.since(state.received_at) < 1_000 && state.up_ms > stable_ms
+                cluster.now.since(state.received_at) < 1_000 && state.uptime_ms > stable_ms
             })
             && self.owned_machines().any(|owned| {
                 owned.owner == owner && cluster.now.since(owned.machine.last_heartbeat) < 2_000
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -167,7 +167,7 @@
     /// term is young and members are missing.
     fn assignable_controllers(&self, cluster: &ClusterView<'_>) -> Option<Vec<NodeId>> {
         let mut controllers = self.eligible_owners(cluster.now);
-        controllers.retain(|id| self.nodes[id].served_ms < ASSIGNABLE_UNSERVED_MS);
+        controllers.retain(|id| self.nodes[id].since_store_response_ms < ASSIGNABLE_UNSERVED_MS);
         let replaced = self.replaced.filter(|id| !controllers.contains(id));
         let awaited = cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
         let expected = awaited.count().min(cluster.nodes.len());
@@ -243,7 +243,7 @@
                 .filter(|(_, owned)| owned.since > base || base == PlanSeq(0))
                 .map(|(id, owned)| (id.clone(), owned.owner))
                 .collect(),
-            gone: self
+            removed: self
                 .removed
                 .iter()
                 .filter(|removed| base > PlanSeq(0) && removed.since > base)
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -190,7 +190,7 @@
             return (PeerResponse::NotLeading(self.term), false);
         }
         let node = summary.node;
-        let applied_plan = if summary.more { PlanSeq(0) } else { summary.applied_plan };
+        let applied_plan = if summary.has_more { PlanSeq(0) } else { summary.applied_plan };
         match self.fleet.on_summary(now, summary) {
             SummaryOutcome::NewIncarnation => {
                 self.renew_term.get_or_insert("a controller restarted");
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -76,7 +76,7 @@
             return;
         }
         if let Some(pending) = self.gangs.pending_stops.get(&id) {
-            if pending.stop.leeway_ms > 0 && now >= pending.until {
+            if pending.stop.grace_ms > 0 && now >= pending.until {
                 self.stop_gang(cluster, id, 0, "it does not end");
             }
             return;
@@ -120,8 +120,8 @@
     }
 
     /// Stops a gang wherever its tasks are and revokes what is granted of it.
-    fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, reason: &str) {
-        tracing::info!(job = %id, why = reason, leeway_ms, "stopping a gang");
+    fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, grace_ms: u64, reason: &str) {
+        tracing::info!(job = %id, why = reason, leeway_ms = grace_ms, "stopping a gang");
         let next_plan = self.plans.next();
         let granted = self.task_grants.granted.keys();
         let granted: Vec<TaskId> = granted.filter(|task| task.job == id).copied().collect();
@@ -129,8 +129,8 @@
             self.task_grants.revoke(task, next_plan);
         }
         let before = self.task_grants.attempts.allocate();
-        let stop = GangStop { job: id.0, before, leeway_ms };
-        let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
+        let stop = GangStop { job: id.0, before, grace_ms };
+        let until = cluster.now.plus(grace_ms + STOP_AGAIN_MS);
         self.gangs.pending_stops.insert(id, PendingStop { stop, until });
         self.gangs.granted.remove(&id);
     }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -90,7 +90,14 @@
         let mut grants = self.grants_by_node();
         let body = |id: &NodeId| {
             let NodeGrants { with_room, awaiting_release } = grants.remove(id).unwrap_or_default();
-            (*id, PlanBody { grants: with_room, ahead: awaiting_release, ..common.clone() })
+            (
+                *id,
+                PlanBody {
+                    grants: with_room,
+                    grants_awaiting_release: awaiting_release,
+                    ..common.clone()
+                },
+            )
         };
         self.fleet.nodes.keys().map(body).collect()
     }
@@ -154,8 +161,8 @@
             term: self.term,
             incarnation: state.incarnation,
             seq: self.plans.seq,
-            clock_ms: now.0,
-            heard: state.number,
+            leader_clock_ms: now.0,
+            acknowledged_summary: state.seq,
             owners: self.fleet.ownership_changes(state.applied_plan),
             body: (state.applied_plan != self.plans.seq).then(|| body.clone()),
             decisions: None,
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -87,15 +87,15 @@
     let summary = Summary {
         node: NodeId(0),
         incarnation: INCARNATION,
-        number: ms,
-        base: 0,
-        more: false,
+        seq: ms,
+        base_seq: 0,
+        has_more: false,
         term: Term(3),
         applied_plan: PlanSeq(applied_plan),
-        echo_ms: 0,
-        up_ms: ms,
-        served_ms: 0,
-        heard_ms: 0,
+        echoed_clock_ms: 0,
+        uptime_ms: ms,
+        since_store_response_ms: 0,
+        since_heartbeat_ms: 0,
         answered: machines.iter().map(|m| (m.id.clone(), 0)).collect(),
         machines,
         foreign_machines: vec![],
@@ -166,15 +166,15 @@
     Summary {
         node: NodeId(1),
         incarnation,
-        number,
-        base,
-        more: false,
+        seq: number,
+        base_seq: base,
+        has_more: false,
         term: Term(3),
         applied_plan: PlanSeq(0),
-        echo_ms: 0,
-        up_ms: 0,
-        served_ms: 0,
-        heard_ms: 0,
+        echoed_clock_ms: 0,
+        uptime_ms: 0,
+        since_store_response_ms: 0,
+        since_heartbeat_ms: 0,
         answered: vec![],
         machines: vec![view("n-1", true, &[])],
         foreign_machines: vec![],
@@ -214,10 +214,10 @@
         n1.agent_epoch = AgentEpoch(agent_epoch);
         let mut s = Summary {
             node: NodeId(0),
-            number: ms,
+            seq: ms,
             applied_plan: PlanSeq(1),
-            echo_ms: ms,
-            up_ms: ms,
+            echoed_clock_ms: ms,
+            uptime_ms: ms,
             machines: vec![n1, view("n-2", true, &[])],
             ..summary(ms, 0, INCARNATION)
         };
@@ -280,9 +280,9 @@
     for (number, base, more, machines) in pieces {
         let piece = Summary {
             node: NodeId(0),
-            number,
-            base,
-            more,
+            seq: number,
+            base_seq: base,
+            has_more: more,
             machines,
             applied_plan: PlanSeq(1),
             ..summary(1, 0, INCARNATION)
@@ -316,8 +316,8 @@
             let age = answered.filter(|_| node == 1).map(|ms| (MachineId::new("n-1"), ms));
             let told = Summary {
                 node: NodeId(node),
-                echo_ms: now.0,
-                up_ms: if node == 2 { up_ms } else { 200_000 },
+                echoed_clock_ms: now.0,
+                uptime_ms: if node == 2 { up_ms } else { 200_000 },
                 answered: age.into_iter().collect(),
                 machines: vec![],
                 ..summary(1, 0, INCARNATION)
@@ -397,9 +397,8 @@
     );
     let late = Summary { machines: vec![], ..summary(5, 0, INCARNATION) };
     take(late);
-    let told = |controller: &Controller| {
-        controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
-    };
+    let told =
+        |controller: &Controller| controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].seq);
     assert_eq!(told(&controller), Some(6), "a late one changes nothing");
     controller.receive_summary(MonotonicTime(1_100), summary(1, 0, other));
     let leader = controller.leader.as_ref().unwrap();
@@ -616,8 +615,8 @@
             controller.rights.confirm_sync(MonotonicTime(ms));
             let told = Summary {
                 node: NodeId(0),
-                number: step + 1,
-                echo_ms: ms,
+                seq: step + 1,
+                echoed_clock_ms: ms,
                 applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
                 machines: free(24..72),
                 answered: free(24..72).iter().map(|m| (m.id.clone(), 0)).collect(),
@@ -697,8 +696,8 @@
         controller.rights.confirm_sync(MonotonicTime(ms));
         let told = Summary {
             node: NodeId(0),
-            number: step + 1,
-            echo_ms: ms,
+            seq: step + 1,
+            echoed_clock_ms: ms,
             applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |l| l.plans.seq),
             machines: free(24..48),
             answered: free(24..48).iter().map(|m| (m.id.clone(), 0)).collect(),
@@ -831,7 +830,7 @@
         if !stopped {
             continue;
         }
-        assert!(stops[0].before > attempt && stops[0].leeway_ms == 0);
+        assert!(stops[0].before > attempt && stops[0].grace_ms == 0);
         let plan = controller.plan_for(NodeId(0), MonotonicTime(2_000)).unwrap().0;
         assert_eq!(plan.body.unwrap().stops, stops, "parts are told");
         // While any is left, whatever else is free, none starts: it would be beside the old ones.
@@ -871,7 +870,7 @@
         let runs = TaskState::Running;
         let told = Summary {
             node: NodeId(0),
-            number: 1_300,
+            seq: 1_300,
             applied_plan: PlanSeq(1),
             machines: vec![shows("n-1", &[(0, runs), (1, runs)]), shows("n-2", &[(2, runs)])],
             answered: vec![(MachineId::new("n-1"), 0), (MachineId::new("n-2"), 0)],
@@ -882,7 +881,7 @@
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(
-            stops.first().map(|s| s.leeway_ms),
+            stops.first().map(|s| s.grace_ms),
             want,
             "{ms} {checkpoint_save_s} {checkpoint_interval_s}"
         );
@@ -1006,7 +1005,11 @@
             .count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
-        let told: u32 = leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
+        let told: u32 = leader.plans.bodies[&NodeId(0)]
+            .grants_awaiting_release
+            .iter()
+            .map(|g| g.tasks.len())
+            .sum();
         assert_eq!(told as usize, ahead + as_urgent, "{what}");
     }
 }
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -20,24 +20,31 @@
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
     /// Counts its summaries; late ones are dropped.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub seq: u64,
     /// The summary that this one adds to; 0 if it is whole.
-    pub base: u64,
+    #[serde(rename = "base")]
+    pub base_seq: u64,
     /// Whether the next one goes on with what did not fit into this one.
-    pub more: bool,
+    #[serde(rename = "more")]
+    pub has_more: bool,
     /// The term it knows.
     pub term: Term,
     /// The last plan of this term that it follows.
     #[serde(rename = "followed")]
     pub applied_plan: PlanSeq,
     /// The leader's clock as given in that plan: this summary was made after that.
-    pub echo_ms: u64,
+    #[serde(rename = "echo_ms")]
+    pub echoed_clock_ms: u64,
     /// Milliseconds since its process started.
-    pub up_ms: u64,
+    #[serde(rename = "up_ms")]
+    pub uptime_ms: u64,
     /// Milliseconds since the store last served it.
-    pub served_ms: u64,
+    #[serde(rename = "served_ms")]
+    pub since_store_response_ms: u64,
     /// Milliseconds since its last heartbeat of any worker.
-    pub heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    pub since_heartbeat_ms: u64,
     /// The machines of its shard that changed since the base.
     pub machines: Vec<MachineView>,
     /// For every machine it answered since the base: milliseconds since the last answer.
@@ -86,7 +93,8 @@
     /// Owners of machines.
     pub set: Vec<(MachineId, NodeId)>,
     /// Machines that are no longer owned.
-    pub gone: Vec<MachineId>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<MachineId>,
 }
 
 /// The leader's answer to a summary: what the controller's shard may do.
@@ -100,9 +108,11 @@
     /// Its number in the term.
     pub seq: PlanSeq,
     /// The leader's clock when it was sent, to be echoed.
-    pub clock_ms: u64,
+    #[serde(rename = "clock_ms")]
+    pub leader_clock_ms: u64,
     /// The last summary that the leader applied from the receiver.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub acknowledged_summary: u64,
     /// Owners of machines.
     pub owners: OwnershipChanges,
     /// The rest; `None` if it is as in the plan that the receiver follows already.
@@ -131,13 +141,12 @@
     #[serde(default)]
     pub stops: Vec<GangStop>,
     /// Machines that are reserved for gangs, and for work that may not use spot machines.
-    #[serde(default)]
-    #[serde(rename = "kept")]
+    #[serde(default, rename = "kept")]
     pub reserved: Vec<MachineId>,
     /// What this shard may start besides, as soon as other tasks leave room for it, where no work that is
     /// more urgent may go.
-    #[serde(default)]
-    pub ahead: Vec<Grant>,
+    #[serde(default, rename = "ahead")]
+    pub grants_awaiting_release: Vec<Grant>,
     /// Jobs' numbers and how many of their tasks have completed, where not all of that is on record yet.
     #[serde(default)]
     pub completed: Vec<(u64, u32)>,
@@ -147,7 +156,7 @@
     /// Whether both hold the same commands, whatever the status of jobs.
     pub fn has_same_commands(&self, other: &PlanBody) -> bool {
         self.grants == other.grants
-            && self.ahead == other.ahead
+            && self.grants_awaiting_release == other.grants_awaiting_release
             && self.drain == other.drain
             && self.slow == other.slow
             && self.expired_leases == other.expired_leases
@@ -165,7 +174,8 @@
     /// Attempts below this one are stopped.
     pub before: Attempt,
     /// Milliseconds that each task has to save; 0 to end at once.
-    pub leeway_ms: u64,
+    #[serde(rename = "leeway_ms")]
+    pub grace_ms: u64,
 }
 
 /// A request between controllers.
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -66,7 +66,7 @@
 pub const CAPABILITY_GANGS: u32 = 1;
 /// Cancellations are taken directly, [`crate::peer::PeerRequest::Ended`].
 pub const CAPABILITY_CANCELLATION_NOTICE: u32 = 2;
-/// Tasks granted ahead of their resources' release are started, [`crate::peer::PlanBody::ahead`].
+/// Tasks granted ahead of their resources' release are started, [`crate::peer::PlanBody::grants_awaiting_release`].
 pub const CAPABILITY_GRANTS_AHEAD: u32 = 3;
 /// For how long the leader was silent is answered, [`crate::peer::PeerRequest::LeaderSilence`].
 pub const CAPABILITY_STANDBY: u32 = 4;
--- a/src/shard/active_plan.rs
+++ b/src/shard/active_plan.rs
@@ -48,7 +48,7 @@
             drained: body.drain.into_iter().collect(),
             gang_attempts: body.grants.iter().filter_map(|g| g.attempt).collect(),
             grants: body.grants,
-            ahead: body.ahead,
+            ahead: body.grants_awaiting_release,
             slow: body.slow,
             reserved: body.reserved,
             stops: body.stops,
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -36,16 +36,16 @@
         attempt: Attempt,
     ) -> Option<WorkerCommand> {
         let plan = &self.term_state.plan;
-        let (leeway_ms, why) = match plan.stop_of(task, attempt) {
+        let (grace_ms, why) = match plan.stop_of(task, attempt) {
             _ if is_cancelled(replica, task.job) => (0, "its job is cancelled"),
             _ if replica.is_outcome_recorded(task) => (0, "it is done"),
-            Some(stop) => (stop.leeway_ms, "its gang is being stopped"),
+            Some(stop) => (stop.grace_ms, "its gang is being stopped"),
             None => return None,
         };
         tracing::debug!(
             %task, %machine, %attempt, why, term = %plan.term, plan = plan.seq.0, "stops"
         );
-        let grace_s = leeway_ms as f64 / 1000.0;
+        let grace_s = grace_ms as f64 / 1000.0;
         Some(WorkerCommand::Kill { task, attempt, grace_s })
     }
 
--- a/src/shard/plan_following.rs
+++ b/src/shard/plan_following.rs
@@ -26,10 +26,11 @@
         if plan.term != self.term_state.term || plan.incarnation != self.incarnation {
             return false;
         }
-        self.acknowledge_summary(plan.heard);
+        self.acknowledge_summary(plan.acknowledged_summary);
         let active_plan_seq = self.term_state.plan.seq;
         if plan.seq == active_plan_seq {
-            self.term_state.leader_clock_ms = self.term_state.leader_clock_ms.max(plan.clock_ms);
+            self.term_state.leader_clock_ms =
+                self.term_state.leader_clock_ms.max(plan.leader_clock_ms);
             return false;
         }
         let is_next = plan.seq > active_plan_seq && plan.owners.base <= active_plan_seq;
@@ -39,7 +40,7 @@
         self.apply_ownership(plan.owners);
         self.apply_expired_leases(&body.expired_leases);
         self.activate(plan.seq, body);
-        self.term_state.leader_clock_ms = plan.clock_ms;
+        self.term_state.leader_clock_ms = plan.leader_clock_ms;
         self.term_state.assignment_stale = true;
         self.term_state.announcements_pending = true;
         tracing::debug!(term = %plan.term, plan = plan.seq.0, "follows a plan");
@@ -77,7 +78,7 @@
             term_state.redirects.retain(|id, _| previous.get(id) == owners.get(id));
         } else {
             term_state.owners.extend(changes.set);
-            for id in &changes.gone {
+            for id in &changes.removed {
                 term_state.owners.remove(id);
             }
         }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -55,8 +55,8 @@
         term: TERM,
         incarnation: INCARNATION,
         seq: PlanSeq(1),
-        clock_ms: 1,
-        heard: 0,
+        leader_clock_ms: 1,
+        acknowledged_summary: 0,
         owners: OwnershipChanges {
             set: vec![(MachineId::new("n-1"), NodeId(owner))],
             ..OwnershipChanges::default()
@@ -194,12 +194,12 @@
     loop {
         let piece = controller.shard.summary(MonotonicTime(1_000), &timing, 2_048);
         assert!(crate::peer::encode(&piece).len() <= 2_048);
-        assert_eq!(piece.base == 0, pieces == 0);
+        assert_eq!(piece.base_seq == 0, pieces == 0);
         told.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
         controller.shard.term_state.acknowledged_summary =
-            Some(SentSummary { number: piece.number, at: MonotonicTime(1_000) });
-        if !piece.more {
+            Some(SentSummary { number: piece.seq, at: MonotonicTime(1_000) });
+        if !piece.has_more {
             break;
         }
     }
@@ -332,8 +332,8 @@
             term: TERM,
             incarnation: INCARNATION,
             seq,
-            clock_ms: 2,
-            heard: 0,
+            leader_clock_ms: 2,
+            acknowledged_summary: 0,
             owners: OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() },
             body: Some(PlanBody { stops, ..PlanBody::default() }),
             decisions: None,
@@ -345,7 +345,7 @@
     // (attempts below that are stopped, leeway, what the task of attempt 7 gets)
     let cases = [(7, 0, None), (8, 0, Some(0.0)), (8, 9_000, Some(9.0))];
     for (i, (before, leeway_ms, want)) in cases.into_iter().enumerate() {
-        let stop = GangStop { job: 1, before: Attempt(before), leeway_ms };
+        let stop = GangStop { job: 1, before: Attempt(before), grace_ms: leeway_ms };
         assert!(with(&mut controller, PlanSeq(seq.0 + 1 + i as u64), vec![stop]));
         let leeway = |commands: &[WorkerCommand]| {
             commands.iter().find_map(|o| match o {
@@ -484,13 +484,13 @@
         }
         let grant = Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
         let owners = OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() };
-        let body = PlanBody { ahead: vec![grant], ..PlanBody::default() };
+        let body = PlanBody { grants_awaiting_release: vec![grant], ..PlanBody::default() };
         let plan = Plan {
             term: TERM,
             incarnation: INCARNATION,
             seq: PlanSeq(2),
-            clock_ms: 2,
-            heard: 0,
+            leader_clock_ms: 2,
+            acknowledged_summary: 0,
             owners,
             body: Some(body),
             decisions: None,
@@ -557,7 +557,7 @@
     // replaced, and in the same instant started what it had granted ahead to itself, with the new term's token.
     let granted = || Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
     let with_room = PlanBody { grants: vec![granted()], ..PlanBody::default() };
-    let ahead = PlanBody { ahead: vec![granted()], ..PlanBody::default() };
+    let ahead = PlanBody { grants_awaiting_release: vec![granted()], ..PlanBody::default() };
     for way in WAYS {
         for (kind, body) in [("with room", &with_room), ("ahead", &ahead)] {
             let mut controller = node(0);
@@ -566,8 +566,8 @@
                 term: TERM,
                 incarnation: INCARNATION,
                 seq: PlanSeq(2),
-                clock_ms: 2,
-                heard: 0,
+                leader_clock_ms: 2,
+                acknowledged_summary: 0,
                 owners,
                 body: Some(body.clone()),
                 decisions: None,
@@ -594,11 +594,11 @@
     let grant = |attempt| Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt };
     let body = PlanBody {
         grants: vec![grant(Some(attempt))],
-        ahead: vec![grant(None)],
+        grants_awaiting_release: vec![grant(None)],
         drain: vec![machine()],
         slow: vec![machine()],
         reserved: vec![machine()],
-        stops: vec![GangStop { job: 9, before: attempt, leeway_ms: 0 }],
+        stops: vec![GangStop { job: 9, before: attempt, grace_ms: 0 }],
         ..PlanBody::default()
     };
     let shard = &mut controller.shard;
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -69,15 +69,15 @@
     Summary {
         node: NodeId(1),
         incarnation: Incarnation(77),
-        number: 9,
-        base: 8,
-        more: false,
+        seq: 9,
+        base_seq: 8,
+        has_more: false,
         term: Term(41),
         applied_plan: PlanSeq(5),
-        echo_ms: 1234,
-        up_ms: 99_000,
-        served_ms: 12,
-        heard_ms: 30,
+        echoed_clock_ms: 1234,
+        uptime_ms: 99_000,
+        since_store_response_ms: 12,
+        since_heartbeat_ms: 30,
         machines: vec![view],
         answered: vec![(machine("n-000001"), 15)],
         foreign_machines: vec![stray],
@@ -101,12 +101,12 @@
         term: Term(41),
         incarnation: Incarnation(77),
         seq: PlanSeq(6),
-        clock_ms: 4321,
-        heard: 9,
+        leader_clock_ms: 4321,
+        acknowledged_summary: 9,
         owners: OwnershipChanges {
             base: PlanSeq(5),
             set: vec![(machine("n-000001"), NodeId(1))],
-            gone: vec![machine("n-000002")],
+            removed: vec![machine("n-000002")],
         },
         body: Some(PlanBody {
             grants: vec![
@@ -123,7 +123,7 @@
             }],
             stops: vec![],
             reserved: vec![],
-            ahead: vec![],
+            grants_awaiting_release: vec![],
             completed: vec![],
         }),
         decisions: None,
@@ -181,7 +181,7 @@
 fn values_of_the_version_before_are_read() {
     let f = fixtures();
     fn value<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
-        wire::from_value(&wire::decode::<wire::Value>(bytes).unwrap()).unwrap()
+        wire::decode::<wire::Value>(bytes).unwrap().deserialized().unwrap()
     }
     assert_eq!(value::<Accepted>(&f["j"]).spec, spec());
     assert_eq!(value::<Progress>(&f["d"]).done, TaskRanges::span(0, 3));
@@ -222,7 +222,7 @@
 
     let mut sent = plan();
     if let Some(body) = &mut sent.body {
-        body.stops = vec![GangStop { job: 398, before: Attempt(9), leeway_ms: 0 }];
+        body.stops = vec![GangStop { job: 398, before: Attempt(9), grace_ms: 0 }];
         body.reserved = vec![machine("n-000001")];
     }
     let mut log = DecisionLog::new(Term(41), &StandbySettings::default());
@@ -256,7 +256,7 @@
         version: "0.2.0".into(),
         capabilities: CAPABILITIES,
     };
-    let old: frozen::MemberRecord = wire::from_value(&wire::to_value(&member)).unwrap();
+    let old: frozen::MemberRecord = wire::to_value(&member).deserialized().unwrap();
     assert_eq!(old.life, 77);
     let up = MachineRecord {
         machine_type: "kleine".into(),
@@ -269,7 +269,7 @@
     let machines =
         vec![(machine("n-000001"), up.clone()), (machine("n-000002"), up.tombstone(WallTime(7)))];
     let old: frozen::MachineGroup =
-        wire::from_value(&wire::to_value(&MachineGroup { machines })).unwrap();
+        wire::to_value(&MachineGroup { machines }).deserialized().unwrap();
     let told: Vec<_> = old.machines.iter().map(|(id, m)| (id.as_str(), m.up, m.gone)).collect();
     assert_eq!(told, [("n-000001", true, None), ("n-000002", true, Some(7))]);
     assert_eq!((old.machines[0].1.hull.as_str(), old.machines[0].1.spot), ("kleine", false));
