--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -241,7 +241,7 @@
 #[test]
 fn a_record_that_cannot_be_used_says_why_and_changes_no_other() {
     let unsound = Progress {
-        done: wire::from_value(&wire::to_value(&[(3, 4), (0, 1)])).unwrap(),
+        done: wire::to_value(&[(3, 4), (0, 1)]).deserialized().unwrap(),
         ..Progress::default()
     };
     // (key, value, why)
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -56,7 +56,7 @@
     ScaleOutRequest,
 };
 pub use encoding::{
-    BODY_LIMIT, DecodeError, Value, decode, encode, from_value, is_map, stored_bytes, to_value,
+    BODY_LIMIT, DecodeError, Value, decode, encode, is_map, stored_bytes, to_value,
 };
 pub use store::{
     Change, Condition, KeyValue, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse,
--- a/src/wire/encoding.rs
+++ b/src/wire/encoding.rs
@@ -158,8 +158,3 @@
         }
     }
 }
-
-/// Reads a record from a value of the state store.
-pub fn from_value<T: de::DeserializeOwned>(value: &Value) -> Option<T> {
-    value.deserialized().ok()
-}
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -144,7 +144,7 @@
     /// The term on record.
     pub fn term(&self) -> u64 {
         let value = self.items.get(willowshore::replica::TERM_KEY).map(|item| &item.0);
-        let record: Option<TermRecord> = value.and_then(willowshore::wire::from_value);
+        let record: Option<TermRecord> = value.and_then(|value| value.deserialized().ok());
         record.map_or(0, |r| r.term.0)
     }
 
