--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -90,14 +90,8 @@
         let mut grants = self.grants_by_node();
         let body = |id: &NodeId| {
             let NodeGrants { with_room, awaiting_release } = grants.remove(id).unwrap_or_default();
-            (
-                *id,
-                PlanBody {
-                    grants: with_room,
-                    grants_awaiting_release: awaiting_release,
-                    ..common.clone()
-                },
-            )
+            let grants_awaiting_release = awaiting_release;
+            (*id, PlanBody { grants: with_room, grants_awaiting_release, ..common.clone() })
         };
         self.fleet.nodes.keys().map(body).collect()
     }
