--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -198,12 +198,12 @@
     }
 
     /// When the cloud preempts a machine, if it gave notice.
-    pub fn leaves(&self, id: &MachineId) -> Option<MonotonicTime> {
+    pub fn preempted_at(&self, id: &MachineId) -> Option<MonotonicTime> {
         self.owner_state(id)?.notices.get(id).copied()
     }
 
     /// Whether a machine sent its owner a heartbeat within `ms` milliseconds, and its owner is not lost.
-    pub fn heard_within(&self, now: MonotonicTime, id: &MachineId, ms: u64) -> bool {
+    pub fn sent_heartbeat_within(&self, now: MonotonicTime, id: &MachineId, ms: u64) -> bool {
         let owner =
             self.owner_state(id).filter(|state| now.since(state.received_at) < NODE_LOST_MS);
         let machine = owner.and_then(|state| state.machines.get(id));
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The bounds of answers of all controllers, or `None` while one is neither heard nor known to be absent.
+    /// The bounds of answers of all controllers, or `None` while one neither sent a summary nor is known to be absent.
     fn answer_bounds(&self, cluster: &ClusterView<'_>) -> Option<AnswerBounds> {
         let mut known_until = MonotonicTime(u64::MAX);
         let mut last_unknown = MonotonicTime(0);
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Whether silence of a machine can only be its own: all controllers are heard, none of them restarted
+    /// Whether silence of a machine can only be its own: all controllers send summaries, none of them restarted
     /// lately, and its owner receives heartbeats of others. A machine that is merely cut off for longer would
     /// lose its tasks with its lease anyway.
     fn receives_well(&self, cluster: &ClusterView<'_>, owner: NodeId) -> bool {
--- a/src/leader/gang_presence.rs
+++ b/src/leader/gang_presence.rs
@@ -101,10 +101,11 @@
         gang.on_machines += 1;
         let runs = matches!(seen.state, TaskState::Running | TaskState::SavingCheckpoint);
         gang.running += u32::from(runs);
-        gang.machine_leaves = match (gang.machine_leaves, fleet.leaves(&seen.machine.id)) {
+        gang.machine_leaves = match (gang.machine_leaves, fleet.preempted_at(&seen.machine.id)) {
             (Some(first), Some(other)) => Some(first.min(other)),
             (first, other) => first.or(other),
         };
-        gang.machines_heard &= fleet.heard_within(cluster.now, &seen.machine.id, silent_ms);
+        gang.machines_heard &=
+            fleet.sent_heartbeat_within(cluster.now, &seen.machine.id, silent_ms);
     }
 }
