--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -32,7 +32,7 @@
     LoadSample { short_running, urgent, long_running: Cores(0) }
 }
 fn scaled_out(decision: &ScalingDecision) -> u32 {
-    decision.scale_out.iter().map(|r| r.1).sum()
+    decision.scale_out.iter().map(|requested| requested.count).sum()
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let catalog = catalog();
     let now = MonotonicTime(1_000);
     let decision = decide(now, &catalog, &[], &[want(&job, 4, false)], &market);
-    assert!(decision.scale_out.iter().all(|(o, _)| o.spot));
+    assert!(decision.scale_out.iter().all(|requested| requested.offer.spot));
     assert_eq!((decision.scale_out.len(), scaled_out(&decision)), (2, 2), "spread over zones");
     let one = [held("n-1", true, 0.0)];
     assert_eq!(scaled_out(&decide(now, &catalog, &one, &[want(&job, 4, false)], &market)), 1);
@@ -54,10 +54,13 @@
     market.record_refusal(&offer("a", true), now);
     market.record_refusal(&offer("b", true), now);
     let decision = decide(now, &catalog, &[], &[want(&job, 2, false)], &market);
-    assert!(decision.scale_out.iter().all(|(o, _)| !o.spot), "on-demand ones when spot is refused");
+    assert!(
+        decision.scale_out.iter().all(|requested| !requested.offer.spot),
+        "on-demand ones when spot is refused"
+    );
     let decision =
         decide(now.plus(market::REFUSED_MS), &catalog, &[], &[want(&job, 2, false)], &market);
-    assert!(decision.scale_out.iter().all(|(o, _)| o.spot), "refusals pass");
+    assert!(decision.scale_out.iter().all(|requested| requested.offer.spot), "refusals pass");
 }
 
 #[test]
@@ -103,7 +106,7 @@
     market.record_load(MonotonicTime(100), load(Cores(16_000), Cores(16_000)));
     let decision = decide(MonotonicTime(1_000), &catalog, &[], &[want(&job, 1, true)], &market);
     assert_eq!(scaled_out(&decision), 2, "its peak of 16 cores");
-    assert!(decision.scale_out.iter().all(|(o, _)| o.spot));
+    assert!(decision.scale_out.iter().all(|requested| requested.offer.spot));
     for s in 1..900 {
         market.record_load(MonotonicTime(s * 1_000), load(Cores(0), Cores(0)));
     }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -190,7 +190,7 @@
             return (PeerResponse::NotLeading(self.term), false);
         }
         let node = summary.node;
-        let applied_plan = if summary.more { PlanSeq(0) } else { summary.applied_plan };
+        let applied_plan = if summary.has_more { PlanSeq(0) } else { summary.applied_plan };
         match self.fleet.on_summary(now, summary) {
             SummaryOutcome::NewIncarnation => {
                 self.renew_term.get_or_insert("a controller restarted");
@@ -285,7 +285,7 @@
             let owners = &self.fleet.owners;
             let idle = live.iter().any(|id| {
                 owners.len() >= 2 * live.len()
-                    && !owners.values().any(|(o, _)| o == id)
+                    && !owners.values().any(|owned| owned.owner == *id)
                     && owners.keys().any(|m| self.fleet.owner_for(cluster, m, &live) == Some(*id))
             });
             if idle {
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -14,7 +14,7 @@
 use crate::cluster_view::ClusterView;
 use crate::model::{Attempt, JobId, MonotonicTime, TaskId};
 use crate::peer::{GangStop, WaitReason};
-use crate::placement::{self, PlacementTarget};
+use crate::placement::{self, GangPlacement, PlacementRequest, PlacementTarget};
 use crate::replica::Job;
 
 /// Share of the time that a gang's tasks wait for each other in which it has to be whole.
@@ -76,7 +76,7 @@
             return;
         }
         if let Some(pending) = self.gangs.pending_stops.get(&id) {
-            if pending.stop.leeway_ms > 0 && now >= pending.until {
+            if pending.stop.grace_ms > 0 && now >= pending.until {
                 self.stop_gang(cluster, id, 0, "it does not end");
             }
             return;
@@ -120,8 +120,8 @@
     }
 
     /// Stops a gang wherever its tasks are and revokes what is granted of it.
-    fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, leeway_ms: u64, reason: &str) {
-        tracing::info!(job = %id, why = reason, leeway_ms, "stopping a gang");
+    fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, grace_ms: u64, reason: &str) {
+        tracing::info!(job = %id, why = reason, leeway_ms = grace_ms, "stopping a gang");
         let next_plan = self.plans.next();
         let granted = self.task_grants.granted.keys();
         let granted: Vec<TaskId> = granted.filter(|task| task.job == id).copied().collect();
@@ -129,8 +129,8 @@
             self.task_grants.revoke(task, next_plan);
         }
         let before = self.task_grants.attempts.allocate();
-        let stop = GangStop { job: id.0, before, leeway_ms };
-        let until = cluster.now.plus(leeway_ms + STOP_AGAIN_MS);
+        let stop = GangStop { job: id.0, before, grace_ms };
+        let until = cluster.now.plus(grace_ms + STOP_AGAIN_MS);
         self.gangs.pending_stops.insert(id, PendingStop { stop, until });
         self.gangs.granted.remove(&id);
     }
@@ -209,19 +209,21 @@
         targets.iter().map(|target| inputs.owner_knows_gangs(target)).collect();
     let spec = &request.job.spec;
     let pack = |zone: Option<&str>, count| {
-        placement::pack(spec, &request.need, targets, &capable, zone, count)
+        let gang = PlacementRequest { spec, need: &request.need, zone, count };
+        placement::pack(&gang, targets, &capable)
     };
     let names = &inputs.cluster.settings.params.zones;
     if !zones.binds() {
-        return pack(None, request.count).map(|(_, chosen)| chosen);
+        return pack(None, request.count).map(|placed| placed.machines);
     }
     if zones.one {
         let open = zones.open(names);
         let found = open.iter().filter_map(|zone| pack(Some(zone), request.count));
-        return found.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, chosen)| chosen);
+        let earliest = found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s));
+        return earliest.map(|placed| placed.machines);
     }
     // Spread: as many in one zone as the rule allows, the rest in another.
-    let mut best: Option<(f64, Vec<usize>)> = None;
+    let mut best: Option<GangPlacement> = None;
     for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
         let in_first = (zones.room(first) as usize).min(request.count);
         let in_second = request.count - in_first;
@@ -229,16 +231,16 @@
             continue;
         }
         let pack_some = |zone: &str, count| match count {
-            0 => Some((0.0, Vec::new())),
+            0 => Some(GangPlacement::default()),
             _ => pack(Some(zone), count),
         };
-        let Some((first_s, mut chosen)) = pack_some(first, in_first) else { continue };
-        let Some((second_s, rest)) = pack_some(second, in_second) else { continue };
-        let all_begin_s = f64::max(first_s, second_s);
-        if best.as_ref().is_none_or(|(best_s, _)| all_begin_s < *best_s) {
-            chosen.extend(rest);
-            best = Some((all_begin_s, chosen));
+        let Some(mut placed) = pack_some(first, in_first) else { continue };
+        let Some(rest) = pack_some(second, in_second) else { continue };
+        placed.last_start_s = f64::max(placed.last_start_s, rest.last_start_s);
+        if best.as_ref().is_none_or(|best| placed.last_start_s < best.last_start_s) {
+            placed.machines.extend(rest.machines);
+            best = Some(placed);
         }
     }
-    best.map(|(_, chosen)| chosen)
+    best.map(|placed| placed.machines)
 }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -49,7 +49,7 @@
         // A plan that tells nothing new would only be sent around.
         let due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
         let news = self.plans.seq == PlanSeq(0)
-            || self.fleet.newest() > self.plans.seq
+            || self.fleet.newest_change() > self.plans.seq
             || self.task_grants.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
             || bodies.iter().any(|(id, body)| !same(id, body));
         if !news && !due {
@@ -90,7 +90,8 @@
         let mut grants = self.grants_by_node();
         let body = |id: &NodeId| {
             let NodeGrants { with_room, awaiting_release } = grants.remove(id).unwrap_or_default();
-            (*id, PlanBody { grants: with_room, ahead: awaiting_release, ..common.clone() })
+            let grants_awaiting_release = awaiting_release;
+            (*id, PlanBody { grants: with_room, grants_awaiting_release, ..common.clone() })
         };
         self.fleet.nodes.keys().map(body).collect()
     }
@@ -154,8 +155,8 @@
             term: self.term,
             incarnation: state.incarnation,
             seq: self.plans.seq,
-            clock_ms: now.0,
-            heard: state.number,
+            leader_clock_ms: now.0,
+            acknowledged_summary: state.seq,
             owners: self.fleet.ownership_changes(state.applied_plan),
             body: (state.applied_plan != self.plans.seq).then(|| body.clone()),
             decisions: None,
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -7,7 +7,7 @@
 use super::inputs::EpochInputs;
 use super::starvation::waiting_ms;
 use super::{Epoch, Leader};
-use crate::autoscaler::{self, MachineOffer, MachineUsage, PendingWork};
+use crate::autoscaler::{self, MachineUsage, PendingWork, RequestedMachines};
 use crate::cluster_view::ClusterView;
 use crate::model::{Cores, JobId, MachineId, TaskId};
 use crate::offered_load::{GangSample, LoadSample};
@@ -181,7 +181,7 @@
     }
 
     /// The scale-out to request now. Taken once per decision, so that nothing is requested twice.
-    pub fn take_scale_out(&mut self) -> Vec<(MachineOffer, u32)> {
+    pub fn take_scale_out(&mut self) -> Vec<RequestedMachines> {
         std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
--- a/src/leader/tests/gangs.rs
+++ b/src/leader/tests/gangs.rs
@@ -116,7 +116,7 @@
         if !stopped {
             continue;
         }
-        assert!(stops[0].before > attempt && stops[0].leeway_ms == 0);
+        assert!(stops[0].before > attempt && stops[0].grace_ms == 0);
         let plan = controller.plan_for(NodeId(0), MonotonicTime(2_000)).unwrap().0;
         assert_eq!(plan.body.unwrap().stops, stops, "shards are informed");
         // While any task is left, none starts, whatever is free: it would run beside the old ones.
@@ -156,7 +156,7 @@
         let runs = TaskState::Running;
         let summary = Summary {
             node: NodeId(0),
-            number: 1_300,
+            seq: 1_300,
             applied_plan: PlanSeq(1),
             machines: vec![shows("n-1", &[(0, runs), (1, runs)]), shows("n-2", &[(2, runs)])],
             answered: vec![(MachineId::new("n-1"), 0), (MachineId::new("n-2"), 0)],
@@ -167,7 +167,7 @@
         controller.epoch(at(1_300)).unwrap();
         let stops = controller.leader.as_ref().unwrap().stops();
         assert_eq!(
-            stops.first().map(|s| s.leeway_ms),
+            stops.first().map(|s| s.grace_ms),
             want,
             "{ms} {checkpoint_save_s} {checkpoint_interval_s}"
         );
--- a/src/leader/tests/limits.rs
+++ b/src/leader/tests/limits.rs
@@ -79,15 +79,15 @@
 fn send_free_machines(
     controller: &mut Controller,
     ms: u64,
-    number: u64,
+    seq: u64,
     machines: std::ops::Range<u32>,
 ) {
     controller.rights.confirm_renewal(MonotonicTime(ms));
     controller.rights.confirm_sync(MonotonicTime(ms));
     let summary = Summary {
         node: NodeId(0),
-        number,
-        echo_ms: ms,
+        seq,
+        echoed_clock_ms: ms,
         applied_plan: controller.leader.as_ref().map_or(PlanSeq(0), |leader| leader.plans.seq),
         machines: free(machines.clone()),
         answered: free(machines).into_iter().map(|machine| (machine.id, 0)).collect(),
--- a/src/leader/tests/machines.rs
+++ b/src/leader/tests/machines.rs
@@ -30,10 +30,10 @@
         n1.agent_epoch = AgentEpoch(agent_epoch);
         let mut s = Summary {
             node: NodeId(0),
-            number: ms,
+            seq: ms,
             applied_plan: PlanSeq(1),
-            echo_ms: ms,
-            up_ms: ms,
+            echoed_clock_ms: ms,
+            uptime_ms: ms,
             machines: vec![n1, view("n-2", true, &[])],
             ..summary(ms, 0, INCARNATION)
         };
--- a/src/leader/tests/precedence.rs
+++ b/src/leader/tests/precedence.rs
@@ -136,8 +136,11 @@
             .count();
         let counted = if what == "as urgent" { ahead + as_urgent } else { ahead };
         assert_eq!(counted, expected, "{what}: in all epochs together");
-        let planned: u32 =
-            leader.plans.bodies[&NodeId(0)].ahead.iter().map(|g| g.tasks.len()).sum();
+        let planned: u32 = leader.plans.bodies[&NodeId(0)]
+            .grants_awaiting_release
+            .iter()
+            .map(|g| g.tasks.len())
+            .sum();
         assert_eq!(planned as usize, ahead + as_urgent, "{what}");
     }
 }
--- a/src/leader/tests/summaries.rs
+++ b/src/leader/tests/summaries.rs
@@ -17,21 +17,21 @@
         (1_500, 1_400, true, vec![]),
         (1_600, 1_500, false, vec![view("n-1", true, &[0])]),
     ];
-    for (number, base, more, machines) in pieces {
+    for (seq, base_seq, has_more, machines) in pieces {
         let piece = Summary {
             node: NodeId(0),
-            number,
-            base,
-            more,
+            seq,
+            base_seq,
+            has_more,
             machines,
             applied_plan: PlanSeq(1),
             ..summary(1, 0, INCARNATION)
         };
-        controller.receive_summary(MonotonicTime(number), piece);
-        let (epoch, _) = controller.epoch(at(number)).unwrap();
-        assert!(epoch.is_empty(), "{number}");
+        controller.receive_summary(MonotonicTime(seq), piece);
+        let (epoch, _) = controller.epoch(at(seq)).unwrap();
+        assert!(epoch.is_empty(), "{seq}");
         let leader = controller.leader.as_ref().unwrap();
-        assert_eq!(leader.fleet.on_machines().len(), 1, "{number}");
+        assert_eq!(leader.fleet.on_machines().len(), 1, "{seq}");
     }
 }
 
@@ -47,7 +47,7 @@
         ("a predecessor may have answered it", 9_000, None, false),
         ("no predecessor's answer is that young", 12_000, None, true),
     ];
-    for (what, up_ms, answered, over) in cases {
+    for (what, uptime_ms, answered, over) in cases {
         let mut controller = leader();
         let now = MonotonicTime(300_000);
         controller.rights.confirm_renewal(now);
@@ -56,8 +56,8 @@
             let age = answered.filter(|_| node == 1).map(|ms| (MachineId::new("n-1"), ms));
             let summary = Summary {
                 node: NodeId(node),
-                echo_ms: now.0,
-                up_ms: if node == 2 { up_ms } else { 200_000 },
+                echoed_clock_ms: now.0,
+                uptime_ms: if node == 2 { uptime_ms } else { 200_000 },
                 answered: age.into_iter().collect(),
                 machines: vec![],
                 ..summary(1, 0, INCARNATION)
@@ -90,9 +90,8 @@
     );
     let late = Summary { machines: vec![], ..summary(5, 0, INCARNATION) };
     receive(late);
-    let newest_number = |controller: &Controller| {
-        controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].number)
-    };
+    let newest_number =
+        |controller: &Controller| controller.leader.as_ref().map(|l| l.fleet.nodes[&NodeId(1)].seq);
     assert_eq!(newest_number(&controller), Some(6), "a late one changes nothing");
     controller.receive_summary(MonotonicTime(1_100), summary(1, 0, other));
     let leader = controller.leader.as_ref().unwrap();
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -267,7 +267,7 @@
 #[test]
 fn an_unusable_record_says_why_and_changes_no_other() {
     let unsound = Progress {
-        done: wire::from_value(&wire::to_value(&[(3, 4), (0, 1)])).unwrap(),
+        done: wire::to_value(&[(3, 4), (0, 1)]).deserialized().unwrap(),
         ..Progress::default()
     };
     // (key, value, why)
