--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
 mod job_command;
 mod standby_command;
 
-/// A cluster scheduler: rank-legal admission, importance-maximizing shares, hashed parts.
+/// A cluster scheduler: rank-legal admission, importance-maximizing shares, hashed shards.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Arguments {
