--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -49,11 +49,11 @@
 //!
 //! The leader itself is probed once more, with more time than a heartbeat has: a loaded leader is slow, and replacing
 //! it would add to its load. It is fenced, by a transaction that takes the next term and is guarded by the leader's
-//! key, only if it does not respond and a majority of all controllers, this one included, does not hear it. So a
-//! controller that is partitioned from the others never replaces a leader that serves them, and two controllers that do
-//! not hear each other do not replace each other in turn. Where no such majority can be had, the leader's lease in the
-//! state service decides, as it does without a standby. The argument is in `docs/safety.md`, "Replacing a leader that
-//! is not heard"; nothing that this machine assumes can break a rule, as the transaction's conditions decide.
+//! key, only if it does not respond and a majority of all controllers, this one included, receives nothing from it. So
+//! a controller that is partitioned from the others never replaces a leader that serves them, and two controllers that
+//! do not reach each other do not replace each other in turn. Where no such majority can be had, the leader's lease in
+//! the state service decides, as it does without a standby. The argument is in `docs/safety.md`, "Replacing a leader
+//! that is not heard"; nothing that this machine assumes can break a rule, as the transaction's conditions decide.
 
 mod command;
 mod event;
--- a/crates/standby/src/failover/command.rs
+++ b/crates/standby/src/failover/command.rs
@@ -7,7 +7,7 @@
 pub enum FailoverCommand {
     /// Probe the leader of this term: [`super::FailoverEvent::ProbeCompleted`].
     ProbeLeader(Term),
-    /// Query the other controllers when they last heard the leader of this term:
+    /// Query the other controllers when they last received from the leader of this term:
     /// [`super::FailoverEvent::PeerObserved`] for each that responds.
     QueryPeers(Term),
     /// Take the term after this one by the guarded transaction: [`super::FailoverEvent::FenceCompleted`].
--- a/crates/standby/src/failover/event.rs
+++ b/crates/standby/src/failover/event.rs
@@ -1,4 +1,4 @@
-//! What the failover's state machine is told.
+//! The events that the failover's state machine receives.
 
 use willowshore_model::{NodeId, Revision, Term};
 
@@ -13,12 +13,12 @@
     Unknown,
 }
 
-/// When another controller last heard the leader, by its own account.
+/// When another controller last received from the leader, by its own account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerObservation {
     /// The controller.
     pub node: NodeId,
-    /// Milliseconds since it heard the leader; `None` if it never did, which says nothing about the leader.
+    /// Milliseconds since it received from the leader; `None` if it never did, which says nothing about the leader.
     pub silence_ms: Option<u64>,
 }
 
--- a/crates/standby/src/failover/machine.rs
+++ b/crates/standby/src/failover/machine.rs
@@ -21,7 +21,7 @@
 /// How long the next suspicion waits after one that the leader or others refuted, in milliseconds.
 const SUSPICION_BACKOFF_MS: u64 = 1_000;
 /// How long the outcome of fencing, and then the replica, is waited for, in milliseconds. Beyond it the replica alone
-/// tells whether the term was taken.
+/// says whether the term was taken.
 const STEP_TIMEOUT_MS: u64 = 10_000;
 
 /// Decides when a controller replaces the leader, and follows the failover through its phases.
@@ -29,7 +29,8 @@
 pub struct FailoverMachine {
     /// Controllers of the site, of which a majority has to agree.
     controllers: usize,
-    /// From this silence on, in milliseconds, another controller counts as not hearing the leader.
+    /// From this silence on, in milliseconds, another controller counts as receiving nothing from the
+    /// leader.
     min_silence_ms: u64,
     /// How much longer each further rank waits before it queries the others, in milliseconds.
     rank_delay_ms: u64,
@@ -43,7 +44,7 @@
     timeline: FailoverTimeline,
     /// When the others were last queried in this suspicion.
     peers_queried_at: Option<MonotonicTime>,
-    /// The others that do not hear the leader, and when each of them last said so.
+    /// The others that receive nothing from the leader, and when each of them last said so.
     silent_peers: BTreeMap<NodeId, MonotonicTime>,
     /// Whether the leader itself was probed in this suspicion and did not respond.
     probe_failed: bool,
@@ -54,8 +55,8 @@
 }
 
 impl FailoverMachine {
-    /// A machine for a site of so many controllers. Others count as not hearing the leader from `min_silence_ms` on;
-    /// each rank waits `rank_delay_ms` longer than the one before it.
+    /// A machine for a site of so many controllers. Others count as receiving nothing from the leader from
+    /// `min_silence_ms` on; each rank waits `rank_delay_ms` longer than the one before it.
     pub fn new(controllers: usize, min_silence_ms: u64, rank_delay_ms: u64) -> Self {
         FailoverMachine {
             controllers,
@@ -206,7 +207,7 @@
     }
 
     /// The replica shows a leader. Old terms say nothing, and neither does a known term of another leader, unless this
-    /// controller was told that it had taken that very term.
+    /// controller received the outcome that it had taken that very term.
     fn on_replica_shows(
         &mut self,
         now: MonotonicTime,
@@ -264,7 +265,7 @@
         now: MonotonicTime,
         observation: PeerObservation,
     ) -> Option<FailoverCommand> {
-        // A controller that never heard the leader is no witness: it may have been partitioned all the time.
+        // A controller that never received from the leader is no witness: it may have been partitioned all the time.
         let silence_ms = observation.silence_ms?;
         if silence_ms < self.min_silence_ms {
             // It may just have received the leader's last messages, so it is queried again before that counts.
@@ -278,7 +279,8 @@
         self.fence_if_agreed(now)
     }
 
-    /// Fences the leader if its probe failed and a majority of the controllers, this one included, does not hear it.
+    /// Fences the leader if its probe failed and a majority of the controllers, this one included, receives nothing
+    /// from it.
     fn fence_if_agreed(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
         let is_valid = |observed: &&MonotonicTime| now.since(**observed) <= OBSERVATION_VALID_MS;
         let agreeing = 1 + self.silent_peers.values().filter(is_valid).count();
--- a/crates/standby/src/failover/outcome.rs
+++ b/crates/standby/src/failover/outcome.rs
@@ -9,7 +9,7 @@
 pub enum StandDownReason {
     /// The leader responded again.
     LeaderResponds,
-    /// Another controller hears the leader.
+    /// Another controller receives the leader's messages.
     HeardByOther(NodeId),
     /// Too few controllers responded; the leader's lease decides.
     NoMajority,
@@ -44,7 +44,7 @@
 /// What started a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverCause {
-    /// A majority of the controllers did not hear the leader.
+    /// A majority of the controllers received nothing from the leader.
     Suspicion,
     /// The leader's key had expired with its lease.
     LeaseExpired,
--- a/crates/standby/src/failover/phase.rs
+++ b/crates/standby/src/failover/phase.rs
@@ -7,7 +7,7 @@
 pub enum Phase {
     /// It follows the leader's decisions, or waits for a leader.
     Following,
-    /// It does not hear the leader, probes it and queries the other controllers.
+    /// It receives nothing from the leader, probes it and queries the other controllers.
     Suspecting,
     /// The transaction that takes the next term is under way.
     Fencing,
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`detector`]: suspects the leader by the distribution of its heartbeats (phi accrual).
 //! - [`failover_order`]: ranks the controllers that may replace it.
-//! - [`failover`]: from following to leading, by a majority of controllers that do not hear the leader.
+//! - [`failover`]: from following to leading, by a majority of controllers that receive nothing from the leader.
 //! - [`decisions`]: the leader's decisions as typed records, and the state that they add up to.
 //! - [`decision_log`]: the leader's numbered log of them, bounded, with compressed snapshots.
 //! - [`payload`]: how decisions are encoded and compressed on their way.
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -6,7 +6,7 @@
 
 use crate::failover::Failover;
 
-/// Longest duration that a histogram tells apart, in milliseconds; longer ones count as this.
+/// Longest duration that a histogram distinguishes, in milliseconds; longer ones count as this.
 const MAX_RECORDABLE_MS: u64 = 600_000;
 
 /// A controller's role.
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -2,7 +2,7 @@
 //!
 //! [`decide`] is a pure function of the machines that are held, the work that is pending and what
 //! [`MarketState`] remembers from epoch to epoch. Its steps are bin packing: pending tasks are packed
-//! first into free room, then into machines that are to be rented, each of the type with the lowest price
+//! first into free room, then into machines that are to be scaled out, each of the type with the lowest price
 //! per task. Gangs come first, then headroom for the next gangs, then long-running work, then ready
 //! capacity for short-running work. Machines are scaled in only when nothing is scaled out.
 //!
@@ -24,7 +24,7 @@
 use scale_in::ScaleInPlanner;
 use scale_out::{OfferFilter, ScaleOutPlan};
 
-/// Seconds that work without urgency waits in the queue before ordinary machines are rented.
+/// Seconds that work without urgency waits in the queue before ordinary machines are scaled out.
 const PATIENT_S: f64 = 12.0;
 /// Machines are not consolidated while pending work would keep them busy for longer than that.
 const CONSOLIDATION_QUEUE_S: f64 = PATIENT_S / 3.0;
@@ -32,15 +32,15 @@
 /// machines, which cost little.
 const SURPLUS_MS: u64 = 12_000;
 const SURPLUS_SPOT_MS: u64 = 25_000;
-/// Work that runs shorter than this part of a boot time is short-running: by the time a machine rented for
-/// it is up, it has found room or missed its time.
+/// Work that runs shorter than this share of a boot time is short-running: by the time a machine scaled out
+/// for it is up, it has found room or missed its time.
 const SHORT_RUNNING_BOOT_SHARE: f64 = 0.8;
 /// Boot time in seconds of a machine whose type the catalog does not have.
 const DEFAULT_BOOT_S: f64 = 60.0;
 /// A machine that boots for longer than this multiple of the usual time may never come up.
 const OVERDUE_BOOT_MULTIPLE: f64 = 2.0;
 
-/// A kind of machine that can be rented.
+/// A kind of machine that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineOffer {
     /// Name of its machine type.
@@ -56,11 +56,11 @@
 pub struct MachineUsage {
     /// The machine.
     pub id: MachineId,
-    /// What was rented.
+    /// The offer that it is of.
     pub offer: MachineOffer,
     /// Whether it has not sent a heartbeat yet.
     pub booting: bool,
-    /// Seconds since it was rented, as far as known.
+    /// Seconds since it was scaled out, as far as known.
     pub age_s: f64,
     /// Free resources.
     pub free: Resources,
@@ -104,7 +104,7 @@
         self.short_running && !self.is_gang()
     }
 
-    /// Whether machines are rented for it when it waits.
+    /// Whether machines are scaled out for it when it waits.
     fn is_long_running(&self) -> bool {
         !self.short_running && !self.is_gang()
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Machines of one offer that are to be rented.
+/// Machines of one offer that are to be scaled out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedMachines {
     /// The offer.
@@ -129,10 +129,10 @@
     pub count: u32,
 }
 
-/// What is to be rented and returned.
+/// What is to be scaled out and scaled in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScalingDecision {
-    /// Machines to rent; each offer comes once.
+    /// Machines to scale out; each offer comes once.
     pub scale_out: Vec<RequestedMachines>,
     /// Machines to drain and return.
     pub scale_in: Vec<MachineId>,
@@ -185,9 +185,9 @@
 }
 
 impl Inputs<'_> {
-    /// Machines to rent.
+    /// Machines to scale out.
     fn scale_out(&self) -> Vec<RequestedMachines> {
-        // Counted once: each machine that is to be rented asks for it.
+        // Counted once: each machine that is to be scaled out asks for it.
         let mut machines_per_zone: HashMap<&str, usize> = HashMap::new();
         for machine in self.machines {
             *machines_per_zone.entry(&machine.offer.zone).or_default() += 1;
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: bin packing of pending tasks into free room and into machines that are to be rented.
+//! Scale-out: bin packing of pending tasks into free room and into machines that are to be scaled out.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -33,7 +33,7 @@
     }
 }
 
-/// Free room on a machine that is held or is to be rented.
+/// Free room on a machine that is held or is to be scaled out.
 #[derive(Clone)]
 struct CapacityBin {
     offer: MachineOffer,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The machines as the leader knows them in one term.
 //!
-//! [`Fleet`] owns four things: which controller owns each machine, what the owners report of them
+//! [`Fleet`] owns four things: which controller owns each machine, what their owners' summaries show of them
 //! (`controller_state`), what the leader itself records of each machine (`machine_records`), and the proofs that
 //! a machine, or what ran on it, is gone (`lease_expiry`, `reconciliation`).
 //!
@@ -84,7 +84,7 @@
 /// The machines in one term.
 pub struct Fleet {
     began: MonotonicTime,
-    /// What controllers reported in this term.
+    /// What controllers' summaries showed in this term.
     pub nodes: BTreeMap<NodeId, ControllerState>,
     /// Who owns each machine.
     pub owners: BTreeMap<MachineId, Ownership>,
@@ -114,7 +114,7 @@
 }
 
 impl Fleet {
-    /// Begins a term. What was known of machines stays; what was reported of tasks does not.
+    /// Begins a term. What was known of machines stays; what summaries showed of tasks does not.
     pub fn begin(cluster: &ClusterView<'_>, before: Option<Fleet>) -> Self {
         let mut fleet = Fleet {
             began: cluster.now,
@@ -161,7 +161,7 @@
             && !self.gone.contains(id)
     }
 
-    /// Machines as their owners reported them, without those whose lease has expired since.
+    /// Machines as their owners' summaries show them, without those whose lease has expired since.
     fn owned_machines(&self) -> impl Iterator<Item = OwnedView<'_>> {
         self.nodes.iter().flat_map(move |(owner, controller)| {
             let expired = |machine: &OwnedMachine| {
@@ -176,12 +176,12 @@
         })
     }
 
-    /// Machine views from owners, as last reported.
+    /// Machine views from owners, as of their last summaries.
     pub fn views(&self) -> impl Iterator<Item = &MachineView> {
         self.owned_machines().map(|owned| &owned.machine.view)
     }
 
-    /// Where tasks are. Only a machine whose heartbeat carried this term's fencing token tells that: what is
+    /// Where tasks are. Only a machine whose heartbeat carried this term's fencing token shows that: what is
     /// known of others may have ended and been started elsewhere since.
     pub fn on_machines(&self) -> TasksOnMachines<'_> {
         let mut on_machines = TasksOnMachines::default();
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -1,4 +1,4 @@
-//! What controllers report: their own state, and the machines of their shard.
+//! What the controllers' summaries show: their own state, and the machines of their shard.
 //!
 //! A controller sends summaries, each whole or a difference to the one before, in pieces if it is long. The
 //! pieces are applied together when the last one is there: a task that is missing for a while would be taken
@@ -15,7 +15,7 @@
 /// Milliseconds for which a controller that receives no heartbeats owns no machines.
 const WITHOUT_HEARTBEATS_MS: u64 = 60_000;
 
-/// What a controller reported last.
+/// What a controller's last summary showed.
 pub struct ControllerState {
     /// Incarnation of its process.
     pub incarnation: Incarnation,
@@ -57,7 +57,7 @@
     answered: Vec<(MachineId, MonotonicTime)>,
 }
 
-/// A machine as its owner reported it.
+/// A machine as its owner's summary shows it.
 pub(super) struct OwnedMachine {
     pub view: MachineView,
     pub quarantined_until: MonotonicTime,
@@ -74,7 +74,7 @@
 }
 
 impl OwnedView<'_> {
-    /// Whether the machine may be given tasks, as far as its heartbeats and its owner tell.
+    /// Whether the machine may be given tasks, as far as its heartbeats and its owner show.
     pub fn accepts_tasks(&self, cluster: &ClusterView<'_>) -> bool {
         let OwnedView { machine, controller, .. } = self;
         cluster.now.since(controller.received_at) < NODE_LOST_MS
@@ -90,9 +90,9 @@
 /// What became of a summary.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SummaryOutcome {
-    /// It was applied, or kept until its other pieces are there.
+    /// It was applied, or held back until its other pieces are there.
     Applied {
-        /// Whether it tells anything that an epoch should look at soon.
+        /// Whether it shows anything that an epoch should look at soon.
         changed: bool,
     },
     /// A later one was applied before.
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -37,7 +37,7 @@
 struct AnswerBounds {
     /// Up to that moment, all answers are known or bounded by `last_unknown`.
     known_until: MonotonicTime,
-    /// Nobody reports answers before that moment; each could be one to any machine.
+    /// No summary shows answers before that moment; each could be one to any machine.
     last_unknown: MonotonicTime,
 }
 
@@ -65,7 +65,7 @@
         for id in unreconciled {
             tracing::warn!(machine = %id, "lease has run out at every controller");
             // Its agent epoch is over, so nothing of earlier terms runs there; should it come
-            // back, it reports a newer one.
+            // back, its heartbeats carry a newer one.
             self.unreconciled.remove(&id);
         }
     }
@@ -138,7 +138,7 @@
     receiving_well: Vec<NodeId>,
     /// A lease with the clocks' drift and a margin, in milliseconds.
     lease_ms: u64,
-    /// Whether each machine that is up has had a whole lease to report to this term's controllers.
+    /// Whether each machine that is up has had a whole lease to send a heartbeat to this term's controllers.
     all_had_a_lease: bool,
     /// Whether what an older controller kept alive has had time to come over, too.
     all_came_over: bool,
@@ -197,7 +197,7 @@
     }
 
     fn may_return(&self, id: &MachineId, machine: &FleetMachine) -> bool {
-        // What ran before it was restarted is over, but nobody can tell its heartbeats from
+        // What ran before it was restarted is over, but nobody can distinguish its heartbeats from
         // late copies of earlier ones.
         if self.restarted.contains(id) || machine.failed {
             return true;
@@ -242,7 +242,7 @@
             || ((self.all_had_a_lease || is_long_silent) && silent_ms > limit_ms)
     }
 
-    /// Whether a machine of which no owner reports may be returned.
+    /// Whether a machine that no owner's summary shows may be returned.
     fn may_return_unreported(&self, id: &MachineId, machine: &FleetMachine) -> bool {
         let silent_ms = self.silent_ms(id);
         if machine.up {
--- a/src/fleet/machine_records.rs
+++ b/src/fleet/machine_records.rs
@@ -22,9 +22,9 @@
 /// What is known of a machine besides its heartbeats.
 #[derive(Clone, Debug)]
 pub struct FleetMachine {
-    /// What was rented.
+    /// The offer that it is of.
     pub offer: MachineOffer,
-    /// When it was rented, as far as known.
+    /// When it was scaled out, as far as known.
     pub rented_at: MonotonicTime,
     /// Whether it has sent a heartbeat.
     pub up: bool,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Applies what the cloud's list says of a machine. The list is old: it only adds machines and tells
-    /// of failed ones.
+    /// Applies what the cloud's list says of a machine. The list is old: it only adds machines and shows
+    /// failed ones.
     fn apply_listed(&mut self, cluster: &ClusterView<'_>, listed: &wire::ListedMachine) {
         if self.is_gone(cluster, &listed.id) {
             return;
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -14,7 +14,7 @@
     machines: usize,
 }
 
-/// Why no machine can run a task that an earlier term started and that none reports: every machine that was up
+/// Why no machine can run a task that an earlier term started and that none shows: every machine that was up
 /// showed the term's fencing token to its owner, or is gone. See `docs/safety.md`.
 pub struct ReconciliationEvidence {
     owners: BTreeMap<NodeId, OwnerEvidence>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A task that two reconciled machines report.
+/// A task that two reconciled machines show.
 pub struct DuplicatedTask {
     /// The task.
     pub task: TaskId,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Tasks that more than one reconciled machine reports; `on_machines` is where tasks are.
+    /// Tasks that more than one reconciled machine shows; `on_machines` is where tasks are.
     pub fn duplicated(&self, on_machines: &TasksOnMachines<'_>) -> Vec<DuplicatedTask> {
         let reconciled = || self.views().filter(|view| view.reconciled);
         if reconciled().map(|view| view.tasks.len()).sum::<usize>() == on_machines.len() {
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -185,7 +185,7 @@
     Summary(Summary),
     /// Whether the asked node reaches the store.
     Reach,
-    /// Who leads, asked by a node that the store does not tell.
+    /// Who leads, asked by a node that the store does not serve.
     #[serde(rename = "Lead")]
     Leader,
     /// A submission handed over.
@@ -197,7 +197,8 @@
     /// A job has been cancelled, durably: its progress record and its revision. Only for controllers whose
     /// member record says that they read it. The answer is that of `Reach`.
     Ended(JobId, Progress, Revision),
-    /// Asks when the leader of that term was last heard from. Only for controllers whose member record says that they read it.
+    /// Asks when the last message of the leader of that term was received. Only for controllers whose member record
+    /// says that they read it.
     LeaderSilence(Term),
 }
 
@@ -212,12 +213,13 @@
     SendWhole,
     /// Whether the asked node reaches the store.
     Reach(bool),
-    /// Who leads, if the store told it just now.
+    /// Who leads, if the asked node knows it from the store just now.
     #[serde(rename = "Lead")]
     Leader(Option<LeaderRecord>),
     /// The answer to a handed-over request: status and CBOR body.
     Answer(u16, Vec<u8>),
-    /// Milliseconds since the leader that was asked about was last heard from; `None` if the asked node does not follow it.
+    /// Milliseconds since the last message of the leader that was asked about; `None` if the asked node does not follow
+    /// it.
     LeaderSilence(Option<u64>),
 }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -305,7 +305,7 @@
     })
 }
 
-/// Whether all tasks of the job could ever run at once, as far as zones tell: a gang and a service
+/// Whether all tasks of the job could ever run at once, as far as zones show: a gang and a service
 /// need that. At most half of the tasks, rounded up, may be in one zone under `Scatter`, so two tasks
 /// need two zones, and they can't all be in one as `OneZone` wants.
 pub fn zones_allow_all(spec: &JobSpec, catalog: &MachineCatalog) -> bool {
--- a/src/service.rs
+++ b/src/service.rs
@@ -64,7 +64,7 @@
 /// Bytes of a message's chunk for each kilobyte that a value in the store may have; the rest is for the value's own
 /// encoding.
 const CHUNK_BYTES_PER_VALUE_KB: f64 = 900.0;
-/// Sockets kept for the store, the cloud, the other controllers and the process itself.
+/// Sockets reserved for the store, the cloud, the other controllers and the process itself.
 const RESERVED_SOCKETS: usize = 80;
 /// Fewest connections that the public address takes, however few sockets there are.
 const MIN_PUBLIC_CONNECTIONS: usize = 32;
@@ -237,13 +237,13 @@
         spawn_local(self.clone().serve_confirmations());
         // Logs counts and times of what is done.
         spawn_local(self.clone().log_measurements());
-        // While the store does not serve this controller, learns of new terms from peers.
+        // While the store does not serve this controller, receives new terms from peers.
         spawn_local(self.clone().learn_term_from_peers());
         // Sends machines what cannot wait for their next heartbeat.
         spawn_local(self.clone().send_direct_commands());
         if self.controller.borrow().standby.is_some() {
             info!("the warm standby is enabled");
-            // Watches the leader, and replaces it when a majority does not hear it.
+            // Watches the leader, and replaces it when a majority receives nothing from it.
             spawn_local(self.watch_leader());
         }
     }
--- a/src/service/direct_commands.rs
+++ b/src/service/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands: machines learn of a new term, and of tasks to stop, without waiting for their next heartbeat.
+//! Direct commands: machines receive a new term, and the tasks to stop, without waiting for their next heartbeat.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -21,7 +21,7 @@
 
 /// Time between two ticks of the failure detector: short beside the least silence that it suspects.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// How long another controller has to respond when it last heard the leader; it is queried again after that.
+/// How long another controller has to respond when it last received from the leader; it is queried again after that.
 const PEER_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long the leader has to respond to the probe: longer than to a summary, as it may only be slow.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes the term after that one, whose leader a majority no longer hears, by the guarded transaction of an
+    /// Takes the term after that one, from whose leader a majority receives nothing, by the guarded transaction of an
     /// election.
     async fn fence_leader(&self, term: Term) {
         if self.controller.borrow().replica.term != term {
--- a/src/service/submissions.rs
+++ b/src/service/submissions.rs
@@ -37,7 +37,7 @@
 }
 
 impl Submission {
-    /// Reports the outcome; a user who no longer waits misses nothing.
+    /// Answers with the outcome; a user who no longer waits misses nothing.
     fn finish(self, outcome: SubmissionOutcome) {
         let _ = self.outcome.send(outcome);
     }
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -173,7 +173,7 @@
         command
     }
 
-    /// Milliseconds since the leader of that term was last heard; `None` if it is not followed.
+    /// Milliseconds since the last message of the leader of that term; `None` if it is not followed.
     pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
         self.followed.filter(|leader| leader.term == term)?;
         self.detector.silence_ms(now)
