--- a/src/shard.rs
+++ b/src/shard.rs
@@ -82,8 +82,8 @@
     job_faults: HashMap<JobId, JobFaults>,
     /// Tasks that completed and whose outcome is not known to be durable yet.
     pub completed_tasks: BTreeMap<JobId, CompletedTasks>,
-    /// Number of the last summary, counted through all terms.
-    summary_number: u64,
+    /// Sequence number of the last summary, counted through all terms.
+    last_summary_seq: u64,
     sent_summaries: VecDeque<SentSummary>,
     /// When any worker last sent a heartbeat to this node.
     last_heartbeat: MonotonicTime,
@@ -110,7 +110,7 @@
             sent_away_at: HashMap::new(),
             job_faults: HashMap::new(),
             completed_tasks: BTreeMap::new(),
-            summary_number: 0,
+            last_summary_seq: 0,
             sent_summaries: VecDeque::new(),
             last_heartbeat: MonotonicTime(0),
             refused_starts: 0,
--- a/src/shard/active_plan.rs
+++ b/src/shard/active_plan.rs
@@ -13,8 +13,8 @@
     /// Its number; 0 before the first one of the term.
     pub(super) seq: PlanSeq,
     grants: Vec<Grant>,
-    /// Grants before there is room.
-    ahead: Vec<Grant>,
+    /// Grants that take effect once other tasks release their resources.
+    grants_awaiting_release: Vec<Grant>,
     slow: Vec<MachineId>,
     /// Sorted.
     reserved: Vec<MachineId>,
@@ -31,7 +31,7 @@
             term,
             seq: PlanSeq(0),
             grants: Vec::new(),
-            ahead: Vec::new(),
+            grants_awaiting_release: Vec::new(),
             slow: Vec::new(),
             reserved: Vec::new(),
             stops: Vec::new(),
@@ -48,7 +48,7 @@
             drained: body.drain.into_iter().collect(),
             gang_attempts: body.grants.iter().filter_map(|g| g.attempt).collect(),
             grants: body.grants,
-            ahead: body.grants_awaiting_release,
+            grants_awaiting_release: body.grants_awaiting_release,
             slow: body.slow,
             reserved: body.reserved,
             stops: body.stops,
@@ -61,8 +61,8 @@
     }
 
     /// What may start as soon as other tasks leave room for it.
-    pub(super) fn ahead(&self) -> &[Grant] {
-        &self.ahead
+    pub(super) fn grants_awaiting_release(&self) -> &[Grant] {
+        &self.grants_awaiting_release
     }
 
     /// Whether a machine is used last, as tasks run slow on it.
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -45,7 +45,7 @@
     /// The machines with the room that is left on them.
     targets: Vec<PlacementTarget>,
     start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
-    unassigned_ahead: Vec<GrantedStart>,
+    starts_awaiting_release: Vec<GrantedStart>,
     has_unplaced: bool,
 }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Assigns what is granted ahead to machines that no more urgent job may use.
-    fn place_ahead(
+    /// Assigns what is granted ahead of a release to machines that no more urgent job may use.
+    fn place_awaiting_release(
         &mut self,
         replica: &Replica,
         plan: &ActivePlan,
@@ -95,11 +95,11 @@
             let request =
                 PlacementRequest { spec: &job.spec, need: &need, zone: None, count: tasks.len() };
             let chosen = placement::spread(&request, &mut usable);
-            let mut starts = tasks.iter().map(|task| GrantedStart::ahead(plan, *task));
+            let mut starts = tasks.iter().map(|task| GrantedStart::awaiting_release(plan, *task));
             for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
                 self.start_queues.entry(usable[target].id.clone()).or_default().push(start);
             }
-            self.unassigned_ahead.extend(starts);
+            self.starts_awaiting_release.extend(starts);
             self.targets.append(&mut usable);
         }
     }
@@ -135,7 +135,7 @@
         let elapsed_ms = now.since(term_state.assigned_at);
         let has_waiting = term_state.has_unplaced
             || !term_state.start_queues.is_empty()
-            || !term_state.unassigned_ahead.is_empty();
+            || !term_state.starts_awaiting_release.is_empty();
         term_state.assignment_stale
             || (has_more_room && term_state.has_unplaced && elapsed_ms >= ASSIGN_LEAST_MS)
             || (has_waiting && elapsed_ms >= ASSIGN_MS)
@@ -146,20 +146,26 @@
     pub(super) fn assign_granted(&mut self, context: &ShardContext<'_>, reporting: &MachineId) {
         let replica = context.replica;
         let granted = self.pending_starts(context, self.term_state.plan.grants());
-        let ahead = self.pending_starts(context, self.term_state.plan.ahead());
+        let awaiting_release =
+            self.pending_starts(context, self.term_state.plan.grants_awaiting_release());
         let mut assignment = Assignment {
             targets: Vec::new(),
             start_queues: BTreeMap::new(),
-            unassigned_ahead: Vec::new(),
+            starts_awaiting_release: Vec::new(),
             has_unplaced: granted.has_paused_jobs,
         };
-        if !granted.grants.is_empty() || !ahead.grants.is_empty() {
+        if !granted.grants.is_empty() || !awaiting_release.grants.is_empty() {
             let plan = &self.term_state.plan;
             assignment.targets = self.open_targets(context, reporting);
             assignment.place_granted(replica, plan, granted.grants);
-            if !ahead.grants.is_empty() {
+            if !awaiting_release.grants.is_empty() {
                 let highest_priority = highest_priority_by_kind(replica, &assignment.targets);
-                assignment.place_ahead(replica, plan, &highest_priority, ahead.grants);
+                assignment.place_awaiting_release(
+                    replica,
+                    plan,
+                    &highest_priority,
+                    awaiting_release.grants,
+                );
                 self.term_state.highest_priority = highest_priority;
             }
         }
@@ -167,7 +173,7 @@
         term_state.assignment_stale = false;
         term_state.assigned_at = context.now;
         term_state.has_unplaced = assignment.has_unplaced;
-        term_state.unassigned_ahead = assignment.unassigned_ahead;
+        term_state.starts_awaiting_release = assignment.starts_awaiting_release;
         term_state.start_queues = assignment.start_queues;
     }
 
--- a/src/shard/granted_start.rs
+++ b/src/shard/granted_start.rs
@@ -29,8 +29,8 @@
 pub(super) enum GrantKind {
     /// A machine had room for it.
     WithRoom,
-    /// It waits for a place that another task is about to leave.
-    Ahead,
+    /// It awaits the release of resources by another task.
+    AwaitingRelease,
     /// All tasks of a gang share its attempt.
     Gang,
 }
@@ -54,9 +54,9 @@
         GrantedStart { task, attempt, term: plan.term, plan: plan.seq, kind }
     }
 
-    /// The start of a task that is granted before there is room for it.
-    pub(super) fn ahead(plan: &ActivePlan, task: TaskId) -> Self {
-        let kind = GrantKind::Ahead;
+    /// The start of a task that is granted ahead of the release of the resources it needs.
+    pub(super) fn awaiting_release(plan: &ActivePlan, task: TaskId) -> Self {
+        let kind = GrantKind::AwaitingRelease;
         GrantedStart { task, attempt: None, term: plan.term, plan: plan.seq, kind }
     }
 }
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -128,7 +128,7 @@
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> bool {
-        let next_summary = self.summary_number + 1;
+        let next_summary = self.last_summary_seq + 1;
         let machine = self
             .machines
             .entry(heartbeat.machine.clone())
--- a/src/shard/job_faults.rs
+++ b/src/shard/job_faults.rs
@@ -98,7 +98,7 @@
             _ if is_refused_start(status) => {
                 if let Some(machine) = self.machines.get_mut(id) {
                     machine.quarantine_until(now.plus(REFUSED_START_QUARANTINE_MS));
-                    machine.changed_in_summary = self.summary_number + 1;
+                    machine.changed_in_summary = self.last_summary_seq + 1;
                 }
             }
             _ => {}
@@ -112,7 +112,7 @@
         let faulty_job = job_faults.is_faulty_job();
         if let Some(machine) = self.machines.get_mut(id) {
             machine.faults += 1;
-            machine.changed_in_summary = self.summary_number + 1;
+            machine.changed_in_summary = self.last_summary_seq + 1;
             if !faulty_job {
                 let doublings = machine.faults.min(QUARANTINE_DOUBLINGS);
                 machine.quarantined_until = now.plus(QUARANTINE_MS << doublings);
--- a/src/shard/plan_following.rs
+++ b/src/shard/plan_following.rs
@@ -47,9 +47,9 @@
         true
     }
 
-    /// Notes that the leader has applied the summary of that number, if it was sent lately.
-    fn acknowledge_summary(&mut self, number: u64) {
-        if let Some(sent) = self.sent_summaries.iter().find(|sent| sent.number == number) {
+    /// Records that the leader has applied the summary of that sequence number, if it was sent lately.
+    fn acknowledge_summary(&mut self, seq: u64) {
+        if let Some(sent) = self.sent_summaries.iter().find(|sent| sent.seq == seq) {
             let acknowledged = &mut self.term_state.acknowledged_summary;
             *acknowledged = (*acknowledged).max(Some(*sent));
         }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -64,7 +64,7 @@
         byte_budget: usize,
     ) -> Summary {
         self.forget_outdated_contacts(now, timing);
-        self.number_summary(now);
+        self.record_sent_summary(now);
         let base = self.term_state.acknowledged_summary.unwrap_or_default();
         let answered = self.response_ages(now, base);
         let foreign_machines =
@@ -76,8 +76,8 @@
         Summary {
             node: self.me,
             incarnation: self.incarnation,
-            seq: self.summary_number,
-            base_seq: base.number,
+            seq: self.last_summary_seq,
+            base_seq: base.seq,
             term: self.term_state.term,
             has_more: machines.has_more,
             applied_plan: self.term_state.plan.seq,
@@ -112,10 +112,10 @@
         self.responded_at.retain(|_, at| now.since(*at) < timing.answer_memory_ms);
     }
 
-    /// Gives the summary that is being made its number, and remembers it until it is acknowledged.
-    fn number_summary(&mut self, now: MonotonicTime) {
-        self.summary_number += 1;
-        self.sent_summaries.push_back(SentSummary { number: self.summary_number, at: now });
+    /// Gives the summary that is being made its sequence number, and remembers it until it is acknowledged.
+    fn record_sent_summary(&mut self, now: MonotonicTime) {
+        self.last_summary_seq += 1;
+        self.sent_summaries.push_back(SentSummary { seq: self.last_summary_seq, at: now });
         if self.sent_summaries.len() > SENT_SUMMARIES_MAX {
             self.sent_summaries.pop_front();
         }
@@ -125,7 +125,7 @@
     fn response_ages(&self, now: MonotonicTime, base: SentSummary) -> Vec<(MachineId, u64)> {
         self.responded_at
             .iter()
-            .filter(|(_, at)| base.number == 0 || **at >= base.at)
+            .filter(|(_, at)| base.seq == 0 || **at >= base.at)
             .map(|(id, at)| (id.clone(), now.since(*at)))
             .collect()
     }
@@ -156,13 +156,13 @@
         mut used_bytes: usize,
         byte_budget: usize,
     ) -> MachineViews {
-        let is_changed = |m: &Machine| base.number == 0 || m.changed_in_summary > base.number;
+        let is_changed = |m: &Machine| base.seq == 0 || m.changed_in_summary > base.seq;
         let mut views = Vec::new();
         let mut has_more = false;
         for (id, machine) in self.machines.iter_mut().filter(|(_, machine)| is_changed(machine)) {
             used_bytes += view_bytes(machine);
             if used_bytes > byte_budget && !views.is_empty() {
-                machine.changed_in_summary = self.summary_number + 1;
+                machine.changed_in_summary = self.last_summary_seq + 1;
                 has_more = true;
             } else {
                 views.push(view(id, machine, self.term_state.term, now));
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -28,7 +28,7 @@
             self.assign_granted(context, id);
         }
         let queue = self.term_state.start_queues.remove(id).unwrap_or_default();
-        if queue.is_empty() && self.term_state.unassigned_ahead.is_empty() {
+        if queue.is_empty() && self.term_state.starts_awaiting_release.is_empty() {
             return;
         }
         let Some(mut target) = self.start_target(context, id) else { return };
@@ -37,7 +37,7 @@
                 self.term_state.has_unplaced = true;
             }
         }
-        self.start_unassigned_ahead(context, &mut target, commands);
+        self.start_awaiting_release(context, &mut target, commands);
     }
 
     /// The room on a machine of this shard.
@@ -49,19 +49,19 @@
         Some(target)
     }
 
-    /// Starts what is granted ahead on a machine that has room and the images for it. What would have
+    /// Starts what is granted ahead of a release on a machine that has room and the images for it. What would have
     /// to fetch its image first is left to the next assignment over all machines.
-    fn start_unassigned_ahead(
+    fn start_awaiting_release(
         &mut self,
         context: &ShardContext<'_>,
         target: &mut PlacementTarget,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        let has_none = self.term_state.unassigned_ahead.is_empty();
+        let has_none = self.term_state.starts_awaiting_release.is_empty();
         if !target.open || target.free.cores == Cores(0) || has_none {
             return;
         }
-        let mut waiting = std::mem::take(&mut self.term_state.unassigned_ahead);
+        let mut waiting = std::mem::take(&mut self.term_state.starts_awaiting_release);
         waiting.retain(|start| {
             let job = context.replica.jobs.get(&start.task.job);
             let Some(job) = job.filter(|job| self.may_try(context.now, job.spec.id)) else {
@@ -75,7 +75,7 @@
             }
             !self.start(context, target, start, commands)
         });
-        self.term_state.unassigned_ahead = waiting;
+        self.term_state.starts_awaiting_release = waiting;
     }
 
     /// Starts a granted task on a machine, unless it has no room for it or the task is anywhere. True if the
@@ -126,7 +126,7 @@
         let attempt = granted.attempt.unwrap_or_else(|| self.term_state.attempts.allocate());
         machine.remember_image(spec);
         machine.tasks.insert(task, HeldTask { attempt, state: TaskState::Unknown });
-        machine.changed_in_summary = self.summary_number + 1;
+        machine.changed_in_summary = self.last_summary_seq + 1;
         self.summary_due = true;
         tracing::debug!(
             %task, machine = %target.id, %attempt, term = %granted.term, plan = granted.plan.0,
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -15,11 +15,11 @@
 use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::wire::Priority;
 
-/// A summary that was sent. The derived order is that of the numbers.
+/// A summary that was sent. The derived order is that of their sequence numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SentSummary {
     /// 0 stands for none.
-    pub(super) number: u64,
+    pub(super) seq: u64,
     /// When it was made.
     pub(super) at: MonotonicTime,
 }
@@ -42,8 +42,9 @@
     pub(super) shown_gang_attempts: HashSet<(TaskId, Attempt)>,
     /// What is to start on a machine in the response to its next heartbeat.
     pub(super) start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
-    /// What is granted ahead and was assigned no machine: any may get it as soon as it has room, the first ones first.
-    pub(super) unassigned_ahead: Vec<GrantedStart>,
+    /// What is granted ahead of a release and was assigned no machine: any may get it as soon as it has room, the first
+    /// ones first.
+    pub(super) starts_awaiting_release: Vec<GrantedStart>,
     /// The most urgent open work that may use machines of a kind; `None` if there is none.
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
     /// Whether granted tasks have to be assigned anew, whenever that was last done.
@@ -77,7 +78,7 @@
             owners: BTreeMap::new(),
             shown_gang_attempts: HashSet::new(),
             start_queues: BTreeMap::new(),
-            unassigned_ahead: Vec::new(),
+            starts_awaiting_release: Vec::new(),
             highest_priority: BTreeMap::new(),
             assignment_stale: false,
             assigned_at: MonotonicTime(0),
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -198,7 +198,7 @@
         summarized.extend(piece.machines.into_iter().map(|m| m.id));
         pieces += 1;
         controller.shard.term_state.acknowledged_summary =
-            Some(SentSummary { number: piece.seq, at: MonotonicTime(1_000) });
+            Some(SentSummary { seq: piece.seq, at: MonotonicTime(1_000) });
         if !piece.has_more {
             break;
         }
@@ -616,14 +616,14 @@
         attempt: None,
         term: TERM,
         plan: PlanSeq(2),
-        kind: GrantKind::Ahead,
+        kind: GrantKind::AwaitingRelease,
     };
     term_state.start_queues.insert(machine(), vec![start]);
-    term_state.unassigned_ahead.push(start);
+    term_state.starts_awaiting_release.push(start);
     term_state.highest_priority.insert(machine_kind(), None);
     (term_state.assignment_stale, term_state.assigned_at, term_state.has_unplaced) =
         (true, MonotonicTime(5), true);
-    term_state.acknowledged_summary = Some(SentSummary { number: 1, at: MonotonicTime(5) });
+    term_state.acknowledged_summary = Some(SentSummary { seq: 1, at: MonotonicTime(5) });
     term_state.announcements.insert(machine(), TermAnnouncement { times: 1, at: MonotonicTime(5) });
     term_state.announcements_pending = true;
     let unconfirmed = UnconfirmedToken::Probing {
@@ -660,8 +660,8 @@
     shard.job_faults.insert(JobId(1), JobFaults::default());
     let completed_tasks = CompletedTasks { tasks: TaskRanges::span(0, 1), since: MonotonicTime(5) };
     shard.completed_tasks.insert(JobId(1), completed_tasks);
-    shard.summary_number = 3;
-    shard.sent_summaries.push_back(SentSummary { number: 3, at: MonotonicTime(5) });
+    shard.last_summary_seq = 3;
+    shard.sent_summaries.push_back(SentSummary { seq: 3, at: MonotonicTime(5) });
     shard.last_heartbeat = MonotonicTime(5);
     shard.refused_starts = 1;
     shard.summary_due = true;
@@ -682,7 +682,7 @@
             owners,
             shown_gang_attempts,
             start_queues,
-            unassigned_ahead,
+            starts_awaiting_release,
             highest_priority,
             assignment_stale,
             assigned_at,
@@ -700,12 +700,12 @@
         let listed_machine = MachineId::new("n-1");
         let stopped = TaskId { job: JobId(9), index: 0 };
         assert!(plan.stop_of(stopped, Attempt(1)).is_some());
-        assert!(!plan.grants().is_empty() && !plan.ahead().is_empty());
+        assert!(!plan.grants().is_empty() && !plan.grants_awaiting_release().is_empty());
         assert!(plan.is_reserved(&listed_machine) && plan.is_slow(&listed_machine));
         assert!(plan.is_drained(&listed_machine) && plan.grants_gang(Attempt(7)));
         assert!(!owners.is_empty() && !shown_gang_attempts.is_empty() && !start_queues.is_empty());
         assert!(
-            !unassigned_ahead.is_empty()
+            !starts_awaiting_release.is_empty()
                 && !highest_priority.is_empty()
                 && *assignment_stale
                 && *has_unplaced
@@ -735,7 +735,7 @@
             sent_away_at,
             job_faults,
             completed_tasks,
-            summary_number,
+            last_summary_seq,
             sent_summaries,
             last_heartbeat,
             refused_starts,
@@ -767,7 +767,7 @@
         // True whoever leads.
         assert_eq!((completed_tasks.len(), job_faults.len()), (1, 1), "{way:?}");
         // Summaries are numbered for the whole incarnation of the process.
-        assert_eq!((summary_number, sent_summaries.len(), refused_starts), (3, 1, 1), "{way:?}");
+        assert_eq!((last_summary_seq, sent_summaries.len(), refused_starts), (3, 1, 1), "{way:?}");
         assert!(summary_due, "{way:?}");
     }
 }
@@ -781,9 +781,9 @@
             (now.plan, now.owners, now.assignment_stale) = (old.plan, old.owners, true);
         }),
         ("queue", |now, old| now.start_queues = old.start_queues),
-        ("unassigned_ahead", |now, old| {
-            (now.unassigned_ahead, now.highest_priority) =
-                (old.unassigned_ahead, old.highest_priority)
+        ("starts_awaiting_release", |now, old| {
+            (now.starts_awaiting_release, now.highest_priority) =
+                (old.starts_awaiting_release, old.highest_priority)
         }),
     ];
     for (what, outlives) in cases {
@@ -797,7 +797,7 @@
         };
         controller.shard.term_state.highest_priority.insert(machine_kind(), Some(Priority::Normal));
         controller.shard.term_state.start_queues.insert(MachineId::new("n-1"), vec![start]);
-        controller.shard.term_state.unassigned_ahead.push(start);
+        controller.shard.term_state.starts_awaiting_release.push(start);
         let before = heartbeat(1, 1, TERM.0, None);
         let mut machine = Machine::new(&before, MonotonicTime(0));
         if let Some(job) = controller.replica.jobs.get(&TASK.job) {
