--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -10,8 +10,9 @@
 use super::{STATUS_PATH, Service};
 use crate::config::NodeInfo;
 use crate::http::{CallError, Client, Response};
-use crate::model::{MonotonicTime, NodeId};
+use crate::model::{JobId, MonotonicTime, NodeId, Revision};
 use crate::peer::{self, Forwarding, PeerRequest, PeerResponse};
+use crate::replica::Progress;
 
 /// Least time, in milliseconds, between two warnings of messages that this version does not read: while versions are
 /// exchanged, such messages may come many times a second.
@@ -126,11 +127,24 @@
             return Response { close: true, ..Response::empty(400) };
         };
         self.controller.borrow_mut().last_peer_contact = self.now();
-        let response = match request {
+        if let PeerRequest::Summary(summary) = &request
+            && !self.is_other_controller(summary.node)
+        {
+            return Response::empty(400);
+        }
+        let response = self.respond_to_peer(request).await;
+        Response::new(200, peer::encode(&response))
+    }
+
+    /// Whether the site has a controller of that index, and it is not this one.
+    fn is_other_controller(&self, node: NodeId) -> bool {
+        usize::from(node.0) < self.nodes && node != self.me
+    }
+
+    /// Carries out another controller's request; a summary is known to be of a controller of this site.
+    async fn respond_to_peer(self: &Rc<Self>, request: PeerRequest) -> PeerResponse {
+        match request {
             PeerRequest::Summary(summary) => {
-                if usize::from(summary.node.0) >= self.nodes || summary.node == self.me {
-                    return Response::empty(400);
-                }
                 self.responses_through_store.borrow_mut().remove(&summary.node);
                 self.receive_summary(summary)
             }
@@ -151,12 +165,21 @@
                 forwarded_answer(self.abort(job, Forwarding::Forbidden).await)
             }
             PeerRequest::Ended(job, progress, version) => {
-                let replica_changes =
-                    self.controller.borrow_mut().apply_cancellation_notice(job, &progress, version);
-                self.follow_changes(&replica_changes);
-                PeerResponse::Reach(self.controller.borrow().store_ok)
+                self.receive_cancellation(job, &progress, version)
             }
-        };
-        Response::new(200, peer::encode(&response))
+        }
+    }
+
+    /// Applies another controller's notice that a job has been cancelled, durably.
+    fn receive_cancellation(
+        &self,
+        job: JobId,
+        progress: &Progress,
+        version: Revision,
+    ) -> PeerResponse {
+        let replica_changes =
+            self.controller.borrow_mut().apply_cancellation_notice(job, progress, version);
+        self.follow_changes(&replica_changes);
+        PeerResponse::Reach(self.controller.borrow().store_ok)
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -1,11 +1,12 @@
 //! The shard's summary for the leader: in full, or what changed since the last one that the leader applied.
 
 use super::Shard;
+use super::completions::CompletedTasks;
 use super::foreign_heartbeat::SENT_AWAY_MS;
 use super::machine::Machine;
 use super::term_state::SentSummary;
 use crate::config::HeartbeatTiming;
-use crate::model::{MachineId, MonotonicTime, Term};
+use crate::model::{JobId, MachineId, MonotonicTime, TaskRanges, Term};
 use crate::peer::{ForeignMachine, MachineView, Summary, TaskView};
 
 /// About how many bytes a summary takes, and each machine, task, image, response and foreign machine in it.
@@ -30,6 +31,13 @@
     has_more: bool,
 }
 
+/// What of a summary counts against its byte budget.
+struct BudgetedContents {
+    machines: MachineViews,
+    answered: Vec<(MachineId, u64)>,
+    foreign_machines: Vec<ForeignMachine>,
+}
+
 fn view(id: &MachineId, machine: &Machine, term: Term, now: MonotonicTime) -> MachineView {
     MachineView {
         id: id.clone(),
@@ -66,33 +74,23 @@
         self.forget_outdated_contacts(now, timing);
         self.record_sent_summary(now);
         let base = self.term_state.acknowledged_summary.unwrap_or_default();
-        let answered = self.response_ages(now, base);
-        let foreign_machines =
-            self.foreign_machine_views(now, byte_budget / 2 / FOREIGN_MACHINE_BYTES);
-        let used_bytes = SUMMARY_BYTES
-            + answered.len() * RESPONSE_BYTES
-            + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
-        let machines = self.machine_views(now, base, used_bytes, byte_budget);
+        let contents = self.budgeted_contents(now, base, byte_budget);
         Summary {
             node: self.me,
             incarnation: self.incarnation,
             seq: self.last_summary_seq,
             base_seq: base.seq,
             term: self.term_state.term,
-            has_more: machines.has_more,
+            has_more: contents.machines.has_more,
             applied_plan: self.term_state.plan.seq,
             echoed_clock_ms: self.term_state.leader_clock_ms,
             uptime_ms: now.0,
             since_store_response_ms: 0,
             since_heartbeat_ms: now.since(self.last_heartbeat),
-            machines: machines.views,
-            answered,
-            foreign_machines,
-            completed_tasks: self
-                .completed_tasks
-                .iter()
-                .map(|(job, completed)| (job.0, completed.tasks.clone()))
-                .collect(),
+            machines: contents.machines.views,
+            answered: contents.answered,
+            foreign_machines: contents.foreign_machines,
+            completed_tasks: self.completed_ranges(),
             restarted: self.restarted.iter().cloned().collect(),
             notices: self.reclaim_notices(now),
             follow: None,
@@ -121,6 +119,24 @@
         }
     }
 
+    /// The responses since the base, the foreign machines in up to half of the budget, and the changed machines that
+    /// fit into the rest.
+    fn budgeted_contents(
+        &mut self,
+        now: MonotonicTime,
+        base: SentSummary,
+        byte_budget: usize,
+    ) -> BudgetedContents {
+        let answered = self.response_ages(now, base);
+        let foreign_machines =
+            self.foreign_machine_views(now, byte_budget / 2 / FOREIGN_MACHINE_BYTES);
+        let used_bytes = SUMMARY_BYTES
+            + answered.len() * RESPONSE_BYTES
+            + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
+        let machines = self.machine_views(now, base, used_bytes, byte_budget);
+        BudgetedContents { machines, answered, foreign_machines }
+    }
+
     /// Milliseconds since machines got their last response, for those that got one since the base.
     fn response_ages(&self, now: MonotonicTime, base: SentSummary) -> Vec<(MachineId, u64)> {
         self.responded_at
@@ -171,6 +187,12 @@
         MachineViews { views, has_more }
     }
 
+    /// The tasks that completed and whose outcome is not known to be durable yet, by job.
+    fn completed_ranges(&self) -> Vec<(u64, TaskRanges)> {
+        let ranges = |(job, completed): (&JobId, &CompletedTasks)| (job.0, completed.tasks.clone());
+        self.completed_tasks.iter().map(ranges).collect()
+    }
+
     /// Milliseconds until the cloud takes machines of which it gave notice.
     fn reclaim_notices(&self, now: MonotonicTime) -> Vec<(MachineId, u64)> {
         let notice = |(id, machine): (&MachineId, &Machine)| {
