--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -130,7 +130,7 @@
         self.counters
     }
 
-    /// Decisions that the leader had made and this copy lacked when its last message came.
+    /// Decisions that the leader had made and this copy lacked when the leader's last message came.
     pub fn lag_records(&self) -> u64 {
         if self.newest.term != self.applied.term {
             return self.newest.index;
