--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -27,6 +27,7 @@
 pub use controller_state::{ControllerState, SummaryOutcome};
 use controller_state::{OwnedMachine, OwnedView};
 pub use machine_records::FleetMachine;
+pub use ownership::NewTermReason;
 
 /// Milliseconds without a summary after which a controller is taken as lost.
 pub const NODE_LOST_MS: u64 = 3_000;
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -1,6 +1,7 @@
 //! Which controller owns a machine, and when a new term is needed to change that.
 
 use std::collections::HashMap;
+use std::fmt;
 
 use super::machine_records::REMOVED_KEPT;
 use super::{Fleet, NODE_LOST_MS, Ownership, Reassigned, UNSERVED_MS};
@@ -29,6 +30,40 @@
 /// Milliseconds beyond the time to reach an owner for which a foreign machine's last heartbeat counts.
 const FOREIGN_MARGIN_MS: u64 = 2_000;
 
+/// Why the leader takes a new term.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NewTermReason {
+    /// A controller that owns machines is lost.
+    OwnerLost,
+    /// A controller that owns machines is up, but the store or its workers do not reach it.
+    OwnerNotReached,
+    /// Machines send heartbeats to other controllers than their owner, which they cannot reach.
+    MachinesOutOfReach,
+    /// A controller came back as another incarnation.
+    ControllerRestarted,
+    /// A controller owns no machine while others own those that would be its own.
+    ControllerWithoutShard,
+}
+
+impl NewTermReason {
+    /// The reason as the log names it.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::OwnerLost => "the owner of machines is not heard",
+            Self::OwnerNotReached => "the store or the workers do not reach the owner of machines",
+            Self::MachinesOutOfReach => "machines cannot reach their owner",
+            Self::ControllerRestarted => "a controller restarted",
+            Self::ControllerWithoutShard => "a controller came back and has no shard",
+        }
+    }
+}
+
+impl fmt::Display for NewTermReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
 impl Fleet {
     /// Why a new term is needed, if one is: an owner is lost, or machines cannot reach theirs. `served_for` is
     /// for how many milliseconds the store has served this controller.
@@ -37,13 +72,13 @@
         now: MonotonicTime,
         served_for: u64,
         timing: &HeartbeatTiming,
-    ) -> Option<&'static str> {
+    ) -> Option<NewTermReason> {
         if now.since(self.began) < NODE_LOST_MS {
             return None;
         }
         let live_controllers = self.live_controllers(now);
         if self.owners.values().any(|owned| !live_controllers.contains(&owned.owner)) {
-            return Some("the owner of machines is not heard");
+            return Some(NewTermReason::OwnerLost);
         }
         let eligible_owners = self.eligible_owners(now);
         // After an outage for all, the others' last summaries are still of that time.
@@ -52,10 +87,10 @@
             && !eligible_owners.is_empty()
             && self.owners.values().any(|owned| !eligible_owners.contains(&owned.owner))
         {
-            return Some("the store or the workers do not reach the owner of machines");
+            return Some(NewTermReason::OwnerNotReached);
         }
         self.reassign_out_of_reach(now, &live_controllers, timing)
-            .then_some("machines cannot reach their owner")
+            .then_some(NewTermReason::MachinesOutOfReach)
     }
 
     /// Records which machines cannot reach their owner and which controller receives their heartbeats instead, so
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -21,7 +21,7 @@
 
 use crate::autoscaler::{self, MarketState};
 use crate::cluster_view::ClusterView;
-use crate::fleet::{Fleet, SummaryOutcome};
+use crate::fleet::{Fleet, NewTermReason, SummaryOutcome};
 use crate::model::{
     Cores, JobId, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, TaskRanges, Term,
 };
@@ -80,7 +80,7 @@
     /// When the term began.
     began: MonotonicTime,
     /// Set when a new term is needed, with the reason.
-    pub renew_term: Option<&'static str>,
+    pub renew_term: Option<NewTermReason>,
     /// The machines. Those stay in the next term; what shards summarized of them does not.
     pub fleet: Fleet,
     /// What stays in this leader's next term.
@@ -193,7 +193,7 @@
         let applied_plan = if summary.has_more { PlanSeq(0) } else { summary.applied_plan };
         match self.fleet.on_summary(now, summary) {
             SummaryOutcome::NewIncarnation => {
-                self.renew_term.get_or_insert("a controller restarted");
+                self.renew_term.get_or_insert(NewTermReason::ControllerRestarted);
                 (PeerResponse::NotLeading(self.term), true)
             }
             SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
@@ -290,7 +290,7 @@
             });
             if idle {
                 self.remembered.rebalanced = now;
-                self.renew_term = Some("a controller came back and has no shard");
+                self.renew_term = Some(NewTermReason::ControllerWithoutShard);
             }
         }
     }
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -71,7 +71,8 @@
             controller.leader.as_ref().and_then(|leader| leader.renew_term)
         };
         if let Some(reason) = renewal {
-            info!(%term, reason, "taking a new term");
+            // As a string, which the log quotes.
+            info!(%term, reason = reason.as_str(), "taking a new term");
             if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "new term undecided");
                 sleep(TERM_RETRY).await;
