--- a/src/config.rs
+++ b/src/config.rs
@@ -13,8 +13,8 @@
 use crate::model::NodeId;
 
 pub use settings::{
-    CloudLimits, ExternalServices, Limits, NextLimits, Objective, Params, Peer, Settings,
-    StoreLimits, Team, WorkerSettings,
+    CloudLimits, ExternalServices, Limits, NextLimits, Objective, ObjectiveKind, Params, Peer,
+    Settings, StoreLimits, Team, WorkerSettings,
 };
 pub use timing::HeartbeatTiming;
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -112,8 +112,8 @@
 /// An objective for the start or the completion of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `finished`, `deadline`, `wait` or `guarantee`.
-    pub kind: String,
+    /// What it states.
+    pub kind: ObjectiveKind,
     /// The class of jobs, if it is about one.
     #[serde(default)]
     pub class: Option<String>,
@@ -122,6 +122,35 @@
     pub within_s: Option<f64>,
 }
 
+/// What an objective states. A string in the file; any is accepted, as platforms may know kinds that this version
+/// does not.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(from = "String")]
+pub enum ObjectiveKind {
+    /// Jobs of a class are done within a time after their acceptance, `finished`.
+    Finished,
+    /// Jobs are done by their own deadlines, `deadline`.
+    Deadline,
+    /// Tasks of a class start within a time, `wait`.
+    Wait,
+    /// Work within a team's guarantee starts within a time, `guarantee`.
+    Guarantee,
+    /// Any other kind, which is passed over.
+    Other,
+}
+
+impl From<String> for ObjectiveKind {
+    fn from(text: String) -> Self {
+        match text.as_str() {
+            "finished" => Self::Finished,
+            "deadline" => Self::Deadline,
+            "wait" => Self::Wait,
+            "guarantee" => Self::Guarantee,
+            _ => Self::Other,
+        }
+    }
+}
+
 /// Workers' heartbeats and leases, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -82,3 +82,28 @@
     // A right to keep alive plus a whole lease has to end before `cancel_s` does.
     assert!(s.keep_alive_ms() + s.worker_lease_ms() < 30_000);
 }
+
+#[test]
+fn objectives_of_unknown_kinds_are_accepted() {
+    let kinds = [
+        ("\"finished\"", Some(ObjectiveKind::Finished)),
+        ("\"deadline\"", Some(ObjectiveKind::Deadline)),
+        ("\"wait\"", Some(ObjectiveKind::Wait)),
+        ("\"guarantee\"", Some(ObjectiveKind::Guarantee)),
+        ("\"throughput\"", Some(ObjectiveKind::Other)),
+        ("\"Finished\"", Some(ObjectiveKind::Other)),
+        ("\"\"", Some(ObjectiveKind::Other)),
+        // Only strings are kinds, as ever.
+        ("7", None),
+        ("{ finished = {} }", None),
+    ];
+    for (kind, want) in kinds {
+        let objective = format!("[[params.objectives]]\nkind = {kind}\nshare = 0.5\n");
+        let text = EXAMPLE.replacen("[params.workers]", &format!("{objective}[params.workers]"), 1);
+        let settings = Settings::parse(&text);
+        let got = settings.as_ref().ok().map(|s| s.params.objectives[0].kind);
+        assert_eq!(got, want, "{kind}: {settings:?}");
+    }
+    let missing = "[[params.objectives]]\nclass = \"long\"\n[params.workers]";
+    assert!(Settings::parse(&EXAMPLE.replacen("[params.workers]", missing, 1)).is_err());
+}
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -10,7 +10,7 @@
 use super::task_grants::{JobTaskCounts, TaskCounts};
 use crate::admission::{Curve, Demand};
 use crate::cluster_view::ClusterView;
-use crate::config::Settings;
+use crate::config::{ObjectiveKind, Settings};
 use crate::model::{Cores, JobId};
 use crate::replica::Job;
 use crate::resources::Resources;
@@ -42,10 +42,9 @@
 /// the settings expect of its class.
 pub(super) fn deadline_s(settings: &Settings, spec: &wire::JobSpec) -> Option<f64> {
     spec.deadline_s.or_else(|| {
-        let of_class =
-            settings.params.objectives.iter().filter(|o| {
-                o.kind == "finished" && o.class.as_deref() == Some(spec.class.as_str())
-            });
+        let of_class = settings.params.objectives.iter().filter(|o| {
+            o.kind == ObjectiveKind::Finished && o.class.as_deref() == Some(spec.class.as_str())
+        });
         of_class.filter_map(|o| o.within_s).min_by(f64::total_cmp)
     })
 }
