--- a/src/replica.rs
+++ b/src/replica.rs
@@ -26,7 +26,7 @@
 mod versioned;
 
 use machine_groups::MachineGroups;
-use versioned::{decode, is_deleted_by, is_newer};
+use versioned::{decode, is_deleted_by, is_newer, replace_if_newer};
 
 pub use jobs::{EndedJob, Job, stored_spec};
 pub use keys::{
@@ -192,6 +192,8 @@
         }
     }
 
+    /// Records a key's new value, or says why it cannot be used. Values as old as the known one, and messages for
+    /// other controllers, are passed over.
     fn try_put(
         &mut self,
         key: StoreKey,
@@ -200,60 +202,89 @@
         changes: &mut ReplicaChanges,
     ) -> Result<(), RecordError> {
         match key {
-            StoreKey::Leader if is_newer(self.leader.as_ref(), version) => {
-                changes.leader = true;
-                // A record that cannot be read replaces what it was written over all the same.
-                self.leader = None;
-                self.leader = Some(Versioned::decode(value, version)?);
-            }
-            StoreKey::Term if self.term_version < version => {
-                let record: TermRecord = decode(value)?;
-                (self.term, self.term_version) = (record.term, version);
-                changes.leader = true;
-            }
-            StoreKey::MachineTypes if is_newer(self.catalog.as_ref(), version) => {
-                self.catalog = None;
-                self.catalog = Some(Versioned::decode(value, version)?);
-            }
-            StoreKey::Load if is_newer(self.load.as_ref(), version) => {
-                self.load = None;
-                self.load = Some(Versioned::decode(value, version)?);
-            }
-            StoreKey::Epoch(n) if is_newer(self.epochs.get(&n), version) => {
-                self.epochs.insert(n, Versioned::decode(value, version)?);
-            }
-            StoreKey::Member(node) if is_newer(self.members.get(&node), version) => {
-                self.put_member(node, Versioned::decode(value, version)?);
+            StoreKey::Leader => self.put_leader(value, version, changes),
+            StoreKey::Term => self.put_term(value, version, changes),
+            StoreKey::MachineTypes => replace_if_newer(&mut self.catalog, value, version),
+            StoreKey::FurtherMachineTypes(n) => {
+                self.further_machine_types.insert(n, decode(value)?);
+                Ok(())
             }
-            StoreKey::Job(id) => self.put_job(id, value, changes)?,
+            StoreKey::Load => replace_if_newer(&mut self.load, value, version),
+            StoreKey::Epoch(n) => self.put_epoch(n, value, version),
+            StoreKey::Member(node) => self.put_member(node, value, version),
+            StoreKey::Job(id) => self.put_job(id, value, changes),
             StoreKey::Progress(id) => {
-                self.put_progress(id, Versioned::decode(value, version)?, changes)?;
+                self.put_progress(id, Versioned::decode(value, version)?, changes)
             }
-            StoreKey::MachineGroup(group) => self.put_group(group, decode(value)?, version),
-            StoreKey::FurtherMachineTypes(n) => {
-                self.further_machine_types.insert(n, decode(value)?);
+            StoreKey::MachineGroup(group) => {
+                self.put_group(group, decode(value)?, version);
+                Ok(())
             }
             StoreKey::PeerMessage { to, from, chunk } if to == self.me => {
-                let text = value.as_text().ok_or(RecordError::NotText)?.to_string();
-                self.peer_messages.entry(from).or_default().insert(chunk, text);
-                changes.peer_messages = true;
+                self.put_peer_message(from, chunk, value, changes)
             }
-            // What is known is as new, or it is a message for another controller.
-            StoreKey::Leader
-            | StoreKey::Term
-            | StoreKey::MachineTypes
-            | StoreKey::Load
-            | StoreKey::Epoch(_)
-            | StoreKey::Member(_)
-            | StoreKey::PeerMessage { .. } => {}
+            StoreKey::PeerMessage { .. } => Ok(()),
+        }
+    }
+
+    fn put_leader(
+        &mut self,
+        value: &Value,
+        version: Revision,
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
+        // Also if the value cannot be read: who led before does so no longer.
+        changes.leader |= is_newer(self.leader.as_ref(), version);
+        replace_if_newer(&mut self.leader, value, version)
+    }
+
+    fn put_term(
+        &mut self,
+        value: &Value,
+        version: Revision,
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
+        if self.term_version < version {
+            let record: TermRecord = decode(value)?;
+            (self.term, self.term_version) = (record.term, version);
+            changes.leader = true;
         }
         Ok(())
     }
 
-    fn put_member(&mut self, node: NodeId, member: Versioned<MemberRecord>) {
-        self.last_capabilities.insert(node, member.value.capabilities);
-        self.members.insert(node, member);
-        *self.membership_changes.entry(node).or_default() += 1;
+    fn put_epoch(&mut self, n: u32, value: &Value, version: Revision) -> Result<(), RecordError> {
+        if is_newer(self.epochs.get(&n), version) {
+            self.epochs.insert(n, Versioned::decode(value, version)?);
+        }
+        Ok(())
+    }
+
+    fn put_peer_message(
+        &mut self,
+        from: NodeId,
+        chunk: u32,
+        value: &Value,
+        changes: &mut ReplicaChanges,
+    ) -> Result<(), RecordError> {
+        let text = value.as_text().ok_or(RecordError::NotText)?.to_string();
+        self.peer_messages.entry(from).or_default().insert(chunk, text);
+        changes.peer_messages = true;
+        Ok(())
+    }
+
+    fn put_member(
+        &mut self,
+        node: NodeId,
+        value: &Value,
+        version: Revision,
+    ) -> Result<(), RecordError> {
+        if is_newer(self.members.get(&node), version) {
+            let member: Versioned<MemberRecord> = Versioned::decode(value, version)?;
+            self.last_capabilities.insert(node, member.value.capabilities);
+            self.members.insert(node, member);
+            *self.membership_changes.entry(node).or_default() += 1;
+        }
+        Ok(())
     }
 
     fn put_job(
--- a/src/replica/versioned.rs
+++ b/src/replica/versioned.rs
@@ -57,3 +57,20 @@
 pub(super) fn is_deleted_by<T>(known: Option<&Versioned<T>>, version: Revision) -> bool {
     known.is_some_and(|known| known.version < version)
 }
+
+/// Replaces what is known of a key by a newer value. One that cannot be read replaces it all the same: what it was
+/// written over holds no longer.
+///
+/// # Errors
+/// [`RecordError::Malformed`] if a newer value has another shape.
+pub(super) fn replace_if_newer<T: DeserializeOwned>(
+    known: &mut Option<Versioned<T>>,
+    value: &Value,
+    version: Revision,
+) -> Result<(), RecordError> {
+    if is_newer(known.as_ref(), version) {
+        *known = None;
+        *known = Some(Versioned::decode(value, version)?);
+    }
+    Ok(())
+}
