--- a/src/replica.rs
+++ b/src/replica.rs
@@ -15,7 +15,7 @@
 
 use crate::model::{JobId, MachineId, NodeId, Revision, Term};
 use crate::offered_load::OfferedLoad;
-use crate::wire::{JobState, KeyValue, MachineTypes, Value, WatchResponse};
+use crate::wire::{KeyValue, MachineTypes, Value, WatchResponse};
 
 mod jobs;
 mod keys;
@@ -287,106 +287,6 @@
         Ok(())
     }
 
-    fn put_job(
-        &mut self,
-        id: JobId,
-        value: &Value,
-        changes: &mut ReplicaChanges,
-    ) -> Result<(), RecordError> {
-        let end = self.ended.get(&id).copied();
-        let is_done = end.is_some_and(|end| end.state == JobState::Done);
-        if is_done || self.residual_usage.contains_key(&id) || self.jobs.contains_key(&id) {
-            return Ok(());
-        }
-        let Accepted { spec, at } = decode(value)?;
-        if let Some(end) = end {
-            self.record_residual_usage(id, ResidualUsage::of(&spec, end.done));
-            return Ok(());
-        }
-        let (progress, progress_version) = match self.progress_without_job.remove(&id) {
-            Some(progress) => (progress.value, progress.version),
-            None => Default::default(),
-        };
-        self.jobs.insert(id, Job { spec, at, progress, progress_version });
-        changes.new_jobs = true;
-        Ok(())
-    }
-
-    fn put_progress(
-        &mut self,
-        id: JobId,
-        progress: Versioned<Progress>,
-        changes: &mut ReplicaChanges,
-    ) -> Result<(), RecordError> {
-        if !progress.value.done.is_sound() {
-            return Err(RecordError::UnsoundRanges);
-        }
-        changes.job_progress = true;
-        if let Some(state) = progress.value.end {
-            self.end_job(id, state, progress.value, changes);
-        } else if let Some(job) = self.jobs.get_mut(&id) {
-            if job.progress_version < progress.version {
-                job.progress = progress.value;
-                job.progress_version = progress.version;
-            }
-        } else if !self.ended.contains_key(&id) {
-            self.progress_without_job.insert(id, progress);
-        }
-        Ok(())
-    }
-
-    /// Records a job's end and what its tasks may still use.
-    fn end_job(
-        &mut self,
-        id: JobId,
-        state: JobState,
-        progress: Progress,
-        changes: &mut ReplicaChanges,
-    ) {
-        let done = progress.done.len();
-        let job = self.jobs.remove(&id);
-        let residual_usage = if state == JobState::Cancelled {
-            job.map(|job| ResidualUsage::of(&job.spec, done))
-        } else {
-            progress.gang
-        };
-        if let Some(residual_usage) = residual_usage {
-            self.record_residual_usage(id, residual_usage);
-        }
-        self.progress_without_job.remove(&id);
-        if self.record_end(id, EndedJob { state, done }) && state == JobState::Cancelled {
-            changes.cancelled_jobs.push(id);
-        }
-    }
-
-    /// Records that a job has ended; false if that was known. The oldest go first: tasks of jobs
-    /// that ended lately may still be on machines, and are killed there because their end is known.
-    fn record_end(&mut self, id: JobId, end: EndedJob) -> bool {
-        if self.ended.insert(id, end).is_some() {
-            return false;
-        }
-        self.ended_order.push_back(id);
-        if self.ended.len() > ENDED_KEPT
-            && let Some(oldest) = self.ended_order.pop_front()
-        {
-            self.ended.remove(&oldest);
-        }
-        true
-    }
-
-    fn record_residual_usage(&mut self, id: JobId, residual_usage: ResidualUsage) {
-        if self.residual_usage.insert(id, residual_usage).is_none() {
-            self.residual_usage_order.push_back(id);
-        }
-        if self.residual_usage_order.len() > RESIDUAL_USAGE_KEPT
-            && let Some(oldest) = self.residual_usage_order.pop_front()
-        {
-            self.residual_usage.remove(&oldest);
-            // Its tasks may still be on machines that are not reconciled: those then count in full.
-            self.residual_usage_truncated = true;
-        }
-    }
-
     /// Records that a key was deleted. Jobs, their progress, the term, the load and machine types never are.
     fn delete(&mut self, key: &str, version: Revision, changes: &mut ReplicaChanges) {
         match StoreKey::parse(key) {
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -6,7 +6,7 @@
 use crate::model::{Incarnation, TaskRanges, WallTime};
 use crate::wire::WatchEvent;
 use crate::wire::tests::spec;
-use crate::wire::{self, JobSpec};
+use crate::wire::{self, JobSpec, JobState};
 
 /// Machines of type `small` in zone `a` that are up.
 pub(crate) fn group(ids: &[&str]) -> MachineGroup {
