--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -11,7 +11,7 @@
 use super::machine_speed::{ClassRunTimes, Speed};
 use super::{ClusterView, Leader};
 use crate::autoscaler::MachineOffer;
-use crate::model::{JobId, MachineId, TaskId, WallTime};
+use crate::model::{JobId, MachineId, NodeId, TaskId, WallTime};
 
 /// A time of day is computed anew from the steady clock each time and then differs by a little. One that moved by
 /// less than this is the same.
@@ -45,6 +45,13 @@
     known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(WallTime(computed))
 }
 
+/// Counts a decision as confirmed or dropped, and says which.
+fn count(counts: &mut VerificationCounts, confirmed: bool) -> bool {
+    let total = if confirmed { &mut counts.confirmed } else { &mut counts.dropped };
+    *total += 1;
+    confirmed
+}
+
 impl Leader {
     /// What the decisions of this leader add up to. `known` is what was recorded before.
     pub fn decision_target(
@@ -52,53 +59,66 @@
         cluster: &ClusterView<'_>,
         known: &DecisionState,
     ) -> DecisionTarget {
-        let machines = &self.fleet.machines;
-        let speed = |s: &Speed| MachineSpeed { ratio: s.ratio, tasks: s.tasks };
         DecisionTarget {
-            admissions: self
-                .jobs
-                .shares
-                .iter()
-                .map(|(job, share)| ((*job).into(), Admission { share: *share }))
-                .collect(),
-            grants: self
-                .task_grants
-                .granted
-                .iter()
-                .map(|(task, g)| ((*task).into(), g.node))
-                .collect(),
+            admissions: self.admissions(),
+            grants: self.granted_controllers(),
             gangs: self.gang_steps(),
-            provisioning: machines
-                .iter()
-                .filter(|(_, m)| !m.up && !m.failed)
-                .map(|(id, m)| (id.clone(), MachineOfferRecord::from(&m.offer)))
-                .collect(),
-            returning: machines
-                .iter()
-                .filter(|(_, m)| m.draining.is_some())
-                .map(|(id, _)| id.clone())
-                .collect(),
-            run_times: self
-                .remembered
-                .class_run_times
-                .iter()
-                .map(|(class, times)| {
-                    let ClassRunTimes { actual_s: sum, estimated_s: weight } = *times;
-                    (class.clone(), RunTimeRatio { sum, weight })
-                })
-                .collect(),
-            speeds: self
-                .remembered
-                .machine_speeds
-                .iter()
-                .map(|(id, s)| (id.clone(), speed(s)))
-                .collect(),
+            provisioning: self.provisioning_machines(),
+            returning: self.draining_machines(),
+            run_times: self.run_time_ratios(),
+            speeds: self.measured_speeds(),
             refusals: self.refusal_times(cluster, known),
             waiting: self.waiting_times(cluster, known),
-            reserved: self.gangs.reserved.iter().cloned().collect::<BTreeSet<MachineId>>(),
+            reserved: self.gangs.reserved.iter().cloned().collect(),
         }
     }
 
+    /// The jobs' shares.
+    fn admissions(&self) -> BTreeMap<JobNumber, Admission> {
+        let shares = self.jobs.shares.iter();
+        shares.map(|(job, share)| ((*job).into(), Admission { share: *share })).collect()
+    }
+
+    /// The controllers that granted tasks are on.
+    fn granted_controllers(&self) -> BTreeMap<TaskNumber, NodeId> {
+        let granted = self.task_grants.granted.iter();
+        granted.map(|(task, grant)| ((*task).into(), grant.node)).collect()
+    }
+
+    /// Machines that were asked for and have not come up.
+    fn provisioning_machines(&self) -> BTreeMap<MachineId, MachineOfferRecord> {
+        let machines = self.fleet.machines.iter();
+        let provisioning = machines.filter(|(_, machine)| !machine.up && !machine.failed);
+        provisioning.map(|(id, machine)| (id.clone(), (&machine.offer).into())).collect()
+    }
+
+    /// Machines that are given back to the cloud.
+    fn draining_machines(&self) -> BTreeSet<MachineId> {
+        let machines = self.fleet.machines.iter();
+        let draining = machines.filter(|(_, machine)| machine.draining.is_some());
+        draining.map(|(id, _)| id.clone()).collect()
+    }
+
+    /// What classes of jobs took, beside the estimates.
+    fn run_time_ratios(&self) -> BTreeMap<String, RunTimeRatio> {
+        let classes = self.remembered.class_run_times.iter();
+        let ratios = classes.map(|(class, times)| {
+            let ClassRunTimes { actual_s: sum, estimated_s: weight } = *times;
+            (class.clone(), RunTimeRatio { sum, weight })
+        });
+        ratios.collect()
+    }
+
+    /// How fast machines are.
+    fn measured_speeds(&self) -> BTreeMap<MachineId, MachineSpeed> {
+        let speeds = self.remembered.machine_speeds.iter();
+        let measured = speeds.map(|(id, speed)| {
+            let Speed { ratio, tasks } = *speed;
+            (id.clone(), MachineSpeed { ratio, tasks })
+        });
+        measured.collect()
+    }
+
     /// Until when offers are not asked for, by the time of day.
     fn refusal_times(
         &self,
@@ -138,44 +158,62 @@
         state: &DecisionState,
     ) -> VerificationCounts {
         let mut counts = VerificationCounts::default();
-        let mut record = |confirmed: bool| {
-            let count = if confirmed { &mut counts.confirmed } else { &mut counts.dropped };
-            *count += 1;
-            confirmed
-        };
-        let open = |job: JobId| cluster.replica.jobs.contains_key(&job);
+        self.verify_decisions(cluster, state, &mut counts);
+        self.apply_waiting_times(cluster, state, &mut counts);
+        self.apply_speeds(cluster, state, &mut counts);
+        counts.hints += self.apply_unrecorded(cluster, state);
+        counts
+    }
+
+    /// Counts the decisions of which only the record holds, and nothing is applied.
+    fn verify_decisions(
+        &self,
+        cluster: &ClusterView<'_>,
+        state: &DecisionState,
+        counts: &mut VerificationCounts,
+    ) {
         let recorded = &self.task_grants.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
-            record(recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
+            count(counts, recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
         }
-        for job in state.admissions.entries().keys() {
-            record(open((*job).into()));
+        for job in state.admissions.entries().keys().chain(state.gangs.entries().keys()) {
+            count(counts, cluster.replica.jobs.contains_key(&(*job).into()));
         }
-        for job in state.gangs.entries().keys() {
-            record(open((*job).into()));
+        for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
+            count(counts, cluster.replica.is_machine_up(id));
         }
+    }
+
+    /// Takes over since when open jobs have had no task anywhere.
+    fn apply_waiting_times(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        state: &DecisionState,
+        counts: &mut VerificationCounts,
+    ) {
         for (job, since) in state.waiting.entries() {
             let job = JobId::from(*job);
-            if record(open(job)) {
-                self.jobs
-                    .idle_since
-                    .insert(job, cluster.now.less(cluster.wall.0.saturating_sub(since.0)));
+            if count(counts, cluster.replica.jobs.contains_key(&job)) {
+                let waited_ms = cluster.wall.0.saturating_sub(since.0);
+                self.jobs.idle_since.insert(job, cluster.now.less(waited_ms));
             }
         }
+    }
+
+    /// Takes over how fast machines that are up are.
+    fn apply_speeds(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        state: &DecisionState,
+        counts: &mut VerificationCounts,
+    ) {
         for (id, speed) in state.speeds.entries() {
-            if record(
-                cluster.replica.is_machine_up(id) && (0.0..=MOST_RATIO).contains(&speed.ratio),
-            ) {
-                self.remembered
-                    .machine_speeds
-                    .insert(id.clone(), Speed { ratio: speed.ratio, tasks: speed.tasks });
+            let sound = (0.0..=MOST_RATIO).contains(&speed.ratio);
+            if count(counts, cluster.replica.is_machine_up(id) && sound) {
+                let speed = Speed { ratio: speed.ratio, tasks: speed.tasks };
+                self.remembered.machine_speeds.insert(id.clone(), speed);
             }
         }
-        for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
-            record(cluster.replica.is_machine_up(id));
-        }
-        counts.hints += self.apply_unrecorded(cluster, state);
-        counts
     }
 
     /// Applies hints about what the store has no record of, and says how many.
