--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// Machines for a gang's tasks: in one zone if the job wants that, where all can begin first.
+/// Machines for a gang's tasks, where all can begin first, under the job's rule of zones.
 fn choose_for_gang(
     inputs: &EpochInputs<'_>,
     request: &GrantRequest<'_>,
@@ -207,40 +207,73 @@
 ) -> Option<Vec<usize>> {
     let capable: Vec<bool> =
         targets.iter().map(|target| inputs.owner_knows_gangs(target)).collect();
-    let spec = &request.job.spec;
-    let pack = |zone: Option<&str>, count| {
-        let gang = PlacementRequest { spec, need: &request.need, zone, count };
-        placement::pack(&gang, targets, &capable)
-    };
+    let packing = GangPacking { request, targets, capable: &capable };
     let names = &inputs.cluster.settings.params.zones;
-    if !zones.binds() {
-        return pack(None, request.count).map(|placed| placed.machines);
+    let placed = if !zones.binds() {
+        packing.pack(None, request.count)
+    } else if zones.one {
+        packing.pack_in_one_zone(zones, names)
+    } else {
+        packing.pack_spread(zones, names)
+    };
+    placed.map(|placed| placed.machines)
+}
+
+/// The ways to place a gang's tasks on machines.
+struct GangPacking<'a> {
+    request: &'a GrantRequest<'a>,
+    targets: &'a [PlacementTarget],
+    /// Whether each target's owner knows gangs.
+    capable: &'a [bool],
+}
+
+impl GangPacking<'_> {
+    /// Places so many tasks, in a zone if one is given.
+    fn pack(&self, zone: Option<&str>, count: usize) -> Option<GangPlacement> {
+        let GrantRequest { job, need, .. } = self.request;
+        let gang = PlacementRequest { spec: &job.spec, need, zone, count };
+        placement::pack(&gang, self.targets, self.capable)
+    }
+
+    /// The same in a zone; none are placed whatever the zone has.
+    fn pack_some(&self, zone: &str, count: usize) -> Option<GangPlacement> {
+        match count {
+            0 => Some(GangPlacement::default()),
+            _ => self.pack(Some(zone), count),
+        }
     }
-    if zones.one {
+
+    /// All in the open zone where they can begin first.
+    fn pack_in_one_zone(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
         let open = zones.open(names);
-        let found = open.iter().filter_map(|zone| pack(Some(zone), request.count));
-        let earliest = found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s));
-        return earliest.map(|placed| placed.machines);
+        let found = open.iter().filter_map(|zone| self.pack(Some(zone), self.request.count));
+        found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s))
+    }
+
+    /// As many in one zone as the rule allows, the rest in another: the first pair where they can begin first.
+    fn pack_spread(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
+        let mut best: Option<GangPlacement> = None;
+        for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
+            let Some(placed) = self.pack_in_pair(zones, first, second) else { continue };
+            if best.as_ref().is_none_or(|best| placed.last_start_s < best.last_start_s) {
+                best = Some(placed);
+            }
+        }
+        best
     }
-    // Spread: as many in one zone as the rule allows, the rest in another.
-    let mut best: Option<GangPlacement> = None;
-    for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
-        let in_first = (zones.room(first) as usize).min(request.count);
-        let in_second = request.count - in_first;
+
+    /// As many in the first zone as the rule allows, the rest in the second.
+    fn pack_in_pair(&self, zones: &ZoneRule, first: &str, second: &str) -> Option<GangPlacement> {
+        let count = self.request.count;
+        let in_first = (zones.room(first) as usize).min(count);
+        let in_second = count - in_first;
         if (in_second > 0 && first == second) || in_second > zones.room(second) as usize {
-            continue;
+            return None;
         }
-        let pack_some = |zone: &str, count| match count {
-            0 => Some(GangPlacement::default()),
-            _ => pack(Some(zone), count),
-        };
-        let Some(mut placed) = pack_some(first, in_first) else { continue };
-        let Some(rest) = pack_some(second, in_second) else { continue };
+        let mut placed = self.pack_some(first, in_first)?;
+        let rest = self.pack_some(second, in_second)?;
         placed.last_start_s = f64::max(placed.last_start_s, rest.last_start_s);
-        if best.as_ref().is_none_or(|best| placed.last_start_s < best.last_start_s) {
-            placed.machines.extend(rest.machines);
-            best = Some(placed);
-        }
+        placed.machines.extend(rest.machines);
+        Some(placed)
     }
-    best.map(|placed| placed.machines)
 }
