--- a/src/leader.rs
+++ b/src/leader.rs
@@ -59,14 +59,15 @@
 use inputs::EpochInputs;
 use machine_speed::{ClassRunTimes, JobRunTimes, RunningSince, Speed};
 use scaling::SCALING_PERIOD_MS;
-use task_grants::{TaskGrant, TaskGrants};
+use task_grants::{NewGrant, TaskGrants};
 
 /// One epoch's outcome, to be written before it is published.
 #[derive(Default)]
 pub struct Epoch {
     /// The transaction, unless nothing durable changes.
     pub txn: Option<Txn>,
-    grants: Vec<(TaskId, TaskGrant)>,
+    /// Tasks that this grants.
+    grants: Vec<NewGrant>,
     /// What is on record of jobs' grants once the transaction is carried out.
     recorded: Vec<(JobId, TaskRanges)>,
     /// Tasks that this adds to the record without granting them.
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -9,7 +9,7 @@
 use super::grant_groups::GrantGroup;
 use super::inputs::EpochInputs;
 use super::machine_speed::Speed;
-use super::task_grants::TaskGrant;
+use super::task_grants::{NewGrant, TaskGrant};
 use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
 use crate::placement::{self, PlacementRequest, PlacementTarget};
@@ -45,7 +45,7 @@
     /// Their cores, granted ones included.
     pub(super) expected_cores: Cores,
     /// What this epoch grants.
-    pub(super) grants: Vec<(TaskId, TaskGrant)>,
+    pub(super) grants: Vec<NewGrant>,
 }
 
 /// What is to be granted of a job.
@@ -161,7 +161,7 @@
         }
         let GrantedPlace { node, awaits_release, zone } = place;
         let grant = TaskGrant { node, attempt, at: now, zone, seen: false, awaits_release };
-        self.grants.push((task, grant));
+        self.grants.push(NewGrant { task, grant });
     }
 }
 
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -9,7 +9,8 @@
 
 use rustc_hash::FxHashSet;
 
-use super::{ClusterView, Epoch, Leader, TaskGrant};
+use super::task_grants::NewGrant;
+use super::{ClusterView, Epoch, Leader};
 use crate::model::{JobId, TaskId, TaskRanges};
 use crate::replica::{self, EpochRecord};
 use crate::wire::{self, Change};
@@ -151,7 +152,7 @@
             tracing::info!(jobs = refused.len(), "grants wait for room in the record");
             self.withdraw_unrecorded(epoch, &refused);
         }
-        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
+        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|new| new.task).collect();
         for (job, ranges) in wider.into_iter().filter(|(job, _)| !refused.contains(job)) {
             let known = self.task_grants.recorded.get(&job);
             let added = ranges.iter().filter(|i| known.is_none_or(|r| !r.contains(*i)));
@@ -168,7 +169,7 @@
         epoch: &Epoch,
     ) -> BTreeMap<JobId, TaskRanges> {
         let mut wider: BTreeMap<JobId, TaskRanges> = BTreeMap::new();
-        for (task, _) in &epoch.grants {
+        for NewGrant { task, .. } in &epoch.grants {
             let known = self.task_grants.recorded.get(&task.job);
             let ranges = wider.get(&task.job).or(known);
             if ranges.is_some_and(|ranges| ranges.contains(task.index)) {
@@ -200,10 +201,10 @@
         let gangs: FxHashSet<JobId> = epoch
             .grants
             .iter()
-            .filter(|(task, grant): &&(TaskId, TaskGrant)| grant.attempt.is_some() && waits(task))
-            .map(|(task, _)| task.job)
+            .filter(|new| new.grant.attempt.is_some() && waits(&new.task))
+            .map(|new| new.task.job)
             .collect();
-        epoch.grants.retain(|(task, _)| !waits(task) && !gangs.contains(&task.job));
+        epoch.grants.retain(|new| !waits(&new.task) && !gangs.contains(&new.task.job));
     }
 }
 
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -6,7 +6,8 @@
 use rustc_hash::FxHashMap;
 
 use super::grant_groups::GrantGroup;
-use super::{ClusterView, Epoch, Leader, TaskGrant};
+use super::task_grants::{NewGrant, TaskGrant};
+use super::{ClusterView, Epoch, Leader};
 use crate::model::{JobId, MonotonicTime, NodeId, PlanSeq, TaskRanges};
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
@@ -35,7 +36,7 @@
     pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
         self.task_grants.recorded.extend(epoch.recorded);
         self.task_grants.recorded_ahead.extend(epoch.recorded_ahead);
-        for (task, grant) in epoch.grants {
+        for NewGrant { task, grant } in epoch.grants {
             self.task_grants.recorded_ahead.remove(&task);
             if let Some(attempt) = grant.attempt {
                 self.record_gang(cluster.now, task.job, attempt);
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -90,7 +90,7 @@
     /// Tasks of each job that are on machines, granted, or being granted.
     fn running_tasks(&self, inputs: &EpochInputs<'_>, epoch: &Epoch) -> FxHashMap<JobId, u32> {
         let on_machines = inputs.on_machines;
-        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|(task, _)| *task).collect();
+        let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|new| new.task).collect();
         let granted = self.task_grants.granted.keys().chain(granting.iter());
         let granted = granted.filter(|task| !on_machines.contains_key(task));
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -36,6 +36,14 @@
     pub(super) awaits_release: bool,
 }
 
+/// A task that an epoch grants. It holds once the epoch is published.
+pub(super) struct NewGrant {
+    /// The task.
+    pub(super) task: TaskId,
+    /// Where it may start, and how.
+    pub(super) grant: TaskGrant,
+}
+
 /// A grant that was taken back. The task may still be started until its shard follows a later plan.
 pub(super) struct RevokedGrant {
     /// The controller that it was granted to.
--- a/src/leader/tests/gangs.rs
+++ b/src/leader/tests/gangs.rs
@@ -1,5 +1,6 @@
 //! Gangs: granted whole, stopped and restarted as a whole, with machines reserved for them.
 
+use super::task_grants::TaskGrant;
 use super::*;
 use crate::offered_load::GangSample;
 use crate::wire::JobKind;
--- a/src/leader/tests/limits.rs
+++ b/src/leader/tests/limits.rs
@@ -150,7 +150,7 @@
                 }
                 controller.apply_committed(&txn, Revision(revision));
             }
-            granted.extend(epoch.grants.iter().map(|g| g.0));
+            granted.extend(epoch.grants.iter().map(|new| new.task));
             controller.publish(at(ms), epoch, term);
             // Whoever leads next knows every machine and every task that may run.
             if step % 40 == 39 {
@@ -197,7 +197,7 @@
         let ms = 1_200 + step * 450;
         send_free_machines(&mut controller, ms, step + 1, 24..48);
         let (epoch, term) = controller.epoch(at(ms)).unwrap();
-        let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|g| g.0.job).collect();
+        let jobs: FxHashSet<JobId> = epoch.grants.iter().map(|new| new.task.job).collect();
         let changes = epoch.txn.iter().flat_map(|t| &t.changes);
         let paths: Vec<&str> = changes.map(Change::key).filter(|p| recorded(p)).collect();
         assert!(paths.len() <= CHANGES, "{} jobs in {paths:?}", jobs.len());
