--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -2,7 +2,7 @@
 //! what the standby costs, as text and as an HTML page with plots.
 //!
 //! `cargo run --release --example failovers -- [--seeds N] [--out FILE] [--sizes 600,4000] [--debug-log yes]`
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code)]
 
 mod check;
 mod failover;
