--- a/src/controller.rs
+++ b/src/controller.rs
@@ -192,7 +192,7 @@
             self.follow_leader_key(now);
         }
         if replica_changes.job_progress {
-            self.shard.tidy(&self.replica);
+            self.shard.prune(&self.replica);
         }
         if !replica_changes.cancelled_jobs.is_empty() {
             self.shard.queue_cancellation_kills(&replica_changes.cancelled_jobs);
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -30,7 +30,7 @@
         if !self.loaded {
             return None;
         }
-        self.shard.tidy(&self.replica);
+        self.shard.prune(&self.replica);
         let mut txn = Txn::default();
         let bytes = self.limits.value_bytes();
         for id in self.completions_due(now) {
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -50,7 +50,7 @@
     pub fn apply_leader_response(&mut self, response: PeerResponse) {
         match response {
             PeerResponse::Plan(plan) => {
-                self.shard.follow(*plan);
+                self.shard.apply_plan(*plan);
             }
             PeerResponse::SendWhole => self.shard.request_full_summary(),
             _ => {}
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -25,7 +25,8 @@
         let job = self.replica.jobs.get(&id)?;
         let job_status = self.shard.job_status(id);
         // A job is done when the store says so; the count may be ahead of what is on record.
-        let done = job.progress.done.len().max(self.shard.completed(id)).min(job.spec.task_count);
+        let done =
+            job.progress.done.len().max(self.shard.completed_count(id)).min(job.spec.task_count);
         let running = job_status.map_or(0, |s| s.running).min(job.spec.task_count - done);
         let state = match running {
             0 => wire::JobState::Pending,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -131,7 +131,7 @@
             &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
         );
         let completed = planned.map(|count| (1, count)).into_iter().collect();
-        assert!(controller.shard.follow(Plan {
+        assert!(controller.shard.apply_plan(Plan {
             term: Term(5),
             incarnation: Incarnation(5),
             seq: crate::model::PlanSeq(1),
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -28,13 +28,13 @@
     ) -> T {
         let context = ShardContext {
             now,
-            may_answer: self.loaded && self.rights.may_answer(now),
-            may_start: self.loaded && self.rights.may_start(now),
-            proof_ms: self.rights.sync_age(now),
+            may_respond: self.loaded && self.rights.may_answer(now),
+            may_start_tasks: self.loaded && self.rights.may_start(now),
+            replica_age_ms: self.rights.sync_age(now),
             replica: &self.replica,
             catalog: &self.catalog,
             nodes: &self.nodes,
-            isolated: self.is_isolated(now),
+            is_isolated: self.is_isolated(now),
             lease_ms: self.settings.worker_lease_ms(),
             timing: self.settings.timing(),
         };
--- a/src/shard/active_plan.rs
+++ b/src/shard/active_plan.rs
@@ -1,32 +1,33 @@
-//! The newest plan that a shard follows: what it may start, stop and use.
+//! The newest plan that a shard has applied: the tasks it may start, the gangs it stops and the machines it
+//! may use.
 
 use std::collections::HashSet;
 
 use crate::model::{Attempt, MachineId, PlanSeq, TaskId, Term};
 use crate::peer::{GangStop, Grant, PlanBody};
 
-/// The newest plan that a shard follows, with the term of its leader.
+/// The newest applied plan and the term of its leader.
 #[derive(Clone, Debug)]
 pub(super) struct ActivePlan {
-    /// The term of the leader that made it.
+    /// Term of the leader that made the plan.
     pub(super) term: Term,
-    /// Its number; 0 before the first one of the term.
+    /// Sequence number of the plan; 0 before the first plan of the term.
     pub(super) seq: PlanSeq,
     grants: Vec<Grant>,
-    /// Grants that take effect once other tasks release their resources.
+    /// Grants that become usable when other tasks release their resources.
     grants_awaiting_release: Vec<Grant>,
     slow: Vec<MachineId>,
-    /// Sorted.
+    /// Sorted, for binary search.
     reserved: Vec<MachineId>,
     stops: Vec<GangStop>,
     drained: HashSet<MachineId>,
-    /// The attempts of the gangs among the grants.
+    /// Attempts of the gangs in `grants`.
     gang_attempts: HashSet<Attempt>,
 }
 
 impl ActivePlan {
-    /// Before the first plan of a term: nothing is granted or stopped.
-    pub(super) fn none(term: Term) -> Self {
+    /// The state before the first plan of a term: nothing is granted or stopped.
+    pub(super) fn empty(term: Term) -> Self {
         ActivePlan {
             term,
             seq: PlanSeq(0),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The plan of that number.
+    /// Creates the active plan from the body of plan `seq`.
     pub(super) fn new(term: Term, seq: PlanSeq, body: PlanBody) -> Self {
         ActivePlan {
             term,
@@ -55,48 +56,48 @@
         }
     }
 
-    /// What may start where there is room.
+    /// Grants that are usable on free capacity.
     pub(super) fn grants(&self) -> &[Grant] {
         &self.grants
     }
 
-    /// What may start as soon as other tasks leave room for it.
+    /// Grants that become usable when other tasks release their resources.
     pub(super) fn grants_awaiting_release(&self) -> &[Grant] {
         &self.grants_awaiting_release
     }
 
-    /// Whether a machine is used last, as tasks run slow on it.
+    /// Whether tasks run slowly on a machine, which is therefore used last.
     pub(super) fn is_slow(&self, machine: &MachineId) -> bool {
         self.slow.contains(machine)
     }
 
-    /// Whether a machine is reserved for gangs.
+    /// Whether a machine is reserved for gangs and for work that may not use spot machines.
     pub(super) fn is_reserved(&self, machine: &MachineId) -> bool {
         self.reserved.binary_search(machine).is_ok()
     }
 
-    /// Whether a machine takes nothing new.
+    /// Whether a machine accepts no new tasks.
     pub(super) fn is_drained(&self, machine: &MachineId) -> bool {
         self.drained.contains(machine)
     }
 
-    /// The stop of a gang's attempt, if it is being stopped.
+    /// Returns the stop of a gang's attempt, if the attempt is being stopped.
     pub(super) fn stop_of(&self, task: TaskId, attempt: Attempt) -> Option<&GangStop> {
         self.stops.iter().find(|s| s.job == task.job.0 && attempt < s.before)
     }
 
-    /// Whether it has a stop that the previous plan did not have.
-    pub(super) fn stops_more_than(&self, previous: &ActivePlan) -> bool {
+    /// Whether the plan contains a stop that `previous` does not contain.
+    pub(super) fn has_new_stops(&self, previous: &ActivePlan) -> bool {
         self.stops.iter().any(|s| !previous.stops.contains(s))
     }
 
-    /// Whether it grants a gang with that attempt.
-    pub(super) fn grants_gang(&self, attempt: Attempt) -> bool {
+    /// Whether the plan grants a gang with this attempt.
+    pub(super) fn grants_gang_attempt(&self, attempt: Attempt) -> bool {
         self.gang_attempts.contains(&attempt)
     }
 
-    /// Whether it grants any gang.
-    pub(super) fn has_gangs(&self) -> bool {
+    /// Whether the plan grants any gang.
+    pub(super) fn has_gang_grants(&self) -> bool {
         !self.gang_attempts.is_empty()
     }
 }
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -1,7 +1,7 @@
-//! Which machine of the shard each granted task is to start on.
+//! Assignment of granted tasks to the machines of the shard.
 //!
-//! All granted tasks are assigned anew from time to time. An assignment only fills queues: the starts themselves, with
-//! their checks, are in `task_start`.
+//! All granted tasks are periodically reassigned together. An assignment only fills start queues; the checks
+//! before a start and the start itself are in `task_start`.
 
 use std::collections::BTreeMap;
 
@@ -18,39 +18,39 @@
 use crate::resources::Resources;
 use crate::wire::{JobSpec, Priority};
 
-/// Longest time between two assignments while tasks wait for one, in milliseconds.
-const ASSIGN_MS: u64 = 700;
+/// Maximum time between two assignments while tasks wait to be placed or started, in milliseconds.
+const ASSIGNMENT_INTERVAL_MAX_MS: u64 = 700;
 
-/// Shortest time between two assignments that only a heartbeat asks for, in milliseconds.
-const ASSIGN_LEAST_MS: u64 = 60;
+/// Minimum time between two assignments that are triggered only by a heartbeat, in milliseconds.
+const ASSIGNMENT_INTERVAL_MIN_MS: u64 = 60;
 
-/// The most urgent open work that may use machines of a kind; `None` if there is none.
+/// Highest priority of the unfinished jobs that may use machines of a kind; `None` if there are none.
 type PriorityByKind = BTreeMap<MachineKind, Option<Priority>>;
 
-/// The tasks of a grant that are neither on a machine nor done.
+/// Tasks of a grant that are neither on a machine nor completed.
 struct PendingGrant<'a> {
     grant: &'a Grant,
     tasks: Vec<TaskId>,
 }
 
-/// Granted tasks that are to start somewhere, most urgent first.
+/// Granted tasks that are to start, by descending priority.
 struct PendingStarts<'a> {
     grants: Vec<PendingGrant<'a>>,
-    /// Whether jobs that fail wait for their next try.
-    has_paused_jobs: bool,
+    /// Whether tasks of jobs in backoff were left out.
+    has_jobs_in_backoff: bool,
 }
 
-/// An assignment in the making.
+/// An assignment under construction.
 struct Assignment {
-    /// The machines with the room that is left on them.
+    /// Machines with their remaining capacity.
     targets: Vec<PlacementTarget>,
     start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
     starts_awaiting_release: Vec<GrantedStart>,
-    has_unplaced: bool,
+    has_unplaced_tasks: bool,
 }
 
 impl Assignment {
-    /// Assigns what may start where there is room: gangs close together, other tasks spread.
+    /// Assigns granted tasks to machines with free capacity: gangs are packed, other tasks are spread.
     fn place_granted(
         &mut self,
         replica: &Replica,
@@ -68,7 +68,7 @@
             let request =
                 PlacementRequest { spec: &job.spec, need: &need, zone, count: tasks.len() };
             let chosen = place(&request, &mut self.targets);
-            self.has_unplaced |= chosen.len() < tasks.len();
+            self.has_unplaced_tasks |= chosen.len() < tasks.len();
             for (task, target) in tasks.into_iter().zip(chosen) {
                 let start = GrantedStart::with_room(plan, task, grant.attempt);
                 let id = self.targets[target].id.clone();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Assigns what is granted ahead of a release to machines that no more urgent job may use.
+    /// Assigns tasks that are granted ahead of a release, to machines that no job of higher priority may use.
     fn place_awaiting_release(
         &mut self,
         replica: &Replica,
@@ -90,7 +90,7 @@
             let need = Resources::of(&job.spec);
             let mut usable: Vec<PlacementTarget> = self
                 .targets
-                .extract_if(.., |target| is_most_urgent(highest_priority, &job.spec, target))
+                .extract_if(.., |target| is_highest_priority(highest_priority, &job.spec, target))
                 .collect();
             let request =
                 PlacementRequest { spec: &job.spec, need: &need, zone: None, count: tasks.len() };
@@ -105,7 +105,7 @@
     }
 }
 
-/// For each kind of these machines, the most urgent open work that may use it.
+/// Returns the highest priority of the unfinished jobs that may use each kind of machine in `targets`.
 fn highest_priority_by_kind(replica: &Replica, targets: &[PlacementTarget]) -> PriorityByKind {
     let specs = || replica.jobs.values().map(|job| &job.spec);
     let mut by_kind = BTreeMap::new();
@@ -118,8 +118,9 @@
     by_kind
 }
 
-/// Whether no job that is more urgent may use such machines. False for a kind that is not known.
-pub(super) fn is_most_urgent(
+/// Whether no job of higher priority may use machines of the target's kind. Returns false for an unknown
+/// kind.
+pub(super) fn is_highest_priority(
     highest_priority: &PriorityByKind,
     spec: &JobSpec,
     target: &PlacementTarget,
@@ -129,21 +130,28 @@
 }
 
 impl Shard {
-    /// Whether granted tasks are to be assigned anew: something speaks for it, or some have waited.
-    pub(super) fn is_assignment_due(&self, now: MonotonicTime, has_more_room: bool) -> bool {
+    /// Whether granted tasks have to be assigned again: the assignment is stale, capacity was freed, or tasks
+    /// have waited too long.
+    pub(super) fn is_assignment_due(&self, now: MonotonicTime, has_freed_capacity: bool) -> bool {
         let term_state = &self.term_state;
         let elapsed_ms = now.since(term_state.assigned_at);
-        let has_waiting = term_state.has_unplaced
+        let has_waiting = term_state.has_unplaced_tasks
             || !term_state.start_queues.is_empty()
             || !term_state.starts_awaiting_release.is_empty();
         term_state.assignment_stale
-            || (has_more_room && term_state.has_unplaced && elapsed_ms >= ASSIGN_LEAST_MS)
-            || (has_waiting && elapsed_ms >= ASSIGN_MS)
+            || (has_freed_capacity
+                && term_state.has_unplaced_tasks
+                && elapsed_ms >= ASSIGNMENT_INTERVAL_MIN_MS)
+            || (has_waiting && elapsed_ms >= ASSIGNMENT_INTERVAL_MAX_MS)
     }
 
-    /// Assigns every granted task that is not on a machine to the one where it is to start. It starts in the response
-    /// to that machine's next heartbeat, or to the present one if that is of the machine that `reporting` names.
-    pub(super) fn assign_granted(&mut self, context: &ShardContext<'_>, reporting: &MachineId) {
+    /// Assigns every granted task that is not on a machine. An assigned task starts in the response to the
+    /// next heartbeat of its machine, which for `reporting_machine` is the one being handled.
+    pub(super) fn assign_granted(
+        &mut self,
+        context: &ShardContext<'_>,
+        reporting_machine: &MachineId,
+    ) {
         let replica = context.replica;
         let granted = self.pending_starts(context, self.term_state.plan.grants());
         let awaiting_release =
@@ -152,11 +160,11 @@
             targets: Vec::new(),
             start_queues: BTreeMap::new(),
             starts_awaiting_release: Vec::new(),
-            has_unplaced: granted.has_paused_jobs,
+            has_unplaced_tasks: granted.has_jobs_in_backoff,
         };
         if !granted.grants.is_empty() || !awaiting_release.grants.is_empty() {
             let plan = &self.term_state.plan;
-            assignment.targets = self.open_targets(context, reporting);
+            assignment.targets = self.open_targets(context, reporting_machine);
             assignment.place_granted(replica, plan, granted.grants);
             if !awaiting_release.grants.is_empty() {
                 let highest_priority = highest_priority_by_kind(replica, &assignment.targets);
@@ -172,13 +180,13 @@
         let term_state = &mut self.term_state;
         term_state.assignment_stale = false;
         term_state.assigned_at = context.now;
-        term_state.has_unplaced = assignment.has_unplaced;
+        term_state.has_unplaced_tasks = assignment.has_unplaced_tasks;
         term_state.starts_awaiting_release = assignment.starts_awaiting_release;
         term_state.start_queues = assignment.start_queues;
     }
 
-    /// The tasks of these grants that are neither on a machine nor done, most urgent first. Within a priority
-    /// the order of the grants holds.
+    /// Returns the tasks of these grants that are neither on a machine nor completed, by descending priority.
+    /// Grants of the same priority keep their order.
     fn pending_starts<'a>(
         &self,
         context: &ShardContext<'_>,
@@ -186,12 +194,12 @@
     ) -> PendingStarts<'a> {
         let held: FxHashSet<TaskId> =
             self.machines.values().flat_map(|machine| machine.tasks.keys()).copied().collect();
-        let mut has_paused_jobs = false;
+        let mut has_jobs_in_backoff = false;
         let mut by_priority: Vec<(Priority, PendingGrant<'a>)> = Vec::new();
         for grant in grants {
             let Some(job) = context.replica.jobs.get(&grant.job()) else { continue };
-            if !self.may_try(context.now, grant.job()) {
-                has_paused_jobs = true;
+            if !self.is_backoff_over(context.now, grant.job()) {
+                has_jobs_in_backoff = true;
                 continue;
             }
             let tasks = self.pending_tasks(context.replica, grant, &held);
@@ -201,11 +209,11 @@
         }
         by_priority.sort_by_key(|(priority, _)| *priority);
         let grants = by_priority.into_iter().map(|(_, pending)| pending).collect();
-        PendingStarts { grants, has_paused_jobs }
+        PendingStarts { grants, has_jobs_in_backoff }
     }
 
-    /// The tasks of a grant that are neither on a machine nor done. A gang's attempt that was shown is not
-    /// started again.
+    /// Returns the tasks of a grant that are neither on a machine nor completed. A gang attempt that a worker
+    /// has shown is not started again.
     fn pending_tasks(
         &self,
         replica: &Replica,
@@ -219,25 +227,25 @@
             .tasks
             .iter()
             .map(|index| TaskId { job: grant.job(), index })
-            .filter(|task| !held.contains(task) && self.may_start(replica, *task))
+            .filter(|task| !held.contains(task) && self.is_incomplete(replica, *task))
             .filter(|task| !is_shown(task))
             .collect()
     }
 
-    /// The machines that take new tasks now.
+    /// Returns the machines that accept new tasks now.
     fn open_targets(
         &self,
         context: &ShardContext<'_>,
-        reporting: &MachineId,
+        reporting_machine: &MachineId,
     ) -> Vec<PlacementTarget> {
         let (term, plan) = (self.term_state.term, &self.term_state.plan);
         let target = |(id, machine): (&MachineId, &Machine)| {
             let mut target = machine.placement_target(id, context, term, !plan.is_drained(id))?;
             target.slow = plan.is_slow(id);
             target.reserved = plan.is_reserved(id);
-            target.delay_s = match id == reporting {
+            target.delay_s = match id == reporting_machine {
                 true => 0.0,
-                false => context.timing.delay_s(context.now.since(machine.last_heartbeat)),
+                false => context.timing.delay_s(context.now.since(machine.last_heartbeat_at)),
             };
             Some(target).filter(|target| target.open)
         };
--- a/src/shard/completions.rs
+++ b/src/shard/completions.rs
@@ -1,19 +1,20 @@
 //! Completed tasks whose outcome may not be durable yet.
 //!
-//! A completion is true forever, whoever shows it and however late (`docs/safety.md`, "Durable before said"). A task
-//! in here is not started again.
+//! A completion is final, whoever reports it and however late (`docs/safety.md`, "Durable before said"). A
+//! task recorded here is not started again.
 
 use super::Shard;
 use crate::model::{JobId, MonotonicTime, TaskId, TaskRanges};
 use crate::replica::Replica;
 use crate::wire::{ExitReason, Heartbeat, JobKind, TaskState};
 
-/// Completed tasks of a job that are not known to be on record yet.
+/// Completed tasks of a job that are not known to be recorded in the state store yet.
 #[derive(Clone, Debug, Default)]
 pub struct CompletedTasks {
     /// Indexes of the tasks.
     pub tasks: TaskRanges,
-    /// When the first of them was reported.
+    /// Time at which the first of the tasks was reported, or of the latest attempt to record them in the
+    /// store.
     pub since: MonotonicTime,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Records a completed task; if it is of a gang, all of its tasks completed.
+    /// Records a completed task. A completed task of a gang means that all tasks of the gang completed.
     pub fn record_completion(&mut self, now: MonotonicTime, replica: &Replica, task: TaskId) {
         let Some(job) = replica.jobs.get(&task.job) else { return };
         let is_gang = job.spec.kind == JobKind::Gang;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Merges completions that another controller knows of: jobs with the indexes of their tasks.
+    /// Merges completions that another controller reports, given as job numbers with task indexes.
     pub fn merge_completions(
         &mut self,
         now: MonotonicTime,
@@ -66,14 +67,14 @@
         }
     }
 
-    /// Whether a task is neither done nor known here to have completed.
-    pub(super) fn may_start(&self, replica: &Replica, task: TaskId) -> bool {
+    /// Whether a task is neither durably done nor known to this controller to have completed.
+    pub(super) fn is_incomplete(&self, replica: &Replica, task: TaskId) -> bool {
         let completed = self.completed_tasks.get(&task.job);
         replica.may_run(task) && !completed.is_some_and(|c| c.tasks.contains(task.index))
     }
 
-    /// Forgets completed tasks whose outcome is durable by now, and faults of jobs that have ended.
-    pub fn tidy(&mut self, replica: &Replica) {
+    /// Removes completed tasks whose outcome is durable, and failure records of jobs that have ended.
+    pub fn prune(&mut self, replica: &Replica) {
         self.completed_tasks.retain(|job, completed| {
             let is_open = |index: &u32| replica.may_run(TaskId { job: *job, index: *index });
             if !completed.tasks.iter().all(|index| is_open(&index)) {
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -1,8 +1,9 @@
-//! Messages to machines that do not wait for their heartbeats: kills, restart checks and the announcement of a term.
+//! Direct messages, which are sent to machines without waiting for heartbeats: kills, restart checks and term
+//! announcements.
 //!
-//! They never start a task, as they may arrive late. The answer to one is a heartbeat of the machine, which reconciles
-//! it only if it is not reconciled yet: none of this term's starts can be on their way to it then (`docs/safety.md`, "Who
-//! may start").
+//! A direct message never starts a task, as it may arrive late. The answer to one has the form of a heartbeat
+//! and reconciles the machine only if it is not reconciled yet. In that case no start of this term can be in
+//! flight to the machine (`docs/safety.md`, "Who may start").
 
 use std::rc::Rc;
 
@@ -12,29 +13,29 @@
 use crate::replica::Replica;
 use crate::wire::{Heartbeat, WorkerCommand};
 
-/// Least time between two restart checks of a machine, in milliseconds.
-const RESTART_CHECK_AGAIN_MS: u64 = 10_000;
+/// Minimum time between two restart checks of a machine, in milliseconds.
+const RESTART_CHECK_INTERVAL_MIN_MS: u64 = 10_000;
 
-/// A machine that is to be asked whether it was restarted.
+/// A pending check of whether a machine was restarted.
 #[derive(Clone, Debug)]
 pub(super) struct RestartCheck {
     pub(super) machine: MachineId,
-    /// The agent epoch of its old heartbeat.
+    /// Agent epoch in the machine's stale heartbeat.
     pub(super) agent_epoch: AgentEpoch,
 }
 
-/// Where a direct message reaches a worker.
+/// Destination of a direct message.
 struct WorkerAddress {
     endpoint: Rc<str>,
     agent_epoch: AgentEpoch,
 }
 
 impl Shard {
-    /// Has a machine asked whether it was restarted, as an old heartbeat of it came. That is a late copy, or the
-    /// machine's epochs and sequences begin again; only the machine itself can tell.
+    /// Queues a restart check after a stale heartbeat. The heartbeat was delayed or duplicated, or the
+    /// machine's agent epochs and sequence numbers begin again. Only the machine itself can tell which.
     pub(super) fn check_for_restart(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let id = &heartbeat.machine;
-        let is_recent = |at: &MonotonicTime| now.since(*at) < RESTART_CHECK_AGAIN_MS;
+        let is_recent = |at: &MonotonicTime| now.since(*at) < RESTART_CHECK_INTERVAL_MIN_MS;
         if self.restarted.contains(id) || self.restart_checked_at.get(id).is_some_and(is_recent) {
             return;
         }
@@ -46,28 +47,29 @@
         self.restart_checks_due.push(check);
     }
 
-    /// Direct messages that are due, up to `limit`: kills; and, if this node may answer, restart checks and
-    /// announcements to machines of this shard that have not shown the term's token, as nothing starts on them before,
-    /// and tasks of earlier terms wait for the proof.
+    /// Returns up to `limit` direct messages that are due. Kills come first. If this controller may respond
+    /// to workers, restart checks and term announcements follow. Announcements go to machines of this shard
+    /// that have not shown the term's token: nothing starts on such a machine, and tasks of earlier terms
+    /// wait for its proof.
     pub fn direct_messages_due(
         &mut self,
         now: MonotonicTime,
         replica: &Replica,
-        may_answer: bool,
+        may_respond: bool,
         limit: usize,
     ) -> Vec<DirectMessage> {
         let mut messages = self.kill_messages(replica, limit);
-        if may_answer {
+        if may_respond {
             self.add_restart_checks(limit, &mut messages);
             self.add_announcements(now, replica, limit, &mut messages);
         }
         messages
     }
 
-    /// Kills that do not wait, up to `limit` messages: the response to the next heartbeat would carry
-    /// them, but a machine may reach nobody, or this node may not answer any more. A kill that is
-    /// late or repeated ends nothing that is wanted: the job is cancelled for good, and what a gang starts
-    /// later has a higher attempt.
+    /// Returns up to `limit` messages with kills. The response to the next heartbeat would carry the same
+    /// kills, but the machine may reach no controller, or this controller may not respond any more. A late or
+    /// repeated kill ends no wanted task: a cancelled job stays cancelled, and later starts of a gang have a
+    /// higher attempt.
     fn kill_messages(&mut self, replica: &Replica, limit: usize) -> Vec<DirectMessage> {
         let mut messages = Vec::new();
         while messages.len() < limit
@@ -94,7 +96,7 @@
         messages
     }
 
-    /// Adds restart checks, up to `limit` messages in all.
+    /// Adds restart checks until there are `limit` messages.
     fn add_restart_checks(&mut self, limit: usize, messages: &mut Vec<DirectMessage>) {
         while messages.len() < limit
             && let Some(check) = self.restart_checks_due.pop()
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Adds announcements of the term, up to `limit` messages in all.
+    /// Adds term announcements until there are `limit` messages.
     fn add_announcements(
         &mut self,
         now: MonotonicTime,
@@ -124,18 +126,20 @@
             return;
         }
         let mut has_pending = false;
-        for (id, _) in self.term_state.owners.iter().filter(|(_, owner)| **owner == self.me) {
+        for (id, _) in self.term_state.owners.iter().filter(|(_, owner)| **owner == self.node_id) {
             if self.machines.get(id).is_some_and(|machine| machine.is_reconciled(term)) {
                 continue;
             }
-            let Some(address) = self.address(replica, id) else { continue };
+            let Some(address) = self.worker_address(replica, id) else { continue };
             let announcement = self.term_state.announcements.get(id).copied().unwrap_or_default();
             if announcement.is_exhausted() {
                 continue;
             }
             has_pending = true;
             if announcement.is_due(now) && messages.len() < limit {
-                self.term_state.announcements.insert(id.clone(), announcement.repeated(now));
+                self.term_state
+                    .announcements
+                    .insert(id.clone(), announcement.after_announcement(now));
                 messages.push(DirectMessage {
                     machine: id.clone(),
                     endpoint: address.endpoint,
@@ -149,8 +153,9 @@
         self.term_state.announcements_pending = has_pending;
     }
 
-    /// Where a machine's worker listens, by its newest heartbeat or else by the record of the machine.
-    fn address(&self, replica: &Replica, id: &MachineId) -> Option<WorkerAddress> {
+    /// Returns the address of a machine's worker from its newest heartbeat, or else from its machine record
+    /// in the state store.
+    fn worker_address(&self, replica: &Replica, id: &MachineId) -> Option<WorkerAddress> {
         let by_heartbeat = self.newest_heartbeats.get(id).map(|newest| WorkerAddress {
             endpoint: newest.endpoint.clone(),
             agent_epoch: newest.order.agent_epoch,
@@ -163,7 +168,8 @@
         by_heartbeat.or_else(by_record).filter(|address| !address.endpoint.is_empty())
     }
 
-    /// Handles a machine's answer to a direct message: it shows the token and the machine's tasks as a heartbeat does.
+    /// Handles a machine's answer to a direct message. Like a heartbeat, the answer shows the machine's token
+    /// and tasks.
     pub fn on_direct_response(
         &mut self,
         context: &ShardContext<'_>,
@@ -176,7 +182,7 @@
         }
         self.record_completions(context.now, context.replica, heartbeat);
         if sent.newest_known.is_some_and(|newest| HeartbeatOrder::of(heartbeat) <= newest) {
-            tracing::info!(machine = %id, "was restarted");
+            tracing::info!(machine = %id, "machine was restarted");
             self.restarted.insert(id.clone());
             self.summary_due = true;
             return;
@@ -187,23 +193,27 @@
         {
             return;
         }
-        if heartbeat.token == self.term_state.term && self.term_state.owner(id) == Some(self.me) {
+        if heartbeat.token == self.term_state.term
+            && self.term_state.owner(id) == Some(self.node_id)
+        {
             self.reconcile_directly(context, heartbeat);
         } else if let Some(announcement) = self.term_state.announcements.get_mut(id) {
-            // Its agent epoch was not known; now it is.
+            // The message may have carried an outdated agent epoch. The answer shows the present one, so the
+            // term is announced again at once.
             announcement.expedite();
         }
     }
 
-    /// Reconciles a machine of this shard by its answer to a direct message.
+    /// Reconciles a machine of this shard from its answer to a direct message.
     fn reconcile_directly(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) {
         let id = &heartbeat.machine;
-        self.record_state(context, heartbeat);
-        // Its heartbeats may reach nobody, and then no response kills what is not wanted any more.
+        self.record_heartbeat(context, heartbeat);
+        // If the machine's heartbeats reach no controller, no response would kill the tasks of cancelled
+        // jobs.
         if heartbeat.tasks.iter().any(|s| is_cancelled(context.replica, s.task.job)) {
             self.kills_due.insert(id.clone());
         }
-        // Its agent epoch may have begun just now, without any response: its lease counts from here.
+        // The agent epoch may have just begun without any response, so the lease counts from this answer.
         self.responded_at.insert(id.clone(), context.now);
     }
 }
--- a/src/shard/foreign_heartbeat.rs
+++ b/src/shard/foreign_heartbeat.rs
@@ -1,35 +1,41 @@
-//! Heartbeats of machines that this node does not own, and machines that an isolated node sends away.
+//! Heartbeats of machines that this controller does not own, and redirects by an isolated controller.
 //!
-//! Such a machine gets kills and keeps its lease, but nothing starts on it here.
+//! A foreign machine gets kills and keeps its lease, but this controller starts nothing on it.
 
-use super::redirect::{ForeignMachineRecord, Redirected, Route};
+use super::redirect::{ForeignMachineRecord, RedirectState, Route};
 use super::unconfirmed_token::UnconfirmedToken;
 use super::{HeartbeatOutcome, Shard, ShardContext};
 use crate::config::HeartbeatTiming;
 use crate::model::{MachineId, MonotonicTime, NodeId};
 use crate::wire::Heartbeat;
 
-/// Time for which an isolated node does not send a machine away again, in milliseconds: every try takes from the
-/// worker's lease.
-pub(super) const SENT_AWAY_MS: u64 = 20_000;
+/// Minimum time in milliseconds between two redirects of the same own machine by an isolated controller.
+/// Every redirect uses up part of the worker's lease.
+pub(super) const ISOLATION_REDIRECT_INTERVAL_MIN_MS: u64 = 20_000;
 
 impl Shard {
-    /// Redirects a heartbeat to the controller of that index; refuses it if there is none.
+    /// Redirects a heartbeat to the controller with index `node`. Refuses the heartbeat if there is no such
+    /// controller.
     pub(super) fn redirect_to(&self, context: &ShardContext<'_>, node: usize) -> HeartbeatOutcome {
         let name = context.nodes.get(node).map(|n| n.name.clone());
         name.map_or(HeartbeatOutcome::Refuse, HeartbeatOutcome::Redirect)
     }
 
-    /// Whether an isolated node sends a machine of its own to another controller now.
-    pub(super) fn may_send_away(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
-        if self.sent_away_at.get(id).is_some_and(|at| now.since(*at) < SENT_AWAY_MS) {
+    /// Whether this controller, being isolated, redirects one of its own machines now. Records the redirect
+    /// if so.
+    pub(super) fn allow_isolation_redirect(&mut self, now: MonotonicTime, id: &MachineId) -> bool {
+        if self
+            .isolation_redirected_at
+            .get(id)
+            .is_some_and(|at| now.since(*at) < ISOLATION_REDIRECT_INTERVAL_MIN_MS)
+        {
             return false;
         }
-        self.sent_away_at.insert(id.clone(), now);
+        self.isolation_redirected_at.insert(id.clone(), now);
         true
     }
 
-    /// Whether a machine may get a response, as far as it is known to receive them.
+    /// Whether a machine may get a response: it shows the term's token, or is not presumed to miss its responses.
     pub(super) fn may_get_response(
         &mut self,
         context: &ShardContext<'_>,
@@ -47,8 +53,8 @@
             .admit(now, id, agent_epoch, context.lease_ms)
     }
 
-    /// Handles the heartbeat of a machine that another node owns.
-    pub(super) fn on_heartbeat_of(
+    /// Handles the heartbeat of a machine that another controller owns.
+    pub(super) fn redirect_or_respond(
         &mut self,
         owner: NodeId,
         context: &ShardContext<'_>,
@@ -61,21 +67,22 @@
         }
     }
 
-    /// Where the heartbeat of another shard's machine goes.
+    /// Chooses how to handle the heartbeat of a machine that another controller owns. Records a redirect to
+    /// the owner.
     fn route(&mut self, now: MonotonicTime, timing: &HeartbeatTiming, id: &MachineId) -> Route {
         let foreign = self.term_state.foreign_machines.get(id);
         if foreign.is_some_and(|record| record.is_owner_unreachable(now, timing)) {
             return Route::OwnerUnreachable;
         }
         let redirects = &mut self.term_state.redirects;
-        if let Some(redirected) = redirects.get_mut(id).filter(|r| r.counts(now, timing)) {
-            return redirected.on_return(now);
+        if let Some(redirect) = redirects.get_mut(id).filter(|r| r.is_current(now, timing)) {
+            return redirect.on_return(now);
         }
-        redirects.insert(id.clone(), Redirected::first(now));
+        redirects.insert(id.clone(), RedirectState::first(now));
         Route::ToOwner
     }
 
-    /// Keeps a worker alive that this node does not own.
+    /// Records and responds to a foreign machine, which renews its worker's lease.
     pub(super) fn on_foreign_heartbeat(
         &mut self,
         context: &ShardContext<'_>,
@@ -91,11 +98,11 @@
                     zone: heartbeat.zone.clone(),
                     spot: heartbeat.spot,
                     unreachable_since: None,
-                    last_heartbeat: now,
+                    last_heartbeat_at: now,
                     shows_token: false,
                 },
             );
-        record.last_heartbeat = now;
+        record.last_heartbeat_at = now;
         if owner_unreachable {
             record.unreachable_since.get_or_insert(now);
         }
--- a/src/shard/granted_start.rs
+++ b/src/shard/granted_start.rs
@@ -1,4 +1,4 @@
-//! What may start on the word of a plan, and the kinds of machines that starts are weighed by.
+//! Starts that a plan permits, and the kinds of machines by which the priorities of starts are compared.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use crate::model::{Attempt, PlanSeq, TaskId, Term};
 use crate::placement::PlacementTarget;
 
-/// Machines that the same jobs may use.
+/// Machines that are equivalent with respect to which jobs may use them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineKind {
     pub(super) machine_type: Rc<str>,
@@ -24,37 +24,38 @@
     }
 }
 
-/// How a grant came about.
+/// The basis on which a task was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantKind {
-    /// A machine had room for it.
+    /// A machine had free capacity for the task.
     WithRoom,
-    /// It awaits the release of resources by another task.
+    /// The task awaits the release of resources by another task.
     AwaitingRelease,
-    /// All tasks of a gang share its attempt.
+    /// The task belongs to a gang, whose tasks share one attempt.
     Gang,
 }
 
-/// A task that is to start, with the grant that allows it.
+/// A task to start, and the grant that permits the start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantedStart {
     pub(super) task: TaskId,
-    /// The attempt that all tasks of a gang share; `None` if the shard gives out one.
+    /// The attempt shared by all tasks of a gang; `None` if the shard allocates one.
     pub(super) attempt: Option<Attempt>,
-    /// The term of the plan that granted it.
+    /// Term of the plan that granted the task.
     pub(super) term: Term,
     pub(super) plan: PlanSeq,
     pub(super) kind: GrantKind,
 }
 
 impl GrantedStart {
-    /// The start of a task where there is room; of a gang's task if the grant has an attempt.
+    /// Creates the start of a task for which a machine has free capacity. A grant with an attempt belongs to
+    /// a gang.
     pub(super) fn with_room(plan: &ActivePlan, task: TaskId, attempt: Option<Attempt>) -> Self {
         let kind = if attempt.is_some() { GrantKind::Gang } else { GrantKind::WithRoom };
         GrantedStart { task, attempt, term: plan.term, plan: plan.seq, kind }
     }
 
-    /// The start of a task that is granted ahead of the release of the resources it needs.
+    /// Creates the start of a task that is granted ahead of the release of the resources it needs.
     pub(super) fn awaiting_release(plan: &ActivePlan, task: TaskId) -> Self {
         let kind = GrantKind::AwaitingRelease;
         GrantedStart { task, attempt: None, term: plan.term, plan: plan.seq, kind }
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -1,4 +1,4 @@
-//! How a heartbeat is handled: refused, redirected, or recorded and responded to.
+//! Handling of heartbeats: refuses, redirects, or records and responds.
 
 use std::rc::Rc;
 
@@ -8,17 +8,17 @@
 use crate::model::{MachineId, NodeId, Term};
 use crate::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
-/// Who answers for a machine.
+/// The shard responsible for a machine.
 enum Responsibility {
     /// This shard.
     Own,
-    /// That controller's shard.
+    /// The shard of another controller.
     Other(NodeId),
-    /// No shard that is known here.
+    /// No known shard.
     Unknown,
 }
 
-/// The newest heartbeat of a machine, and where its worker listens.
+/// Position of a machine's newest heartbeat, and the address at which its worker listens.
 #[derive(Clone, Debug)]
 pub(super) struct NewestHeartbeat {
     pub(super) order: HeartbeatOrder,
@@ -32,38 +32,40 @@
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        self.last_heartbeat = context.now;
-        // A completed task stays completed whoever reports it and however late.
+        self.last_heartbeat_at = context.now;
+        // A completion is final, so it counts even in a stale heartbeat or one of a foreign machine.
         self.record_completions(context.now, context.replica, heartbeat);
         if !self.may_respond(context, heartbeat) {
             return HeartbeatOutcome::Refuse;
         }
         match self.responsibility(&heartbeat.machine) {
-            // Whoever still reaches the store may have taken its machines over. A worker
-            // that comes back found nobody, as in an outage, and is kept alive here.
+            // A controller that still reaches the store may have taken over the machines of this isolated
+            // one, so each worker is redirected once. A worker that returns found no other controller, as in
+            // an outage, and is kept alive here.
             Responsibility::Own
-                if context.isolated && self.may_send_away(context.now, &heartbeat.machine) =>
+                if context.is_isolated
+                    && self.allow_isolation_redirect(context.now, &heartbeat.machine) =>
             {
-                let next = (usize::from(self.me.0) + 1) % context.nodes.len().max(1);
+                let next = (usize::from(self.node_id.0) + 1) % context.nodes.len().max(1);
                 self.redirect_to(context, next)
             }
             Responsibility::Own => self.on_own_heartbeat(context, heartbeat),
-            Responsibility::Other(owner) => self.on_heartbeat_of(owner, context, heartbeat),
+            Responsibility::Other(owner) => self.redirect_or_respond(owner, context, heartbeat),
             Responsibility::Unknown => self.on_foreign_heartbeat(context, heartbeat, false),
         }
     }
 
-    /// Whether a heartbeat may get a response at all.
+    /// Whether a heartbeat may get a response.
     fn may_respond(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) -> bool {
         let term = self.term_state.term;
-        if !context.may_answer || term == Term(0) || heartbeat.token > term {
+        if !context.may_respond || term == Term(0) || heartbeat.token > term {
             return false;
         }
         if context.replica.is_machine_gone(&heartbeat.machine) {
             return false;
         }
-        // A late copy tells of a past that newer heartbeats have overtaken. It reconciles nothing,
-        // and its response would reach nobody.
+        // Newer heartbeats have superseded a stale one. It must not reconcile the machine, and a response to
+        // it would reach no one.
         if !self.is_newest(heartbeat) {
             self.check_for_restart(context.now, heartbeat);
             return false;
@@ -71,12 +73,12 @@
         self.may_get_response(context, heartbeat)
     }
 
-    /// Who answers for a machine. Before the first plan of a term nobody is known to own any: machines that were this
-    /// shard's are still observed and kept alive, all others are kept alive, and none is sent to an owner of an earlier
-    /// term.
+    /// Returns the shard responsible for a machine. Before the first plan of a term no owner is known: machines of this
+    /// shard are still observed and kept alive, other machines are kept alive, and no machine is redirected
+    /// to an owner of an earlier term.
     fn responsibility(&self, machine: &MachineId) -> Responsibility {
         match self.term_state.owner(machine) {
-            Some(owner) if owner == self.me => Responsibility::Own,
+            Some(owner) if owner == self.node_id => Responsibility::Own,
             Some(owner) => Responsibility::Other(owner),
             None if !self.term_state.has_plan() && self.machines.contains_key(machine) => {
                 Responsibility::Own
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Whether a heartbeat is newer than all others of its machine; remembers it if so.
+    /// Whether a heartbeat is newer than all earlier ones of its machine. Records it if so.
     pub(super) fn is_newest(&mut self, heartbeat: &Heartbeat) -> bool {
         let order = HeartbeatOrder::of(heartbeat);
         if let Some(newest) = self.newest_heartbeats.get_mut(&heartbeat.machine) {
@@ -98,7 +100,8 @@
             }
             return true;
         }
-        // Before the first plan of a term no machine has an owner, and forgetting them all would let late copies in.
+        // Before the first plan of a term no machine has an owner. Discarding the records of machines without
+        // an owner would discard all of them, and stale heartbeats would be accepted.
         if self.newest_heartbeats.len() >= NEWEST_HEARTBEATS_MAX && self.term_state.has_plan() {
             let owners = &self.term_state.owners;
             self.newest_heartbeats.retain(|id, _| owners.contains_key(id));
@@ -108,22 +111,22 @@
         true
     }
 
-    /// Records the state of a machine of this shard, and responds with what it is to kill, clear and start.
+    /// Records the state of a machine of this shard and responds with its kill, clear and start commands.
     fn on_own_heartbeat(
         &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        let has_more_room = self.record_state(context, heartbeat);
+        let has_freed_capacity = self.record_heartbeat(context, heartbeat);
         let mut commands = self.kills(context.replica, &heartbeat.machine, &heartbeat.tasks);
         self.clear_exited(context, heartbeat, &mut commands);
-        self.start_granted(context, &heartbeat.machine, has_more_room, &mut commands);
+        self.start_granted(context, &heartbeat.machine, has_freed_capacity, &mut commands);
         self.respond(context, heartbeat, true, commands)
     }
 
-    /// Records what a heartbeat of a machine of this shard shows; says whether the machine may have more room than
-    /// before.
-    pub(super) fn record_state(
+    /// Records the state that a heartbeat shows of a machine of this shard. Returns whether the machine may
+    /// have more free capacity than before.
+    pub(super) fn record_heartbeat(
         &mut self,
         context: &ShardContext<'_>,
         heartbeat: &Heartbeat,
@@ -136,35 +139,36 @@
         let is_new = machine.is_new();
         let task_count = machine.tasks.len();
         let quarantined_until = machine.quarantined_until;
-        let standing_changed = machine.record_standing(context.now, heartbeat);
+        let machine_status_changed = machine.record_machine_status(context.now, heartbeat);
         let changes = machine.record_tasks(context, heartbeat);
         let quarantine_changed = machine.quarantined_until != quarantined_until;
-        // The leader needs the stages of tasks only in passing, so they wait for the next regular summary.
-        self.summary_due |= changes.task_set_changed || standing_changed || is_new;
-        if changes.any || standing_changed || is_new || quarantine_changed {
+        // Task states alone are not urgent for the leader, so a change of state waits for the next regular
+        // summary.
+        self.summary_due |= changes.task_set_changed || machine_status_changed || is_new;
+        if changes.any_changed || machine_status_changed || is_new || quarantine_changed {
             machine.changed_in_summary = next_summary;
         }
-        let has_more_room =
-            machine.tasks.len() < task_count || standing_changed || quarantine_changed;
-        // A start that was lost, or a task that failed, has to go somewhere else.
+        let has_freed_capacity =
+            machine.tasks.len() < task_count || machine_status_changed || quarantine_changed;
+        // A task whose start was lost or that failed has to be assigned again.
         self.term_state.assignment_stale |=
-            changes.removed.iter().any(|task| self.may_start(context.replica, *task));
+            changes.removed.iter().any(|task| self.is_incomplete(context.replica, *task));
         self.record_gang_attempts(heartbeat);
-        has_more_room
+        has_freed_capacity
     }
 
-    /// Remembers which attempts of granted gangs a worker has shown, as they are never started again. A refused start
-    /// never ran, and may be tried elsewhere.
+    /// Records which attempts of granted gangs the worker has shown, as a shown attempt is never started
+    /// again. A task whose start was refused never ran and may start on another machine.
     fn record_gang_attempts(&mut self, heartbeat: &Heartbeat) {
         let term_state = &mut self.term_state;
-        if !term_state.plan.has_gangs() {
+        if !term_state.plan.has_gang_grants() {
             return;
         }
         let shown = heartbeat
             .tasks
             .iter()
             .filter(|status| !is_refused_start(status))
-            .filter(|status| term_state.plan.grants_gang(status.attempt))
+            .filter(|status| term_state.plan.grants_gang_attempt(status.attempt))
             .map(|status| (status.task, status.attempt));
         term_state.shown_gang_attempts.extend(shown);
     }
@@ -180,9 +184,9 @@
         self.responded_at.insert(heartbeat.machine.clone(), context.now);
         let (term, plan) = (self.term_state.term, self.term_state.plan.seq.0);
         tracing::debug!(
-            machine = %heartbeat.machine, own, %term, plan, proof_ms = context.proof_ms,
+            machine = %heartbeat.machine, own, %term, plan, proof_ms = context.replica_age_ms,
             agent_epoch = heartbeat.agent_epoch.0, token = %heartbeat.token,
-            commands = commands.len(), "answers"
+            commands = commands.len(), "responded to heartbeat"
         );
         HeartbeatOutcome::Respond(HeartbeatResponse { token: term, commands })
     }
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -1,4 +1,5 @@
-//! Which tasks a machine is to kill. What is cancelled is killed by every controller, whoever owns the machine.
+//! Selection of the tasks that a machine has to kill. Every controller kills the tasks of a cancelled job,
+//! whoever owns the machine.
 
 use super::Shard;
 use super::machine::Machine;
@@ -12,7 +13,7 @@
 }
 
 impl Shard {
-    /// Kills for the tasks that are to end on a machine.
+    /// Returns kills for those of `tasks` that have to end on a machine.
     pub(super) fn kills(
         &self,
         replica: &Replica,
@@ -26,8 +27,8 @@
             .collect()
     }
 
-    /// The kill for a task that is to end: its job was cancelled, it is durably done already, or it is of a gang that is
-    /// being stopped.
+    /// Returns a kill if a task has to end: its job was cancelled, its outcome is already recorded, or its
+    /// gang is being stopped.
     pub(super) fn kill_for(
         &self,
         replica: &Replica,
@@ -43,18 +44,19 @@
             None => return None,
         };
         tracing::debug!(
-            %task, %machine, %attempt, why, term = %plan.term, plan = plan.seq.0, "stops"
+            %task, %machine, %attempt, why, term = %plan.term, plan = plan.seq.0, "issued kill"
         );
         let grace_s = grace_ms as f64 / 1000.0;
         Some(WorkerCommand::Kill { task, attempt, grace_s })
     }
 
-    /// Has the machines of this shard that have tasks of cancelled jobs get their kills without waiting for heartbeats.
+    /// Queues kills for the machines of this shard that have tasks of cancelled jobs, without waiting for
+    /// heartbeats.
     pub fn queue_cancellation_kills(&mut self, jobs: &[JobId]) {
         self.queue_kills(|_, machine| machine.tasks.keys().any(|task| jobs.contains(&task.job)));
     }
 
-    /// The same for machines that have tasks of gangs that are being stopped.
+    /// Queues kills for the machines of this shard that have tasks of gangs that are being stopped.
     pub(super) fn queue_gang_kills(&mut self) {
         self.queue_kills(|shard, machine| {
             let plan = &shard.term_state.plan;
@@ -62,13 +64,13 @@
         });
     }
 
-    fn queue_kills(&mut self, is_concerned: impl Fn(&Shard, &Machine) -> bool) {
-        let concerned: Vec<MachineId> = self
+    fn queue_kills(&mut self, needs_kills: impl Fn(&Shard, &Machine) -> bool) {
+        let machines: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, machine)| is_concerned(self, machine))
+            .filter(|(_, machine)| needs_kills(self, machine))
             .map(|(id, _)| id.clone())
             .collect();
-        self.kills_due.extend(concerned);
+        self.kills_due.extend(machines);
     }
 }
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of the shard, as its newest heartbeat showed it and with what was started on it since.
+//! A machine of the shard: the state in its newest heartbeat and the tasks started on it since.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,12 +9,13 @@
 use crate::placement::{ObservedMachine, PlacementTarget};
 use crate::wire::{Heartbeat, JobSpec, TaskState, TaskStatus};
 
-/// Quarantine after a start that the next heartbeat did not show, doubled for each one in a row up to the limit below,
-/// in milliseconds.
+/// Base quarantine in milliseconds after a start that the next heartbeat did not show. It is doubled once
+/// per consecutive missed start, at most `MISSED_START_DOUBLINGS_MAX` times.
 const MISSED_START_QUARANTINE_MS: u64 = 1_000;
-const MISSED_START_DOUBLINGS: u32 = 5;
+const MISSED_START_DOUBLINGS_MAX: u32 = 5;
 
-/// A task on a machine, or on its way there: then its state is `Unknown`.
+/// A task that runs on a machine or was sent to it. A task that was sent and has not been shown yet is
+/// `Unknown`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct HeldTask {
     pub(super) attempt: Attempt,
@@ -26,24 +27,24 @@
         HeldTask { attempt: status.attempt, state: status.state }
     }
 
-    /// Whether its start has not been shown yet.
+    /// Whether no heartbeat has shown the started task yet.
     fn is_start_pending(&self) -> bool {
         self.state == TaskState::Unknown
     }
 }
 
-/// What a heartbeat changed of the tasks on a machine.
+/// Changes that a heartbeat made to the tasks of a machine.
 #[derive(Debug, Default)]
 pub(super) struct TaskChanges {
-    /// Anything, be it only the state of a task.
-    pub(super) any: bool,
-    /// Which tasks there are.
+    /// Whether anything changed, including the state of a task alone.
+    pub(super) any_changed: bool,
+    /// Whether the set of tasks changed.
     pub(super) task_set_changed: bool,
-    /// The tasks that are no longer on it.
+    /// Tasks that are no longer on the machine.
     pub(super) removed: Vec<TaskId>,
 }
 
-/// What is known of a machine.
+/// The observed state of a machine.
 #[derive(Clone, Debug)]
 pub(super) struct Machine {
     pub(super) machine_type: Rc<str>,
@@ -51,27 +52,28 @@
     pub(super) spot: bool,
     pub(super) endpoint: Rc<str>,
     pub(super) agent_epoch: AgentEpoch,
-    /// The fencing token that its newest heartbeat showed.
+    /// Fencing token in its newest heartbeat.
     pub(super) token: Term,
-    pub(super) last_heartbeat: MonotonicTime,
-    /// Whether the cloud gave notice that it takes the spot machine back.
+    pub(super) last_heartbeat_at: MonotonicTime,
+    /// Whether the cloud has announced that it reclaims this spot machine.
     pub(super) reclaim_noticed: bool,
-    /// When it takes it, if it gave notice.
-    pub(super) reclaimed_at: Option<MonotonicTime>,
+    /// Time at which the cloud reclaims the machine, if announced.
+    pub(super) reclaim_at: Option<MonotonicTime>,
     pub(super) tasks: BTreeMap<TaskId, HeldTask>,
-    /// Images that it has by its tasks, with their sizes in GB; the last used one last.
+    /// Images cached for its tasks with their sizes in GB, most recently used last.
     pub(super) images: Vec<(Rc<str>, f64)>,
-    /// Failures in a row that it is blamed for.
-    pub(super) faults: u32,
+    /// Consecutive task failures attributed to this machine.
+    pub(super) consecutive_failures: u32,
     pub(super) quarantined_until: MonotonicTime,
-    /// Starts in a row that the next heartbeat did not show.
-    pub(super) missed_starts: u32,
-    /// The first summary that shows it as it is now; 0 before it is recorded.
+    /// Consecutive heartbeats that did not show a pending start.
+    pub(super) consecutive_missed_starts: u32,
+    /// Sequence number of the first summary that contains the machine's present state; 0 before its first
+    /// heartbeat is recorded.
     pub(super) changed_in_summary: u64,
 }
 
 impl Machine {
-    /// A machine of which nothing but its identity is recorded yet.
+    /// Creates a machine from the identity in a heartbeat; the rest of the heartbeat is not recorded.
     pub(super) fn new(heartbeat: &Heartbeat, now: MonotonicTime) -> Self {
         Machine {
             machine_type: heartbeat.machine_type.as_str().into(),
@@ -80,24 +82,24 @@
             endpoint: heartbeat.endpoint.as_str().into(),
             agent_epoch: heartbeat.agent_epoch,
             token: Term(0),
-            last_heartbeat: now,
+            last_heartbeat_at: now,
             reclaim_noticed: false,
-            reclaimed_at: None,
+            reclaim_at: None,
             tasks: BTreeMap::new(),
             images: Vec::new(),
-            faults: 0,
+            consecutive_failures: 0,
             quarantined_until: MonotonicTime(0),
-            missed_starts: 0,
+            consecutive_missed_starts: 0,
             changed_in_summary: 0,
         }
     }
 
-    /// Whether no heartbeat of it has been recorded yet.
+    /// Whether no heartbeat of the machine has been recorded yet.
     pub(super) fn is_new(&self) -> bool {
         self.changed_in_summary == 0
     }
 
-    /// Remembers that the machine fetches the image of that job, as the last used one.
+    /// Records the image of a job as the most recently used one.
     pub(super) fn remember_image(&mut self, spec: &JobSpec) {
         if self.images.last().is_some_and(|(name, _)| *name == spec.image) {
             return;
@@ -106,7 +108,8 @@
         self.images.push((spec.image.clone(), spec.image_gb));
     }
 
-    /// Forgets the images that no longer fit into the machine's cache.
+    /// Removes the least recently used images until the rest fit into the machine's image cache. The most
+    /// recently used image is always kept.
     fn trim_images(&mut self, image_cache_gb: f64) {
         while self.images.len() > 1
             && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > image_cache_gb
@@ -115,26 +118,27 @@
         }
     }
 
-    /// Whether it has shown that term's token: it receives its responses, and refuses older commands.
+    /// Whether the machine has shown the token of `term`: it receives the responses sent to it and refuses
+    /// commands of earlier terms.
     pub(super) fn is_reconciled(&self, term: Term) -> bool {
         self.token == term
     }
 
-    /// Whether it may be given tasks in that term, as far as its own state tells.
+    /// Whether the machine's own state allows new tasks in `term`.
     fn is_usable(&self, term: Term, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
         self.is_reconciled(term)
             && !self.reclaim_noticed
             && self.quarantined_until <= now
-            && now.since(self.last_heartbeat) < timing.unavailable_after_ms
+            && now.since(self.last_heartbeat_at) < timing.unavailable_after_ms
     }
 
-    /// Quarantines it at least until that time.
+    /// Extends the quarantine to `until` unless it already ends later.
     pub(super) fn quarantine_until(&mut self, until: MonotonicTime) {
         self.quarantined_until = self.quarantined_until.max(until);
     }
 
-    /// The room on it for tasks of that term; closed unless `open` and it may be given tasks. `None` if its type is
-    /// not known.
+    /// Returns the machine's capacity for tasks of `term`, or `None` if its machine type is unknown. The
+    /// target is open only if `open` is set and the machine is usable.
     pub(super) fn placement_target(
         &self,
         id: &MachineId,
@@ -154,21 +158,25 @@
         PlacementTarget::of(machine, tasks, context.catalog, context.replica)
     }
 
-    /// Records what a heartbeat says of the machine itself; says whether its agent epoch, its token or the cloud's
-    /// notice changed.
-    pub(super) fn record_standing(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+    /// Records the machine's own state from a heartbeat. Returns whether its agent epoch, its token or the
+    /// cloud's reclaim notice changed.
+    pub(super) fn record_machine_status(
+        &mut self,
+        now: MonotonicTime,
+        heartbeat: &Heartbeat,
+    ) -> bool {
         let reclaim_noticed = heartbeat.spot_notice_s.is_some();
         let changed = (heartbeat.agent_epoch, heartbeat.token, reclaim_noticed)
             != (self.agent_epoch, self.token, self.reclaim_noticed);
         self.agent_epoch = heartbeat.agent_epoch;
         self.token = heartbeat.token;
         self.reclaim_noticed = reclaim_noticed;
-        self.reclaimed_at = heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
-        self.last_heartbeat = now;
+        self.reclaim_at = heartbeat.spot_notice_s.map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
+        self.last_heartbeat_at = now;
         changed
     }
 
-    /// Records the tasks of a heartbeat.
+    /// Replaces the machine's tasks by those in a heartbeat.
     pub(super) fn record_tasks(
         &mut self,
         context: &ShardContext<'_>,
@@ -179,8 +187,9 @@
         if tasks().count() == self.tasks.len() && tasks().all(is_held) {
             return TaskChanges::default();
         }
-        // A start that this heartbeat does not show was in a response that the worker dropped:
-        // it has one heartbeat in flight at a time, so replacing the list forgets it rightly.
+        // A pending start that is missing from this heartbeat was in a response that the worker did not
+        // process. A worker has one heartbeat in flight, so the start cannot arrive any more and may be
+        // discarded.
         self.record_pending_starts(context.now, heartbeat);
         let tasks: BTreeMap<TaskId, HeldTask> =
             tasks().map(|s| (s.task, HeldTask::of(s))).collect();
@@ -188,24 +197,24 @@
         let removed = self.tasks.keys().filter(|t| !tasks.contains_key(t)).copied().collect();
         self.tasks = tasks;
         self.record_images(context, heartbeat);
-        TaskChanges { any: true, task_set_changed, removed }
+        TaskChanges { any_changed: true, task_set_changed, removed }
     }
 
-    /// Quarantines the machine if it shows none of the starts that it was sent last.
+    /// Quarantines the machine if a heartbeat shows none of the pending starts.
     fn record_pending_starts(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let is_shown = |task: &TaskId, held: &HeldTask| {
             heartbeat.tasks.iter().any(|s| s.task == *task && s.attempt == held.attempt)
         };
         if self.tasks.iter().any(|(task, held)| held.is_start_pending() && is_shown(task, held)) {
-            self.missed_starts = 0;
+            self.consecutive_missed_starts = 0;
         } else if self.tasks.values().any(HeldTask::is_start_pending) {
-            self.missed_starts += 1;
-            let doublings = self.missed_starts.min(MISSED_START_DOUBLINGS);
+            self.consecutive_missed_starts += 1;
+            let doublings = self.consecutive_missed_starts.min(MISSED_START_DOUBLINGS_MAX);
             self.quarantine_until(now.plus(MISSED_START_QUARANTINE_MS << doublings));
         }
     }
 
-    /// Remembers the images of the tasks of a heartbeat, as far as the machine's cache holds them.
+    /// Records the images of the tasks in a heartbeat and removes images that no longer fit into the cache.
     fn record_images(&mut self, context: &ShardContext<'_>, heartbeat: &Heartbeat) {
         for status in heartbeat.tasks.iter().filter(|s| s.state != TaskState::Exited) {
             if let Some(job) = context.replica.jobs.get(&status.task.job) {
--- a/src/shard/messages.rs
+++ b/src/shard/messages.rs
@@ -1,52 +1,52 @@
-//! What a heartbeat is answered with, and what is sent to a machine without waiting for one.
+//! Responses to heartbeats, and messages sent to machines without waiting for a heartbeat.
 
 use std::rc::Rc;
 
 use crate::model::{AgentEpoch, MachineId, Term};
 use crate::wire::{Heartbeat, HeartbeatResponse, WorkerCommand};
 
-/// The answer to a heartbeat.
+/// The reaction to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// 200 with commands. It renews the worker's lease.
+    /// Status 200 with commands. Renews the worker's lease.
     Respond(HeartbeatResponse),
-    /// 421: the worker is to send its heartbeats to the controller of that name.
+    /// Status 421. The worker is to send its heartbeats to the controller of this name.
     Redirect(String),
-    /// 503: this node may not respond, or the heartbeat is a late copy.
+    /// Status 503. This controller may not respond, or the heartbeat is stale.
     Refuse,
 }
 
-/// The place of a heartbeat among those of its machine. The derived order is the order of sending, unless the machine
-/// was restarted: the epoch counts before the sequence.
+/// Position of a heartbeat among those of its machine. The derived order, epoch before sequence number, is
+/// the sending order unless the machine was restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatOrder {
-    /// The agent epoch of the worker.
+    /// Agent epoch of the worker.
     pub agent_epoch: AgentEpoch,
-    /// The number of the heartbeat in that epoch.
+    /// Sequence number of the heartbeat in its agent epoch.
     pub sequence: u64,
 }
 
 impl HeartbeatOrder {
-    /// The place of that heartbeat.
+    /// Returns the position of `heartbeat`.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         HeartbeatOrder { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
     }
 }
 
-/// A message that a machine gets without having sent a heartbeat.
+/// A message sent to a machine without waiting for its heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectMessage {
-    /// The receiver.
+    /// Receiving machine.
     pub machine: MachineId,
-    /// Where its worker listens.
+    /// Address at which the machine's worker listens.
     pub endpoint: Rc<str>,
-    /// The fencing token.
+    /// Term of the sender, which is the fencing token.
     pub term: Term,
-    /// The agent epoch of its worker, as far as known.
+    /// Last known agent epoch of the worker.
     pub agent_epoch: AgentEpoch,
-    /// In a restart check, the newest heartbeat known when the message was made: a worker whose answer is not newer was
-    /// restarted. `None` in all other messages.
+    /// In a restart check, the newest heartbeat known when the message was made: a worker whose answer is not
+    /// newer was restarted. `None` in all other messages.
     pub newest_known: Option<HeartbeatOrder>,
-    /// Kills only: a start could run late.
+    /// Commands, which are kills only: a start in a direct message could be executed late.
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -1,95 +1,99 @@
-//! Where the heartbeats of other shards' machines go: to their owner, or nowhere if they cannot reach it.
+//! Routing of heartbeats of foreign machines: redirected to the owner, or handled here if the machine cannot
+//! reach its owner.
 
 use crate::config::HeartbeatTiming;
 use crate::model::MonotonicTime;
 
-/// A machine that comes back from its owner sooner than this, in milliseconds, was refused there; later, its requests
-/// timed out.
-const REFUSED_MS: u64 = 3_500;
+/// A machine that returns from its owner within this time, in milliseconds, was refused there. A machine that
+/// returns later had its requests time out.
+const REFUSED_RETURN_MAX_MS: u64 = 3_500;
 
-/// How often a machine is sent to an owner that refuses it.
-const REDIRECTS: u32 = 3;
+/// Maximum number of redirects to an owner that refuses the machine.
+const REDIRECTS_MAX: u32 = 3;
 
-/// Least time between two redirects of a machine to the same owner, in milliseconds.
-const REDIRECT_AGAIN_MS: u64 = 1_500;
+/// Minimum time between two redirects of a machine to the same owner, in milliseconds.
+const REDIRECT_INTERVAL_MIN_MS: u64 = 1_500;
 
-/// Time for which a redirect counts, beyond the time after which a machine is out of its owner's reach.
-const REDIRECT_MARGIN_MS: u64 = 5_000;
+/// Time in milliseconds for which a redirect is taken into account, in addition to `foreign_machine_ms`.
+const REDIRECT_RETENTION_MARGIN_MS: u64 = 5_000;
 
-/// The same for a machine that was found not to reach its owner.
-const UNREACHABLE_MARGIN_MS: u64 = 2_000;
+/// Time in milliseconds for which a machine that cannot reach its owner counts as such after its last
+/// heartbeat here, in addition to `foreign_machine_ms`.
+const UNREACHABLE_RETENTION_MARGIN_MS: u64 = 2_000;
 
-/// What to do with the heartbeat of another shard's machine.
+/// Handling of the heartbeat of a machine that another controller owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// Redirect it to its owner.
+    /// Redirect the heartbeat to the owner.
     ToOwner,
-    /// Keep the machine alive here until it is redirected again.
+    /// Respond here, and keep the machine alive until the next redirect.
     KeepAlive,
-    /// Keep the machine alive here: it cannot reach its owner.
+    /// Respond here, as the machine cannot reach its owner.
     OwnerUnreachable,
 }
 
 /// The redirects of a machine to its owner.
 #[derive(Clone, Debug)]
-pub(super) struct Redirected {
-    /// The last one.
-    pub(super) at: MonotonicTime,
-    pub(super) tries: u32,
-    /// Whether a heartbeat came here since.
-    pub(super) came_back: bool,
+pub(super) struct RedirectState {
+    /// Time of the last redirect.
+    pub(super) last_at: MonotonicTime,
+    pub(super) count: u32,
+    /// Whether a heartbeat was received here since the last redirect.
+    pub(super) returned: bool,
 }
 
-impl Redirected {
-    /// The first redirect.
+impl RedirectState {
+    /// Creates the record of a first redirect.
     pub(super) fn first(now: MonotonicTime) -> Self {
-        Redirected { at: now, tries: 1, came_back: false }
+        RedirectState { last_at: now, count: 1, returned: false }
     }
 
-    /// Whether it still says something about the machine.
-    pub(super) fn counts(&self, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
-        now.since(self.at) < timing.foreign_machine_ms + REDIRECT_MARGIN_MS
+    /// Whether the last redirect is recent enough to be taken into account.
+    pub(super) fn is_current(&self, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
+        now.since(self.last_at) < timing.foreign_machine_ms + REDIRECT_RETENTION_MARGIN_MS
     }
 
-    /// What to do with a heartbeat that came in spite of the redirect.
+    /// Chooses how to handle a heartbeat that was received here despite the redirect.
     ///
-    /// A machine that comes back late cannot reach its owner. One that comes back at once was refused, as by an owner
-    /// that has just started: it gets one response here and is then sent there again, `REDIRECTS` times at most.
+    /// A machine that returns late cannot reach its owner. A machine that returns at once was refused, for
+    /// example by an owner that has just started. Such a machine gets one response here and is redirected
+    /// again, up to `REDIRECTS_MAX` times.
     pub(super) fn on_return(&mut self, now: MonotonicTime) -> Route {
-        let away_ms = now.since(self.at);
-        if (!self.came_back && away_ms >= REFUSED_MS) || self.tries >= REDIRECTS {
+        let away_ms = now.since(self.last_at);
+        if (!self.returned && away_ms >= REFUSED_RETURN_MAX_MS) || self.count >= REDIRECTS_MAX {
             return Route::OwnerUnreachable;
         }
-        if !std::mem::replace(&mut self.came_back, true) || away_ms < REDIRECT_AGAIN_MS {
+        if !std::mem::replace(&mut self.returned, true) || away_ms < REDIRECT_INTERVAL_MIN_MS {
             return Route::KeepAlive;
         }
-        *self = Redirected { at: now, tries: self.tries + 1, came_back: false };
+        *self = RedirectState { last_at: now, count: self.count + 1, returned: false };
         Route::ToOwner
     }
 }
 
-/// A machine of another shard, or of none that is known, that is kept alive here.
+/// A machine that another controller owns, or that has no known owner, and that is kept alive here.
 #[derive(Clone, Debug)]
 pub(super) struct ForeignMachineRecord {
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    /// When it was found not to reach its owner.
+    /// Time at which the machine was first found not to reach its owner.
     pub(super) unreachable_since: Option<MonotonicTime>,
-    pub(super) last_heartbeat: MonotonicTime,
-    /// Whether it showed this term's token, which no late copy from an earlier term does. Only then is the leader told
-    /// of it.
+    pub(super) last_heartbeat_at: MonotonicTime,
+    /// Whether its newest heartbeat showed this term's token, which a delayed heartbeat from an earlier term
+    /// cannot. Only then is the machine reported to the leader.
     pub(super) shows_token: bool,
 }
 
 impl ForeignMachineRecord {
-    /// Whether it was found not to reach its owner, and has sent its heartbeats here since.
+    /// Whether the machine was found not to reach its owner and has recently sent a heartbeat here.
     pub(super) fn is_owner_unreachable(
         &self,
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) -> bool {
         self.unreachable_since.is_some()
-            && now.since(self.last_heartbeat) < timing.foreign_machine_ms + UNREACHABLE_MARGIN_MS
+            && now.since(self.last_heartbeat_at)
+                < timing.foreign_machine_ms + UNREACHABLE_RETENTION_MARGIN_MS
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -1,44 +1,46 @@
-//! The shard's summary for the leader: in full, or what changed since the last one that the leader applied.
+//! The shard's summary for the leader, which lists all machines or those changed since the last summary that
+//! the leader applied.
 
 use super::Shard;
 use super::completions::CompletedTasks;
-use super::foreign_heartbeat::SENT_AWAY_MS;
+use super::foreign_heartbeat::ISOLATION_REDIRECT_INTERVAL_MIN_MS;
 use super::machine::Machine;
 use super::term_state::SentSummary;
 use crate::config::HeartbeatTiming;
 use crate::model::{JobId, MachineId, MonotonicTime, TaskRanges, Term};
 use crate::peer::{ForeignMachine, MachineView, Summary, TaskView};
 
-/// About how many bytes a summary takes, and each machine, task, image, response and foreign machine in it.
-const SUMMARY_BYTES: usize = 1_024;
+/// Approximate size in bytes of a summary without its lists, and of each machine, task, image, response and
+/// foreign machine in it.
+const SUMMARY_BASE_BYTES: usize = 1_024;
 const MACHINE_BYTES: usize = 96;
 const TASK_BYTES: usize = 16;
 const IMAGE_BYTES: usize = 24;
 const RESPONSE_BYTES: usize = 16;
 const FOREIGN_MACHINE_BYTES: usize = 64;
 
-/// Summaries whose times are remembered, until the leader acknowledges one of them.
+/// Number of sent summaries whose times are kept for the leader's acknowledgement.
 const SENT_SUMMARIES_MAX: usize = 64;
 
-/// How much longer than a machine's way out of its owner's reach redirects and foreign machines are remembered, in
-/// milliseconds: longer than either counts for the routing of heartbeats.
-const FOREIGN_MARGIN_MS: u64 = 7_000;
+/// Time in milliseconds, in addition to `foreign_machine_ms`, for which redirects and foreign machines are
+/// kept. It exceeds the margins used for routing heartbeats.
+const CONTACT_RETENTION_MARGIN_MS: u64 = 7_000;
 
-/// The machines of a summary.
+/// The machines in a summary.
 struct MachineViews {
     views: Vec<MachineView>,
-    /// Whether others did not fit.
+    /// Whether further machines did not fit.
     has_more: bool,
 }
 
-/// What of a summary counts against its byte budget.
+/// The parts of a summary that count against its byte budget.
 struct BudgetedContents {
     machines: MachineViews,
-    answered: Vec<(MachineId, u64)>,
+    response_ages: Vec<(MachineId, u64)>,
     foreign_machines: Vec<ForeignMachine>,
 }
 
-fn view(id: &MachineId, machine: &Machine, term: Term, now: MonotonicTime) -> MachineView {
+fn machine_view(id: &MachineId, machine: &Machine, term: Term, now: MonotonicTime) -> MachineView {
     MachineView {
         id: id.clone(),
         machine_type: machine.machine_type.clone(),
@@ -58,25 +60,25 @@
     }
 }
 
-fn view_bytes(machine: &Machine) -> usize {
+fn machine_view_bytes(machine: &Machine) -> usize {
     MACHINE_BYTES + machine.tasks.len() * TASK_BYTES + machine.images.len() * IMAGE_BYTES
 }
 
 impl Shard {
-    /// The next summary, in about `byte_budget` bytes. Machines that do not fit come with the one after it, and the
-    /// leader applies none of them before all are there.
+    /// Makes the next summary, of about `byte_budget` bytes. Machines that do not fit are listed in the
+    /// following summary. The leader applies none of them until it has received all of them.
     pub fn summary(
         &mut self,
         now: MonotonicTime,
         timing: &HeartbeatTiming,
         byte_budget: usize,
     ) -> Summary {
-        self.forget_outdated_contacts(now, timing);
+        self.prune_contacts(now, timing);
         self.record_sent_summary(now);
         let base = self.term_state.acknowledged_summary.unwrap_or_default();
         let contents = self.budgeted_contents(now, base, byte_budget);
         Summary {
-            node: self.me,
+            node: self.node_id,
             incarnation: self.incarnation,
             seq: self.last_summary_seq,
             base_seq: base.seq,
@@ -86,9 +88,9 @@
             echoed_clock_ms: self.term_state.leader_clock_ms,
             uptime_ms: now.0,
             since_store_response_ms: 0,
-            since_heartbeat_ms: now.since(self.last_heartbeat),
+            since_heartbeat_ms: now.since(self.last_heartbeat_at),
             machines: contents.machines.views,
-            answered: contents.answered,
+            answered: contents.response_ages,
             foreign_machines: contents.foreign_machines,
             completed_tasks: self.completed_ranges(),
             restarted: self.restarted.iter().cloned().collect(),
@@ -98,19 +100,21 @@
         }
     }
 
-    /// Forgets contacts with workers that no longer decide anything.
-    fn forget_outdated_contacts(&mut self, now: MonotonicTime, timing: &HeartbeatTiming) {
-        let foreign_ms = timing.foreign_machine_ms + FOREIGN_MARGIN_MS;
+    /// Removes records of contacts with workers that no longer affect any decision.
+    fn prune_contacts(&mut self, now: MonotonicTime, timing: &HeartbeatTiming) {
+        let retention_ms = timing.foreign_machine_ms + CONTACT_RETENTION_MARGIN_MS;
         let term_state = &mut self.term_state;
         term_state
             .foreign_machines
-            .retain(|_, record| now.since(record.last_heartbeat) < foreign_ms);
-        term_state.redirects.retain(|_, redirected| now.since(redirected.at) < foreign_ms);
-        self.sent_away_at.retain(|_, at| now.since(*at) < SENT_AWAY_MS);
+            .retain(|_, record| now.since(record.last_heartbeat_at) < retention_ms);
+        term_state.redirects.retain(|_, redirect| now.since(redirect.last_at) < retention_ms);
+        self.isolation_redirected_at
+            .retain(|_, at| now.since(*at) < ISOLATION_REDIRECT_INTERVAL_MIN_MS);
         self.responded_at.retain(|_, at| now.since(*at) < timing.answer_memory_ms);
     }
 
-    /// Gives the summary that is being made its sequence number, and remembers it until it is acknowledged.
+    /// Allocates the sequence number of the summary being made, and keeps its time for the leader's
+    /// acknowledgement.
     fn record_sent_summary(&mut self, now: MonotonicTime) {
         self.last_summary_seq += 1;
         self.sent_summaries.push_back(SentSummary { seq: self.last_summary_seq, at: now });
@@ -119,25 +123,25 @@
         }
     }
 
-    /// The responses since the base, the foreign machines in up to half of the budget, and the changed machines that
-    /// fit into the rest.
+    /// Collects the responses since `base`, the foreign machines in up to half of the budget, and the changed
+    /// machines that fit into the rest.
     fn budgeted_contents(
         &mut self,
         now: MonotonicTime,
         base: SentSummary,
         byte_budget: usize,
     ) -> BudgetedContents {
-        let answered = self.response_ages(now, base);
+        let response_ages = self.response_ages(now, base);
         let foreign_machines =
             self.foreign_machine_views(now, byte_budget / 2 / FOREIGN_MACHINE_BYTES);
-        let used_bytes = SUMMARY_BYTES
-            + answered.len() * RESPONSE_BYTES
+        let used_bytes = SUMMARY_BASE_BYTES
+            + response_ages.len() * RESPONSE_BYTES
             + foreign_machines.len() * FOREIGN_MACHINE_BYTES;
         let machines = self.machine_views(now, base, used_bytes, byte_budget);
-        BudgetedContents { machines, answered, foreign_machines }
+        BudgetedContents { machines, response_ages, foreign_machines }
     }
 
-    /// Milliseconds since machines got their last response, for those that got one since the base.
+    /// Returns the milliseconds since the last response to each machine that got one since `base`.
     fn response_ages(&self, now: MonotonicTime, base: SentSummary) -> Vec<(MachineId, u64)> {
         self.responded_at
             .iter()
@@ -146,7 +150,8 @@
             .collect()
     }
 
-    /// The first `count` machines of other shards that are kept alive here and show the term's token.
+    /// Returns the first `count` machines of other shards that are kept alive here and have shown the term's
+    /// token.
     fn foreign_machine_views(&self, now: MonotonicTime, count: usize) -> Vec<ForeignMachine> {
         self.term_state
             .foreign_machines
@@ -158,13 +163,13 @@
                 machine_type: record.machine_type.clone(),
                 zone: record.zone.clone(),
                 spot: record.spot,
-                silent_ms: now.since(record.last_heartbeat),
+                silent_ms: now.since(record.last_heartbeat_at),
                 since_ms: record.unreachable_since.map_or(0, |at| now.since(at)),
             })
             .collect()
     }
 
-    /// The machines that changed since the base, at least one and no more than fit.
+    /// Returns the machines that changed since `base`: at least one, and no more than fit.
     fn machine_views(
         &mut self,
         now: MonotonicTime,
@@ -176,27 +181,27 @@
         let mut views = Vec::new();
         let mut has_more = false;
         for (id, machine) in self.machines.iter_mut().filter(|(_, machine)| is_changed(machine)) {
-            used_bytes += view_bytes(machine);
+            used_bytes += machine_view_bytes(machine);
             if used_bytes > byte_budget && !views.is_empty() {
                 machine.changed_in_summary = self.last_summary_seq + 1;
                 has_more = true;
             } else {
-                views.push(view(id, machine, self.term_state.term, now));
+                views.push(machine_view(id, machine, self.term_state.term, now));
             }
         }
         MachineViews { views, has_more }
     }
 
-    /// The tasks that completed and whose outcome is not known to be durable yet, by job.
+    /// Returns the completed tasks whose outcome is not known to be durable yet, by job.
     fn completed_ranges(&self) -> Vec<(u64, TaskRanges)> {
         let ranges = |(job, completed): (&JobId, &CompletedTasks)| (job.0, completed.tasks.clone());
         self.completed_tasks.iter().map(ranges).collect()
     }
 
-    /// Milliseconds until the cloud takes machines of which it gave notice.
+    /// Returns the milliseconds until the cloud reclaims each machine with a reclaim notice.
     fn reclaim_notices(&self, now: MonotonicTime) -> Vec<(MachineId, u64)> {
         let notice = |(id, machine): (&MachineId, &Machine)| {
-            Some((id.clone(), machine.reclaimed_at?.since(now)))
+            Some((id.clone(), machine.reclaim_at?.since(now)))
         };
         self.machines.iter().filter_map(notice).collect()
     }
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -1,8 +1,9 @@
-//! Starts: which granted tasks go into the response to a machine's heartbeat.
+//! Starts: selects the granted tasks that start in the response to a machine's heartbeat.
 //!
-//! All starts go through [`Shard::start`], which refuses what another term granted (`docs/safety.md`, "Who may start").
+//! Every start passes through [`Shard::start`], which refuses grants of another term (`docs/safety.md`, "Who
+//! may start").
 
-use super::assignment::is_most_urgent;
+use super::assignment::is_highest_priority;
 use super::granted_start::GrantedStart;
 use super::machine::HeldTask;
 use super::{Shard, ShardContext};
@@ -13,18 +14,18 @@
 use crate::wire::{JobSpec, TaskState, WorkerCommand};
 
 impl Shard {
-    /// Starts what is assigned to a machine, after granted tasks were assigned anew if that is due.
+    /// Starts the tasks assigned to a machine. Assigns granted tasks again beforehand if that is due.
     pub(super) fn start_granted(
         &mut self,
         context: &ShardContext<'_>,
         id: &MachineId,
-        has_more_room: bool,
+        has_freed_capacity: bool,
         commands: &mut Vec<WorkerCommand>,
     ) {
-        if !context.may_start {
+        if !context.may_start_tasks {
             return;
         }
-        if self.is_assignment_due(context.now, has_more_room) {
+        if self.is_assignment_due(context.now, has_freed_capacity) {
             self.assign_granted(context, id);
         }
         let queue = self.term_state.start_queues.remove(id).unwrap_or_default();
@@ -34,13 +35,13 @@
         let Some(mut target) = self.start_target(context, id) else { return };
         for start in queue {
             if !self.start(context, &mut target, &start, commands) {
-                self.term_state.has_unplaced = true;
+                self.term_state.has_unplaced_tasks = true;
             }
         }
         self.start_awaiting_release(context, &mut target, commands);
     }
 
-    /// The room on a machine of this shard.
+    /// Returns the capacity of a machine of this shard.
     fn start_target(&self, context: &ShardContext<'_>, id: &MachineId) -> Option<PlacementTarget> {
         let (term, plan) = (self.term_state.term, &self.term_state.plan);
         let machine = self.machines.get(id)?;
@@ -49,8 +50,8 @@
         Some(target)
     }
 
-    /// Starts what is granted ahead of a release on a machine that has room and the images for it. What would have
-    /// to fetch its image first is left to the next assignment over all machines.
+    /// Starts tasks granted ahead of a release on a machine that has free capacity and their images. A task
+    /// whose image the machine would have to fetch is left to the next assignment across all machines.
     fn start_awaiting_release(
         &mut self,
         context: &ShardContext<'_>,
@@ -64,12 +65,12 @@
         let mut waiting = std::mem::take(&mut self.term_state.starts_awaiting_release);
         waiting.retain(|start| {
             let job = context.replica.jobs.get(&start.task.job);
-            let Some(job) = job.filter(|job| self.may_try(context.now, job.spec.id)) else {
+            let Some(job) = job.filter(|job| self.is_backoff_over(context.now, job.spec.id)) else {
                 return false;
             };
             if target.free.cores == Cores(0)
                 || !target.is_warm(&job.spec)
-                || !is_most_urgent(&self.term_state.highest_priority, &job.spec, target)
+                || !is_highest_priority(&self.term_state.highest_priority, &job.spec, target)
             {
                 return true;
             }
@@ -78,10 +79,11 @@
         self.term_state.starts_awaiting_release = waiting;
     }
 
-    /// Starts a granted task on a machine, unless it has no room for it or the task is anywhere. True if the
-    /// grant needs no other machine any more.
+    /// Starts a granted task on a machine unless the machine lacks capacity or the task is already on a
+    /// machine. Returns true if the grant needs no other machine.
     ///
-    /// All starts come through here: the right to start a task ends with the term that granted it.
+    /// Every start passes through here, because the permission to start a task ends with the term that
+    /// granted it.
     fn start(
         &mut self,
         context: &ShardContext<'_>,
@@ -98,7 +100,7 @@
             && self.add_start(context, target, granted, &job.spec, commands)
     }
 
-    /// Whether a task is not done, is on no machine, and has room on that one.
+    /// Whether a task is not completed, is on no machine, and fits on the target.
     fn is_startable(
         &self,
         replica: &Replica,
@@ -106,12 +108,13 @@
         task: TaskId,
         spec: &JobSpec,
     ) -> bool {
-        self.may_start(replica, task)
+        self.is_incomplete(replica, task)
             && target.takes(spec, &Resources::of(spec), None)
             && !self.machines.values().any(|machine| machine.tasks.contains_key(&task))
     }
 
-    /// Puts the start into the response, and the task on the machine. False if the machine is not this shard's.
+    /// Adds a start command to the response and records the task on the machine. Returns false if the machine
+    /// does not belong to this shard.
     fn add_start(
         &mut self,
         context: &ShardContext<'_>,
@@ -130,20 +133,21 @@
         self.summary_due = true;
         tracing::debug!(
             %task, machine = %target.id, %attempt, term = %granted.term, plan = granted.plan.0,
-            grant = ?granted.kind, proof_ms = context.proof_ms, agent_epoch = machine.agent_epoch.0,
-            token = %machine.token, "starts"
+            grant = ?granted.kind, proof_ms = context.replica_age_ms, agent_epoch = machine.agent_epoch.0,
+            token = %machine.token, "issued start"
         );
         commands.push(WorkerCommand::Start { task, attempt });
         true
     }
 
-    /// Counts and logs a start that another term granted: something of that term outlived it.
+    /// Counts and logs a start that was granted in another term. Such a start means that state of that term
+    /// was not discarded.
     fn refuse_start(&mut self, target: &PlacementTarget, granted: &GrantedStart) {
         self.refused_starts += 1;
         tracing::error!(
             task = %granted.task, machine = %target.id, granted_in = %granted.term,
             plan = granted.plan.0, grant = ?granted.kind, term = %self.term_state.term,
-            "a start is refused: another term granted it"
+            "refused a start that was granted in another term"
         );
     }
 }
--- a/src/shard/term_announcement.rs
+++ b/src/shard/term_announcement.rs
@@ -1,39 +1,41 @@
-//! How often and when a machine gets a new term's fencing token in a direct message.
+//! Schedule of the direct messages that announce a new term's fencing token to a machine.
 
 use crate::model::MonotonicTime;
 
-/// How often a machine gets it: one that still does not show it gets no more than the responses to its heartbeats.
-const ANNOUNCEMENTS: u32 = 4;
+/// Maximum number of announcements to a machine. A machine that still does not show the token gets it only in
+/// the responses to its heartbeats.
+const ANNOUNCEMENTS_MAX: u32 = 4;
 
-/// Time before the second announcement, which doubles for each later one, in milliseconds.
-const ANNOUNCE_AGAIN_MS: u64 = 1_500;
+/// Time between the first and the second announcement in milliseconds. It doubles for each later
+/// announcement.
+const ANNOUNCEMENT_BACKOFF_MS: u64 = 1_500;
 
-/// The announcements of a term to one machine.
+/// The announcements of one term to one machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TermAnnouncement {
-    pub(super) times: u32,
-    /// When the last one was made.
-    pub(super) at: MonotonicTime,
+    pub(super) count: u32,
+    /// Time of the last announcement.
+    pub(super) last_at: MonotonicTime,
 }
 
 impl TermAnnouncement {
-    /// Whether the machine gets no more of them.
+    /// Whether the maximum number of announcements has been sent.
     pub(super) fn is_exhausted(&self) -> bool {
-        self.times >= ANNOUNCEMENTS
+        self.count >= ANNOUNCEMENTS_MAX
     }
 
-    /// Whether the next one is due.
+    /// Whether the next announcement is due.
     pub(super) fn is_due(&self, now: MonotonicTime) -> bool {
-        self.times == 0 || now.since(self.at) >= ANNOUNCE_AGAIN_MS << (self.times - 1)
+        self.count == 0 || now.since(self.last_at) >= ANNOUNCEMENT_BACKOFF_MS << (self.count - 1)
     }
 
-    /// The value after one more.
-    pub(super) fn repeated(&self, now: MonotonicTime) -> Self {
-        TermAnnouncement { times: self.times + 1, at: now }
+    /// Returns the state after one more announcement at `now`.
+    pub(super) fn after_announcement(&self, now: MonotonicTime) -> Self {
+        TermAnnouncement { count: self.count + 1, last_at: now }
     }
 
-    /// Has the next one be due at once.
+    /// Makes the next announcement due at once.
     pub(super) fn expedite(&mut self) {
-        self.at = self.at.less(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
+        self.last_at = self.last_at.less(ANNOUNCEMENT_BACKOFF_MS << ANNOUNCEMENTS_MAX);
     }
 }
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -1,79 +1,78 @@
-//! What a shard follows on the word of one term's leader.
+//! The instructions of one term's leader, as followed by a shard.
 //!
-//! All of it is one value that is replaced as a whole when a term begins. A field added here is therefore void in the
-//! next term; what has to survive a term is a field of [`Shard`](super::Shard) and an observation of its own
-//! (`docs/safety.md`, "What a new term voids").
+//! They are one value that is replaced as a whole when a term begins, so every field added here is discarded
+//! by the next term. State that has to survive a term is a field of [`Shard`](super::Shard) and has to be an
+//! observation of this process (`docs/safety.md`, "What a new term voids").
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use super::active_plan::ActivePlan;
 use super::granted_start::{GrantedStart, MachineKind};
-use super::redirect::{ForeignMachineRecord, Redirected};
+use super::redirect::{ForeignMachineRecord, RedirectState};
 use super::term_announcement::TermAnnouncement;
 use super::unconfirmed_token::UnconfirmedToken;
 use crate::attempts::AttemptAllocator;
 use crate::model::{Attempt, MachineId, MonotonicTime, NodeId, PlanSeq, TaskId, Term};
 use crate::wire::Priority;
 
-/// A summary that was sent. The derived order is that of their sequence numbers.
+/// A summary that was sent. The derived order is by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SentSummary {
-    /// 0 stands for none.
+    /// Sequence number; 0 if no summary was sent.
     pub(super) seq: u64,
-    /// When it was made.
+    /// Time at which the summary was made.
     pub(super) at: MonotonicTime,
 }
 
-/// All that a shard does on the word of one term's leader, what it derives from that, and how machines took this
+/// The instructions of one term's leader, the state derived from them, and how far machines have shown this
 /// term's token.
 #[derive(Debug)]
 pub(super) struct TermState {
-    /// The term.
     pub(super) term: Term,
-    /// Gives out this term's attempts.
+    /// Allocates this term's attempts.
     pub(super) attempts: AttemptAllocator,
-    /// The newest plan.
+    /// The newest applied plan.
     pub(super) plan: ActivePlan,
-    /// The leader's clock as that plan or a later response gave it.
+    /// Reading of the leader's clock in the newest plan or in a later response.
     pub(super) leader_clock_ms: u64,
     /// Owners of machines; empty before the first plan.
     pub(super) owners: BTreeMap<MachineId, NodeId>,
-    /// Attempts of gangs that a worker has shown in this term: they are never started again.
+    /// Gang attempts that a worker has shown in this term, which are never started again.
     pub(super) shown_gang_attempts: HashSet<(TaskId, Attempt)>,
-    /// What is to start on a machine in the response to its next heartbeat.
+    /// Starts to send to each machine in the response to its next heartbeat.
     pub(super) start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
-    /// What is granted ahead of a release and was assigned no machine: any may get it as soon as it has room, the first
-    /// ones first.
+    /// Starts granted ahead of a release and not assigned to a machine. Any machine that gets free capacity
+    /// may take them, in this order.
     pub(super) starts_awaiting_release: Vec<GrantedStart>,
-    /// The most urgent open work that may use machines of a kind; `None` if there is none.
+    /// Highest priority of the unfinished jobs that may use machines of a kind; `None` if there are none.
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
-    /// Whether granted tasks have to be assigned anew, whenever that was last done.
+    /// Whether granted tasks have to be assigned again, however recent the last assignment is.
     pub(super) assignment_stale: bool,
-    /// When granted tasks were last assigned to machines.
+    /// Time of the last assignment of granted tasks to machines.
     pub(super) assigned_at: MonotonicTime,
-    /// Whether granted tasks found no machine.
-    pub(super) has_unplaced: bool,
-    /// The last summary that the leader is known to have applied.
+    /// Whether the last assignment left granted tasks unplaced, or a start failed since.
+    pub(super) has_unplaced_tasks: bool,
+    /// The newest summary that the leader is known to have applied.
     pub(super) acknowledged_summary: Option<SentSummary>,
-    /// Machines that got this term's token in direct messages.
+    /// Machines to which this term's token was sent in direct messages.
     pub(super) announcements: HashMap<MachineId, TermAnnouncement>,
-    /// Whether there may be machines that are still to get it so.
+    /// Whether there may be machines to which the term still has to be announced.
     pub(super) announcements_pending: bool,
     /// Machines that have not shown this term's token.
     pub(super) unconfirmed_tokens: HashMap<MachineId, UnconfirmedToken>,
     /// Machines that were redirected to their owners.
-    pub(super) redirects: HashMap<MachineId, Redirected>,
+    pub(super) redirects: HashMap<MachineId, RedirectState>,
     /// Machines of other shards that send heartbeats here.
     pub(super) foreign_machines: BTreeMap<MachineId, ForeignMachineRecord>,
 }
 
 impl TermState {
-    /// The beginning of a term: nothing is granted and nobody is known to own a machine.
-    pub(super) fn begin(term: Term, me: NodeId) -> Self {
+    /// The state at the beginning of a term: nothing is granted, and no owner of a machine is known.
+    pub(super) fn begin(term: Term, node_id: NodeId) -> Self {
         TermState {
             term,
-            attempts: AttemptAllocator::new(term, me),
-            plan: ActivePlan::none(term),
+            attempts: AttemptAllocator::new(term, node_id),
+            plan: ActivePlan::empty(term),
             leader_clock_ms: 0,
             owners: BTreeMap::new(),
             shown_gang_attempts: HashSet::new(),
@@ -82,7 +81,7 @@
             highest_priority: BTreeMap::new(),
             assignment_stale: false,
             assigned_at: MonotonicTime(0),
-            has_unplaced: false,
+            has_unplaced_tasks: false,
             acknowledged_summary: None,
             announcements: HashMap::new(),
             announcements_pending: false,
@@ -92,12 +91,12 @@
         }
     }
 
-    /// Whether a plan of this term is followed.
+    /// Whether a plan of this term has been applied.
     pub(super) fn has_plan(&self) -> bool {
         self.plan.seq > PlanSeq(0)
     }
 
-    /// The owner of a machine, as the newest plan says.
+    /// Returns the owner of a machine in the newest plan.
     pub(super) fn owner(&self, machine: &MachineId) -> Option<NodeId> {
         self.owners.get(machine).copied()
     }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for how a shard handles heartbeats and what its summaries show.
+//! Table-driven tests of a shard's heartbeat handling, starts, direct messages and summaries.
 
 mod direct_messages;
 mod heartbeats;
@@ -10,7 +10,7 @@
 
 use super::active_plan::ActivePlan;
 use super::granted_start::{GrantKind, GrantedStart, MachineKind};
-use super::redirect::{ForeignMachineRecord, Redirected};
+use super::redirect::{ForeignMachineRecord, RedirectState};
 use super::term_announcement::TermAnnouncement;
 use super::unconfirmed_token::UnconfirmedToken;
 use super::*;
@@ -34,8 +34,9 @@
 const TERM: Term = Term(3);
 const TASK: TaskId = TaskId { job: JobId(1), index: 0 };
 
-/// A controller in a term of another leader, which owns n-1 of two machines and may start a task.
-fn node(owner: u8) -> Controller {
+/// Creates controller 0 in a term led by controller 1. Machine n-1 is owned by controller `owner`. The
+/// controller may start task 0 of job 1.
+fn controller_with_owner(owner: u8) -> Controller {
     let mut controller = Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), INCARNATION);
     controller.set_machine_types(&wire::MachineTypes {
         machine_types: vec![machine_type("small", 8.0, 64.0)],
@@ -57,7 +58,7 @@
     let moment = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
     controller.follow(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let grant = Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt: None };
-    controller.shard.follow(Plan {
+    controller.shard.apply_plan(Plan {
         term: TERM,
         incarnation: INCARNATION,
         seq: PlanSeq(1),
@@ -94,8 +95,8 @@
     }
 }
 
-/// Sends a heartbeat at that time; says whether the response is 200, and how many tasks it starts.
-fn send(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
+/// Delivers a heartbeat at `ms`. Returns whether the response is 200, and the number of tasks that it starts.
+fn send_heartbeat(controller: &mut Controller, ms: u64, heartbeat: &Heartbeat) -> (bool, usize) {
     controller.rights.confirm_renewal(MonotonicTime(ms));
     controller.rights.confirm_sync(MonotonicTime(ms));
     match controller.on_heartbeat(MonotonicTime(ms), heartbeat) {
--- a/src/shard/tests/starts.rs
+++ b/src/shard/tests/starts.rs
@@ -1,29 +1,46 @@
-//! When granted tasks start.
+//! Conditions under which granted tasks start.
 
 use super::*;
 
 #[test]
-fn starts_need_the_shown_token_and_lost_ones_are_not_repeated_at_once() {
-    let mut controller = node(0);
-    assert_eq!(send(&mut controller, 0, &heartbeat(1, 1, 2, None)), (true, 0), "token not shown");
-    assert_eq!(send(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
-    assert_eq!(send(&mut controller, 1_500, &heartbeat(1, 3, 3, None)), (true, 0), "not shown");
+fn starts_require_the_shown_token_and_a_lost_start_is_not_repeated_at_once() {
+    let mut controller = controller_with_owner(0);
+    assert_eq!(
+        send_heartbeat(&mut controller, 0, &heartbeat(1, 1, 2, None)),
+        (true, 0),
+        "token not shown"
+    );
+    assert_eq!(send_heartbeat(&mut controller, 500, &heartbeat(1, 2, 3, None)), (true, 1));
+    assert_eq!(
+        send_heartbeat(&mut controller, 1_500, &heartbeat(1, 3, 3, None)),
+        (true, 0),
+        "start not shown"
+    );
     let view = controller.summary(MonotonicTime(1_500), 900_000).machines.remove(0);
     assert!(view.quarantine_ms > 0 && view.tasks.is_empty(), "{view:?}");
-    assert_eq!(send(&mut controller, 5_000, &heartbeat(1, 4, 3, None)), (true, 1), "tried again");
+    assert_eq!(
+        send_heartbeat(&mut controller, 5_000, &heartbeat(1, 4, 3, None)),
+        (true, 1),
+        "started again after the quarantine"
+    );
     let shown = heartbeat(1, 5, 3, Some(TaskState::Exited));
-    assert_eq!(send(&mut controller, 6_000, &shown), (true, 0), "it is done, though not on record");
+    assert_eq!(
+        send_heartbeat(&mut controller, 6_000, &shown),
+        (true, 0),
+        "completed, though not recorded"
+    );
     let again = heartbeat(1, 6, 3, Some(TaskState::Exited));
-    assert_eq!(send(&mut controller, 30_000, &again), (true, 0), "and stays so");
+    assert_eq!(send_heartbeat(&mut controller, 30_000, &again), (true, 0), "still completed");
 }
 
 #[test]
 fn nothing_starts_unless_the_replica_was_confirmed_recently() {
-    // (when the replica was last current, when the heartbeat comes, whether it gets a response, starts)
+    // (time at which the replica was last confirmed, time of the heartbeat, whether it gets a response,
+    // starts)
     for (synced, now, responded, starts) in
         [(1_000, 1_500, true, 1), (1_000, 4_400, true, 1), (1_000, 4_600, true, 0)]
     {
-        let mut controller = node(0);
+        let mut controller = controller_with_owner(0);
         controller.rights.confirm_renewal(MonotonicTime(now));
         controller.rights.confirm_sync(MonotonicTime(synced));
         let got = match controller.on_heartbeat(MonotonicTime(now), &heartbeat(1, 5, 3, None)) {
@@ -31,25 +48,34 @@
             _ => (false, 0),
         };
         assert_eq!(got, (responded, starts), "{synced} {now}");
-        // It starts once the store serves this controller again.
-        assert_eq!(send(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1, 1 - starts);
+        // The task starts once the store serves this controller again.
+        assert_eq!(
+            send_heartbeat(&mut controller, now + 600, &heartbeat(1, 6, 3, None)).1,
+            1 - starts
+        );
     }
 }
 
 #[test]
-fn a_grant_ahead_starts_in_the_response_to_the_heartbeat_that_shows_room() {
-    // Without that, room stays unused for a heartbeat and more, see the leader's test.
+fn a_grant_awaiting_release_starts_in_the_response_to_the_heartbeat_that_shows_room() {
+    // Otherwise freed capacity would stay unused for more than a heartbeat interval. The leader's tests cover
+    // the grants.
     type Edit = fn(&mut wire::JobSpec);
-    // (what, the urgent job, the image of the task that ends, starts in the response)
+    // (case, edit of the high-priority job, image of the task that exits, starts in the response)
     let cases: [(&str, Option<Edit>, &str, usize); 4] = [
-        ("warm", None, "img", 1),
-        ("urgent work may go there", Some(|_| {}), "img", 0),
-        ("urgent work may not", Some(|s| s.zone = Some("b".into())), "img", 1),
-        ("its image is not there", None, "other", 0),
+        ("image cached", None, "img", 1),
+        ("high-priority job may use the machine", Some(|_| {}), "img", 0),
+        (
+            "high-priority job may not use the machine",
+            Some(|s| s.zone = Some("b".into())),
+            "img",
+            1,
+        ),
+        ("image not cached", None, "other", 0),
     ];
-    for (what, urgent, image, starts) in cases {
-        let mut controller = node(0);
-        let mut put = |spec: wire::JobSpec| {
+    for (what, high_priority_edit, image, starts) in cases {
+        let mut controller = controller_with_owner(0);
+        let mut store_job = |spec: wire::JobSpec| {
             let key = replica::job_key(spec.id);
             let v = wire::to_value(&Accepted { spec, at: WallTime(1) });
             controller.replica.load(
@@ -57,11 +83,11 @@
                 &mut ReplicaChanges::default(),
             );
         };
-        put(wire::JobSpec { vcpus: 8.0, image: image.into(), ..spec(2, 1) });
-        if let Some(edit) = urgent {
+        store_job(wire::JobSpec { vcpus: 8.0, image: image.into(), ..spec(2, 1) });
+        if let Some(edit) = high_priority_edit {
             let mut other = wire::JobSpec { priority: Priority::High, ..spec(3, 1) };
             edit(&mut other);
-            put(other);
+            store_job(other);
         }
         let grant = Grant { job: 1, tasks: TaskRanges::span(1, 2), zone: None, attempt: None };
         let owners = OwnershipChanges { base: PlanSeq(1), ..OwnershipChanges::default() };
@@ -76,33 +102,41 @@
             body: Some(body),
             decisions: None,
         };
-        assert!(controller.shard.follow(plan));
-        let of = |state, exit_reason| TaskStatus {
+        assert!(controller.shard.apply_plan(plan));
+        let status = |state, exit_reason| TaskStatus {
             task: TaskId { job: JobId(2), index: 0 },
             attempt: Attempt(7),
             state,
             exit_reason,
         };
-        let runs = vec![of(TaskState::Running, None)];
-        let ended = vec![of(TaskState::Exited, Some(ExitReason::Done))];
-        let full = Heartbeat { tasks: runs, ..heartbeat(1, 1, TERM.0, None) };
-        let empty = Heartbeat { tasks: ended, ..heartbeat(1, 2, TERM.0, None) };
-        assert_eq!(send(&mut controller, 1_000, &full), (true, 0), "{what}: there is no room");
-        assert_eq!(send(&mut controller, 1_030, &empty), (true, starts), "{what}");
+        let running = vec![status(TaskState::Running, None)];
+        let exited = vec![status(TaskState::Exited, Some(ExitReason::Done))];
+        let full = Heartbeat { tasks: running, ..heartbeat(1, 1, TERM.0, None) };
+        let empty = Heartbeat { tasks: exited, ..heartbeat(1, 2, TERM.0, None) };
+        assert_eq!(
+            send_heartbeat(&mut controller, 1_000, &full),
+            (true, 0),
+            "{what}: no free capacity"
+        );
+        assert_eq!(send_heartbeat(&mut controller, 1_030, &empty), (true, starts), "{what}");
         let again = Heartbeat { sequence: 3, ..empty };
-        assert_eq!(send(&mut controller, 1_040, &again), (true, 0), "{what}: once only");
+        assert_eq!(
+            send_heartbeat(&mut controller, 1_040, &again),
+            (true, 0),
+            "{what}: started only once"
+        );
     }
 }
 
 #[test]
-fn what_waits_to_start_ends_with_the_first_plan_that_does_not_grant_it() {
+fn pending_starts_are_dropped_by_the_first_plan_without_their_grant() {
     let machine = MachineId::new("n-1");
     for (granted, starts) in [(true, 1), (false, 0)] {
-        for ahead in [false, true] {
-            let mut controller = node(0);
+        for awaiting_release in [false, true] {
+            let mut controller = controller_with_owner(0);
             let plan = controller.shard.term_state.plan.clone();
             let term_state = &mut controller.shard.term_state;
-            if ahead {
+            if awaiting_release {
                 let start = GrantedStart::awaiting_release(&plan, TASK);
                 term_state.starts_awaiting_release.push(start);
             } else {
@@ -111,7 +145,7 @@
             }
             let grant = Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt: None };
             let grants = if granted { vec![grant] } else { vec![] };
-            controller.shard.follow(Plan {
+            controller.shard.apply_plan(Plan {
                 term: TERM,
                 incarnation: INCARNATION,
                 seq: PlanSeq(2),
@@ -121,9 +155,13 @@
                 body: Some(PlanBody { grants, ..PlanBody::default() }),
                 decisions: None,
             });
-            // Before granted tasks would be assigned anew in any case.
-            let response = send(&mut controller, 300, &heartbeat(1, 5, 3, None));
-            assert_eq!(response, (true, starts), "granted {granted}, ahead {ahead}");
+            // Early enough that no regular assignment is due.
+            let response = send_heartbeat(&mut controller, 300, &heartbeat(1, 5, 3, None));
+            assert_eq!(
+                response,
+                (true, starts),
+                "granted {granted}, awaiting_release {awaiting_release}"
+            );
         }
     }
 }
--- a/src/shard/unconfirmed_token.rs
+++ b/src/shard/unconfirmed_token.rs
@@ -1,43 +1,48 @@
 //! Machines whose heartbeats have not shown the term's fencing token yet.
 //!
-//! A machine that never shows it does not receive its responses, or somebody repeats old heartbeats of it. Either way
-//! its heartbeats must not keep it alive in the leader's eyes: no proof of where its tasks are could ever come. So it
-//! gets no response for longer than a worker's lease, after which its tasks are proven to have ended.
+//! A machine that never shows the token does not receive the responses sent to it, or its old heartbeats are
+//! being replayed. In both cases its heartbeats must not make the leader consider it alive, since no proof of
+//! where its tasks are could ever arrive. The machine therefore gets no response for longer than a worker's
+//! lease, which proves that its tasks have ended.
 
 use crate::model::{AgentEpoch, MachineId, MonotonicTime};
 
-/// Responses that a machine gets without showing the token before it is taken not to receive them: a
-/// single lost response proves nothing.
-const UNCONFIRMED_RESPONSES: u32 = 3;
+/// Number of responses sent to a machine that does not show the token before it is presumed not to receive
+/// them. A single lost response proves nothing.
+const PROBE_RESPONSES_MIN: u32 = 3;
 
-/// Least time over which it must have got them, in milliseconds: heartbeats that were held up come in a burst.
-const UNCONFIRMED_MS: u64 = 3_500;
+/// Minimum time in milliseconds over which these responses are sent. Delayed heartbeats arrive in a burst, so
+/// the number of responses alone is not enough.
+const PROBE_DURATION_MIN_MS: u64 = 3_500;
 
-/// How much longer than a worker's lease it is refused, in milliseconds: for drift of clocks and messages under way.
+/// Time in milliseconds for which responses are refused in addition to the worker's lease. Covers clock drift
+/// and messages in flight.
 const REFUSAL_MARGIN_MS: u64 = 4_000;
 
-/// What a machine without the token gets in a term.
+/// Response state, in one term, of a machine that has not shown the token.
 ///
-/// - The first heartbeat without the token begins `Probing`.
-/// - `Probing` becomes `Refused` if responses went unnoticed (`UNCONFIRMED_RESPONSES` of them, over
-///   `UNCONFIRMED_MS`), or if the agent epoch has risen after a response: then the worker's lease ran out in spite of it.
-/// - `Refused` becomes `Probing` again with the first heartbeat after its end, as if that were the first of all.
-/// - A heartbeat with the token ends either state: the value is dropped.
+/// - The first heartbeat without the token starts `Probing`.
+/// - `Probing` becomes `Refused` if the token is still missing after `PROBE_RESPONSES_MIN` responses over
+///   more than `PROBE_DURATION_MIN_MS`. It also becomes `Refused` if the agent epoch has risen after a response: the
+///   worker's lease expired despite that response.
+/// - `Refused` becomes `Probing` again at the first heartbeat after its end, as for the first heartbeat
+///   without the token.
+/// - A heartbeat with the token removes the state.
 #[derive(Clone, Debug)]
 pub(super) enum UnconfirmedToken {
-    /// It gets responses, which are counted.
+    /// The machine gets responses, which are counted.
     Probing { since: MonotonicTime, agent_epoch: AgentEpoch, responses: u32 },
-    /// It gets none before that time.
+    /// The machine gets no response before `until`.
     Refused { until: MonotonicTime },
 }
 
 impl UnconfirmedToken {
-    /// A machine of that agent epoch that has got no response yet.
+    /// Starts probing a machine in its present agent epoch, with no response sent.
     pub(super) fn probe(now: MonotonicTime, agent_epoch: AgentEpoch) -> Self {
         UnconfirmedToken::Probing { since: now, agent_epoch, responses: 0 }
     }
 
-    /// Whether a heartbeat without the token gets a response, which is counted then.
+    /// Whether a heartbeat without the token gets a response. Counts the response if so.
     pub(super) fn admit(
         &mut self,
         now: MonotonicTime,
@@ -54,10 +59,11 @@
         let UnconfirmedToken::Probing { since, agent_epoch: first_epoch, responses } = self else {
             return false;
         };
-        let unnoticed = *responses >= UNCONFIRMED_RESPONSES && now.since(*since) > UNCONFIRMED_MS;
-        if unnoticed || (*responses > 0 && agent_epoch > *first_epoch) {
+        let is_unconfirmed =
+            *responses >= PROBE_RESPONSES_MIN && now.since(*since) > PROBE_DURATION_MIN_MS;
+        if is_unconfirmed || (*responses > 0 && agent_epoch > *first_epoch) {
             *self = UnconfirmedToken::Refused { until: now.plus(lease_ms + REFUSAL_MARGIN_MS) };
-            tracing::info!(%machine, "does not hear its answers");
+            tracing::info!(%machine, "responses did not reach the machine; refusing its heartbeats until its lease has expired");
             return false;
         }
         *responses += 1;
