--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,18 +1,18 @@
-//! The leader's work: gather the shards' summaries, admit jobs, divide shares and task ranges over
-//! shards, write the epoch, and only then hand out plans.
+//! The leader's part of an epoch: it collects the summaries of the shards, admits jobs, divides shares
+//! and task ranges over the shards, writes the epoch to the state service, and only then publishes plans.
 //!
 //! Invariants (argued in `docs/safety.md`):
 //!
-//! - **What an earlier term granted is unresolved until proven.** A term begins with nothing granted.
-//!   Whatever an earlier term granted and is not done may be running, until every machine that may
-//!   hold it has shown the new token, and so refuses older commands, or is proven terminated. The
-//!   `task_grants` module keeps this ("When a task is free").
-//! - **Durable before said.** An [`Epoch`] holds only once its transaction is carried out:
-//!   [`Leader::epoch`] works it out, [`Leader::publish`] makes it hold.
-//! - **Owners are fixed within a term.** Losing a controller or moving a machine takes a new term of
-//!   the same leader ([`Leader::renew_term`]).
-//! - **A new term voids what the last one said.** Of a [`Leader`], only its machines, [`Remembered`] and
-//!   what `TaskGrants` turns into unresolved tasks reach its next term.
+//! - **Grants of earlier terms are unresolved until proven otherwise.** A term begins with nothing
+//!   granted. A task that an earlier term granted and that is not done may be running, until every machine
+//!   that may hold it has shown the new token, and so refuses older commands, or is proven terminated.
+//!   The `task_grants` module enforces this ("When a task is free").
+//! - **Durable before said.** An [`Epoch`] takes effect only once its transaction is committed:
+//!   [`Leader::epoch`] computes it, [`Leader::publish`] puts it into effect.
+//! - **Owners are fixed within a term.** If a controller is lost or a machine has to move to another
+//!   owner, the same leader begins a new term ([`Leader::renew_term`]).
+//! - **A new term voids the plans and observations of the last one.** Of a [`Leader`], its next term gets
+//!   only the machines, the [`RetainedState`], and the tasks that `TaskGrants` turns into unresolved ones.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -28,9 +28,9 @@
 use crate::peer::{PeerResponse, PlanBody, Summary, WaitReason};
 use crate::wire::Txn;
 
-/// Least time between two new terms that only balance the shards: a new term costs a round of
-/// reconciliation.
-const REBALANCE_MS: u64 = 30_000;
+/// Minimum time between two new terms that only balance the shards, in milliseconds. Each new term costs a
+/// round of reconciliation.
+const MIN_REBALANCE_INTERVAL_MS: u64 = 30_000;
 
 mod allocation;
 mod describe;
@@ -53,119 +53,120 @@
 mod standby_decisions;
 mod starvation;
 mod task_grants;
-mod team_use;
+mod team_usage;
 mod term_start;
 
 use allocation::EpochAllocation;
 use inputs::EpochInputs;
-use machine_speed::{ClassRunTimes, JobRunTimes, RunningSince, Speed};
+use machine_speed::{ClassRunTimes, JobRunTimes, MachineSlowdown, RunningSince};
 use scaling::SCALING_PERIOD_MS;
 use task_grants::{NewGrant, TaskGrants};
 
-/// One epoch's outcome, to be written before it is published.
+/// The outcome of one epoch. It is written to the state service before it is published.
 #[derive(Default)]
 pub struct Epoch {
-    /// The transaction, unless nothing durable changes.
+    /// The transaction; `None` if nothing durable changes.
     pub txn: Option<Txn>,
-    /// Tasks that this grants.
+    /// Tasks that the epoch grants.
     grants: Vec<NewGrant>,
-    /// What is on record of jobs' grants once the transaction is carried out.
+    /// Tasks of each job that are on record as granted once the transaction is committed.
     recorded: Vec<(JobId, TaskRanges)>,
-    /// Tasks that this adds to the record without granting them.
+    /// Tasks that the transaction adds to the record without granting them.
     recorded_ahead: Vec<TaskId>,
 }
 
 /// The leader's state in one term.
 pub struct Leader {
-    /// Its term.
+    /// The term that this leader leads.
     pub term: Term,
     /// When the term began.
-    began: MonotonicTime,
-    /// Set when a new term is needed, with the reason.
+    began_at: MonotonicTime,
+    /// Why a new term is needed; `None` while none is.
     pub renew_term: Option<NewTermReason>,
-    /// The machines. Those stay in the next term; what shards summarized of them does not.
+    /// The machines. The next term keeps them, but not what the summaries showed of them.
     pub fleet: Fleet,
-    /// What stays in this leader's next term.
-    pub remembered: Remembered,
-    /// Which tasks may be running. The next term takes all of them as unresolved.
+    /// State that the next term of this leader keeps.
+    pub retained: RetainedState,
+    /// Tasks that may be running. The next term takes all of them over as unresolved.
     task_grants: TaskGrants,
-    /// Void in the next term.
+    /// Plans of this term. Reset in the next term.
     plans: PublishedPlans,
-    /// Void in the next term.
+    /// Observations of jobs. Reset in the next term.
     jobs: JobObservations,
-    /// Void in the next term.
+    /// State of gangs. Reset in the next term.
     gangs: GangStates,
-    /// Void in the next term.
+    /// The last scaling decision. Reset in the next term.
     scaling: ScalingState,
-    /// Void in the next term.
+    /// Times of the last periodic writes. Reset in the next term.
     last_writes: LastWrites,
 }
 
-/// What a leader remembers from one of its terms to the next. None of it says where a task is.
+/// State that a leader keeps from one of its terms to the next. None of it says where a task is.
 #[derive(Default)]
-pub struct Remembered {
-    /// The market and the load.
+pub struct RetainedState {
+    /// State of the cloud market and the offered load.
     pub market: MarketState,
-    /// When a term was last renewed only to balance the shards.
-    rebalanced: MonotonicTime,
-    /// How long tasks ran compared with their owners' estimates, by class of jobs.
+    /// When a new term last began only to balance the shards.
+    rebalanced_at: MonotonicTime,
+    /// Actual and estimated run times of tasks, by job class.
     class_run_times: HashMap<String, ClassRunTimes>,
-    /// How fast machines are.
-    machine_speeds: FxHashMap<MachineId, Speed>,
-    /// Images of gangs, and when one that needs it was last open.
+    /// Run times of tasks on each machine, relative to other tasks of the same jobs.
+    machine_slowdowns: FxHashMap<MachineId, MachineSlowdown>,
+    /// Images of gangs, with the time when a gang that needs the image was last open.
     gang_images: FxHashMap<Rc<str>, MonotonicTime>,
 }
 
-/// The plans of this term.
+/// The plans published in this term.
 #[derive(Default)]
 struct PublishedPlans {
-    /// The plan that was published last; 0 before the first epoch holds.
+    /// Sequence number of the last published plan; 0 before the first epoch takes effect.
     seq: PlanSeq,
-    /// What that plan tells each controller.
+    /// Contents of the last published plan, by controller.
     bodies: BTreeMap<NodeId, PlanBody>,
-    /// When a plan last carried the jobs' status.
+    /// When a plan last carried the status of the jobs.
     job_statuses_sent: MonotonicTime,
 }
 
-/// What is seen of jobs in this term.
+/// Observations of jobs in this term.
 #[derive(Default)]
 struct JobObservations {
-    /// Teams whose tasks were more than their limit in the last epoch.
+    /// Teams whose tasks on machines exceeded their limit in the last epoch.
     teams_over_limit: HashSet<String>,
     /// Why jobs wait, as of the last epoch.
     wait_reasons: HashMap<JobId, WaitReason>,
-    /// Tasks that the last epoch admitted.
+    /// Number of tasks that the last epoch admitted, by job.
     shares: BTreeMap<JobId, u32>,
-    /// Where and since when tasks run.
+    /// Running tasks, with their machine and the time when each was first seen running there.
     running_since: FxHashMap<TaskId, RunningSince>,
-    /// How long tasks of open jobs ran.
+    /// Run times of completed tasks, by open job.
     run_times: FxHashMap<JobId, JobRunTimes>,
-    /// Since when open jobs have had no task on a machine or on its way there.
+    /// Since when open jobs have had no task on a machine, granted or awaiting the confirmation of a
+    /// revocation.
     idle_since: FxHashMap<JobId, MonotonicTime>,
 }
 
-/// Gangs in this term.
+/// State of gangs in this term.
 #[derive(Default)]
 struct GangStates {
     /// Gangs granted in this term.
     granted: FxHashMap<JobId, gang_scheduling::Gang>,
     /// Gangs that are being stopped.
     pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
-    /// Machines that are reserved for gangs, sorted.
+    /// Machines that are reserved for gangs, sorted by id.
     reserved: Vec<MachineId>,
     /// When a gang that has to be spread over zones was last open.
-    spread_seen: Option<MonotonicTime>,
+    spread_gang_last_open: Option<MonotonicTime>,
 }
 
-/// What was decided last about renting and returning machines.
+/// The last decision about renting and returning machines.
 #[derive(Default)]
 struct ScalingState {
     decision: autoscaler::ScalingDecision,
-    /// When; `None` if a decision is due.
+    /// When the decision was taken; `None` if one is due.
     decided_at: Option<MonotonicTime>,
 }
 
-/// When what is not written with every epoch was last written.
+/// Times of the last writes of records that are not written with every epoch.
 #[derive(Default)]
 struct LastWrites {
     machines: MonotonicTime,
@@ -173,22 +174,22 @@
 }
 
 impl PublishedPlans {
-    /// The plan that the next publication brings.
+    /// Returns the sequence number of the next plan to be published.
     fn next(&self) -> PlanSeq {
         PlanSeq(self.seq.0 + 1)
     }
 }
 
 impl Epoch {
-    /// Whether it grants nothing new.
+    /// Returns whether the epoch grants no tasks.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
 }
 
 impl Leader {
-    /// Applies a summary and returns the answer, and whether the summary tells anything that an
-    /// epoch should look at soon.
+    /// Applies a summary. Returns the response, and whether the summary changes anything that warrants an
+    /// early epoch.
     pub fn on_summary(&mut self, now: MonotonicTime, summary: Summary) -> (PeerResponse, bool) {
         if summary.term != self.term {
             return (PeerResponse::NotLeading(self.term), false);
@@ -215,10 +216,11 @@
         }
     }
 
-    /// Works out an epoch. Nothing of it holds before [`publish`](Self::publish).
+    /// Computes an epoch. Nothing of it takes effect before [`publish`](Self::publish).
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
-        self.follow_fleet(cluster);
-        // What is on machines borrows the fleet, which nothing below changes.
+        self.update_fleet(cluster);
+        // `on_machines` borrows the fleet, so the fleet is moved out of `self` while the steps below run.
+        // None of them changes it.
         let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
         let on_machines = fleet.on_machines();
         let inputs = EpochInputs { cluster, fleet: &fleet, on_machines: &on_machines };
@@ -226,8 +228,8 @@
         self.log_duplicated_tasks(&inputs);
         self.reconcile(&inputs);
         self.supervise_gangs(&inputs);
-        let mut allocation = self.allocation(&inputs);
-        self.log_teams_over_limit(cluster, &allocation.team_use);
+        let mut allocation = self.prepare_allocation(&inputs);
+        self.log_teams_over_limit(cluster, &allocation.team_usage);
         self.grant(&inputs, &mut allocation);
         let EpochAllocation { grants, targets, .. } = allocation;
         let mut epoch = Epoch { grants, ..Epoch::default() };
@@ -247,27 +249,27 @@
         epoch
     }
 
-    /// Brings machines, their owners and leases up to now.
-    fn follow_fleet(&mut self, cluster: &ClusterView<'_>) {
+    /// Updates the machines, their owners and their leases to the current time.
+    fn update_fleet(&mut self, cluster: &ClusterView<'_>) {
         self.fleet.follow_members(cluster);
         self.fleet.record_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
-        self.check_nodes(cluster);
+        self.check_for_new_term(cluster);
         self.fleet.assign(cluster, self.plans.next());
         self.fleet.record_heartbeats(cluster.now);
         self.fleet.expire_leases(cluster);
     }
 
-    /// What this epoch may fill, with grants under way counted in.
-    fn allocation(&mut self, inputs: &EpochInputs<'_>) -> EpochAllocation {
+    /// Computes the resources that this epoch may grant, less those of grants that no machine shows yet.
+    fn prepare_allocation(&mut self, inputs: &EpochInputs<'_>) -> EpochAllocation {
         let mut targets = self.targets(inputs);
         let mut expected_releases = self.expected_releases(inputs, &targets);
         let expected_cores = expected_releases
             .iter()
             .fold(Cores(0), |sum, release| Cores(sum.0 + release.free_cores().0));
-        self.place_granted(inputs, &mut targets, &mut expected_releases);
+        self.deduct_pending_grants(inputs, &mut targets, &mut expected_releases);
         self.reserve_for_gangs(inputs, &mut targets);
         EpochAllocation {
-            team_use: self.team_use(inputs),
+            team_usage: self.team_usage(inputs),
             targets,
             expected_releases,
             expected_cores,
@@ -275,40 +277,43 @@
         }
     }
 
-    /// Asks for a new term when an owner is lost, machines cannot reach their owner, or the
-    /// shards are out of balance.
-    fn check_nodes(&mut self, cluster: &ClusterView<'_>) {
+    /// Requests a new term if an owner is lost, machines cannot reach their owner, or the shards are out of
+    /// balance.
+    fn check_for_new_term(&mut self, cluster: &ClusterView<'_>) {
         let now = cluster.now;
         if self.renew_term.is_some() {
             return;
         }
         self.renew_term =
             self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
-        let calm = now.since(self.remembered.rebalanced.max(self.began)) > REBALANCE_MS;
-        if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
-            let live = self.fleet.eligible_owners(now);
+        let rebalance_due =
+            now.since(self.retained.rebalanced_at.max(self.began_at)) > MIN_REBALANCE_INTERVAL_MS;
+        if self.renew_term.is_none() && rebalance_due && self.fleet.unreconciled.is_empty() {
+            let eligible = self.fleet.eligible_owners(now);
             let owners = &self.fleet.owners;
-            let idle = live.iter().any(|id| {
-                owners.len() >= 2 * live.len()
+            let has_idle_owner = eligible.iter().any(|id| {
+                owners.len() >= 2 * eligible.len()
                     && !owners.values().any(|owned| owned.owner == *id)
-                    && owners.keys().any(|m| self.fleet.owner_for(cluster, m, &live) == Some(*id))
+                    && owners
+                        .keys()
+                        .any(|m| self.fleet.owner_for(cluster, m, &eligible) == Some(*id))
             });
-            if idle {
-                self.remembered.rebalanced = now;
+            if has_idle_owner {
+                self.retained.rebalanced_at = now;
                 self.renew_term = Some(NewTermReason::ControllerWithoutShard);
             }
         }
     }
 
-    /// The number of the plan that was published last; 0 before the first epoch holds.
-    pub fn published(&self) -> PlanSeq {
+    /// Returns the sequence number of the last published plan; 0 before the first epoch takes effect.
+    pub fn published_plan(&self) -> PlanSeq {
         self.plans.seq
     }
 
-    /// The cloud confirmed that these machines and all on them are terminated.
-    pub fn machines_gone(&mut self, ids: &[MachineId]) {
+    /// Removes machines that the cloud confirmed as terminated, along with everything that ran on them.
+    pub fn remove_terminated_machines(&mut self, ids: &[MachineId]) {
         self.fleet.remove_machines(ids, self.plans.next());
-        self.remembered.machine_speeds.retain(|id, _| !ids.contains(id));
+        self.retained.machine_slowdowns.retain(|id, _| !ids.contains(id));
     }
 }
 
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -1,5 +1,6 @@
-//! What an epoch fills: cores of teams, room on machines and places about to be left, and the grants
-//! that come of it. It is worked out anew in each epoch and holds nothing that a task's safety rests on.
+//! Resources that an epoch may grant (cores and accelerators of teams, room on machines, and expected
+//! releases), and the grants that it makes. Everything here is computed anew in each epoch. No proof that a
+//! task may be granted safely depends on it.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -8,9 +9,9 @@
 use super::expected_releases::{ExpectedRelease, take_expected_releases};
 use super::grant_groups::GrantGroup;
 use super::inputs::EpochInputs;
-use super::machine_speed::Speed;
+use super::machine_speed::MachineSlowdown;
 use super::task_grants::{NewGrant, TaskGrant, TaskUse};
-use super::team_use::TeamUse;
+use super::team_usage::TeamUsage;
 use crate::model::{Attempt, Cores, JobId, MonotonicTime, NodeId, TaskId};
 use crate::peer::WaitReason;
 use crate::placement::{self, PlacementRequest, PlacementTarget};
@@ -18,193 +19,195 @@
 use crate::resources::Resources;
 use crate::wire::JobSpec;
 
-/// What an epoch fills: teams' use of cores and accelerators, room on machines, and grants.
+/// The resources that an epoch divides, and the grants that it makes of them.
 pub(super) struct EpochAllocation {
-    /// What each team may be using.
-    pub(super) team_use: Vec<TeamUse>,
-    /// The machines.
+    /// Upper bounds of the teams' usage, by team number.
+    pub(super) team_usage: Vec<TeamUsage>,
+    /// The machines as placement sees them.
     pub(super) targets: Vec<PlacementTarget>,
-    /// Places that tasks are about to leave.
+    /// Resources that running tasks are expected to release soon.
     pub(super) expected_releases: Vec<ExpectedRelease>,
-    /// Their cores, granted ones included.
+    /// Cores of the expected releases, including those that are granted already.
     pub(super) expected_cores: Cores,
-    /// What this epoch grants.
+    /// Grants that this epoch makes.
     pub(super) grants: Vec<NewGrant>,
 }
 
-/// What is to be granted of a job.
+/// A request to grant tasks of one job.
 pub(super) struct GrantRequest<'a> {
     /// The job.
     pub(super) job: &'a Job,
-    /// What each of its tasks takes.
+    /// Resources that each task needs.
     pub(super) need: Resources,
-    /// Its team, by number.
+    /// Number of the job's team.
     pub(super) team: usize,
-    /// Tasks that it holds already.
+    /// Tasks that the job holds already.
     pub(super) held: u32,
-    /// Tasks to grant at most.
+    /// Maximum number of tasks to grant.
     pub(super) count: usize,
-    /// Whether they may also wait for places that others are about to leave.
+    /// Whether tasks may also be granted to expected releases.
     pub(super) may_await_release: bool,
 }
 
-/// Where a task is granted.
-pub(super) struct GrantedPlace {
-    /// The controller.
+/// Where a granted task is to run.
+pub(super) struct GrantPlacement {
+    /// The controller that starts the task.
     pub(super) node: NodeId,
-    /// Whether another task is about to leave it.
+    /// Whether the task waits for resources that another task is expected to release.
     pub(super) awaits_release: bool,
-    /// Set for jobs that are bound to zones.
+    /// The zone of the machine; set for jobs with a zone constraint.
     pub(super) zone: Option<String>,
 }
 
 impl EpochAllocation {
-    /// Takes places for up to `count` tasks of a job: on machines with room, and, if they may await
-    /// a release, where others are about to end.
-    fn choose_places(
+    /// Chooses placements for up to `count` tasks of a job: on machines with room, and, if the request
+    /// allows it, on expected releases.
+    fn choose_placements(
         &mut self,
         inputs: &EpochInputs<'_>,
         request: &GrantRequest<'_>,
-        zones: ZoneRule,
+        zones: ZoneConstraint,
         count: usize,
-    ) -> Vec<GrantedPlace> {
-        if zones.binds() {
-            return self.choose_places_in_zones(inputs, request, zones, count);
+    ) -> Vec<GrantPlacement> {
+        if zones.is_constrained() {
+            return self.choose_placements_in_zones(inputs, request, zones, count);
         }
         let GrantRequest { job, need, .. } = request;
-        let mut places = Vec::new();
-        let spread = PlacementRequest { spec: &job.spec, need, zone: None, count };
-        for index in placement::spread(&spread, &mut self.targets) {
-            places.extend(self.place_on(inputs, index, false));
+        let mut placements = Vec::new();
+        let spread_request = PlacementRequest { spec: &job.spec, need, zone: None, count };
+        for index in placement::spread(&spread_request, &mut self.targets) {
+            placements.extend(self.placement_on(inputs, index, false));
         }
-        let missing = if request.may_await_release { count - places.len() } else { 0 };
+        let missing = if request.may_await_release { count - placements.len() } else { 0 };
         let releases = &mut self.expected_releases;
         for i in take_expected_releases(releases, &job.spec, need, None, missing) {
             let node = releases[i].owner;
-            places.push(GrantedPlace { node, awaits_release: true, zone: None });
+            placements.push(GrantPlacement { node, awaits_release: true, zone: None });
         }
-        places
+        placements
     }
 
-    /// The same for a job that is bound to zones, one task after the other.
-    fn choose_places_in_zones(
+    /// Chooses placements for a job with a zone constraint, one task after the other.
+    fn choose_placements_in_zones(
         &mut self,
         inputs: &EpochInputs<'_>,
         request: &GrantRequest<'_>,
-        mut zones: ZoneRule,
+        mut zones: ZoneConstraint,
         count: usize,
-    ) -> Vec<GrantedPlace> {
+    ) -> Vec<GrantPlacement> {
         let GrantRequest { job, need, .. } = request;
-        let mut places = Vec::new();
-        while places.len() < count {
-            let open = zones.open(&inputs.cluster.settings.params.zones);
+        let mut placements = Vec::new();
+        while placements.len() < count {
+            let open = zones.open_zones(&inputs.cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
                 placement::choose(&job.spec, need, &self.targets, Some(zone.as_str()))
             }) else {
                 break;
             };
             self.targets[i].add(&job.spec, need);
-            zones.count(&self.targets[i].zone);
-            places.extend(self.place_on(inputs, i, true));
+            zones.add_task(&self.targets[i].zone);
+            placements.extend(self.placement_on(inputs, i, true));
         }
-        places
+        placements
     }
 
-    /// Whether there is a place for a task at all.
-    fn may_hold(&self, request: &GrantRequest<'_>) -> bool {
+    /// Returns whether at least one task of the job can be placed.
+    fn can_place_any(&self, request: &GrantRequest<'_>) -> bool {
         let GrantRequest { job: Job { spec, .. }, need, .. } = request;
         self.targets.iter().any(|target| target.takes(spec, need, None))
             || request.may_await_release
-                && self.expected_releases.iter().any(|release| release.takes(spec, need))
+                && self.expected_releases.iter().any(|release| release.fits(spec, need))
     }
 
-    /// The place on a machine; `None` if nobody owns it. `bound` if the job is bound to zones.
-    pub(super) fn place_on(
+    /// Returns the placement on a machine, with its zone if `zone_bound` is set. `None` if no controller owns
+    /// the machine.
+    pub(super) fn placement_on(
         &self,
         inputs: &EpochInputs<'_>,
         target: usize,
-        bound: bool,
-    ) -> Option<GrantedPlace> {
+        zone_bound: bool,
+    ) -> Option<GrantPlacement> {
         let target = &self.targets[target];
         let node = inputs.owner(&target.id)?;
-        let zone = bound.then(|| target.zone.to_string());
-        Some(GrantedPlace { node, awaits_release: false, zone })
+        let zone = zone_bound.then(|| target.zone.to_string());
+        Some(GrantPlacement { node, awaits_release: false, zone })
     }
 
-    /// Grants a task and counts it for its team.
+    /// Grants a task and adds it to the usage of its team.
     pub(super) fn push_grant(
         &mut self,
         now: MonotonicTime,
         request: &GrantRequest<'_>,
         task: TaskId,
-        place: GrantedPlace,
+        placement: GrantPlacement,
         attempt: Option<Attempt>,
     ) {
         let usage = TaskUse { team: request.team, need: request.need };
-        let GrantedPlace { node, awaits_release, zone } = place;
-        if let Some(used) = self.team_use.get_mut(usage.team) {
+        let GrantPlacement { node, awaits_release, zone } = placement;
+        if let Some(used) = self.team_usage.get_mut(usage.team) {
             used.granted.add(&usage.need, 1);
             let team = &request.job.spec.team;
-            tracing::debug!(%task, node = node.0, %team, %used, "grants");
+            tracing::debug!(%task, node = node.0, %team, %used, "task grant added to the epoch");
         }
         let grant = TaskGrant { usage, node, attempt, at: now, zone, seen: false, awaits_release };
         self.grants.push(NewGrant { task, grant });
     }
 }
 
-/// Where a job's tasks may be in relation to each other.
-pub(super) struct ZoneRule {
-    /// Whether all have to be in one.
-    pub(super) one: bool,
-    /// Tasks that a zone may hold if they have to be spread.
-    most_per_zone: Option<u32>,
-    /// Tasks that are there, by zone.
-    counts: BTreeMap<String, u32>,
+/// The zone constraint of a job, with the number of its tasks in each zone.
+pub(super) struct ZoneConstraint {
+    /// Whether all tasks have to be in one zone.
+    pub(super) single_zone: bool,
+    /// Maximum number of tasks in one zone; `None` if the tasks need not be spread over zones.
+    max_tasks_per_zone: Option<u32>,
+    /// Number of the job's tasks in each zone.
+    tasks_by_zone: BTreeMap<String, u32>,
 }
 
-impl ZoneRule {
-    /// The rule of a job, before any of its tasks is counted in.
+impl ZoneConstraint {
+    /// Creates the constraint of a job, with no tasks counted yet.
     pub(super) fn of(spec: &JobSpec) -> Self {
-        ZoneRule {
-            one: spec.one_zone,
-            most_per_zone: spec.spread_zones.then(|| spec.task_count.div_ceil(2)),
-            counts: BTreeMap::new(),
+        ZoneConstraint {
+            single_zone: spec.one_zone,
+            max_tasks_per_zone: spec.spread_zones.then(|| spec.task_count.div_ceil(2)),
+            tasks_by_zone: BTreeMap::new(),
         }
     }
 
-    /// Whether it restricts anything.
-    pub(super) fn binds(&self) -> bool {
-        self.one || self.most_per_zone.is_some()
+    /// Returns whether the job is restricted in its zones at all.
+    pub(super) fn is_constrained(&self) -> bool {
+        self.single_zone || self.max_tasks_per_zone.is_some()
     }
 
-    /// Counts a task in.
-    pub(super) fn count(&mut self, zone: &str) {
-        *self.counts.entry(zone.to_string()).or_default() += 1;
+    /// Counts a task in its zone.
+    pub(super) fn add_task(&mut self, zone: &str) {
+        *self.tasks_by_zone.entry(zone.to_string()).or_default() += 1;
     }
 
-    /// How many more tasks a zone may take as far as spreading goes.
-    pub(super) fn room(&self, zone: &str) -> u32 {
-        let limit = self.most_per_zone.unwrap_or(u32::MAX);
-        limit.saturating_sub(self.counts.get(zone).copied().unwrap_or(0))
+    /// Returns how many more tasks the limit per zone allows in a zone.
+    pub(super) fn remaining_tasks(&self, zone: &str) -> u32 {
+        let limit = self.max_tasks_per_zone.unwrap_or(u32::MAX);
+        limit.saturating_sub(self.tasks_by_zone.get(zone).copied().unwrap_or(0))
     }
 
-    /// Zones that may take another task, emptiest first.
-    pub(super) fn open(&self, zones: &[String]) -> Vec<String> {
+    /// Returns the zones that may take another task, those with the fewest tasks first.
+    pub(super) fn open_zones(&self, zones: &[String]) -> Vec<String> {
         let mut open: Vec<String> = zones
             .iter()
             .filter(|zone| {
-                let others = self.counts.iter().any(|(other, tasks)| other != *zone && *tasks > 0);
-                !(self.one && others) && self.room(zone) > 0
+                let others =
+                    self.tasks_by_zone.iter().any(|(other, tasks)| other != *zone && *tasks > 0);
+                !(self.single_zone && others) && self.remaining_tasks(zone) > 0
             })
             .cloned()
             .collect();
-        open.sort_by_key(|zone| self.counts.get(zone).copied().unwrap_or(0));
+        open.sort_by_key(|zone| self.tasks_by_zone.get(zone).copied().unwrap_or(0));
         open
     }
 }
 
-/// Where the machines of each controller's shard are among the targets. They come shard by shard. Looked
-/// up for each job anew, the owners of all machines took most of an epoch at 4,000 machines.
+/// Returns the range of each controller's shard within the targets, which are grouped by shard. Looking up
+/// the owners of all machines for each job again took most of an epoch at 4,000 machines.
 fn shard_ranges(
     inputs: &EpochInputs<'_>,
     targets: &[PlacementTarget],
@@ -213,7 +216,7 @@
     for (at, target) in targets.iter().enumerate() {
         let Some(owner) = inputs.owner(&target.id) else { continue };
         let shard = shards.entry(owner).or_insert(at..at);
-        // What is behind a gap is not taken for this shard's.
+        // Only the first contiguous range of targets with this owner is taken as its shard.
         if shard.end == at {
             shard.end = at + 1;
         }
@@ -222,30 +225,31 @@
 }
 
 impl Leader {
-    /// Machines as placement sees them.
+    /// Returns the machines as placement sees them, with the slow ones marked.
     pub(super) fn targets(&self, inputs: &EpochInputs<'_>) -> Vec<PlacementTarget> {
         let mut targets = inputs.fleet.targets(inputs.cluster);
-        let speeds = &self.remembered.machine_speeds;
+        let speeds = &self.retained.machine_slowdowns;
         for target in &mut targets {
-            target.slow = speeds.get(&target.id).is_some_and(Speed::is_slow);
+            target.slow = speeds.get(&target.id).is_some_and(MachineSlowdown::is_slow);
         }
         targets
     }
 
-    /// Counts grants under way in where their shards would place them, first on machines with room.
-    pub(super) fn place_granted(
+    /// Deducts grants whose tasks no machine shows yet from the resources that their shards would use for
+    /// them: for each job, room on machines first, then expected releases.
+    pub(super) fn deduct_pending_grants(
         &self,
         inputs: &EpochInputs<'_>,
         targets: &mut [PlacementTarget],
         expected_releases: &mut [ExpectedRelease],
     ) {
-        let mut under_way: BTreeMap<GrantGroup<'_>, usize> = BTreeMap::new();
+        let mut pending: BTreeMap<GrantGroup<'_>, usize> = BTreeMap::new();
         let granted = self.task_grants.granted.iter();
         for (task, grant) in granted.filter(|(task, _)| !inputs.on_machines.contains_key(task)) {
-            *under_way.entry(GrantGroup::of(task, grant)).or_default() += 1;
+            *pending.entry(GrantGroup::of(task, grant)).or_default() += 1;
         }
         let shards = shard_ranges(inputs, targets);
-        for (group, count) in under_way {
+        for (group, count) in pending {
             let Some(job) = inputs.cluster.replica.jobs.get(&group.job) else { continue };
             let need = Resources::of(&job.spec);
             if group.awaits_release {
@@ -265,42 +269,47 @@
         }
     }
 
-    /// Grants tasks of an array or a service, as far as its team's limit, its zones and the machines
-    /// allow.
-    pub(super) fn grant_job(
+    /// Grants tasks of an array or a service, within the limit of its team, its zone constraint and the room
+    /// on machines.
+    pub(super) fn grant_tasks(
         &mut self,
         inputs: &EpochInputs<'_>,
         request: &GrantRequest<'_>,
         allocation: &mut EpochAllocation,
     ) {
         let spec = &request.job.spec;
-        if request.count == 0 || !allocation.may_hold(request) {
+        if request.count == 0 || !allocation.can_place_any(request) {
             return;
         }
         let within_limit =
-            self.within_limit(inputs.cluster, request.team, &request.need, allocation);
+            self.tasks_within_limit(inputs.cluster, request.team, &request.need, allocation);
         if within_limit < request.count {
             self.jobs.wait_reasons.insert(spec.id, WaitReason::TeamLimit);
         }
-        let mut zones = ZoneRule::of(spec);
-        if zones.binds() {
+        let mut zones = ZoneConstraint::of(spec);
+        if zones.is_constrained() {
             if self.task_grants.unresolved.iter().any(|task| task.job == spec.id) {
-                return; // Where the others are is not known.
+                return; // The zones of unresolved tasks are not known.
             }
-            self.count_zones(inputs, spec.id, &mut zones);
+            self.count_tasks_by_zone(inputs, spec.id, &mut zones);
         }
         let count = request.count.min(within_limit);
         let free: Vec<TaskId> = self.task_grants.free_tasks(inputs, spec).take(count).collect();
-        let places = allocation.choose_places(inputs, request, zones, free.len());
-        for (task, place) in free.into_iter().zip(places) {
-            allocation.push_grant(inputs.cluster.now, request, task, place, None);
+        let placements = allocation.choose_placements(inputs, request, zones, free.len());
+        for (task, placement) in free.into_iter().zip(placements) {
+            allocation.push_grant(inputs.cluster.now, request, task, placement, None);
         }
     }
 
-    /// Counts where a job's tasks are by zone.
-    pub(super) fn count_zones(&self, inputs: &EpochInputs<'_>, id: JobId, zones: &mut ZoneRule) {
+    /// Counts a job's tasks in their zones: on machines, granted, and revoked but not confirmed.
+    pub(super) fn count_tasks_by_zone(
+        &self,
+        inputs: &EpochInputs<'_>,
+        id: JobId,
+        zones: &mut ZoneConstraint,
+    ) {
         for (_, seen) in inputs.on_machines.iter().filter(|(task, _)| task.job == id) {
-            zones.count(&seen.machine.zone);
+            zones.add_task(&seen.machine.zone);
         }
         let granted = self.task_grants.granted.iter().map(|(task, grant)| (task, &grant.zone));
         let revoked = self.task_grants.revoked.iter().map(|(task, revoked)| (task, &revoked.zone));
@@ -309,7 +318,7 @@
                 && !inputs.on_machines.contains_key(task)
                 && let Some(zone) = zone
             {
-                zones.count(zone);
+                zones.add_task(zone);
             }
         }
     }
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -51,8 +51,8 @@
             fetching.amount(),
             waiting.amount(),
             free.amount(),
-            self.remembered.market.load.ready_cores(false),
-            self.remembered.market.load.ready_cores(true),
+            self.retained.market.load.ready_cores(false),
+            self.retained.market.load.ready_cores(true),
             self.gangs.reserved.len(),
             versions(cluster),
         )
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -35,7 +35,7 @@
             self.last_writes.load = cluster.now;
             changes.push(Change::Put {
                 key: replica::LOAD_KEY.into(),
-                value: wire::to_value(&self.remembered.market.load),
+                value: wire::to_value(&self.retained.market.load),
                 lease: None,
             });
         }
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -69,7 +69,7 @@
         let cluster = inputs.cluster;
         self.gangs.reserved.clear();
         self.observe_gang_needs(cluster);
-        if self.remembered.gang_images.is_empty() {
+        if self.retained.gang_images.is_empty() {
             return;
         }
         let gang_use = GangUse::of(inputs);
@@ -77,7 +77,7 @@
         let open = open.map(|target| offered_cores(cluster, target).amount()).sum::<f64>();
         for allows_spot in [false, true] {
             let in_use = gang_use.cores[usize::from(allows_spot)].amount();
-            let wanted = self.remembered.market.load.gang_headroom(allows_spot, in_use);
+            let wanted = self.retained.market.load.gang_headroom(allows_spot, in_use);
             let wanted = wanted.min(open * MAX_RESERVED_SHARE);
             if wanted <= 0.0 {
                 continue;
@@ -86,29 +86,29 @@
                 target.open
                     && !target.reserved
                     && (allows_spot || !target.spot)
-                    && inputs.owner_knows_gangs(target)
+                    && inputs.owner_supports_gangs(target)
             };
             let order: Vec<usize> =
                 (0..targets.len()).filter(|&i| may_reserve(&targets[i])).collect();
             let zones = self.gang_zones(cluster, targets, &order);
             let order = self.reservation_order(cluster, targets, &gang_use, order);
             self.reserve(targets, &Reservation { order, zones: &zones, cores: wanted });
-            self.remembered.market.gang_zones = zones;
+            self.retained.market.gang_zones = zones;
         }
         self.gangs.reserved.sort();
     }
 
     /// Notes what the gangs that are open need: their images, and whether some have to be spread.
     fn observe_gang_needs(&mut self, cluster: &ClusterView<'_>) {
-        let images = &mut self.remembered.gang_images;
+        let images = &mut self.retained.gang_images;
         for job in cluster.replica.jobs.values().filter(|job| job.spec.kind == JobKind::Gang) {
             images.insert(job.spec.image.clone(), cluster.now);
             if job.spec.spread_zones {
-                self.gangs.spread_seen = Some(cluster.now);
+                self.gangs.spread_gang_last_open = Some(cluster.now);
             }
         }
         images.retain(|_, at| cluster.now.since(*at) < IMAGES_KEPT_MS);
-        self.gangs.spread_seen.take_if(|at| cluster.now.since(*at) >= IMAGES_KEPT_MS);
+        self.gangs.spread_gang_last_open.take_if(|at| cluster.now.since(*at) >= IMAGES_KEPT_MS);
     }
 
     /// Sorts machines by their worth for gangs: what gangs need again is there already.
@@ -119,7 +119,7 @@
         gang_use: &GangUse<'_>,
         mut order: Vec<usize>,
     ) -> Vec<usize> {
-        let gang_images = &self.remembered.gang_images;
+        let gang_images = &self.retained.gang_images;
         order.sort_by_key(|&i| {
             let target = &targets[i];
             let images = target.images.iter().filter(|(image, _)| gang_images.contains_key(image));
@@ -175,14 +175,14 @@
         let mut largest: Vec<(&str, u64)> = cores_by_zone.into_iter().collect();
         largest.sort_by_key(|(_, cores)| Reverse(*cores));
         let most_cores = largest.first().map_or(0, |(_, cores)| *cores);
-        let before = self.remembered.market.gang_zones.first();
+        let before = self.retained.market.gang_zones.first();
         let stays = |before: &String| {
             largest.iter().position(|(zone, cores)| zone == before && cores * 2 > most_cores)
         };
         if let Some(i) = before.and_then(stays) {
             largest[..=i].rotate_right(1);
         }
-        let count = if self.gangs.spread_seen.is_some() { 2 } else { 1 };
+        let count = if self.gangs.spread_gang_last_open.is_some() { 2 } else { 1 };
         largest.into_iter().take(count).map(|(zone, _)| zone.to_string()).collect()
     }
 }
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -7,7 +7,7 @@
 //! argument is in `docs/safety.md`, "Gangs".
 
 use super::Leader;
-use super::allocation::{EpochAllocation, GrantRequest, ZoneRule};
+use super::allocation::{EpochAllocation, GrantRequest, ZoneConstraint};
 use super::gang_presence::GangPresence;
 use super::inputs::EpochInputs;
 use super::task_grants::{RevocationReason, TaskCounts};
@@ -158,7 +158,7 @@
         if count == 0 || count < (job.spec.task_count.saturating_sub(held)) as usize {
             return;
         }
-        if self.within_limit(inputs.cluster, *team, need, allocation) < count {
+        if self.tasks_within_limit(inputs.cluster, *team, need, allocation) < count {
             self.jobs.wait_reasons.insert(id, WaitReason::TeamLimit);
             return;
         }
@@ -166,9 +166,9 @@
         if free.len() != count {
             return;
         }
-        let mut zones = ZoneRule::of(&job.spec);
-        let binds = zones.binds();
-        self.count_zones(inputs, id, &mut zones);
+        let mut zones = ZoneConstraint::of(&job.spec);
+        let binds = zones.is_constrained();
+        self.count_tasks_by_zone(inputs, id, &mut zones);
         let Some(chosen) = choose_for_gang(inputs, request, &allocation.targets, &zones) else {
             self.jobs.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
             return;
@@ -179,8 +179,8 @@
         };
         for (task, i) in free.into_iter().zip(chosen) {
             allocation.targets[i].add(&job.spec, need);
-            let Some(place) = allocation.place_on(inputs, i, binds) else { continue };
-            allocation.push_grant(inputs.cluster.now, request, task, place, Some(attempt));
+            let Some(placement) = allocation.placement_on(inputs, i, binds) else { continue };
+            allocation.push_grant(inputs.cluster.now, request, task, placement, Some(attempt));
         }
     }
 
@@ -203,15 +203,15 @@
     inputs: &EpochInputs<'_>,
     request: &GrantRequest<'_>,
     targets: &[PlacementTarget],
-    zones: &ZoneRule,
+    zones: &ZoneConstraint,
 ) -> Option<Vec<usize>> {
     let capable: Vec<bool> =
-        targets.iter().map(|target| inputs.owner_knows_gangs(target)).collect();
+        targets.iter().map(|target| inputs.owner_supports_gangs(target)).collect();
     let packing = GangPacking { request, targets, capable: &capable };
     let names = &inputs.cluster.settings.params.zones;
-    let placed = if !zones.binds() {
+    let placed = if !zones.is_constrained() {
         packing.pack(None, request.count)
-    } else if zones.one {
+    } else if zones.single_zone {
         packing.pack_in_one_zone(zones, names)
     } else {
         packing.pack_spread(zones, names)
@@ -244,14 +244,14 @@
     }
 
     /// All in the open zone where they can begin first.
-    fn pack_in_one_zone(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
-        let open = zones.open(names);
+    fn pack_in_one_zone(&self, zones: &ZoneConstraint, names: &[String]) -> Option<GangPlacement> {
+        let open = zones.open_zones(names);
         let found = open.iter().filter_map(|zone| self.pack(Some(zone), self.request.count));
         found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s))
     }
 
     /// As many in one zone as the rule allows, the rest in another: the first pair where they can begin first.
-    fn pack_spread(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
+    fn pack_spread(&self, zones: &ZoneConstraint, names: &[String]) -> Option<GangPlacement> {
         let mut best: Option<GangPlacement> = None;
         for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
             let Some(placed) = self.pack_in_pair(zones, first, second) else { continue };
@@ -263,11 +263,17 @@
     }
 
     /// As many in the first zone as the rule allows, the rest in the second.
-    fn pack_in_pair(&self, zones: &ZoneRule, first: &str, second: &str) -> Option<GangPlacement> {
+    fn pack_in_pair(
+        &self,
+        zones: &ZoneConstraint,
+        first: &str,
+        second: &str,
+    ) -> Option<GangPlacement> {
         let count = self.request.count;
-        let in_first = (zones.room(first) as usize).min(count);
+        let in_first = (zones.remaining_tasks(first) as usize).min(count);
         let in_second = count - in_first;
-        if (in_second > 0 && first == second) || in_second > zones.room(second) as usize {
+        if (in_second > 0 && first == second) || in_second > zones.remaining_tasks(second) as usize
+        {
             return None;
         }
         let mut placed = self.pack_some(first, in_first)?;
--- a/src/leader/grant_groups.rs
+++ b/src/leader/grant_groups.rs
@@ -1,25 +1,25 @@
-//! Grants that are alike, by which plans tell of them and placement counts them in.
+//! Groups of similar grants. Plans list grants by group, and placement deducts them by group.
 
 use super::task_grants::TaskGrant;
 use crate::model::{Attempt, JobId, NodeId, TaskId};
 
-/// What grants of one job have in common. Groups are visited in the order of these fields.
+/// Properties that grants of one job have in common. Groups are visited in the order of these fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GrantGroup<'a> {
-    /// The controller.
+    /// The controller that starts the tasks.
     pub(super) node: NodeId,
     /// The job.
     pub(super) job: JobId,
-    /// Set for jobs that are bound to zones.
+    /// The zone of the tasks; set for jobs with a zone constraint.
     pub(super) zone: Option<&'a str>,
-    /// Set for gangs.
+    /// The attempt of all tasks; set for gangs.
     pub(super) attempt: Option<Attempt>,
-    /// Whether the tasks wait for places that others are about to leave.
+    /// Whether the tasks wait for resources that other tasks are expected to release.
     pub(super) awaits_release: bool,
 }
 
 impl<'a> GrantGroup<'a> {
-    /// The group of a grant.
+    /// Returns the group of a grant.
     pub(super) fn of(task: &TaskId, grant: &'a TaskGrant) -> Self {
         GrantGroup {
             node: grant.node,
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -1,17 +1,17 @@
-//! Admission, and the grants that follow from each job's share.
+//! Admission of jobs, and the grants that follow from their shares.
 //!
-//! Admission goes by a waterline that is legal in rank order, with shares that maximize summed
-//! importance (`docs/design.md`). What is granted here holds only once the epoch is on record.
+//! Admission uses a waterline that is legal in rank order, with shares that maximize summed importance
+//! (`docs/design.md`). Grants take effect only once the epoch is on record.
 
 use std::collections::HashSet;
 
 use super::Leader;
 use super::allocation::{EpochAllocation, GrantRequest};
-use super::importance::JobStandings;
+use super::importance::AdmissionContext;
 use super::inputs::EpochInputs;
 use super::starvation::STARVED_WEIGHT;
 use super::task_grants::JobTaskCounts;
-use super::team_use::TeamUse;
+use super::team_usage::TeamUsage;
 use crate::admission::{self, Admission, Bounds, Demand};
 use crate::cluster_view::ClusterView;
 use crate::fleet::Fleet;
@@ -20,25 +20,26 @@
 use crate::resources::Resources;
 use crate::wire::JobKind;
 
-/// Share of its limit from which on a team counts as being at it.
+/// Share of its limit from which a team counts as being at the limit.
 const AT_LIMIT: f64 = 0.5;
 
-/// Jobs that fail wherever some controller tries them.
+/// Returns the jobs that at least one controller reports as failing wherever they are tried.
 fn failing_jobs(fleet: &Fleet) -> HashSet<JobId> {
     fleet.controllers.values().flat_map(|node| node.failing.iter().map(|job| JobId(*job))).collect()
 }
 
-/// Which teams are at their limit.
-fn teams_at_limit(cluster: &ClusterView<'_>, team_use: &[TeamUse]) -> Vec<bool> {
-    let teams = cluster.settings.params.teams.iter().zip(team_use);
+/// Returns whether each team is at its limit, by team number.
+fn teams_at_limit(cluster: &ClusterView<'_>, team_usage: &[TeamUsage]) -> Vec<bool> {
+    let teams = cluster.settings.params.teams.iter().zip(team_usage);
     let at_limit =
-        |limit: Cores, used: &TeamUse| used.total().cores.amount() >= limit.amount() * AT_LIMIT;
-    teams.map(|(team, used)| team.core_limit().is_some_and(|l| at_limit(l, used))).collect()
+        |limit: Cores, used: &TeamUsage| used.total().cores.amount() >= limit.amount() * AT_LIMIT;
+    teams.map(|(team, used)| team.core_limit().is_some_and(|limit| at_limit(limit, used))).collect()
 }
 
-/// What admission has to divide.
+/// Returns the bounds that admission divides: the cores held, and the limits of the teams.
 fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> Bounds {
-    // What waits for a place counts as held, so urgent work finds as much again beside it.
+    // Tasks that wait for an expected release count as held by their jobs. Expected releases are therefore
+    // counted twice, so that as many cores again are left for urgent work.
     let awaited = Cores(allocation.expected_cores.0 * 2);
     let open = allocation.targets.iter().filter(|target| target.open);
     let held = open.fold(awaited, |sum, target| {
@@ -49,7 +50,7 @@
     Bounds { held, teams }
 }
 
-/// Admitted demands in the order in which they are granted.
+/// Returns the admitted demands in the order in which they are granted.
 fn granting_order<'a>(demands: &'a [Demand], admission: &Admission) -> Vec<&'a Demand> {
     let mut order: Vec<&Demand> =
         demands.iter().filter(|demand| admission.shares.contains_key(&demand.job)).collect();
@@ -63,38 +64,38 @@
 }
 
 impl Leader {
-    /// Admits jobs and grants what their shares allow.
+    /// Admits jobs and grants tasks up to their shares.
     pub(super) fn grant(&mut self, inputs: &EpochInputs<'_>, allocation: &mut EpochAllocation) {
         let cluster = inputs.cluster;
         let counts = self.task_grants.counts(inputs.on_machines);
         let failing = failing_jobs(inputs.fleet);
-        self.record_idle(cluster, &counts);
-        let at_limit = teams_at_limit(cluster, &allocation.team_use);
-        let standings = JobStandings { counts: &counts, failing: &failing, at_limit: &at_limit };
-        let demands = self.demands(cluster, &standings);
+        self.record_idle_jobs(cluster, &counts);
+        let at_limit = teams_at_limit(cluster, &allocation.team_usage);
+        let context = AdmissionContext { counts: &counts, failing: &failing, at_limit: &at_limit };
+        let demands = self.demands(cluster, &context);
         let admission = admission::admit(&demands, &bounds(cluster, allocation));
         self.jobs.wait_reasons.clear();
         for job in &admission.waiting {
             self.jobs.wait_reasons.insert(*job, WaitReason::BelowWaterline);
         }
-        self.reserve_for_starved(cluster, &demands, &counts, allocation);
+        self.hold_back_for_starved(cluster, &demands, &counts, allocation);
         for demand in granting_order(&demands, &admission) {
             let share = admission.shares.get(&demand.job).copied().unwrap_or(0);
             if cluster.replica.jobs.contains_key(&demand.job) {
-                self.explain_wait(demand, share, &standings);
+                self.record_wait_reasons(demand, share, &context);
                 self.grant_share(inputs, demand, share, &counts, allocation);
             }
         }
         self.jobs.shares = admission.shares;
     }
 
-    /// Says why an admitted job may still wait.
-    fn explain_wait(&mut self, demand: &Demand, share: u32, standings: &JobStandings<'_>) {
+    /// Records why an admitted job may still wait.
+    fn record_wait_reasons(&mut self, demand: &Demand, share: u32, context: &AdmissionContext<'_>) {
         let wait_reasons = &mut self.jobs.wait_reasons;
-        if standings.counts.get(&demand.job).is_some_and(|counts| counts.unresolved > 0) {
+        if context.counts.get(&demand.job).is_some_and(|counts| counts.unresolved > 0) {
             wait_reasons.insert(demand.job, WaitReason::Unproven);
         }
-        if standings.failing.contains(&demand.job) {
+        if context.failing.contains(&demand.job) {
             wait_reasons.insert(demand.job, WaitReason::Failing);
         }
         if share < demand.max {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Grants what is missing of a job's share.
+    /// Grants the tasks that a job lacks of its share.
     fn grant_share(
         &mut self,
         inputs: &EpochInputs<'_>,
@@ -119,12 +120,12 @@
             team: demand.team,
             held,
             count: share.saturating_sub(held) as usize,
-            // What has waited long needs a machine, as small places may never hold it.
+            // A starved job needs room on a machine, as expected releases may never be large enough for it.
             may_await_release: demand.weight < STARVED_WEIGHT,
         };
         match job.spec.kind {
             JobKind::Gang => self.grant_gang(inputs, &request, allocation),
-            JobKind::Array | JobKind::Service => self.grant_job(inputs, &request, allocation),
+            JobKind::Array | JobKind::Service => self.grant_tasks(inputs, &request, allocation),
         }
     }
 }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -1,4 +1,5 @@
-//! How important jobs are: their rank, the weight of their first task, and who is within a guarantee.
+//! Importance of jobs: their rank, the weight of their first task, and whether they are within the
+//! guarantee of their team.
 
 use std::collections::{HashMap, HashSet};
 
@@ -17,18 +18,20 @@
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
-/// Share of its time that a job may have left beyond what it needs before it counts for less, and what it
-/// loses when all of its time is left.
-const AMPLE_SLACK: f64 = 0.5;
+/// Slack up to this share of the deadline does not reduce a job's importance. Slack is the time until the
+/// deadline beyond what the job needs; the deadline counts from acceptance.
+const AMPLE_SLACK_SHARE: f64 = 0.5;
 
-const AMPLE_LOSS: f64 = 0.3;
+/// Share of its importance that a job loses when its slack is as long as its deadline.
+const MAX_SLACK_DISCOUNT: f64 = 0.3;
 
-/// How much less each further task of a job is worth than the one before.
-const FADE: f64 = 0.995;
+/// Gain of each further task of a job, relative to the task before it.
+const MARGINAL_GAIN_RATIO: f64 = 0.995;
 
-/// Share of its tasks that it begins with.
-const STARVED_PART: u32 = 8;
+/// A starved array or service begins with its number of tasks divided by this, rounded up.
+const STARVED_TASKS_DIVISOR: u32 = 8;
 
+/// Returns the rank of a priority; 1 is the most urgent.
 pub(super) fn rank(priority: Priority) -> u32 {
     match priority {
         Priority::Critical => 1,
@@ -38,20 +41,22 @@
     }
 }
 
-/// Seconds after acceptance by which a job should be done: its own deadline, or else what
-/// the settings expect of its class.
+/// Returns the seconds after acceptance within which a job should be done: its own deadline, or else the
+/// strictest objective in the settings for its class. `None` if there is neither.
 pub(super) fn deadline_s(settings: &Settings, spec: &wire::JobSpec) -> Option<f64> {
     spec.deadline_s.or_else(|| {
-        let of_class = settings.params.objectives.iter().filter(|o| {
-            o.kind == ObjectiveKind::Finished && o.class.as_deref() == Some(spec.class.as_str())
+        let class_objectives = settings.params.objectives.iter().filter(|objective| {
+            objective.kind == ObjectiveKind::Finished
+                && objective.class.as_deref() == Some(spec.class.as_str())
         });
-        of_class.filter_map(|o| o.within_s).min_by(f64::total_cmp)
+        class_objectives.filter_map(|objective| objective.within_s).min_by(f64::total_cmp)
     })
 }
 
-/// Importance of a job's first task per core. Urgency counts most; within an urgency, work
-/// that is close to its deadline and can still make it, and work within a guarantee.
-pub(super) fn weight(cluster: &ClusterView<'_>, job: &Job, run_s: f64, required: bool) -> f64 {
+/// Returns the importance per core of a job's first task. Priority counts most. Within a priority, work that is
+/// close to its deadline and can still meet it counts more, and so does work within the guarantee of
+/// its team (`guaranteed`). `run_s` is the expected run time of a task; all times are in seconds.
+pub(super) fn weight(cluster: &ClusterView<'_>, job: &Job, run_s: f64, guaranteed: bool) -> f64 {
     let base = match job.spec.priority {
         Priority::Critical => 64.0,
         Priority::High => 16.0,
@@ -59,44 +64,44 @@
         Priority::BestEffort => 1.0,
     };
     let age = cluster.wall.0.saturating_sub(job.at.0) as f64 / 1000.0;
-    let pressing = match deadline_s(cluster.settings, &job.spec) {
+    let time_factor = match deadline_s(cluster.settings, &job.spec) {
         Some(due) => {
             let due = due.max(1.0);
             let work = f64::from(job.remaining()) * run_s / due;
             match due - age - run_s {
-                // Too late for its time: work that can still make it goes first.
-                // In the end age wins, so that nothing waits for ever.
-                late if late < -0.5 * due => 0.6 + ((age - 2.0 * due) / 60.0).clamp(0.0, 6.0),
-                late if late < 0.0 => 0.8,
-                // Among those that can make it, little work first: more jobs make it so. What has much more
-                // time than it needs can wait.
-                left => slack_part(left / due) * (1.0 + (1.0 + 0.3 * age / due) / (0.3 + work)),
+                // The deadline is missed by far, so work that can still meet its own goes first. With age
+                // the factor outgrows that of other work, so that late work does not wait without bound.
+                slack if slack < -0.5 * due => 0.6 + ((age - 2.0 * due) / 60.0).clamp(0.0, 6.0),
+                slack if slack < 0.0 => 0.8,
+                // Among jobs that can meet their deadline, those with little work go first, as more jobs
+                // meet it that way. Jobs with ample slack can wait.
+                slack => slack_factor(slack / due) * (1.0 + (1.0 + 0.3 * age / due) / (0.3 + work)),
             }
         }
         None => 1.0 + age / 600.0,
     };
-    base * pressing * if required { 1.5 } else { 1.0 }
+    base * time_factor * if guaranteed { 1.5 } else { 1.0 }
 }
 
-/// Share of its importance that a job keeps while so much of its time is left beyond what it needs.
-fn slack_part(slack: f64) -> f64 {
-    let beyond = ((slack - AMPLE_SLACK) / (1.0 - AMPLE_SLACK)).clamp(0.0, 1.0);
-    1.0 - AMPLE_LOSS * beyond
+/// Returns the share of its importance that a job keeps with that much slack, given as a share of its deadline.
+fn slack_factor(slack: f64) -> f64 {
+    let beyond = ((slack - AMPLE_SLACK_SHARE) / (1.0 - AMPLE_SLACK_SHARE)).clamp(0.0, 1.0);
+    1.0 - MAX_SLACK_DISCOUNT * beyond
 }
 
-/// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
+/// Returns the jobs that fit into the guarantee of their team along with the team's earlier unfinished jobs.
 fn within_guarantees(cluster: &ClusterView<'_>) -> HashSet<JobId> {
     let mut headroom: HashMap<&str, Cores> = cluster
         .settings
         .params
         .teams
         .iter()
-        .filter(|t| t.guaranteed_vcpus > 0.0)
-        .map(|t| (t.name.as_str(), Cores::offer(t.guaranteed_vcpus)))
+        .filter(|team| team.guaranteed_vcpus > 0.0)
+        .map(|team| (team.name.as_str(), Cores::offer(team.guaranteed_vcpus)))
         .collect();
     let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
-    jobs.sort_by_key(|j| (j.at, j.spec.id));
-    let mut inside = HashSet::new();
+    jobs.sort_by_key(|job| (job.at, job.spec.id));
+    let mut guaranteed = HashSet::new();
     for job in jobs {
         let tasks = match job.spec.kind {
             JobKind::Array | JobKind::Gang => job.remaining(),
@@ -107,47 +112,47 @@
             && need <= *left
         {
             *left = left.less(need);
-            inside.insert(job.spec.id);
+            guaranteed.insert(job.spec.id);
         }
     }
-    inside
+    guaranteed
 }
 
-/// How jobs and teams stand when admission is asked.
-pub(super) struct JobStandings<'a> {
-    /// What each job holds.
+/// State of jobs and teams that admission demands are computed from.
+pub(super) struct AdmissionContext<'a> {
+    /// Number of held and unresolved tasks, by job.
     pub(super) counts: &'a JobTaskCounts,
-    /// Jobs that fail wherever some controller tries them.
+    /// Jobs that at least one controller reports as failing wherever they are tried.
     pub(super) failing: &'a HashSet<JobId>,
-    /// Which teams are at their limit.
+    /// Whether each team is at its limit, by team number.
     pub(super) at_limit: &'a [bool],
 }
 
-/// What a demand takes over from its job's team and from jobs around it.
+/// Properties of a job's demand that depend on its team and on other jobs.
 #[derive(Clone, Copy)]
-struct JobTerms {
-    /// Its team, by number.
+struct DemandTerms {
+    /// Number of its team.
     team: usize,
-    /// Its rank, 1 for the most urgent.
+    /// Rank of the job; 1 is the most urgent.
     rank: u32,
-    /// Whether it is within its team's guarantee.
+    /// Whether the job is within the guarantee of its team.
     guaranteed: bool,
 }
 
 impl Leader {
-    /// A task's expected run time: the owner's estimate, corrected by how its class's
-    /// estimates turned out so far.
-    pub(super) fn run_s(&self, job: &Job) -> f64 {
-        let class = self.remembered.class_run_times.get(&job.spec.class);
+    /// Returns the expected run time of a task in seconds: its team's estimate, corrected by the ratio of
+    /// actual to estimated run times in its class.
+    pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
+        let class = self.retained.class_run_times.get(&job.spec.class);
         let ratio = class.map_or(1.0, ClassRunTimes::ratio);
         job.spec.estimated_run_s.max(1.0) * ratio.clamp(0.3, 3.0)
     }
 
-    /// What every unfinished job asks of admission.
+    /// Returns the admission demands of all unfinished jobs.
     pub(super) fn demands(
         &self,
         cluster: &ClusterView<'_>,
-        standings: &JobStandings<'_>,
+        context: &AdmissionContext<'_>,
     ) -> Vec<Demand> {
         let guaranteed = within_guarantees(cluster);
         let jobs = &cluster.replica.jobs;
@@ -161,59 +166,61 @@
         for (id, job) in jobs {
             let Some(team) = teams.get(job.spec.team.as_str()).copied() else { continue };
             let rank = ranks.get(id).copied().unwrap_or(u32::MAX);
-            let terms = JobTerms { team, rank, guaranteed: guaranteed.contains(id) };
-            demands.push(self.demand(cluster, job, terms, standings));
+            let terms = DemandTerms { team, rank, guaranteed: guaranteed.contains(id) };
+            demands.push(self.demand(cluster, job, terms, context));
         }
         demands
     }
 
-    /// How many more tasks of a job could be granted now.
-    fn tries(&self, job: &Job, counts: TaskCounts, failing: bool) -> u32 {
+    /// Returns how many more tasks of a job could be granted now.
+    fn additional_tasks(&self, job: &Job, counts: TaskCounts, failing: bool) -> u32 {
         if job.spec.kind == JobKind::Gang {
             return self.gang_tries(job, counts);
         }
         let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
-        // A job that fails everywhere keeps the value it would have, but only one task tries.
+        // A job that fails wherever it is tried keeps its weight, but only one of its tasks is tried.
         if failing { runnable.min(1) } else { runnable }
     }
 
-    /// What one job asks.
+    /// Returns the admission demand of one job.
     fn demand(
         &self,
         cluster: &ClusterView<'_>,
         job: &Job,
-        terms: JobTerms,
-        standings: &JobStandings<'_>,
+        terms: DemandTerms,
+        context: &AdmissionContext<'_>,
     ) -> Demand {
-        let JobTerms { team, mut rank, guaranteed } = terms;
+        let DemandTerms { team, mut rank, guaranteed } = terms;
         let id = job.spec.id;
-        let counts = standings.counts.get(&id).copied().unwrap_or_default();
+        let counts = context.counts.get(&id).copied().unwrap_or_default();
         let gang = job.spec.kind == JobKind::Gang;
-        let mut weight = weight(cluster, job, self.run_s(job), guaranteed);
-        let mut tries = self.tries(job, counts, standings.failing.contains(&id));
-        let at_limit = standings.at_limit.get(team).copied().unwrap_or(false);
-        let starved = self.starved(cluster, job, counts.held, at_limit);
+        let mut weight = weight(cluster, job, self.expected_run_s(job), guaranteed);
+        let mut additional_tasks =
+            self.additional_tasks(job, counts, context.failing.contains(&id));
+        let at_limit = context.at_limit.get(team).copied().unwrap_or(false);
+        let starved = self.is_starved(cluster, job, counts.held, at_limit);
         if starved {
-            // Nobody waits without bound: it begins with a few tasks before others go on, or
-            // with all if it runs whole or not at all.
+            // Bounds the wait of every job: it begins with a share of its tasks before other jobs get more,
+            // or with all of them if it is a gang.
             rank = rank.min(STARVED_RANK);
             weight = weight.max(STARVED_WEIGHT);
             if !gang {
-                tries = tries.min(job.spec.task_count.div_ceil(STARVED_PART));
+                additional_tasks =
+                    additional_tasks.min(job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR));
             }
         }
-        // What is reserved for such gangs is of no use to others.
-        let reserved_for = gang && tries > 0;
+        // Machines reserved for gangs are of no use to other jobs, so a gang that can start is required.
+        let can_start_gang = gang && additional_tasks > 0;
         Demand {
             job: id,
             rank,
             weight,
-            curve: if gang { Curve::Step } else { Curve::Concave { fade: FADE } },
+            curve: if gang { Curve::Step } else { Curve::Concave { fade: MARGINAL_GAIN_RATIO } },
             team,
             cores: Resources::of(&job.spec).cores,
             min: counts.held,
-            max: counts.held + tries,
-            required: starved || reserved_for || guaranteed,
+            max: counts.held + additional_tasks,
+            required: starved || can_start_gang || guaranteed,
         }
     }
 }
--- a/src/leader/inputs.rs
+++ b/src/leader/inputs.rs
@@ -1,14 +1,14 @@
-//! What an epoch is worked out from.
+//! Inputs of an epoch.
 
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{MachineId, NodeId};
 use crate::placement::PlacementTarget;
 
-/// What an epoch is worked out from. None of it changes meanwhile.
+/// Inputs of an epoch. None of them changes during the epoch.
 #[derive(Clone, Copy)]
 pub(super) struct EpochInputs<'a> {
-    /// Time, the replica and settings.
+    /// Time, the records of the state service, and the settings.
     pub(super) cluster: &'a ClusterView<'a>,
     /// The machines and their owners.
     pub(super) fleet: &'a Fleet,
@@ -17,14 +17,14 @@
 }
 
 impl EpochInputs<'_> {
-    /// The controller that owns a machine.
+    /// Returns the controller that owns a machine; `None` if nobody does.
     pub(super) fn owner(&self, machine: &MachineId) -> Option<NodeId> {
         self.fleet.owners.get(machine).map(|owned| owned.owner)
     }
 
-    /// Whether the machine's owner looks after gangs. One that does not know them would not keep its
-    /// tasks of a gang together with the others.
-    pub(super) fn owner_knows_gangs(&self, target: &PlacementTarget) -> bool {
+    /// Returns whether the owner of a machine supports gangs. An owner that does not would not keep its tasks
+    /// of a gang in step with those on other shards.
+    pub(super) fn owner_supports_gangs(&self, target: &PlacementTarget) -> bool {
         self.owner(&target.id).is_some_and(|owner| self.cluster.replica.supports_gangs(owner))
     }
 }
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -77,7 +77,7 @@
     fn bodies_without_job_statuses(&self) -> BTreeMap<NodeId, PlanBody> {
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
-        let slow = self.remembered.machine_speeds.iter().filter(|(_, speed)| speed.is_slow());
+        let slow = self.retained.machine_slowdowns.iter().filter(|(_, speed)| speed.is_slow());
         let expired_leases = self.fleet.expired_leases.iter();
         let mut common = PlanBody {
             drain: draining.map(|(id, _)| id.clone()).collect(),
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -1,5 +1,6 @@
-//! What teams may be using: on machines, granted, and on machines that are not reconciled yet. A team is
-//! never granted tasks beyond its limit, whatever of it may still be running unseen.
+//! Upper bounds of the teams' usage: tasks on machines, granted tasks, and tasks on machines that are not
+//! reconciled yet. A team is never granted tasks beyond its limit, even if some of its tasks may still be
+//! running unseen.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -7,7 +8,7 @@
 
 use super::allocation::EpochAllocation;
 use super::inputs::EpochInputs;
-use super::team_use::{TeamUse, Usage};
+use super::team_usage::{TeamUsage, Usage};
 use super::{ClusterView, Leader};
 use crate::config::Team;
 use crate::fleet::TasksOnMachines;
@@ -15,24 +16,28 @@
 use crate::replica::Replica;
 use crate::resources::Resources;
 
-/// What each team may be using, by its number.
-struct TeamUses<'a> {
-    index: FxHashMap<&'a str, usize>,
-    uses: Vec<TeamUse>,
+/// Upper bounds of the usage of all teams.
+struct TeamUsageTable<'a> {
+    /// Team numbers by name.
+    team_numbers: FxHashMap<&'a str, usize>,
+    /// Usage by team number.
+    usage: Vec<TeamUsage>,
 }
 
-impl<'a> TeamUses<'a> {
-    fn none(teams: &'a [Team]) -> Self {
-        let index = teams.iter().enumerate().map(|(i, team)| (team.name.as_str(), i)).collect();
-        TeamUses { index, uses: vec![TeamUse::default(); teams.len()] }
+impl<'a> TeamUsageTable<'a> {
+    /// Creates a table without any usage.
+    fn empty(teams: &'a [Team]) -> Self {
+        let team_numbers =
+            teams.iter().enumerate().map(|(i, team)| (team.name.as_str(), i)).collect();
+        TeamUsageTable { team_numbers, usage: vec![TeamUsage::default(); teams.len()] }
     }
 
-    /// The team of that name; `None` if it is unknown.
-    fn team(&mut self, name: &str) -> Option<&mut TeamUse> {
-        self.uses.get_mut(*self.index.get(name)?)
+    /// Returns the usage of the team with that name; `None` if there is no such team.
+    fn team(&mut self, name: &str) -> Option<&mut TeamUsage> {
+        self.usage.get_mut(*self.team_numbers.get(name)?)
     }
 
-    /// Counts tasks on reconciled machines in. Those of jobs that have ended use cores until they end, too.
+    /// Adds tasks on reconciled machines. Tasks of jobs that have ended count until the tasks have ended, too.
     fn count_on_machines(&mut self, replica: &Replica, on_machines: &TasksOnMachines<'_>) {
         let mut tasks_by_job: FxHashMap<JobId, u64> = FxHashMap::default();
         for task in on_machines.keys() {
@@ -51,35 +56,36 @@
         }
     }
 
-    /// Counts machines whose tasks belong to nobody known in full for every team.
+    /// Adds everything that machines offer to the usage of every team if they show tasks of unknown jobs.
     fn count_unidentified(&mut self, inputs: &EpochInputs<'_>) {
         for id in machines_with_unknown_tasks(inputs) {
-            let held = held_at_most(inputs, id);
-            self.uses.iter_mut().for_each(|team| team.unidentified = team.unidentified.plus(held));
+            let held = max_usage_on_machine(inputs, id);
+            self.usage.iter_mut().for_each(|team| team.unidentified = team.unidentified.plus(held));
         }
     }
 }
 
 impl Leader {
-    /// What each team may be using.
-    pub(super) fn team_use(&self, inputs: &EpochInputs<'_>) -> Vec<TeamUse> {
+    /// Returns an upper bound of the usage of each team, by team number.
+    pub(super) fn team_usage(&self, inputs: &EpochInputs<'_>) -> Vec<TeamUsage> {
         let EpochInputs { cluster, on_machines, .. } = inputs;
-        let mut used = TeamUses::none(&cluster.settings.params.teams);
+        let mut used = TeamUsageTable::empty(&cluster.settings.params.teams);
         used.count_on_machines(cluster.replica, on_machines);
-        self.task_grants.count_under_way(on_machines, &mut used.uses);
+        self.task_grants.count_under_way(on_machines, &mut used.usage);
         used.count_unidentified(inputs);
         self.count_unreconciled(inputs, &mut used);
-        used.uses
+        used.usage
     }
 
-    /// Counts what may be on machines that have not reported in this term: no more than they
-    /// hold, and of a team no more than the tasks it may have there, which are the unresolved ones
-    /// and those of its cancelled jobs.
-    fn count_unreconciled(&self, inputs: &EpochInputs<'_>, used: &mut TeamUses<'_>) {
+    /// Adds what may be on machines that have not reported in this term. For each team this is at most what
+    /// these machines offer, and at most what its tasks need that may be there: the unresolved tasks and those
+    /// that may outlast its ended jobs.
+    fn count_unreconciled(&self, inputs: &EpochInputs<'_>, used: &mut TeamUsageTable<'_>) {
         let replica = inputs.cluster.replica;
         let unreconciled = inputs.fleet.unreconciled.iter();
-        let held =
-            unreconciled.map(|id| held_at_most(inputs, id)).fold(Usage::default(), Usage::plus);
+        let held = unreconciled
+            .map(|id| max_usage_on_machine(inputs, id))
+            .fold(Usage::default(), Usage::plus);
         if held == Usage::default() {
             return;
         }
@@ -99,29 +105,29 @@
                 team.unreconciled.add(&residual.need, u64::from(residual.unfinished_tasks));
             }
         }
-        for team in &mut used.uses {
-            // Of what residual usage was left out of the record, nobody knows whose it is.
+        for team in &mut used.usage {
+            // The record of residual usage is incomplete, and the missing part may belong to any team.
             let count_all = replica.residual_usage_truncated;
             team.unreconciled = if count_all { held } else { team.unreconciled.min(held) };
         }
     }
 
-    /// Logs teams whose tasks on machines are more than their limit, once each: a rule is broken.
-    pub(super) fn log_teams_over_limit(&mut self, cluster: &ClusterView<'_>, uses: &[TeamUse]) {
-        let teams = cluster.settings.params.teams.iter().zip(uses);
+    /// Logs each team whose tasks on machines newly exceed its limit. Grants are meant to rule this out.
+    pub(super) fn log_teams_over_limit(&mut self, cluster: &ClusterView<'_>, usage: &[TeamUsage]) {
+        let teams = cluster.settings.params.teams.iter().zip(usage);
         let over_limit = teams.filter(|(team, used)| used.on_machines.exceeds_limit(team));
-        let over_limit: Vec<(&Team, &TeamUse)> = over_limit.collect();
+        let over_limit: Vec<(&Team, &TeamUsage)> = over_limit.collect();
         let logged = &self.jobs.teams_over_limit;
         for (team, used) in over_limit.iter().filter(|(team, _)| !logged.contains(&team.name)) {
             let (term, limit) = (self.term, team.max_vcpus);
-            tracing::error!(team = %team.name, limit, %used, %term, "a team is over its limit");
+            tracing::error!(team = %team.name, limit, %used, %term, "team usage exceeds its limit");
         }
         let names = over_limit.into_iter().map(|(team, _)| team.name.clone());
         self.jobs.teams_over_limit = names.collect::<HashSet<String>>();
     }
 
-    /// How many more such tasks a team's limit allows.
-    pub(super) fn within_limit(
+    /// Returns how many more tasks with that need the limit of a team allows.
+    pub(super) fn tasks_within_limit(
         &self,
         cluster: &ClusterView<'_>,
         team: usize,
@@ -129,7 +135,7 @@
         allocation: &EpochAllocation,
     ) -> usize {
         let Some(limits) = cluster.settings.params.teams.get(team) else { return usize::MAX };
-        let used = allocation.team_use.get(team).map(TeamUse::total).unwrap_or_default();
+        let used = allocation.team_usage.get(team).map(TeamUsage::total).unwrap_or_default();
         let tasks_left = |limit: Option<Cores>, used: Cores, each: Cores| {
             let tasks = limit.map(|limit| limit.less(used).0.checked_div(each.0));
             tasks.map_or(u64::MAX, |tasks| tasks.unwrap_or(u64::MAX))
@@ -141,7 +147,7 @@
     }
 }
 
-/// Machines that show tasks of which no job is known, neither an open one nor one that ended lately.
+/// Returns the machines that show tasks of unknown jobs: neither open nor ended with residual usage on record.
 fn machines_with_unknown_tasks<'a>(inputs: &EpochInputs<'a>) -> BTreeSet<&'a MachineId> {
     let replica = inputs.cluster.replica;
     let unknown =
@@ -150,8 +156,9 @@
     on_machines.filter(|(task, _)| unknown(&task.job)).map(|(_, seen)| &seen.machine.id).collect()
 }
 
-/// The most that tasks on a machine use: what it offers, or no bound if the cloud no longer lists its type.
-fn held_at_most(inputs: &EpochInputs<'_>, machine: &MachineId) -> Usage {
+/// Returns an upper bound of what tasks on a machine use: all that its type offers, or no bound if the cloud no
+/// longer lists the type.
+fn max_usage_on_machine(inputs: &EpochInputs<'_>, machine: &MachineId) -> Usage {
     let machine = inputs.fleet.machines.get(machine);
     let machine_type =
         machine.and_then(|machine| inputs.cluster.catalog.get(&machine.offer.machine_type));
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -5,7 +5,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::inputs::EpochInputs;
-use super::starvation::waiting_ms;
+use super::starvation::since_accepted_ms;
 use super::{Epoch, Leader};
 use crate::autoscaler::{self, MachineUsage, PendingWork, RequestedMachines};
 use crate::cluster_view::ClusterView;
@@ -46,7 +46,7 @@
     /// Counts a job in. It counts from its arrival for as long as it runs, wherever it is.
     fn add(&mut self, cluster: &ClusterView<'_>, load: &JobLoad<'_>) {
         let spec = &load.job.spec;
-        let arriving = (waiting_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
+        let arriving = (since_accepted_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
         let cores = load.need.cores.0;
         if spec.kind == JobKind::Gang {
             let all = Cores(cores * u64::from(spec.task_count));
@@ -76,12 +76,12 @@
     ) {
         let now = inputs.cluster.now;
         let (pending, load) = self.pending_work(inputs, epoch);
-        let market = &mut self.remembered.market;
+        let market = &mut self.retained.market;
         market.record_load(now, load.work);
         let [ordinary, spot] = load.gangs;
         market.record_gangs(now, ordinary, spot);
         let machines = self.machine_usage(inputs, targets);
-        let market = &mut self.remembered.market;
+        let market = &mut self.retained.market;
         self.scaling.decision =
             autoscaler::decide(now, inputs.cluster.catalog, &machines, &pending, market);
         market.record_surplus(now, self.scaling.decision.has_surplus);
@@ -125,7 +125,7 @@
             if let Some(cores) = headroom {
                 *cores = cores.saturating_sub(need.cores.0 * u64::from(wanted));
             }
-            let run_s = self.run_s(job);
+            let run_s = self.expected_run_s(job);
             let short_running = autoscaler::is_short_running(cluster.catalog, &job.spec, run_s);
             let running = running_tasks.get(&job.spec.id).copied().unwrap_or(0);
             open_load.add(cluster, &JobLoad { job, need, run_s, short_running, allowed, running });
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -8,7 +8,7 @@
 };
 use willowshore_standby::status::VerificationCounts;
 
-use super::machine_speed::{ClassRunTimes, Speed};
+use super::machine_speed::{ClassRunTimes, MachineSlowdown};
 use super::{ClusterView, Leader};
 use crate::autoscaler::MachineOffer;
 use crate::model::{JobId, MachineId, NodeId, TaskId, WallTime};
@@ -101,7 +101,7 @@
 
     /// What classes of jobs took, beside the estimates.
     fn run_time_ratios(&self) -> BTreeMap<String, RunTimeRatio> {
-        let classes = self.remembered.class_run_times.iter();
+        let classes = self.retained.class_run_times.iter();
         let ratios = classes.map(|(class, times)| {
             let ClassRunTimes { actual_s: sum, estimated_s: weight } = *times;
             (class.clone(), RunTimeRatio { sum, weight })
@@ -111,9 +111,9 @@
 
     /// How fast machines are.
     fn measured_speeds(&self) -> BTreeMap<MachineId, MachineSpeed> {
-        let speeds = self.remembered.machine_speeds.iter();
+        let speeds = self.retained.machine_slowdowns.iter();
         let measured = speeds.map(|(id, speed)| {
-            let Speed { ratio, tasks } = *speed;
+            let MachineSlowdown { ratio, tasks } = *speed;
             (id.clone(), MachineSpeed { ratio, tasks })
         });
         measured.collect()
@@ -125,7 +125,7 @@
         cluster: &ClusterView<'_>,
         known: &DecisionState,
     ) -> BTreeMap<MachineOfferRecord, WallTime> {
-        let refusals = self.remembered.market.refusals(cluster.now);
+        let refusals = self.retained.market.refusals(cluster.now);
         let times = refusals.map(|(offer, until)| {
             let offer = MachineOfferRecord::from(offer);
             let computed = cluster.wall.0 + until.since(cluster.now);
@@ -210,8 +210,8 @@
         for (id, speed) in state.speeds.entries() {
             let sound = (0.0..=MOST_RATIO).contains(&speed.ratio);
             if count(counts, cluster.replica.is_machine_up(id) && sound) {
-                let speed = Speed { ratio: speed.ratio, tasks: speed.tasks };
-                self.remembered.machine_speeds.insert(id.clone(), speed);
+                let speed = MachineSlowdown { ratio: speed.ratio, tasks: speed.tasks };
+                self.retained.machine_slowdowns.insert(id.clone(), speed);
             }
         }
     }
@@ -224,14 +224,14 @@
                 && (0.0..=MOST_RATIO * MOST_WEIGHT).contains(&ratio.sum);
             if sound {
                 let times = ClassRunTimes { actual_s: ratio.sum, estimated_s: ratio.weight };
-                self.remembered.class_run_times.insert(class.clone(), times);
+                self.retained.class_run_times.insert(class.clone(), times);
                 hints += 1;
             }
         }
         for (offer, until) in state.refusals.entries() {
             let left_ms = until.0.saturating_sub(cluster.wall.0);
             if left_ms > 0 {
-                self.remembered.market.merge_refusal(
+                self.retained.market.merge_refusal(
                     &MachineOffer::from(offer),
                     cluster.now,
                     left_ms,
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -1,5 +1,5 @@
-//! The bound on waiting: jobs that have had no task anywhere for long go before others, and machines
-//! are held back for those that fit nowhere.
+//! Bound on waiting: jobs that have had no task anywhere for long take precedence, and machines are held back
+//! for those that fit nowhere.
 
 use super::allocation::EpochAllocation;
 use super::task_grants::JobTaskCounts;
@@ -11,33 +11,33 @@
 use crate::resources::Resources;
 use crate::wire::{JobKind, JobSpec};
 
-/// How long a job waits at most before its first tasks go before others, in milliseconds.
-const STARVED_MS: u64 = 100_000;
+/// How long a job waits at most before its first tasks take precedence, in milliseconds.
+const STARVATION_TIMEOUT_MS: u64 = 100_000;
 
-/// The same in a team at its limit, for a job without a task on a machine, whether it has begun or
-/// not. What is granted then runs within a few heartbeats, and so before 90 s are over. Such a team
-/// always has a few cores free between the end of a task and the start of the next one, so others
-/// than the first in line would be left waiting beside them.
-const STARVED_AT_LIMIT_MS: u64 = 60_000;
+/// How long a job without a task on a machine waits at most in a team at its limit, whether or not it has begun,
+/// in milliseconds. What is granted after 60 s runs within a few heartbeats, so less than 90 s after the job
+/// began to wait. A team at its limit always has a few cores free between the end of a task and the start of the
+/// next one. Without this bound, jobs that are not first in line would be left waiting beside these free cores.
+const STARVATION_TIMEOUT_AT_LIMIT_MS: u64 = 60_000;
 
-/// The rank that it has until it has begun.
+/// Rank of a job while it is starved, unless its own rank is better.
 pub(super) const STARVED_RANK: u32 = 2;
 
-/// Importance per core that it has at least until then.
+/// Minimum importance per core of a job while it is starved.
 pub(super) const STARVED_WEIGHT: f64 = 1_000.0;
 
-/// Most machines that are held back for such jobs at a time.
-const STARVED_MACHINES: usize = 4;
+/// Maximum number of machines that are held back at a time for starved arrays and services.
+const MAX_MACHINES_HELD_BACK: usize = 4;
 
-/// How long a gang that fits nowhere waits before machines are cleared for it, in milliseconds.
-const CLEARED_MS: u64 = 33_000;
+/// How long a gang that fits nowhere waits before machines are held back for it, in milliseconds.
+const GANG_HOLD_BACK_DELAY_MS: u64 = 33_000;
 
-/// Milliseconds since a job was accepted.
-pub(super) fn waiting_ms(cluster: &ClusterView<'_>, job: &Job) -> u64 {
+/// Returns the milliseconds since a job was accepted.
+pub(super) fn since_accepted_ms(cluster: &ClusterView<'_>, job: &Job) -> u64 {
     cluster.wall.0.saturating_sub(job.at.0)
 }
 
-/// Cores and more that a machine offers to a job when it is empty; `None` if the job may not use it.
+/// Returns the resources that a machine offers to a job when it is empty; `None` if the job may not use it.
 fn offered_to(
     cluster: &ClusterView<'_>,
     spec: &JobSpec,
@@ -48,8 +48,8 @@
     cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
 }
 
-/// Closes machines to others in the zone where a gang that fits nowhere can begin first: those
-/// that would hold it once they are empty.
+/// Closes machines to other jobs for a gang that fits nowhere, in the zone where it can begin first. These
+/// machines hold the gang once they are empty.
 fn hold_back_for_gang(
     cluster: &ClusterView<'_>,
     job: &Job,
@@ -57,25 +57,26 @@
     targets: &mut [PlacementTarget],
 ) {
     let count = job.spec.task_count as usize;
-    let all = vec![true; targets.len()];
+    let all_targets = vec![true; targets.len()];
     let zones: Vec<Option<&str>> = match job.spec.one_zone {
         true => cluster.settings.params.zones.iter().map(|zone| Some(zone.as_str())).collect(),
         false => vec![None],
     };
     let fits = |zone| {
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
-        placement::pack(&gang, targets, &all).is_some()
+        placement::pack(&gang, targets, &all_targets).is_some()
     };
     if zones.iter().any(|zone| fits(*zone)) {
         return;
     }
-    // The zone that lacks least now, of those that could hold it at all.
-    let mut best: Option<GangRoom> = None;
+    // Prefers the zone where most of the tasks fit now, among those that could hold all of them.
+    let mut best: Option<GangCapacity> = None;
     for zone in zones {
-        let room = room_for_gang(cluster, job, need, targets, zone);
-        if room.slots >= count && best.as_ref().is_none_or(|best| room.free_slots > best.free_slots)
+        let capacity = gang_capacity(cluster, job, need, targets, zone);
+        if capacity.slots >= count
+            && best.as_ref().is_none_or(|best| capacity.free_slots > best.free_slots)
         {
-            best = Some(room);
+            best = Some(capacity);
         }
     }
     for i in best.into_iter().flat_map(|best| best.machines) {
@@ -83,48 +84,49 @@
     }
 }
 
-/// Machines of a zone that would hold a gang once they are empty.
+/// Machines of a zone that hold a gang once they are empty.
 #[derive(Default)]
-struct GangRoom {
-    /// By their place among the targets.
+struct GangCapacity {
+    /// Indices of the machines within the targets.
     machines: Vec<usize>,
-    /// Tasks that they hold when they are empty.
+    /// Number of tasks that the machines hold when they are empty.
     slots: usize,
-    /// Tasks that they could take now.
+    /// Number of tasks that the machines could take now.
     free_slots: usize,
 }
 
-/// The machines of a zone that are closest to holding a gang, as many as it needs.
-fn room_for_gang(
+/// Selects machines of a zone for a gang, those with most free cores first, until it fits on them when empty.
+fn gang_capacity(
     cluster: &ClusterView<'_>,
     job: &Job,
     need: &Resources,
     targets: &[PlacementTarget],
     zone: Option<&str>,
-) -> GangRoom {
+) -> GangCapacity {
     let slots = |target: &PlacementTarget| {
         offered_to(cluster, &job.spec, target)
             .map_or(0, |offered| placement::slots(need, &offered) as usize)
     };
-    let mut inside: Vec<usize> = (0..targets.len())
+    let mut suitable: Vec<usize> = (0..targets.len())
         .filter(|&i| zone.is_none_or(|zone| *zone == *targets[i].zone) && slots(&targets[i]) > 0)
         .collect();
-    inside.sort_by_key(|&i| std::cmp::Reverse((targets[i].free.cores, i)));
-    let mut room = GangRoom::default();
-    for i in inside {
-        if room.slots >= job.spec.task_count as usize {
+    suitable.sort_by_key(|&i| std::cmp::Reverse((targets[i].free.cores, i)));
+    let mut capacity = GangCapacity::default();
+    for i in suitable {
+        if capacity.slots >= job.spec.task_count as usize {
             break;
         }
-        room.slots += slots(&targets[i]);
-        room.free_slots += placement::slots(need, &targets[i].free) as usize;
-        room.machines.push(i);
+        capacity.slots += slots(&targets[i]);
+        capacity.free_slots += placement::slots(need, &targets[i].free) as usize;
+        capacity.machines.push(i);
     }
-    room
+    capacity
 }
 
 impl Leader {
-    /// Records which jobs have nothing on machines or on its way there, and since when.
-    pub(super) fn record_idle(&mut self, cluster: &ClusterView<'_>, counts: &JobTaskCounts) {
+    /// Records since when each open job has held no task: none on a machine, granted, or revoked without
+    /// confirmation.
+    pub(super) fn record_idle_jobs(&mut self, cluster: &ClusterView<'_>, counts: &JobTaskCounts) {
         let held = |id: &JobId| counts.get(id).is_some_and(|counts| counts.held > 0);
         self.jobs.idle_since.retain(|id, _| cluster.replica.jobs.contains_key(id) && !held(id));
         for id in cluster.replica.jobs.keys().filter(|id| !held(id)) {
@@ -132,9 +134,9 @@
         }
     }
 
-    /// Whether a job has waited long without a task of it being anywhere: since it was accepted, or, in
-    /// a team at its limit, since the last one ended.
-    pub(super) fn starved(
+    /// Returns whether a job has waited for too long without holding a task: since it was accepted if none
+    /// of its tasks is done, or, in a team at its limit, also since it last held one.
+    pub(super) fn is_starved(
         &self,
         cluster: &ClusterView<'_>,
         job: &Job,
@@ -142,17 +144,17 @@
         at_limit: bool,
     ) -> bool {
         let begun = !job.progress.done.is_empty();
-        let waits = if begun { 0 } else { waiting_ms(cluster, job) };
+        let waited_ms = if begun { 0 } else { since_accepted_ms(cluster, job) };
         if held > 0 || !at_limit {
-            return held == 0 && waits > STARVED_MS;
+            return held == 0 && waited_ms > STARVATION_TIMEOUT_MS;
         }
-        let idle = self.jobs.idle_since.get(&job.spec.id).map_or(0, |at| cluster.now.since(*at));
-        idle.max(waits) > STARVED_AT_LIMIT_MS
+        let idle_ms = self.jobs.idle_since.get(&job.spec.id).map_or(0, |at| cluster.now.since(*at));
+        idle_ms.max(waited_ms) > STARVATION_TIMEOUT_AT_LIMIT_MS
     }
 
-    /// Keeps machines from others that jobs need which have waited long and fit nowhere: else
-    /// small tasks would take every core that a large one waits for.
-    pub(super) fn reserve_for_starved(
+    /// Holds machines back for jobs that have waited for long and fit nowhere. Otherwise small tasks would
+    /// take every core that a large task waits for.
+    pub(super) fn hold_back_for_starved(
         &mut self,
         cluster: &ClusterView<'_>,
         demands: &[Demand],
@@ -165,18 +167,19 @@
             let need = Resources::of(&job.spec);
             let held = counts.get(&demand.job).map_or(0, |counts| counts.held);
             if job.spec.kind == JobKind::Gang {
-                if held == 0 && waiting_ms(cluster, job) > CLEARED_MS {
+                if held == 0 && since_accepted_ms(cluster, job) > GANG_HOLD_BACK_DELAY_MS {
                     hold_back_for_gang(cluster, job, &need, &mut allocation.targets);
                 }
                 continue;
             }
             let fits = |target: &PlacementTarget| target.takes(&job.spec, &need, None);
-            if !self.starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
+            if !self.is_starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
-            let released = self.release_reserved(&job.spec, &need, &mut allocation.targets);
-            if !released && held_back < STARVED_MACHINES {
-                let machine = largest_possible(cluster, &job.spec, &need, &allocation.targets);
+            let released = self.release_gang_reservation(&job.spec, &need, &mut allocation.targets);
+            if !released && held_back < MAX_MACHINES_HELD_BACK {
+                let machine =
+                    largest_suitable_machine(cluster, &job.spec, &need, &allocation.targets);
                 if let Some(i) = machine {
                     allocation.targets[i].open = false;
                     held_back += 1;
@@ -185,9 +188,9 @@
         }
     }
 
-    /// Gives a machine that is reserved for gangs to work that has waited long: the reservation does not hold against that.
-    /// False if none of them holds a task of it.
-    fn release_reserved(
+    /// Gives up the reservation for gangs on one machine that has room for a task of a starved job, which
+    /// takes precedence over the reservation. Returns whether there is such a machine.
+    fn release_gang_reservation(
         &mut self,
         spec: &JobSpec,
         need: &Resources,
@@ -202,8 +205,8 @@
     }
 }
 
-/// The machine with most free cores of those that hold a task when they are empty.
-fn largest_possible(
+/// Returns the machine with the most free cores among those that hold a task when they are empty.
+fn largest_suitable_machine(
     cluster: &ClusterView<'_>,
     spec: &JobSpec,
     need: &Resources,
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -10,7 +10,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::inputs::EpochInputs;
-use super::team_use::TeamUse;
+use super::team_usage::TeamUsage;
 use crate::attempts::AttemptAllocator;
 use crate::fleet::{Fleet, TasksOnMachines};
 use crate::model::{
@@ -172,7 +172,11 @@
     }
 
     /// Counts the same for their teams, by number.
-    pub(super) fn count_under_way(&self, on_machines: &TasksOnMachines<'_>, teams: &mut [TeamUse]) {
+    pub(super) fn count_under_way(
+        &self,
+        on_machines: &TasksOnMachines<'_>,
+        teams: &mut [TeamUsage],
+    ) {
         let is_under_way = |task: &TaskId| !on_machines.contains_key(task);
         for (_, grant) in self.granted.iter().filter(|(task, _)| is_under_way(task)) {
             if let Some(team) = teams.get_mut(grant.usage.team) {
--- a/src/leader/team_use.rs
+++ b/src/leader/team_usage.rs
@@ -1,4 +1,5 @@
-//! What a team may be using, in parts that each end by evidence of their own (`docs/safety.md`, "Limits, zones, kinds").
+//! Upper bound of a team's usage, in parts that are each released by their own evidence (`docs/safety.md`,
+//! "Limits, zones, kinds").
 
 use std::fmt;
 
@@ -6,7 +7,7 @@
 use crate::model::Cores;
 use crate::resources::Resources;
 
-/// An amount of what teams' limits restrict.
+/// An amount of the resources that team limits restrict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Usage {
     /// Cores.
@@ -20,18 +21,18 @@
     pub(super) const UNBOUNDED: Usage =
         Usage { cores: Cores(u64::MAX), accelerators: Cores(u64::MAX) };
 
-    /// Counts tasks in that take `need` each.
+    /// Adds a number of tasks that need `need` each.
     pub(super) fn add(&mut self, need: &Resources, tasks: u64) {
         self.cores.0 += need.cores.0 * tasks;
         self.accelerators.0 += need.accelerators.0 * tasks;
     }
 
-    /// All that a machine offers.
+    /// Returns the usage of a machine on which everything is in use.
     pub(super) fn of_machine(offered: &Resources) -> Self {
         Usage { cores: offered.cores, accelerators: offered.accelerators }
     }
 
-    /// Both together.
+    /// Returns the sum of both, saturating at the maximum.
     pub(super) fn plus(self, other: Usage) -> Usage {
         Usage {
             cores: Cores(self.cores.0.saturating_add(other.cores.0)),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The lower amount of each.
+    /// Returns the lower amount of each resource.
     pub(super) fn min(self, other: Usage) -> Usage {
         Usage {
             cores: self.cores.min(other.cores),
@@ -47,37 +48,37 @@
         }
     }
 
-    /// Whether it is more than the team's limit allows.
+    /// Returns whether the usage exceeds the limit of the team.
     pub(super) fn exceeds_limit(&self, team: &Team) -> bool {
         team.core_limit().is_some_and(|limit| self.cores > limit)
             || team.accelerator_limit().is_some_and(|limit| self.accelerators > limit)
     }
 }
 
-/// What a team may be using.
+/// Upper bound of a team's usage.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct TeamUse {
-    /// Tasks on reconciled machines, with those that were started and that no heartbeat has shown yet.
+pub(super) struct TeamUsage {
+    /// Tasks on reconciled machines, including those that were started and that no heartbeat has shown yet.
     pub(super) on_machines: Usage,
     /// Granted tasks that no machine shows.
     pub(super) granted: Usage,
-    /// The same of grants that were revoked and whose shard has not confirmed that.
+    /// Tasks of revoked grants that no machine shows, until their shard confirms the revocation.
     pub(super) revoked: Usage,
-    /// Machines that show tasks of nobody known.
+    /// Everything that machines with tasks of unknown jobs offer.
     pub(super) unidentified: Usage,
-    /// What may be on machines that are not reconciled.
+    /// Tasks that may be on machines that are not reconciled.
     pub(super) unreconciled: Usage,
 }
 
-impl TeamUse {
-    /// All parts together.
+impl TeamUsage {
+    /// Returns the sum of all parts.
     pub(super) fn total(&self) -> Usage {
-        let TeamUse { on_machines, granted, revoked, unidentified, unreconciled } = *self;
+        let TeamUsage { on_machines, granted, revoked, unidentified, unreconciled } = *self;
         [granted, revoked, unidentified, unreconciled].into_iter().fold(on_machines, Usage::plus)
     }
 }
 
-impl fmt::Display for TeamUse {
+impl fmt::Display for TeamUsage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let parts = [
             ("on_machines", self.on_machines),
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -2,7 +2,7 @@
 
 use super::task_grants::TaskGrants;
 use super::{
-    GangStates, JobObservations, LastWrites, Leader, PublishedPlans, Remembered, ScalingState,
+    GangStates, JobObservations, LastWrites, Leader, PublishedPlans, RetainedState, ScalingState,
 };
 use crate::cluster_view::ClusterView;
 use crate::fleet::Fleet;
@@ -13,19 +13,19 @@
     /// Begins a term. `before` is the same leader's state in its last term, if it led: what it
     /// knows of machines and the market stays, what it knows of tasks does not.
     pub fn begin(cluster: &ClusterView<'_>, term: Term, before: Option<Leader>) -> Self {
-        let (mut fleet, mut task_grants, mut remembered) = (None, None, None);
+        let (mut fleet, mut task_grants, mut retained) = (None, None, None);
         if let Some(old) = before {
             // Whoever led meanwhile may have scaled in machines and scaled out others.
             fleet = Some(old.fleet);
             task_grants = Some((old.term, old.task_grants));
-            remembered = Some(old.remembered);
+            retained = Some(old.retained);
         }
         Leader {
             term,
-            began: cluster.now,
+            began_at: cluster.now,
             renew_term: None,
             fleet: Fleet::begin(cluster, fleet),
-            remembered: remembered.unwrap_or_else(|| Remembered::from_store(cluster.replica)),
+            retained: retained.unwrap_or_else(|| RetainedState::from_store(cluster.replica)),
             task_grants: TaskGrants::begin(cluster.replica, term, task_grants),
             plans: PublishedPlans::default(),
             jobs: JobObservations::default(),
@@ -36,13 +36,13 @@
     }
 }
 
-impl Remembered {
+impl RetainedState {
     /// What a leader that has not led before knows: the load that the last one put on record.
     fn from_store(replica: &Replica) -> Self {
-        let mut remembered = Remembered::default();
+        let mut retained = RetainedState::default();
         if let Some(load) = &replica.load {
-            remembered.market.load = load.value.clone();
+            retained.market.load = load.value.clone();
         }
-        remembered
+        retained
     }
 }
--- a/src/leader/tests/gangs.rs
+++ b/src/leader/tests/gangs.rs
@@ -199,7 +199,7 @@
         let idle = || ids.iter().map(|id| view(id, true, &[])).collect();
         run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.with_leader(at(1_150), |l, _| {
-            l.remembered.market.record_gangs(
+            l.retained.market.record_gangs(
                 MonotonicTime(1_150),
                 GangSample { total: Cores(64_000), largest: Cores(64_000) },
                 Default::default(),
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -197,7 +197,7 @@
         controller
             .leader
             .as_ref()
-            .is_some_and(|leader| !leader.remembered.market.is_open(offer, self.now()))
+            .is_some_and(|leader| !leader.retained.market.is_open(offer, self.now()))
     }
 
     /// Sends a scale-out request and records what came of it.
@@ -218,19 +218,19 @@
             Ok(ids) => {
                 info!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, asked = request.count, got = ids.len(), "rented");
                 if (ids.len() as u32) < request.count {
-                    leader.remembered.market.record_refusal(offer, now);
+                    leader.retained.market.record_refusal(offer, now);
                 }
                 leader.fleet.add_provisioned(now, &ids, offer);
                 ScaleOutOutcome::Known
             }
             Err(CloudError::NoCapacity) => {
                 debug!(machine_type = %offer.machine_type, zone = %offer.zone, spot = offer.spot, "none to be had");
-                leader.remembered.market.record_refusal(offer, now);
+                leader.retained.market.record_refusal(offer, now);
                 ScaleOutOutcome::Known
             }
             Err(CloudError::Refused(MALFORMED_STATUS)) => {
                 error!(?request, "rental refused as malformed");
-                leader.remembered.market.record_refusal(offer, now);
+                leader.retained.market.record_refusal(offer, now);
                 ScaleOutOutcome::Known
             }
             Err(_) => ScaleOutOutcome::Unknown,
@@ -252,7 +252,7 @@
         if self.cloud.scale_in(&ids).await.is_ok() {
             info!(machines = ?ids.iter().map(|id| id.to_string()).collect::<Vec<_>>(), "returned");
             if let Some(leader) = &mut self.controller.borrow_mut().leader {
-                leader.machines_gone(&ids);
+                leader.remove_terminated_machines(&ids);
             }
             self.wake_ups.epoch.notify_one();
         }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -363,7 +363,7 @@
         if let Ok(node) = &mut self.nodes[n]
             && let Some(leader) = &mut node.controller.leader
         {
-            leader.machines_gone(&scaled_in);
+            leader.remove_terminated_machines(&scaled_in);
             for (id, zone) in add_provisioned {
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -130,7 +130,7 @@
                 term: leader.term.0,
                 machines: leader.fleet.machines.len(),
                 unreconciled: leader.fleet.unreconciled.len(),
-                published: leader.published().0 > 0,
+                published: leader.published_plan().0 > 0,
             }),
         };
         if let Some(trace) = &mut self.trace {
