--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -140,7 +140,7 @@
     }
 
     /// Groups what running tasks of arrays are expected to release within [`RELEASE_HORIZON_S`], on open
-    /// machines that are not reserved for gangs and whose owners support grants ahead.
+    /// machines that were not reserved for gangs in the last epoch and whose owners support grants ahead.
     fn expected_completions<'a>(
         &self,
         inputs: &EpochInputs<'_>,
