--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -180,7 +180,7 @@
         if standby.completed_failover(FailoverCause::Suspicion, term)
             && let (Some(followed), Some(leader)) = (followed, &mut self.leader)
         {
-            leader.fleet.replaced = Some(followed.node);
+            leader.fleet.replaced_leader = Some(followed.node);
         }
         self.standby = Some(standby);
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,12 +1,13 @@
-//! The machines as the leader knows them in one term.
+//! State of all machines as the leader knows it during one term.
 //!
-//! [`Fleet`] owns four things: which controller owns each machine, what their owners' summaries show of them
-//! (`controller_state`), what the leader itself records of each machine (`machine_records`), and the proofs that
-//! a machine, or what ran on it, is gone (`lease_expiry`, `reconciliation`).
+//! [`Fleet`] holds the owner of each machine (`ownership`), the machine state from the owners'
+//! summaries (`controller_state`), the leader's own record of each machine (`machine_records`), and
+//! the proofs that a machine, or the tasks on it, are gone (`lease_expiry`, `reconciliation`).
 //!
-//! Invariants, argued in `docs/safety.md`: only an owner that follows a plan of this term speaks for a machine;
-//! a machine leaves `unreconciled` only when it showed this term's fencing token, its lease expired at every
-//! controller, or the cloud confirmed that it is gone.
+//! Invariants, argued in `docs/safety.md`: only the owner of a machine that has applied a plan of
+//! the current term is authoritative for the machine; a machine is removed from `unreconciled` only
+//! when it showed the current term's fencing token, its lease expired at every controller, or the
+//! cloud confirmed its termination.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -29,96 +30,106 @@
 pub use machine_records::FleetMachine;
 pub use ownership::NewTermReason;
 
-/// Milliseconds without a summary after which a controller is taken as lost.
-pub const NODE_LOST_MS: u64 = 3_000;
-/// Milliseconds without service by the store after which a controller hands its machines over; for half of
-/// it, nothing new is granted to it.
-const UNSERVED_MS: u64 = 5_000;
-/// Least number of machines that count as cut off rather than dead when they are silent together.
-const MANY_LEAST: usize = 8;
-/// A controller receives heartbeats if it got one within that many milliseconds.
-const RECEIVES_MS: u64 = 2_000;
+/// Milliseconds without a summary after which a controller is considered lost.
+pub const CONTROLLER_LOST_AFTER_MS: u64 = 3_000;
+/// Milliseconds without a response from the state service after which a controller's machines are
+/// reassigned. From half of this time on, the controller's machines get no new tasks.
+const STORE_SILENCE_HANDOVER_MS: u64 = 5_000;
+/// Minimum number of machines whose simultaneous silence indicates a network partition rather than
+/// machine failures.
+const MIN_PARTITIONED_MACHINES: usize = 8;
+/// Milliseconds within which a heartbeat must have arrived for a controller to count as receiving
+/// heartbeats.
+const RECENT_HEARTBEAT_MS: u64 = 2_000;
 
-/// Who owns a machine.
+/// Owner of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ownership {
-    /// The controller that owns it.
+    /// Controller that owns the machine.
     pub owner: NodeId,
-    /// The first plan that names this owner.
+    /// First plan that names this owner.
     pub since: PlanSeq,
 }
 
-/// A machine that was owned until the cloud confirmed that it is gone.
+/// Machine that had an owner until the cloud confirmed its termination.
 struct RemovedMachine {
     id: MachineId,
-    /// The first plan that says so.
+    /// First plan that lists the machine as removed.
     since: PlanSeq,
 }
 
-/// The next owner of a machine that could not reach its owner.
-struct Reassigned {
-    /// The controller that received its heartbeats.
+/// Controller that a machine is assigned to next because the machine could not reach its owner.
+struct Reassignment {
+    /// Controller that received the machine's heartbeats.
     node: NodeId,
+    /// Time at which the reassignment expires.
     until: MonotonicTime,
 }
 
-/// A task on a machine.
+/// Task on a machine, as shown by the owner's summary.
 #[derive(Clone, Copy)]
 pub struct ObservedTask<'a> {
-    /// The machine.
+    /// Machine that holds the task.
     pub machine: &'a MachineView,
-    /// Its state there.
+    /// State of the task on the machine.
     pub state: TaskState,
 }
 
 /// Tasks on reconciled machines.
 pub type TasksOnMachines<'a> = FxHashMap<TaskId, ObservedTask<'a>>;
 
-/// A controller that is no member.
+/// Controller without a member record.
 #[derive(Clone, Copy)]
 struct AbsentController {
-    /// How often it had become a member or left when it was found absent.
+    /// Number of times the controller had become a member or left when its absence was recorded.
     membership_changes: u64,
+    /// Time at which the absence was recorded.
     since: MonotonicTime,
 }
 
-/// The machines in one term.
+/// Machines and their owners during one term.
 pub struct Fleet {
-    began: MonotonicTime,
-    /// What controllers' summaries showed in this term.
+    /// Time at which the term started at this leader.
+    started_at: MonotonicTime,
+    /// State of each controller from the summaries received in this term.
     pub controllers: BTreeMap<NodeId, ControllerState>,
-    /// Who owns each machine.
+    /// Owner of each machine.
     pub owners: BTreeMap<MachineId, Ownership>,
-    /// Machines that are gone, in the order in which they were removed; the newest ones only.
+    /// Owned machines whose termination was confirmed, in order of removal; only the most recent
+    /// ones are kept.
     removed: Vec<RemovedMachine>,
-    /// Machines that may still accept or run what earlier terms commanded.
+    /// Machines that may still accept commands of earlier terms or run tasks started by such
+    /// commands.
     pub unreconciled: BTreeSet<MachineId>,
-    /// Machines that the cloud confirmed to be gone.
+    /// Machines whose termination the cloud confirmed.
     pub terminated: HashSet<MachineId>,
-    /// When any controller last answered a heartbeat of each machine.
+    /// Time of the last heartbeat response from any controller to each machine.
     last_answers: HashMap<MachineId, MonotonicTime>,
-    /// Machines whose lease has expired, and the agent epoch that ended with it: what their owner still
-    /// remembers of that epoch is over.
+    /// Machines whose lease expired, with the agent epoch that ended with the lease. Any state of
+    /// that epoch still known to the machine's owner is obsolete.
     pub expired_leases: BTreeMap<MachineId, AgentEpoch>,
-    /// Controllers that are no members.
+    /// Controllers without a member record.
     absent: HashMap<NodeId, AbsentController>,
-    /// Controllers that receive no heartbeats, and until when they own no machines for that.
+    /// Controllers that receive no heartbeats, with the time until which they own no machines for
+    /// this reason.
     without_heartbeats: HashMap<NodeId, MonotonicTime>,
-    /// Machines that could not reach their owner.
-    reassigned: HashMap<MachineId, Reassigned>,
-    /// Whether tasks wait for the proof that they are not on an unreconciled machine.
+    /// Machines that could not reach their owner, with the controller they are assigned to next.
+    reassignments: HashMap<MachineId, Reassignment>,
+    /// Whether any task waits for the proof that it is not on an unreconciled machine.
     pub reconciliation_awaited: bool,
-    /// The leader that was replaced as it did not reach a majority: its summary is not waited for.
-    pub replaced: Option<NodeId>,
-    /// All machines that are held.
+    /// Former leader that was replaced because it did not reach a majority. Machine assignment does
+    /// not wait for its summary.
+    pub replaced_leader: Option<NodeId>,
+    /// All provisioned machines whose termination is not confirmed.
     pub machines: BTreeMap<MachineId, FleetMachine>,
 }
 
 impl Fleet {
-    /// Begins a term. What was known of machines stays; what summaries showed of tasks does not.
+    /// Starts a term. Keeps what is known about machines and discards the task state from
+    /// summaries.
     pub fn begin(cluster: &ClusterView<'_>, before: Option<Fleet>) -> Self {
         let mut fleet = Fleet {
-            began: cluster.now,
+            started_at: cluster.now,
             controllers: BTreeMap::new(),
             owners: BTreeMap::new(),
             removed: Vec::new(),
@@ -128,9 +139,9 @@
             expired_leases: BTreeMap::new(),
             absent: HashMap::new(),
             without_heartbeats: HashMap::new(),
-            reassigned: HashMap::new(),
+            reassignments: HashMap::new(),
             reconciliation_awaited: false,
-            replaced: None,
+            replaced_leader: None,
             machines: BTreeMap::new(),
         };
         if let Some(old) = before {
@@ -138,8 +149,8 @@
             fleet.last_answers = old.last_answers;
             fleet.absent = old.absent;
             fleet.without_heartbeats = old.without_heartbeats;
-            fleet.reassigned = old.reassigned;
-            fleet.reassigned.retain(|_, r| r.until > cluster.now);
+            fleet.reassignments = old.reassignments;
+            fleet.reassignments.retain(|_, r| r.until > cluster.now);
             fleet.machines = old.machines;
             for machine in fleet.machines.values_mut() {
                 machine.draining = machine.draining.map(|_| PlanSeq(1));
@@ -152,21 +163,23 @@
         fleet
     }
 
-    /// Whether a controller speaks for a machine: it owns it and follows a plan of this term that says so.
-    /// What it remembers from an earlier term may be missing in its next summary without having ended.
-    fn speaks_for(&self, node: NodeId, state: &ControllerState, id: &MachineId) -> bool {
+    /// Whether a controller is authoritative for a machine: the controller owns the machine and has
+    /// applied a plan of this term that says so. Tasks that the controller knows from an earlier
+    /// term may be missing in its next summary without having ended.
+    fn is_authoritative(&self, node: NodeId, state: &ControllerState, id: &MachineId) -> bool {
         self.owners
             .get(id)
             .is_some_and(|owned| owned.owner == node && state.applied_plan >= owned.since)
             && !self.terminated.contains(id)
     }
 
-    /// Machines as their owners' summaries show them, without those whose lease has expired since.
+    /// Machines as shown by their owners' summaries, without machines whose lease has expired
+    /// since.
     fn owned_machines(&self) -> impl Iterator<Item = OwnedView<'_>> {
         self.controllers.iter().flat_map(|(owner, controller)| self.machines_of(*owner, controller))
     }
 
-    /// The same of one controller.
+    /// Machines of one controller, selected as in [`Self::owned_machines`].
     fn machines_of<'a>(
         &'a self,
         owner: NodeId,
@@ -177,26 +190,27 @@
             expired.is_some_and(|epoch| machine.view.agent_epoch <= *epoch)
         };
         let owned = move |machine: &&OwnedMachine| {
-            self.speaks_for(owner, controller, &machine.view.id) && !expired(machine)
+            self.is_authoritative(owner, controller, &machine.view.id) && !expired(machine)
         };
         let machines = controller.machines.values().filter(owned);
         machines.map(move |machine| OwnedView { machine, owner, controller })
     }
 
-    /// Machine views from owners, as of their last summaries.
+    /// Views of all machines from their owners' last summaries.
     pub fn views(&self) -> impl Iterator<Item = &MachineView> {
         self.owned_machines().map(|owned| &owned.machine.view)
     }
 
-    /// Views of one owner's machines, as of its last summary.
+    /// Views of one owner's machines from the owner's last summary.
     pub fn views_of(&self, owner: NodeId) -> impl Iterator<Item = &MachineView> {
         let controller = self.controllers.get(&owner).into_iter();
         let machines = controller.flat_map(move |controller| self.machines_of(owner, controller));
         machines.map(|owned| &owned.machine.view)
     }
 
-    /// Where tasks are. Only a machine whose heartbeat carried this term's fencing token shows that: what is
-    /// known of others may have ended and been started elsewhere since.
+    /// Locations of tasks on reconciled machines. Only a machine whose heartbeat carried this
+    /// term's fencing token proves a location: tasks known from other machines may have ended and
+    /// been started elsewhere since.
     pub fn on_machines(&self) -> TasksOnMachines<'_> {
         let mut on_machines = TasksOnMachines::default();
         for machine in self.views().filter(|view| view.reconciled) {
@@ -211,20 +225,22 @@
         self.controllers.get(&self.owners.get(id)?.owner)
     }
 
-    /// When the cloud preempts a machine, if it gave notice.
+    /// Time at which the cloud preempts a machine, if it sent a preemption notice.
     pub fn preempted_at(&self, id: &MachineId) -> Option<MonotonicTime> {
         self.owner_state(id)?.notices.get(id).copied()
     }
 
-    /// Whether a machine sent its owner a heartbeat within `ms` milliseconds, and its owner is not lost.
+    /// Whether a machine sent its owner a heartbeat within the last `ms` milliseconds and the owner
+    /// is not lost.
     pub fn sent_heartbeat_within(&self, now: MonotonicTime, id: &MachineId, ms: u64) -> bool {
-        let owner =
-            self.owner_state(id).filter(|state| now.since(state.received_at) < NODE_LOST_MS);
+        let owner = self
+            .owner_state(id)
+            .filter(|state| now.since(state.received_at) < CONTROLLER_LOST_AFTER_MS);
         let machine = owner.and_then(|state| state.machines.get(id));
         machine.is_some_and(|machine| now.since(machine.last_heartbeat) < ms)
     }
 
-    /// Machines as placement sees them.
+    /// Machines as placement targets.
     pub fn targets(&self, cluster: &ClusterView<'_>) -> Vec<PlacementTarget> {
         let target = |owned: OwnedView<'_>| {
             let view = &owned.machine.view;
@@ -243,8 +259,8 @@
         self.owned_machines().filter_map(target).collect()
     }
 
-    /// Follows which controllers are members.
-    pub fn follow_members(&mut self, cluster: &ClusterView<'_>) {
+    /// Updates the absent controllers from the replica's member records.
+    pub fn update_absent_controllers(&mut self, cluster: &ClusterView<'_>) {
         for index in 0..cluster.nodes.len() {
             let id = NodeId(index as u8);
             if cluster.replica.members.contains_key(&id) {
@@ -255,7 +271,8 @@
                 cluster.replica.membership_changes.get(&id).copied().unwrap_or(0);
             let now_absent = AbsentController { membership_changes, since: cluster.now };
             let absent = self.absent.entry(id).or_insert(now_absent);
-            // It came and went unseen: its last renewal may be that much younger.
+            // The controller joined and left unobserved, so its last renewal may be later than the
+            // recorded absence allows. The absence starts anew.
             if absent.membership_changes != membership_changes {
                 *absent = now_absent;
             }
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -1,71 +1,79 @@
-//! What the controllers' summaries show: their own state, and the machines of their shard.
+//! State of the controllers and of the machines in their shards, as shown by summaries.
 //!
-//! A controller sends summaries, each whole or a difference to the one before, in pieces if it is long. The
-//! pieces are applied together when the last one is there: a task that is missing for a while would be taken
-//! for one that is nowhere.
+//! A summary is either full or contains the changes since an earlier summary. A long summary is
+//! sent in several parts, which are applied together once the last part has arrived: a task missing
+//! in between would be taken for one that is on no machine.
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Fleet, MANY_LEAST, NODE_LOST_MS, RECEIVES_MS, UNSERVED_MS};
+use super::{
+    CONTROLLER_LOST_AFTER_MS, Fleet, MIN_PARTITIONED_MACHINES, RECENT_HEARTBEAT_MS,
+    STORE_SILENCE_HANDOVER_MS,
+};
 use crate::cluster_view::ClusterView;
 use crate::config::HeartbeatTiming;
 use crate::model::{Incarnation, MachineId, MonotonicTime, NodeId, PlanSeq};
 use crate::peer::{ForeignMachine, MachineView, Summary};
 
-/// Milliseconds for which a controller that receives no heartbeats owns no machines.
-const WITHOUT_HEARTBEATS_MS: u64 = 60_000;
+/// Milliseconds for which a controller that receives no heartbeats is excluded from owning
+/// machines.
+const NO_HEARTBEATS_EXCLUSION_MS: u64 = 60_000;
 
-/// What a controller's last summary showed.
+/// State of a controller, as shown by its last summary.
 pub struct ControllerState {
-    /// Incarnation of its process.
+    /// Incarnation of the controller's process.
     pub incarnation: Incarnation,
-    /// Number of its last summary.
+    /// Sequence number of the last summary.
     pub seq: u64,
-    /// The plan that it follows.
+    /// Last plan that the controller applied.
     pub applied_plan: PlanSeq,
-    /// The leader's clock that it echoed, in milliseconds.
+    /// Leader clock, in milliseconds, that the controller echoed.
     pub echoed_clock_ms: u64,
-    /// Milliseconds for which its process had been up.
+    /// Uptime of the controller's process in milliseconds at the last summary.
     pub uptime_ms: u64,
-    /// Milliseconds since the store had last responded to it.
+    /// Milliseconds from the state service's last response to the controller until the last
+    /// summary.
     pub since_store_response_ms: u64,
-    /// Milliseconds since any worker had last sent it a heartbeat.
+    /// Milliseconds from the last heartbeat of any worker to the controller until the last summary.
     pub since_heartbeat_ms: u64,
-    /// When its last summary was received.
+    /// Time at which the last summary was received.
     pub received_at: MonotonicTime,
-    /// When its first summary of this term was received, which contained all answers that it remembered.
+    /// Time at which the first summary of this term was received. That summary listed every
+    /// heartbeat response that the controller remembered.
     pub(super) first_received_at: MonotonicTime,
-    /// Jobs that fail wherever it tries them.
+    /// Numbers of the jobs that fail on every machine where the controller tries them.
     pub failing: Vec<u64>,
-    /// Machines that send it heartbeats without being of its shard.
+    /// Machines outside the controller's shard that send it heartbeats.
     pub(super) foreign_machines: Vec<ForeignMachine>,
+    /// Machines that were restarted and whose heartbeats are numbered from the start again.
     pub(super) restarted: Vec<MachineId>,
-    /// When the cloud preempts machines of its shard.
+    /// Time at which the cloud preempts each machine of the shard that received a notice.
     pub(super) notices: BTreeMap<MachineId, MonotonicTime>,
     pub(super) machines: BTreeMap<MachineId, OwnedMachine>,
-    /// The first pieces of a summary whose last one has not come.
+    /// Parts of a summary whose last part has not arrived.
     pending: Option<PartialSummary>,
 }
 
-/// Pieces of a summary.
+/// Parts of one summary.
 #[derive(Default)]
 struct PartialSummary {
-    /// Whether all that was known before is replaced.
-    whole: bool,
+    /// Whether the summary is full and replaces all earlier machine views.
+    is_full: bool,
     views: Vec<MachineView>,
-    /// When the controller answered heartbeats of machines.
+    /// Times at which the controller answered heartbeats, by machine.
     answered: Vec<(MachineId, MonotonicTime)>,
 }
 
-/// A machine as its owner's summary shows it.
+/// Machine as shown by its owner's summary.
 pub(super) struct OwnedMachine {
     pub view: MachineView,
+    /// Time until which the machine is quarantined, so that it receives no new tasks.
     pub quarantined_until: MonotonicTime,
-    /// When it last sent its owner a heartbeat.
+    /// Time of the machine's last heartbeat that the owner answered.
     pub last_heartbeat: MonotonicTime,
 }
 
-/// A machine with the owner that speaks for it.
+/// Machine together with the owner that is authoritative for it.
 #[derive(Clone, Copy)]
 pub(super) struct OwnedView<'a> {
     pub machine: &'a OwnedMachine,
@@ -74,11 +82,11 @@
 }
 
 impl OwnedView<'_> {
-    /// Whether the machine may be given tasks, as far as its heartbeats and its owner show.
+    /// Whether the machine may receive tasks, judged by its heartbeats and the state of its owner.
     pub fn accepts_tasks(&self, cluster: &ClusterView<'_>) -> bool {
         let OwnedView { machine, controller, .. } = self;
-        cluster.now.since(controller.received_at) < NODE_LOST_MS
-            && controller.since_store_response_ms < UNSERVED_MS / 2
+        cluster.now.since(controller.received_at) < CONTROLLER_LOST_AFTER_MS
+            && controller.since_store_response_ms < STORE_SILENCE_HANDOVER_MS / 2
             && cluster.now.since(machine.last_heartbeat)
                 < cluster.settings.timing().unavailable_after_ms
             && machine.view.reconciled
@@ -87,24 +95,25 @@
     }
 }
 
-/// What became of a summary.
+/// Result of applying a summary.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SummaryOutcome {
-    /// It was applied, or held back until its other pieces are there.
+    /// The summary was applied, or stored until its remaining parts arrive.
     Applied {
-        /// Whether it shows anything that an epoch should look at soon.
+        /// Whether the summary contains changes that an epoch should process soon.
         changed: bool,
     },
-    /// A later one was applied before.
-    Late,
-    /// The summary that it adds to was not received.
+    /// This summary or a later one was applied before.
+    Stale,
+    /// The summary builds on one that was not received.
     MissingBase,
-    /// It comes from a new incarnation of a controller that was counted with.
+    /// The summary comes from a new incarnation of a controller that already sent summaries in this
+    /// term.
     NewIncarnation,
 }
 
 impl ControllerState {
-    /// The state before the first summary is applied.
+    /// State before the first summary is applied.
     fn new(incarnation: Incarnation, now: MonotonicTime) -> Self {
         ControllerState {
             incarnation,
@@ -131,7 +140,8 @@
             || self.applied_plan != summary.applied_plan
     }
 
-    /// Applies what holds at once, whether more pieces follow or not; takes it out of the summary.
+    /// Applies the fields that are valid without the remaining parts, and removes the lists among
+    /// them from the summary.
     fn apply_status(&mut self, now: MonotonicTime, summary: &mut Summary) {
         self.seq = summary.seq;
         self.uptime_ms = summary.uptime_ms;
@@ -145,20 +155,20 @@
         self.notices = notices.map(|(id, in_ms)| (id, now.plus(in_ms))).collect();
     }
 
-    /// Applies all pieces of a summary to the machines.
-    fn apply_machines(&mut self, now: MonotonicTime, pieces: PartialSummary) {
-        let mut replaced = match pieces.whole {
+    /// Applies the machine views and heartbeat responses from all parts of a summary.
+    fn apply_machines(&mut self, now: MonotonicTime, parts: PartialSummary) {
+        let mut previous = match parts.is_full {
             true => std::mem::take(&mut self.machines),
             false => BTreeMap::new(),
         };
-        for view in pieces.views {
+        for view in parts.views {
             let quarantined_until = now.plus(view.quarantine_ms);
-            let known = replaced.remove(&view.id).or_else(|| self.machines.remove(&view.id));
+            let known = previous.remove(&view.id).or_else(|| self.machines.remove(&view.id));
             let last_heartbeat = known.map_or(MonotonicTime(0), |known| known.last_heartbeat);
             let id = view.id.clone();
             self.machines.insert(id, OwnedMachine { view, quarantined_until, last_heartbeat });
         }
-        for (id, at) in pieces.answered {
+        for (id, at) in parts.answered {
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.last_heartbeat = machine.last_heartbeat.max(at);
             }
@@ -167,7 +177,7 @@
 }
 
 impl Fleet {
-    /// Applies a summary, or says why it cannot be applied.
+    /// Applies a summary, or returns the reason why it cannot be applied.
     pub fn on_summary(&mut self, now: MonotonicTime, mut summary: Summary) -> SummaryOutcome {
         if let Some(refused) = self.refuse_summary(&summary) {
             return refused;
@@ -177,41 +187,41 @@
         let state = self.controllers.entry(node).or_insert_with(new_state);
         let changed = state.is_changed_by(&summary);
         state.apply_status(now, &mut summary);
-        let is_difference = summary.base_seq > 0;
-        let mut pieces = state.pending.take().filter(|_| is_difference).unwrap_or_default();
-        pieces.whole |= !is_difference;
-        pieces.views.extend(summary.machines);
+        let is_incremental = summary.base_seq > 0;
+        let mut parts = state.pending.take().filter(|_| is_incremental).unwrap_or_default();
+        parts.is_full |= !is_incremental;
+        parts.views.extend(summary.machines);
         for (id, age_ms) in summary.answered {
             let at = now.less(age_ms);
             let last_answer = self.last_answers.entry(id.clone()).or_default();
             *last_answer = (*last_answer).max(at);
-            pieces.answered.push((id, at));
+            parts.answered.push((id, at));
         }
         if summary.has_more {
-            state.pending = Some(pieces);
+            state.pending = Some(parts);
             return SummaryOutcome::Applied { changed: false };
         }
         state.applied_plan = summary.applied_plan;
         state.echoed_clock_ms = summary.echoed_clock_ms;
-        state.apply_machines(now, pieces);
+        state.apply_machines(now, parts);
         self.remove_reconciled(node);
         SummaryOutcome::Applied { changed }
     }
 
     fn refuse_summary(&self, summary: &Summary) -> Option<SummaryOutcome> {
         match self.controllers.get(&summary.node) {
-            // Its predecessor may have started tasks that nobody knows of.
+            // The previous incarnation may have started tasks that no controller knows of.
             Some(known) if known.incarnation != summary.incarnation => {
                 Some(SummaryOutcome::NewIncarnation)
             }
-            Some(known) if summary.seq <= known.seq => Some(SummaryOutcome::Late),
+            Some(known) if summary.seq <= known.seq => Some(SummaryOutcome::Stale),
             Some(known) if summary.base_seq > known.seq => Some(SummaryOutcome::MissingBase),
             None if summary.base_seq > 0 => Some(SummaryOutcome::MissingBase),
             _ => None,
         }
     }
 
-    /// Takes the machines out of `unreconciled` that showed this term's fencing token to their owner.
+    /// Removes machines from `unreconciled` that showed this term's fencing token to their owner.
     fn remove_reconciled(&mut self, owner: NodeId) {
         if self.unreconciled.is_empty() {
             return;
@@ -221,7 +231,7 @@
             .machines
             .values()
             .map(|machine| &machine.view)
-            .filter(|view| view.reconciled && self.speaks_for(owner, state, &view.id))
+            .filter(|view| view.reconciled && self.is_authoritative(owner, state, &view.id))
             .map(|view| view.id.clone())
             .collect();
         for id in reconciled {
@@ -231,17 +241,19 @@
 
     /// Controllers that are not lost.
     pub fn live_controllers(&self, now: MonotonicTime) -> Vec<NodeId> {
-        let is_live = |state: &ControllerState| now.since(state.received_at) < NODE_LOST_MS;
+        let is_live =
+            |state: &ControllerState| now.since(state.received_at) < CONTROLLER_LOST_AFTER_MS;
         self.controllers.iter().filter(|(_, state)| is_live(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Controllers that may own machines: they are live, the store serves them, and workers reach them. One
-    /// that the store refuses knows neither new jobs nor cancellations, and its right to answer ends soon.
+    /// Controllers that may own machines: live, served by the state service, and reached by
+    /// workers. A controller refused by the state service learns of neither new jobs nor
+    /// cancellations, and its right to answer heartbeats ends soon.
     pub fn eligible_owners(&self, now: MonotonicTime) -> Vec<NodeId> {
         let served = |id: &NodeId| {
             self.controllers
                 .get(id)
-                .is_some_and(|state| state.since_store_response_ms < UNSERVED_MS)
+                .is_some_and(|state| state.since_store_response_ms < STORE_SILENCE_HANDOVER_MS)
         };
         let reached =
             |id: &NodeId| self.without_heartbeats.get(id).is_none_or(|until| *until <= now);
@@ -249,35 +261,41 @@
         live_controllers.filter(|id| served(id) && reached(id)).collect()
     }
 
-    /// Records controllers that receive no heartbeats of their machines while others do: all their
-    /// machines have to move at once. Found one by one, they would move a few in every term.
+    /// Records controllers that receive no heartbeats from their machines while other controllers
+    /// do. All machines of such a controller have to be reassigned at once; if they were detected
+    /// one by one, only a few would be reassigned in each term.
     pub fn record_controllers_without_heartbeats(
         &mut self,
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) {
-        let limit = timing.foreign_machine_ms + 1_000;
-        if now.since(self.began) < limit + NODE_LOST_MS {
+        let limit_ms = timing.foreign_machine_ms + 1_000;
+        if now.since(self.started_at) < limit_ms + CONTROLLER_LOST_AFTER_MS {
             return;
         }
         let eligible_owners = self.eligible_owners(now);
         let silent_ms =
             |id: &NodeId| self.controllers.get(id).map(|state| state.since_heartbeat_ms);
-        if !eligible_owners.iter().any(|id| silent_ms(id).is_some_and(|ms| ms < RECEIVES_MS)) {
+        if !eligible_owners
+            .iter()
+            .any(|id| silent_ms(id).is_some_and(|ms| ms < RECENT_HEARTBEAT_MS))
+        {
             return;
         }
-        let mut owned_up: HashMap<NodeId, usize> = HashMap::new();
+        let mut machines_up: HashMap<NodeId, usize> = HashMap::new();
         for (id, owned) in &self.owners {
             if self.machines.get(id).is_some_and(|machine| machine.up) {
-                *owned_up.entry(owned.owner).or_default() += 1;
+                *machines_up.entry(owned.owner).or_default() += 1;
             }
         }
         for id in eligible_owners {
             let silent =
-                self.controllers.get(&id).is_some_and(|state| state.since_heartbeat_ms > limit);
-            if silent && owned_up.get(&id).is_some_and(|count| *count >= MANY_LEAST) {
-                tracing::warn!(node = id.0, "hears none of its machines");
-                self.without_heartbeats.insert(id, now.plus(WITHOUT_HEARTBEATS_MS));
+                self.controllers.get(&id).is_some_and(|state| state.since_heartbeat_ms > limit_ms);
+            if silent
+                && machines_up.get(&id).is_some_and(|count| *count >= MIN_PARTITIONED_MACHINES)
+            {
+                tracing::warn!(node = id.0, "controller received no heartbeats from its machines");
+                self.without_heartbeats.insert(id, now.plus(NO_HEARTBEATS_EXCLUSION_MS));
             }
         }
     }
--- a/src/fleet/machine_records.rs
+++ b/src/fleet/machine_records.rs
@@ -1,5 +1,5 @@
-//! What the leader records of each machine besides its heartbeats: from scale-out or the cloud's list until the
-//! cloud confirms that it is gone.
+//! The leader's record of each machine besides its heartbeats, from provisioning or the cloud's
+//! list until the cloud confirms the machine's termination.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -10,40 +10,42 @@
 use crate::model::{AgentEpoch, MachineId, MonotonicTime, PlanSeq};
 use crate::wire::{self, MachineListPage};
 
-/// Milliseconds within which a machine must lose its agent epoch twice to be taken for one that is not worth
-/// keeping.
-const LOSING_MS: u64 = 60_000;
-/// Milliseconds beyond twice the lag of the cloud's list before a machine counts as missing in it.
-const LIST_MARGIN_MS: u64 = 2_000;
-/// Removed machines that are remembered so that plans can name them; a controller that missed more is sent all
-/// owners anew.
-pub(super) const REMOVED_KEPT: usize = 400;
+/// Milliseconds within which a machine must lose its agent epoch twice to count as unreliable and
+/// be returned.
+const EPOCH_LOSS_WINDOW_MS: u64 = 60_000;
+/// Milliseconds beyond twice the lag of the cloud's list before an unlisted machine counts as
+/// missing.
+const LIST_LAG_MARGIN_MS: u64 = 2_000;
+/// Maximum number of removed machines kept for incremental plans. A controller that missed more
+/// removals receives the full list of owners.
+pub(super) const MAX_REMOVED_MACHINES: usize = 400;
 
-/// What is known of a machine besides its heartbeats.
+/// Leader's record of a machine besides its heartbeats.
 #[derive(Clone, Debug)]
 pub struct FleetMachine {
-    /// The offer that it is of.
+    /// Offer that the machine was provisioned from.
     pub offer: MachineOffer,
-    /// When it was scaled out, as far as known.
-    pub rented_at: MonotonicTime,
-    /// Whether it has sent a heartbeat.
+    /// Time of provisioning, as far as known.
+    pub provisioned_at: MonotonicTime,
+    /// Whether the machine has sent a heartbeat.
     pub up: bool,
-    /// Where its worker listens, once it is up.
+    /// Address of the machine's worker; empty until the machine is up.
     pub endpoint: Rc<str>,
-    /// When something last ran on it.
+    /// Time at which the machine last held a task or came up.
     pub last_busy: MonotonicTime,
-    /// The plan from which on it accepts nothing new.
+    /// First plan from which on the machine accepts no new tasks.
     pub draining: Option<PlanSeq>,
-    /// Whether the cloud says that it stopped by itself.
+    /// Whether the cloud listed the machine as failed.
     pub failed: bool,
+    /// Newest agent epoch in the machine's heartbeats.
     agent_epoch: AgentEpoch,
-    /// When it last lost an agent epoch.
+    /// Time at which the machine last lost its agent epoch.
     epoch_lost_at: Option<MonotonicTime>,
-    /// Whether it lost its agent epoch twice in a short time.
-    pub losing_epochs: bool,
-    /// When the cloud first listed it.
+    /// Whether the machine lost its agent epoch twice within `EPOCH_LOSS_WINDOW_MS`.
+    pub repeatedly_lost_epoch: bool,
+    /// Time at which the cloud first listed the machine.
     first_listed: Option<MonotonicTime>,
-    /// Whether a later list does not have it any more.
+    /// Whether a later list of the cloud lacks the machine.
     pub missing: bool,
 }
 
@@ -51,7 +53,7 @@
     fn new(now: MonotonicTime, offer: MachineOffer) -> Self {
         FleetMachine {
             offer,
-            rented_at: now,
+            provisioned_at: now,
             up: false,
             endpoint: "".into(),
             last_busy: now,
@@ -59,19 +61,20 @@
             failed: false,
             agent_epoch: AgentEpoch(0),
             epoch_lost_at: None,
-            losing_epochs: false,
+            repeatedly_lost_epoch: false,
             first_listed: None,
             missing: false,
         }
     }
 
-    /// Follows the agent epoch that its heartbeats carry; a newer one ends the one before.
+    /// Records the agent epoch from a heartbeat. A newer epoch means that the previous one ended.
     fn follow_agent_epoch(&mut self, now: MonotonicTime, reported: AgentEpoch) {
         if reported <= self.agent_epoch {
             return;
         }
         if self.agent_epoch > AgentEpoch(0) {
-            self.losing_epochs |= self.epoch_lost_at.is_some_and(|at| now.since(at) < LOSING_MS);
+            self.repeatedly_lost_epoch |=
+                self.epoch_lost_at.is_some_and(|at| now.since(at) < EPOCH_LOSS_WINDOW_MS);
             self.epoch_lost_at = Some(now);
         }
         self.agent_epoch = reported;
@@ -79,7 +82,7 @@
 }
 
 impl Fleet {
-    /// Whether the cloud confirmed that a machine is gone, in this term or on record.
+    /// Whether the cloud confirmed a machine's termination, in this term or in the stored record.
     pub(super) fn is_gone(&self, cluster: &ClusterView<'_>, id: &MachineId) -> bool {
         self.terminated.contains(id) || cluster.replica.is_machine_gone(id)
     }
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Adds machines that a scale-out request brought.
+    /// Adds the machines from the response to a scale-out request.
     pub fn add_provisioned(&mut self, now: MonotonicTime, ids: &[MachineId], offer: &MachineOffer) {
         for id in ids {
             if !self.terminated.contains(id) {
@@ -100,8 +103,8 @@
         }
     }
 
-    /// Applies what the cloud's list says of a machine. The list is old: it only adds machines and shows
-    /// failed ones.
+    /// Applies one entry of the cloud's list. The list lags behind, so an entry only adds a machine
+    /// or marks a machine as failed.
     fn apply_listed(&mut self, cluster: &ClusterView<'_>, listed: &wire::ListedMachine) {
         if self.is_gone(cluster, &listed.id) {
             return;
@@ -114,17 +117,18 @@
         let age_ms = (listed.age_s.max(0.0) * 1000.0) as u64;
         self.add_machine(cluster.now, &listed.id, offer);
         if let Some(machine) = self.machines.get_mut(&listed.id) {
-            machine.rented_at = machine.rented_at.min(cluster.now.less(age_ms));
+            machine.provisioned_at = machine.provisioned_at.min(cluster.now.less(age_ms));
             machine.first_listed.get_or_insert(cluster.now);
             machine.missing = false;
             machine.failed |= listed.state == wire::CloudMachineState::Failed;
         }
     }
 
-    /// Applies a page of the cloud's list as a whole: the machines after `after`, up to its last one unless it
-    /// is the last page. A machine that was listed once stays listed until it is gone, but a list may be older
-    /// than the one before, by twice the lag at most. A missing machine is no proof that it is gone, only a
-    /// reason to return it.
+    /// Applies a page of the cloud's list as a whole. The page covers the machines after `after` up
+    /// to its last entry, or to the end if it is the last page. A machine that was listed once
+    /// stays listed until it is terminated, but a list may be older than the previous one by up to
+    /// twice the lag. A missing entry does not prove termination; it is only a reason to return the
+    /// machine.
     pub fn apply_list_page(
         &mut self,
         cluster: &ClusterView<'_>,
@@ -135,23 +139,26 @@
         let listed_ids: HashSet<&MachineId> =
             page.machines.iter().map(|listed| &listed.id).collect();
         let last = page.machines.last().map(|listed| &listed.id).filter(|_| page.truncated);
-        let sure_ms = (cluster.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_MARGIN_MS;
+        let min_listed_ms =
+            (cluster.settings.params.cloud.list_lag_s * 2_000.0) as u64 + LIST_LAG_MARGIN_MS;
         for (id, machine) in &mut self.machines {
-            let covered =
+            let in_page_range =
                 after.is_none_or(|after| id > after) && last.is_none_or(|last| id <= last);
-            let sure = machine.first_listed.is_some_and(|at| cluster.now.since(at) > sure_ms);
-            machine.missing |= covered && sure && !listed_ids.contains(id);
+            let listed_long_enough =
+                machine.first_listed.is_some_and(|at| cluster.now.since(at) > min_listed_ms);
+            machine.missing |= in_page_range && listed_long_enough && !listed_ids.contains(id);
         }
     }
 
-    /// The cloud confirmed that these machines and all on them are gone; `next` is the plan that will say so.
-    pub fn remove_machines(&mut self, ids: &[MachineId], next: PlanSeq) {
+    /// Removes machines whose termination the cloud confirmed; `next_plan` is the first plan that
+    /// reports the removal.
+    pub fn remove_machines(&mut self, ids: &[MachineId], next_plan: PlanSeq) {
         for id in ids {
             self.terminated.insert(id.clone());
             if self.owners.remove(id).is_some() {
-                self.removed.push(RemovedMachine { id: id.clone(), since: next });
+                self.removed.push(RemovedMachine { id: id.clone(), since: next_plan });
             }
-            if self.removed.len() > REMOVED_KEPT {
+            if self.removed.len() > MAX_REMOVED_MACHINES {
                 self.removed.remove(0);
             }
             self.unreconciled.remove(id);
@@ -161,7 +168,8 @@
         }
     }
 
-    /// Records from the owners' views whether machines are up, busy, and able to keep their agent epochs.
+    /// Records from the owners' views whether machines are up, busy, and able to keep their agent
+    /// epochs.
     pub fn record_heartbeats(&mut self, now: MonotonicTime) {
         let mut machines = std::mem::take(&mut self.machines);
         for view in self.views() {
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -1,57 +1,62 @@
-//! Which controller owns a machine, and when a new term is needed to change that.
+//! Ownership of machines, and the conditions for a new term that changes it.
 
 use std::collections::HashMap;
 use std::fmt;
 
-use super::machine_records::REMOVED_KEPT;
-use super::{Fleet, NODE_LOST_MS, Ownership, Reassigned, UNSERVED_MS};
+use super::machine_records::MAX_REMOVED_MACHINES;
+use super::{CONTROLLER_LOST_AFTER_MS, Fleet, Ownership, Reassignment, STORE_SILENCE_HANDOVER_MS};
 use crate::autoscaler::MachineOffer;
 use crate::cluster_view::ClusterView;
 use crate::config::HeartbeatTiming;
 use crate::model::{MachineId, MonotonicTime, NodeId, PlanSeq};
 use crate::peer::OwnershipChanges;
 
-/// Milliseconds for which a foreign machine must have been unable to reach its owner before it is moved.
-const OUT_OF_REACH_MS: u64 = 2_500;
-/// The same when it is one of a few, which may be at fault themselves: moving it costs a term.
-const FEW_OUT_OF_REACH_MS: u64 = 12_000;
-/// Foreign machines are few up to one of so many that are owned.
-const FEW_DIVISOR: usize = 20;
-/// Milliseconds for which a machine that could not reach its owner is given to the controller that receives its
-/// heartbeats.
-const REASSIGNED_MS: u64 = 60_000;
-/// Milliseconds without service by the store after which a controller is given no more machines: it would soon
-/// have to hand them over.
-const ASSIGNABLE_UNSERVED_MS: u64 = UNSERVED_MS * 2 / 5;
-/// Milliseconds beyond [`UNSERVED_MS`] for which the store must have served the leader before it judges others.
-const SERVED_MARGIN_MS: u64 = 2_000;
-/// Milliseconds of a term in which machines are assigned only if all members sent summaries.
-const ALL_MEMBERS_MS: u64 = 1_000;
-/// Milliseconds beyond the time to reach an owner for which a foreign machine's last heartbeat counts.
-const FOREIGN_MARGIN_MS: u64 = 2_000;
+/// Milliseconds for which a foreign machine must have been unable to reach its owner before it is
+/// reassigned.
+const OWNER_UNREACHABLE_MS: u64 = 2_500;
+/// Like [`OWNER_UNREACHABLE_MS`], if only a few machines are affected: the machines themselves may
+/// be at fault, and reassigning them costs a term.
+const FEW_OWNER_UNREACHABLE_MS: u64 = 12_000;
+/// Foreign machines count as few up to one in this many owned machines.
+const FEW_FOREIGN_DIVISOR: usize = 20;
+/// Milliseconds for which a machine that could not reach its owner is assigned to the controller
+/// that receives its heartbeats.
+const REASSIGNMENT_MS: u64 = 60_000;
+/// Milliseconds without a response from the state service after which a controller is assigned no
+/// further machines, because it would soon have to hand them over.
+const ASSIGNABLE_SILENCE_MS: u64 = STORE_SILENCE_HANDOVER_MS * 2 / 5;
+/// Milliseconds beyond [`STORE_SILENCE_HANDOVER_MS`] for which the state service must have served
+/// the leader before the leader judges other controllers by it.
+const STORE_SERVICE_MARGIN_MS: u64 = 2_000;
+/// Milliseconds from the start of a term in which machines are assigned only if all members sent
+/// summaries.
+const AWAIT_ALL_MEMBERS_MS: u64 = 1_000;
+/// Milliseconds beyond `foreign_machine_ms` for which a foreign machine's last heartbeat counts.
+const FOREIGN_MACHINE_MARGIN_MS: u64 = 2_000;
 
-/// Why the leader takes a new term.
+/// Reason for the leader to start a new term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewTermReason {
     /// A controller that owns machines is lost.
     OwnerLost,
-    /// A controller that owns machines is up, but the store or its workers do not reach it.
-    OwnerNotReached,
-    /// Machines send heartbeats to other controllers than their owner, which they cannot reach.
-    MachinesOutOfReach,
-    /// A controller came back as another incarnation.
+    /// A controller that owns machines is live, but the state service or its workers do not reach
+    /// it.
+    OwnerIsolated,
+    /// Machines cannot reach their owner and send heartbeats to other controllers.
+    MachinesCannotReachOwner,
+    /// A controller restarted as a new incarnation.
     ControllerRestarted,
-    /// A controller owns no machine while others own those that would be its own.
+    /// A controller owns no machines while others own the machines that would be assigned to it.
     ControllerWithoutShard,
 }
 
 impl NewTermReason {
-    /// The reason as the log names it.
+    /// Text of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::OwnerLost => "the owner of machines is not heard",
-            Self::OwnerNotReached => "the store or the workers do not reach the owner of machines",
-            Self::MachinesOutOfReach => "machines cannot reach their owner",
+            Self::OwnerIsolated => "the store or the workers do not reach the owner of machines",
+            Self::MachinesCannotReachOwner => "machines cannot reach their owner",
             Self::ControllerRestarted => "a controller restarted",
             Self::ControllerWithoutShard => "a controller came back and has no shard",
         }
@@ -65,15 +70,16 @@
 }
 
 impl Fleet {
-    /// Why a new term is needed, if one is: an owner is lost, or machines cannot reach theirs. `served_for` is
-    /// for how many milliseconds the store has served this controller.
-    pub fn wants_new_term(
+    /// Returns the reason for a new term, if one is needed: an owner is lost or isolated, or
+    /// machines cannot reach their owner. `store_served_ms` is the time in milliseconds for which
+    /// the state service has served this controller without a break.
+    pub fn new_term_reason(
         &mut self,
         now: MonotonicTime,
-        served_for: u64,
+        store_served_ms: u64,
         timing: &HeartbeatTiming,
     ) -> Option<NewTermReason> {
-        if now.since(self.began) < NODE_LOST_MS {
+        if now.since(self.started_at) < CONTROLLER_LOST_AFTER_MS {
             return None;
         }
         let live_controllers = self.live_controllers(now);
@@ -81,72 +87,76 @@
             return Some(NewTermReason::OwnerLost);
         }
         let eligible_owners = self.eligible_owners(now);
-        // After an outage for all, the others' last summaries are still of that time.
-        let calm = served_for > UNSERVED_MS + SERVED_MARGIN_MS;
-        if calm
+        // After an outage for all controllers, the last summaries of the others still describe the
+        // outage.
+        let leader_served_long_enough =
+            store_served_ms > STORE_SILENCE_HANDOVER_MS + STORE_SERVICE_MARGIN_MS;
+        if leader_served_long_enough
             && !eligible_owners.is_empty()
             && self.owners.values().any(|owned| !eligible_owners.contains(&owned.owner))
         {
-            return Some(NewTermReason::OwnerNotReached);
+            return Some(NewTermReason::OwnerIsolated);
         }
-        self.reassign_out_of_reach(now, &live_controllers, timing)
-            .then_some(NewTermReason::MachinesOutOfReach)
+        self.record_reassignments(now, &live_controllers, timing)
+            .then_some(NewTermReason::MachinesCannotReachOwner)
     }
 
-    /// Records which machines cannot reach their owner and which controller receives their heartbeats instead, so
-    /// that it gets them in the next term. Says whether they are enough, or have waited long enough, to take
-    /// one for them.
-    fn reassign_out_of_reach(
+    /// Records machines that cannot reach their owner, with the controller that receives their
+    /// heartbeats and is assigned the machines in the next term. Returns whether the machines are
+    /// enough, or one has waited long enough, to justify a new term; records nothing otherwise.
+    fn record_reassignments(
         &mut self,
         now: MonotonicTime,
         live_controllers: &[NodeId],
         timing: &HeartbeatTiming,
     ) -> bool {
-        // They go back to the cloud; no owner would take them.
+        // Restarted machines are returned to the cloud and need no owner.
         let restarted: Vec<&MachineId> =
             self.controllers.values().flat_map(|state| &state.restarted).collect();
         let mut found: Vec<(MachineId, NodeId)> = Vec::new();
-        let mut any_long_waiting = false;
+        let mut any_long_unreachable = false;
         for node in live_controllers {
             let Some(state) = self.controllers.get(node) else { continue };
             for foreign in &state.foreign_machines {
-                if foreign.since_ms > OUT_OF_REACH_MS
+                if foreign.since_ms > OWNER_UNREACHABLE_MS
                     && foreign.silent_ms < timing.foreign_machine_ms
                     && self.owners.get(&foreign.id).is_some_and(|owned| owned.owner != *node)
                     && !self.reaches_owner(now, &foreign.id, foreign.silent_ms)
                     && !restarted.contains(&&foreign.id)
                 {
                     found.push((foreign.id.clone(), *node));
-                    any_long_waiting |= foreign.since_ms > FEW_OUT_OF_REACH_MS;
+                    any_long_unreachable |= foreign.since_ms > FEW_OWNER_UNREACHABLE_MS;
                 }
             }
         }
-        let needs_term = found.len() > self.owners.len() / FEW_DIVISOR || any_long_waiting;
+        let needs_term =
+            found.len() > self.owners.len() / FEW_FOREIGN_DIVISOR || any_long_unreachable;
         if needs_term {
-            let until = now.plus(REASSIGNED_MS);
-            let reassigned = found.into_iter().map(|(id, node)| (id, Reassigned { node, until }));
-            self.reassigned.extend(reassigned);
+            let until = now.plus(REASSIGNMENT_MS);
+            let reassigned = found.into_iter().map(|(id, node)| (id, Reassignment { node, until }));
+            self.reassignments.extend(reassigned);
         }
         needs_term
     }
 
-    /// The controller that receives the heartbeats of a machine which could not reach its owner.
+    /// Live controller that a machine is reassigned to because the machine could not reach its
+    /// owner.
     fn reassigned_to(
         &self,
         now: MonotonicTime,
         id: &MachineId,
         live_controllers: &[NodeId],
     ) -> Option<NodeId> {
-        let reassigned = self.reassigned.get(id).filter(|r| r.until > now)?;
+        let reassigned = self.reassignments.get(id).filter(|r| r.until > now)?;
         live_controllers.contains(&reassigned.node).then_some(reassigned.node)
     }
 
-    /// Whether a machine's owner received a heartbeat of it lately, or later than the controller that received
-    /// one `silent_ms` milliseconds ago.
+    /// Whether a machine's owner received a heartbeat from the machine recently, or later than the
+    /// controller that received one `silent_ms` milliseconds ago.
     fn reaches_owner(&self, now: MonotonicTime, id: &MachineId, silent_ms: u64) -> bool {
         let owner = self.owners.get(id).and_then(|owned| self.controllers.get(&owned.owner));
         let machine = owner.and_then(|state| state.machines.get(id));
-        let limit_ms = silent_ms.max(OUT_OF_REACH_MS);
+        let limit_ms = silent_ms.max(OWNER_UNREACHABLE_MS);
         machine.is_some_and(|machine| now.since(machine.last_heartbeat) < limit_ms)
     }
 
@@ -155,8 +165,9 @@
         held.or_else(|| cluster.replica.machines.get(id).map(|record| record.zone.as_str()))
     }
 
-    /// The owner of a machine among live controllers: the one that receives its heartbeats if it could not reach its
-    /// owner lately, else those of its zone if one is up, else all; the highest hash wins.
+    /// Selects a machine's owner among live controllers. A machine that could not reach its owner
+    /// goes to the controller that receives its heartbeats. Otherwise the highest rendezvous hash
+    /// among the controllers in the machine's zone decides, or among all if none is live there.
     pub fn owner_for(
         &self,
         cluster: &ClusterView<'_>,
@@ -167,21 +178,22 @@
             return Some(node);
         }
         let zone = self.zone_of(cluster, id);
-        let near: Vec<NodeId> = live_controllers
+        let in_zone: Vec<NodeId> = live_controllers
             .iter()
             .copied()
             .filter(|id| {
                 zone == cluster.nodes.get(usize::from(id.0)).map(|node| node.zone.as_str())
             })
             .collect();
-        let pool = if near.is_empty() { live_controllers } else { &near };
-        pool.iter().copied().max_by_key(|node| rendezvous(id, *node))
+        let candidates = if in_zone.is_empty() { live_controllers } else { &in_zone };
+        candidates.iter().copied().max_by_key(|node| rendezvous_hash(id, *node))
     }
 
-    /// Gives every machine without an owner one; `next` is the plan that will say so.
-    pub fn assign(&mut self, cluster: &ClusterView<'_>, next: PlanSeq) {
+    /// Assigns an owner to each machine without one; `next_plan` is the first plan that names the
+    /// new owners.
+    pub fn assign(&mut self, cluster: &ClusterView<'_>, next_plan: PlanSeq) {
         let Some(live_controllers) = self.assignable_controllers(cluster) else { return };
-        let out_of_reach = self.add_foreign_machines(cluster, &live_controllers);
+        let heartbeat_receivers = self.add_foreign_machines(cluster, &live_controllers);
         self.add_recorded_machines(cluster);
         let unowned: Vec<MachineId> = self
             .machines
@@ -190,37 +202,38 @@
             .cloned()
             .collect();
         for id in unowned {
-            let receiver = out_of_reach.get(&id).copied();
+            let receiver = heartbeat_receivers.get(&id).copied();
             let owner = receiver.or_else(|| self.owner_for(cluster, &id, &live_controllers));
             if let Some(owner) = owner {
-                self.owners.insert(id, Ownership { owner, since: next });
+                self.owners.insert(id, Ownership { owner, since: next_plan });
             }
         }
     }
 
-    /// Controllers that may be given machines now, or `None` if machines are not assigned yet: none may, or the
-    /// term is young and members are missing.
+    /// Controllers that may be assigned machines. `None` if no controller is eligible, or if
+    /// members are missing and the term is young.
     fn assignable_controllers(&self, cluster: &ClusterView<'_>) -> Option<Vec<NodeId>> {
         let mut controllers = self.eligible_owners(cluster.now);
         controllers
-            .retain(|id| self.controllers[id].since_store_response_ms < ASSIGNABLE_UNSERVED_MS);
-        let replaced = self.replaced.filter(|id| !controllers.contains(id));
+            .retain(|id| self.controllers[id].since_store_response_ms < ASSIGNABLE_SILENCE_MS);
+        let replaced = self.replaced_leader.filter(|id| !controllers.contains(id));
         let awaited = cluster.replica.members.keys().filter(|id| Some(**id) != replaced);
         let expected = awaited.count().min(cluster.nodes.len());
-        let is_young = cluster.now.since(self.began) < ALL_MEMBERS_MS;
+        let is_young = cluster.now.since(self.started_at) < AWAIT_ALL_MEMBERS_MS;
         let too_early = controllers.is_empty() || (controllers.len() < expected && is_young);
         (!too_early).then_some(controllers)
     }
 
-    /// Adds the machines that send heartbeats to controllers that do not own them. Returns those that have
-    /// been unable to reach their owner for long, with the controller that receives their heartbeats.
+    /// Adds the machines that send heartbeats to controllers that do not own them. Returns the
+    /// machines that have been unable to reach their owner for [`OWNER_UNREACHABLE_MS`], with the
+    /// controller that receives their heartbeats.
     fn add_foreign_machines(
         &mut self,
         cluster: &ClusterView<'_>,
         live_controllers: &[NodeId],
     ) -> HashMap<MachineId, NodeId> {
-        let limit_ms = cluster.settings.timing().foreign_machine_ms + FOREIGN_MARGIN_MS;
-        let mut out_of_reach: HashMap<MachineId, NodeId> = HashMap::new();
+        let limit_ms = cluster.settings.timing().foreign_machine_ms + FOREIGN_MACHINE_MARGIN_MS;
+        let mut heartbeat_receivers: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
         let live = self.controllers.iter().filter(|(id, _)| live_controllers.contains(id));
         for (node, state) in live {
@@ -232,8 +245,8 @@
                     spot: foreign.spot,
                 };
                 found.push((foreign.id.clone(), offer));
-                if foreign.since_ms > OUT_OF_REACH_MS {
-                    out_of_reach.insert(foreign.id.clone(), *node);
+                if foreign.since_ms > OWNER_UNREACHABLE_MS {
+                    heartbeat_receivers.insert(foreign.id.clone(), *node);
                 }
             }
         }
@@ -242,10 +255,10 @@
                 self.add_machine(cluster.now, &id, offer);
             }
         }
-        out_of_reach
+        heartbeat_receivers
     }
 
-    /// Adds the machines that are on record and not known to be gone.
+    /// Adds the machines with a stored record that are not known to be terminated.
     fn add_recorded_machines(&mut self, cluster: &ClusterView<'_>) {
         for (id, record) in &cluster.replica.machines {
             if record.gone.is_some()
@@ -260,20 +273,22 @@
                 spot: record.spot,
             };
             self.add_machine(cluster.now, id, offer);
-            // It may be gone without the record saying so: then it is returned when its
-            // silence has lasted, and does not count as one that still boots.
+            // The machine may be terminated although its record does not say so. With `up` from the
+            // record, the machine is returned after prolonged silence and does not count as still
+            // booting.
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.up = record.up;
             }
         }
     }
 
-    /// Changes of owners for a controller that follows that plan; all owners if it missed more than is
-    /// remembered.
+    /// Ownership changes since `applied_plan`, or all owners if the controller missed more removals
+    /// than are kept.
     pub fn ownership_changes(&self, applied_plan: PlanSeq) -> OwnershipChanges {
-        let missed_some = self.removed.first().is_some_and(|oldest| oldest.since > applied_plan)
-            && self.removed.len() >= REMOVED_KEPT;
-        let base = if missed_some { PlanSeq(0) } else { applied_plan };
+        let missed_removals =
+            self.removed.first().is_some_and(|oldest| oldest.since > applied_plan)
+                && self.removed.len() >= MAX_REMOVED_MACHINES;
+        let base = if missed_removals { PlanSeq(0) } else { applied_plan };
         OwnershipChanges {
             base,
             set: self
@@ -291,16 +306,16 @@
         }
     }
 
-    /// The newest plan that changes owners.
-    pub fn newest_change(&self) -> PlanSeq {
+    /// Newest plan that changes owners.
+    pub fn newest_ownership_change(&self) -> PlanSeq {
         let assigned = self.owners.values().map(|owned| owned.since);
         let removed = self.removed.iter().map(|removed| removed.since);
         assigned.chain(removed).max().unwrap_or_default()
     }
 }
 
-/// Highest-random-weight hashing of a machine over controllers.
-fn rendezvous(id: &MachineId, node: NodeId) -> u64 {
+/// Rendezvous (highest-random-weight) hash of a machine and a controller.
+fn rendezvous_hash(id: &MachineId, node: NodeId) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in id.0.bytes().chain([b'#', node.0]) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -1,4 +1,4 @@
-//! What proves where tasks are, for the log.
+//! Evidence for the locations of tasks, for the log.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,12 +10,14 @@
 
 /// Machines that showed the term's fencing token to one controller.
 struct OwnerEvidence {
+    /// Plan that the controller applied last.
     plan: PlanSeq,
     machines: usize,
 }
 
-/// Why no machine can run a task that an earlier term started and that none shows: every machine that was up
-/// showed the term's fencing token to its owner, or is gone. See `docs/safety.md`.
+/// Evidence that no machine runs a task that was started in an earlier term and that no machine
+/// shows: every machine that was up has shown the term's fencing token to its owner, or is gone.
+/// See `docs/safety.md`.
 pub struct ReconciliationEvidence {
     owners: BTreeMap<NodeId, OwnerEvidence>,
     expired_leases: usize,
@@ -31,16 +33,16 @@
     }
 }
 
-/// A task that two reconciled machines show.
+/// Task shown by two reconciled machines.
 pub struct DuplicatedTask {
-    /// The task.
+    /// Task that is shown twice.
     pub task: TaskId,
-    /// The machines.
+    /// Machines that show the task.
     pub machines: [MachineId; 2],
 }
 
 impl Fleet {
-    /// What proves that all machines are reconciled.
+    /// Evidence that all machines are reconciled.
     pub fn evidence(&self) -> ReconciliationEvidence {
         let mut owners: BTreeMap<NodeId, OwnerEvidence> = BTreeMap::new();
         for owned in self.owned_machines().filter(|owned| owned.machine.view.reconciled) {
@@ -55,24 +57,24 @@
         }
     }
 
-    /// Tasks that more than one reconciled machine shows; `on_machines` is where tasks are.
+    /// Tasks shown by more than one reconciled machine; `on_machines` holds the locations of tasks.
     pub fn duplicated(&self, on_machines: &TasksOnMachines<'_>) -> Vec<DuplicatedTask> {
         let reconciled = || self.views().filter(|view| view.reconciled);
         if reconciled().map(|view| view.tasks.len()).sum::<usize>() == on_machines.len() {
             return Vec::new();
         }
-        let mut first: FxHashMap<TaskId, &MachineId> = FxHashMap::default();
+        let mut first_machines: FxHashMap<TaskId, &MachineId> = FxHashMap::default();
         let mut duplicated = Vec::new();
         for (view, held) in reconciled().flat_map(|view| view.tasks.iter().map(move |t| (view, t)))
         {
-            match first.get(&held.task) {
+            match first_machines.get(&held.task) {
                 Some(other) if **other != view.id => {
                     let machines = [(*other).clone(), view.id.clone()];
                     duplicated.push(DuplicatedTask { task: held.task, machines });
                 }
                 Some(_) => {}
                 None => {
-                    first.insert(held.task, &view.id);
+                    first_machines.insert(held.task, &view.id);
                 }
             }
         }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -200,7 +200,7 @@
                 self.renew_term.get_or_insert(NewTermReason::ControllerRestarted);
                 (PeerResponse::NotLeading(self.term), true)
             }
-            SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
+            SummaryOutcome::Stale => (PeerResponse::NotLeading(self.term), false),
             SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
             SummaryOutcome::Applied { changed } => {
                 if !self.task_grants.revoked.is_empty() {
@@ -249,7 +249,7 @@
 
     /// Brings machines, their owners and leases up to now.
     fn follow_fleet(&mut self, cluster: &ClusterView<'_>) {
-        self.fleet.follow_members(cluster);
+        self.fleet.update_absent_controllers(cluster);
         self.fleet.record_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
         self.check_nodes(cluster);
         self.fleet.assign(cluster, self.plans.next());
@@ -283,7 +283,7 @@
             return;
         }
         self.renew_term =
-            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
+            self.fleet.new_term_reason(now, cluster.served_for, &cluster.settings.timing());
         let calm = now.since(self.remembered.rebalanced.max(self.began)) > REBALANCE_MS;
         if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
             let live = self.fleet.eligible_owners(now);
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -52,7 +52,7 @@
         // A plan that tells nothing new would only be sent around.
         let due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
         let news = self.plans.seq == PlanSeq(0)
-            || self.fleet.newest_change() > self.plans.seq
+            || self.fleet.newest_ownership_change() > self.plans.seq
             || self.task_grants.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
             || bodies.iter().any(|(id, body)| !same(id, body));
         if !news && !due {
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -158,7 +158,7 @@
                 id: id.clone(),
                 offer: machine.offer.clone(),
                 booting: !machine.up,
-                age_s: now.since(machine.rented_at) as f64 / 1000.0,
+                age_s: now.since(machine.provisioned_at) as f64 / 1000.0,
                 free: target.map_or(offered, |target| target.free),
                 idle_s: now.since(machine.last_busy) as f64 / 1000.0,
                 reserved: self.gangs.reserved.binary_search(id).is_ok(),
