--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,15 +1,15 @@
-//! A controller's replica of the state service: all records, as of one revision.
+//! A controller's replica of the state service: all records as of one revision.
 //!
-//! The replica is read whole once ([`Replica::load`]) and follows the watch from then on
-//! ([`Replica::apply`]). It holds what is durable and nothing else; what a controller may do by it is
-//! for [`crate::lease`] to say. [`StoreKey`] lists the keys and the records under them.
+//! The replica is read in full once ([`Replica::load`]) and follows the watch from then on
+//! ([`Replica::apply`]). It holds only durable state; [`crate::lease`] decides which actions of a
+//! controller a replica permits. [`StoreKey`] lists the keys and their records.
 //!
 //! Invariants:
-//! - A key's record is only ever replaced by one of a higher version, in whatever order reads and
-//!   watches come back.
-//! - A job that has ended stays so: its end is written once, and neither an older record nor a read
-//!   from the start takes it back. `docs/safety.md` relies on it for cancelled jobs.
-//! - A machine that is known to be terminated stays so for as long as any key names it.
+//! - A key's record is only replaced by one of a higher version, in whatever order responses to
+//!   reads and watches arrive.
+//! - An ended job stays ended: its end is written once, and neither an older record nor a full read
+//!   reverts it. `docs/safety.md` relies on this for cancelled jobs.
+//! - A machine known to be terminated stays terminated for as long as any key names it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -41,83 +41,85 @@
 };
 pub use versioned::{RecordError, Versioned};
 
-/// How many ended jobs are kept in memory, which bounds its size; older ones are read from the store
-/// when asked for.
-const ENDED_KEPT: usize = 100_000;
-/// For how many jobs the usage that may outlast them is remembered, which bounds memory; the machines
-/// of those beyond are counted in full, see [`Replica::residual_usage_truncated`].
-const RESIDUAL_USAGE_KEPT: usize = 4_096;
+/// Maximum number of ended jobs in memory, which bounds its size. Older ones are read from the
+/// store on request.
+const MAX_ENDED_JOBS: usize = 100_000;
+/// Maximum number of jobs whose residual usage is kept, which bounds memory. Machines that may hold
+/// tasks of further jobs are counted in full, see [`Replica::residual_usage_truncated`].
+const MAX_RESIDUAL_USAGE_JOBS: usize = 4_096;
 
-/// What a batch of changes brought, for those who wait for it.
+/// Effects of a batch of changes, for notifying those who wait for them.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplicaChanges {
-    /// Jobs were accepted.
+    /// Whether jobs were accepted.
     pub new_jobs: bool,
-    /// Jobs ended or made progress.
+    /// Whether jobs ended or made progress.
     pub job_progress: bool,
-    /// Jobs that are known to be cancelled from now on.
+    /// Jobs whose cancellation became known.
     pub cancelled_jobs: Vec<JobId>,
-    /// The leader or the term changed.
+    /// Whether the leader or the term changed.
     pub leader: bool,
-    /// A chunk of a message for this controller came.
+    /// Whether a chunk of a message for this controller arrived.
     pub peer_messages: bool,
 }
 
-/// The records of the state service as this controller knows them.
+/// Records of the state service, as known to this controller.
 #[derive(Debug)]
 pub struct Replica {
-    /// This controller, the receiver of the peer messages that are held.
-    me: NodeId,
-    /// Everything up to this revision is in here.
+    /// This controller. Only peer messages addressed to it are kept.
+    local_node: NodeId,
+    /// Revision up to which all changes are applied.
     pub revision: Revision,
     /// Jobs that have not ended.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, the last `ENDED_KEPT` of them.
+    /// Most recently ended jobs, at most `MAX_ENDED_JOBS`.
     pub ended: HashMap<JobId, EndedJob>,
-    /// The same in the order in which their ends became known.
+    /// Keys of `ended`, in the order in which the ends became known.
     ended_order: VecDeque<JobId>,
     /// Progress that was read before its job.
     progress_without_job: HashMap<JobId, Versioned<Progress>>,
-    /// Controllers that are up.
+    /// Member records of the controllers that are up.
     pub members: BTreeMap<NodeId, Versioned<MemberRecord>>,
-    /// The capabilities that each controller had last, whether it is up or not.
+    /// Last known capabilities of each controller, whether up or not.
     last_capabilities: BTreeMap<NodeId, u32>,
-    /// How often each controller's key came or went, so that no absence is taken for a
-    /// longer one than it was.
+    /// Number of times each controller's member key was put or deleted, so that a series of short
+    /// absences is not taken for one long absence.
     pub membership_changes: BTreeMap<NodeId, u64>,
-    /// The leader; `None` if no controller leads.
+    /// Record of the leader; `None` if no controller leads.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The highest term.
+    /// Highest term.
     pub term: Term,
-    /// Version of the term's key; 0 if there is none yet.
+    /// Version of the term's key; 0 if the key does not exist yet.
     pub term_version: Revision,
-    /// Machines that tasks may be on, and those lately terminated.
+    /// Machines that may hold tasks, and recently terminated machines.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// The keys that [`Replica::machines`] is merged from.
+    /// Machine groups by key, from which [`Replica::machines`] is merged.
     machine_groups: MachineGroups,
-    /// What tasks of jobs that were cancelled, and of gangs that are done, may still use.
+    /// Resources that tasks of cancelled jobs and of completed gangs may still use.
     pub residual_usage: BTreeMap<JobId, ResidualUsage>,
-    /// The same in the order in which they became known.
+    /// Keys of `residual_usage`, in the order in which the usage became known.
     residual_usage_order: VecDeque<JobId>,
-    /// Whether some of it was forgotten, as there were more than `RESIDUAL_USAGE_KEPT`.
+    /// Whether residual usage was discarded because more than `MAX_RESIDUAL_USAGE_JOBS` jobs had
+    /// some.
     pub residual_usage_truncated: bool,
-    /// Granted ranges by the number of their key.
+    /// Granted task ranges by the number of their key.
     pub epochs: BTreeMap<u32, Versioned<EpochRecord>>,
-    /// The offered load, as the last leader wrote it.
+    /// Offered load, as written by the last leader.
     pub load: Option<Versioned<OfferedLoad>>,
-    /// Machine types, as the last leader that asked the cloud wrote them; those of the first value.
+    /// Machine types in the first value, as written by the last leader that queried the cloud.
     pub catalog: Option<Versioned<MachineTypes>>,
-    /// Those that did not fit into the first value, by the number of their key.
+    /// Machine types that did not fit into the first value, by the number of their key.
     further_machine_types: BTreeMap<u32, MachineTypes>,
-    /// Chunks of messages for this controller, by sender and number. No sender has an empty map.
+    /// Chunks of messages for this controller, by sender and chunk number. No sender has an empty
+    /// map.
     pub peer_messages: BTreeMap<NodeId, BTreeMap<u32, String>>,
 }
 
 impl Replica {
-    /// An empty replica for a controller.
-    pub fn new(me: NodeId) -> Self {
+    /// Creates an empty replica for a controller.
+    pub fn new(local_node: NodeId) -> Self {
         Replica {
-            me,
+            local_node,
             revision: Revision::default(),
             jobs: BTreeMap::new(),
             ended: HashMap::new(),
@@ -142,34 +144,35 @@
         }
     }
 
-    /// Replaces the replica by one that was read from the start, keeping what can never change.
+    /// Replaces the replica with one that was read in full, keeping the facts that never change.
     pub fn replace(&mut self, read: Replica) {
-        let before = std::mem::replace(self, read);
-        for id in before.ended_order {
-            if let Some(end) = before.ended.get(&id) {
+        let previous = std::mem::replace(self, read);
+        for id in previous.ended_order {
+            if let Some(end) = previous.ended.get(&id) {
                 self.record_end(id, *end);
             }
         }
-        // How often members came and went while the changes were not followed is not known: once counts.
-        for (node, changes) in before.membership_changes {
+        // The number of membership changes while the watch was not followed is unknown; it counts
+        // as one.
+        for (node, changes) in previous.membership_changes {
             *self.membership_changes.entry(node).or_default() += changes + 1;
         }
-        for (node, capabilities) in before.last_capabilities {
+        for (node, capabilities) in previous.last_capabilities {
             self.last_capabilities.entry(node).or_insert(capabilities);
         }
     }
 
-    /// Records an item that was read, adding to `changes` what it brought.
+    /// Records an item that was read, and adds its effects to `changes`.
     pub fn load(&mut self, item: &KeyValue, changes: &mut ReplicaChanges) {
         self.put(&item.key, &item.value, item.version, changes);
     }
 
-    /// Applies a watch's response. Changes up to the replica's revision are passed over, so the order in
-    /// which overlapping watches come back does not matter.
+    /// Applies a watch response. Changes up to the replica's revision are skipped, so overlapping
+    /// watches may be answered in any order.
     pub fn apply(&mut self, response: &WatchResponse) -> ReplicaChanges {
         let mut changes = ReplicaChanges::default();
-        let known = self.revision;
-        for event in response.events.iter().filter(|event| event.version > known) {
+        let known_revision = self.revision;
+        for event in response.events.iter().filter(|event| event.version > known_revision) {
             match (&event.put_key, &event.deleted_key, &event.value) {
                 (Some(key), _, Some(value)) => self.put(key, value, event.version, &mut changes),
                 (_, Some(key), _) => self.delete(key, event.version, &mut changes),
@@ -180,20 +183,20 @@
         changes
     }
 
-    /// Records a key's new value; one that cannot be used is logged here and nowhere else.
+    /// Records a key's new value. Only this function logs values that cannot be used.
     fn put(&mut self, key: &str, value: &Value, version: Revision, changes: &mut ReplicaChanges) {
         let Some(store_key) = StoreKey::parse(key) else { return };
         match (self.try_put(store_key, value, version, changes), store_key) {
             (Ok(()), _) => {}
             (Err(error), StoreKey::Job(job)) => {
-                tracing::error!(%job, %error, "accepted job cannot be read from the store");
+                tracing::error!(%job, %error, "found an invalid stored record of an accepted job");
             }
-            (Err(error), _) => tracing::error!(key, %error, "record cannot be read from the store"),
+            (Err(error), _) => tracing::error!(key, %error, "found an invalid stored record"),
         }
     }
 
-    /// Records a key's new value, or says why it cannot be used. Values as old as the known one, and messages for
-    /// other controllers, are passed over.
+    /// Records a key's new value, or returns why the value cannot be used. Skips values that are
+    /// not newer than the known one, and messages for other controllers.
     fn try_put(
         &mut self,
         key: StoreKey,
@@ -220,7 +223,7 @@
                 self.put_group(group, decode(value)?, version);
                 Ok(())
             }
-            StoreKey::PeerMessage { to, from, chunk } if to == self.me => {
+            StoreKey::PeerMessage { to, from, chunk } if to == self.local_node => {
                 self.put_peer_message(from, chunk, value, changes)
             }
             StoreKey::PeerMessage { .. } => Ok(()),
@@ -233,7 +236,7 @@
         version: Revision,
         changes: &mut ReplicaChanges,
     ) -> Result<(), RecordError> {
-        // Also if the value cannot be read: who led before does so no longer.
+        // Also applies if the value cannot be read: the previous leader no longer leads.
         changes.leader |= is_newer(self.leader.as_ref(), version);
         replace_if_newer(&mut self.leader, value, version)
     }
@@ -287,7 +290,8 @@
         Ok(())
     }
 
-    /// Records that a key was deleted. Jobs, their progress, the term, the load and machine types never are.
+    /// Records the deletion of a key. Jobs, their progress, the term, the load and machine types
+    /// are never deleted.
     fn delete(&mut self, key: &str, version: Revision, changes: &mut ReplicaChanges) {
         match StoreKey::parse(key) {
             Some(StoreKey::Leader) if is_deleted_by(self.leader.as_ref(), version) => {
@@ -304,7 +308,7 @@
             Some(StoreKey::Epoch(n)) if is_deleted_by(self.epochs.get(&n), version) => {
                 self.epochs.remove(&n);
             }
-            Some(StoreKey::PeerMessage { to, from, chunk }) if to == self.me => {
+            Some(StoreKey::PeerMessage { to, from, chunk }) if to == self.local_node => {
                 if let Some(chunks) = self.peer_messages.get_mut(&from) {
                     chunks.remove(&chunk);
                     if chunks.is_empty() {
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs as the replica holds them: those that have not ended with their progress, and how the others
-//! ended. What the store says of them is recorded here.
+//! Jobs in the replica: jobs that have not ended with their progress, and the outcome of ended
+//! ones. Applies the stored job and progress records.
 
 use crate::model::{JobId, Revision, TaskRanges, WallTime};
 use crate::resources::MachineCatalog;
@@ -7,20 +7,20 @@
 
 use super::versioned::decode;
 use super::{
-    Accepted, ENDED_KEPT, Progress, RESIDUAL_USAGE_KEPT, RecordError, Replica, ReplicaChanges,
-    ResidualUsage, Versioned,
+    Accepted, MAX_ENDED_JOBS, MAX_RESIDUAL_USAGE_JOBS, Progress, RecordError, Replica,
+    ReplicaChanges, ResidualUsage, Versioned,
 };
 
-/// A job that has not ended.
+/// Job that has not ended.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What its user asked for.
+    /// Job description from the user.
     pub spec: JobSpec,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub at: WallTime,
-    /// Its completed tasks.
+    /// Durable progress, including the completed tasks.
     pub progress: Progress,
-    /// Version of its progress key; 0 if there is none yet.
+    /// Version of the job's progress key; 0 if the key does not exist yet.
     pub progress_version: Revision,
 }
 
@@ -30,17 +30,17 @@
         self.progress.done.contains(index)
     }
 
-    /// How many tasks are not durably done.
+    /// Number of tasks that are not durably done.
     pub fn remaining(&self) -> u32 {
         self.spec.task_count.saturating_sub(self.progress.done.len())
     }
 
-    /// The job's progress with further tasks completed, and with its end if those were the last;
-    /// `None` if nothing changes. Tasks beyond the job's are passed over.
+    /// Returns the job's progress with further tasks completed, including the job's end if no task
+    /// remains; `None` if nothing changes. Indices beyond the job's tasks are ignored.
     ///
-    /// What does not fit into a value of `max_bytes` yet, as the tasks lie too far apart, is left for
-    /// later: its workers keep it until then, and a task that completed once completes at once if it
-    /// is started again.
+    /// Completed tasks that lie too far apart to fit into a value of `max_bytes` are left for
+    /// later. Their workers keep the completion until it is recorded, and a completed task that is
+    /// started again completes at once.
     pub fn with_completed(
         &self,
         tasks: impl IntoIterator<Item = u32>,
@@ -51,16 +51,16 @@
         let fits =
             |done: &TaskRanges, index| done.spans().len() < max_ranges || done.touches(index);
         let mut changed = false;
-        let mut apart = Vec::new();
+        let mut deferred = Vec::new();
         for index in tasks.into_iter().filter(|index| *index < self.spec.task_count) {
             if fits(&done, index) {
                 changed |= done.insert(index);
             } else {
-                apart.push(index);
+                deferred.push(index);
             }
         }
-        // Tasks that came since may have closed the gap.
-        for index in apart {
+        // Tasks inserted since may have closed the gap.
+        for index in deferred {
             if fits(&done, index) {
                 changed |= done.insert(index);
             }
@@ -68,7 +68,8 @@
         changed.then(|| self.progress_of(done))
     }
 
-    /// The progress to write once these tasks are done: all of them end a job, but not a service.
+    /// Progress to write once the tasks in `done` are completed. Completing all tasks ends a job,
+    /// unless it is a service.
     fn progress_of(&self, done: TaskRanges) -> Progress {
         let ends = done.len() == self.spec.task_count && self.spec.kind != JobKind::Service;
         let is_gang = self.spec.kind == JobKind::Gang;
@@ -107,7 +108,7 @@
         Ok(())
     }
 
-    /// Records a job's progress, and its end if it has one.
+    /// Records a job's progress, and the job's end if the progress contains one.
     pub(super) fn put_progress(
         &mut self,
         id: JobId,
@@ -115,7 +116,7 @@
         changes: &mut ReplicaChanges,
     ) -> Result<(), RecordError> {
         if !progress.value.done.is_sound() {
-            return Err(RecordError::UnsoundRanges);
+            return Err(RecordError::InvalidRanges);
         }
         changes.job_progress = true;
         if let Some(state) = progress.value.end {
@@ -131,7 +132,7 @@
         Ok(())
     }
 
-    /// Records a job's end and what its tasks may still use.
+    /// Records a job's end and the resources that its tasks may still use.
     fn end_job(
         &mut self,
         id: JobId,
@@ -155,14 +156,15 @@
         }
     }
 
-    /// Records that a job has ended; false if that was known. The oldest go first: tasks of jobs
-    /// that ended lately may still be on machines, and are killed there because their end is known.
+    /// Records that a job has ended; returns false if the end was known. The oldest end is evicted
+    /// first: tasks of recently ended jobs may still be on machines, and are killed there because
+    /// the end is known.
     pub(super) fn record_end(&mut self, id: JobId, end: EndedJob) -> bool {
         if self.ended.insert(id, end).is_some() {
             return false;
         }
         self.ended_order.push_back(id);
-        if self.ended.len() > ENDED_KEPT
+        if self.ended.len() > MAX_ENDED_JOBS
             && let Some(oldest) = self.ended_order.pop_front()
         {
             self.ended.remove(&oldest);
@@ -174,28 +176,29 @@
         if self.residual_usage.insert(id, residual_usage).is_none() {
             self.residual_usage_order.push_back(id);
         }
-        if self.residual_usage_order.len() > RESIDUAL_USAGE_KEPT
+        if self.residual_usage_order.len() > MAX_RESIDUAL_USAGE_JOBS
             && let Some(oldest) = self.residual_usage_order.pop_front()
         {
             self.residual_usage.remove(&oldest);
-            // Its tasks may still be on machines that are not reconciled: those then count in full.
+            // Tasks of the discarded job may still be on unreconciled machines, which from now on
+            // count in full.
             self.residual_usage_truncated = true;
         }
     }
 }
 
-/// How a job ended.
+/// Outcome of an ended job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedJob {
-    /// Done or cancelled.
+    /// Final state: done or cancelled.
     pub state: JobState,
-    /// How many of its tasks were done.
+    /// Number of tasks that were done.
     pub done: u32,
 }
 
-/// A job's description as it is stored. One that is too large for a value of `max_bytes` goes without
-/// the machine types that are not in the catalog: they are the only part without a bound, and the job
-/// can run on no fewer machines without them.
+/// Returns the job description to store. If it exceeds `max_bytes`, machine types that are not in
+/// the catalog are removed: their list is the only part of unbounded size, and the job can run on
+/// just as many machines without them.
 pub fn stored_spec(spec: &JobSpec, catalog: &MachineCatalog, max_bytes: usize) -> JobSpec {
     let mut kept = spec.clone();
     let largest = Accepted { spec: kept.clone(), at: WallTime(u64::MAX) };
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -1,57 +1,58 @@
-//! The names of the keys in the state service, and their parsed form.
+//! Names of the keys in the state service, and their parsed form.
 //!
-//! Names are part of what versions of the program share: they never change.
+//! All versions of the program share these names, so they never change.
 
 use std::fmt;
 
 use crate::model::{JobId, MachineId, NodeId};
 
-/// How many machines share a key, so that a scale-out is few writes. Where values are smaller than
-/// a group, its further machines go to further keys.
-const MACHINES_IN_GROUP: u64 = 24;
+/// Number of machines that share a key, so that a scale-out takes few writes. If a group exceeds
+/// the value limit, its remaining machines go to further keys.
+const MACHINES_PER_GROUP: u64 = 24;
 
-/// The leader's key.
+/// Key of the leader.
 pub const LEADER_KEY: &str = "lead";
-/// The key of the machine types.
+/// Key of the machine types.
 pub const MACHINE_TYPES_KEY: &str = "flavors";
-/// The key of the offered load.
+/// Key of the offered load.
 pub const LOAD_KEY: &str = "load";
-/// The key of the highest term.
+/// Key of the highest term.
 pub const TERM_KEY: &str = "term";
 
-/// Prefixes that together cover all keys, each once. Keys of a kind have values of about the same size, so they are
-/// read kind by kind: a page that is right for many small ones would hold too much of the next kind.
+/// Prefixes that together match every key exactly once. Keys are read kind by kind because values
+/// of one kind are of similar size: a page size that suits many small values would return too much
+/// data for the next kind.
 pub const KEY_PREFIXES: [&str; 9] =
     ["d/", "e/", MACHINE_TYPES_KEY, "j/", "l", "m/", "n/", TERM_KEY, "x/"];
 
-/// What a key of the state service holds. `Display` writes the key's name.
+/// Parsed key of the state service. `Display` writes the key's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreKey {
-    /// `lead`: who leads, [`super::LeaderRecord`]; on the leader's lease.
+    /// `lead`: current leader, [`super::LeaderRecord`]; bound to the leader's lease.
     Leader,
-    /// `term`: the highest term, [`super::TermRecord`].
+    /// `term`: highest term, [`super::TermRecord`].
     Term,
-    /// `load`: the offered load that the autoscaler sizes the headroom by.
+    /// `load`: offered load by which the autoscaler sizes the headroom.
     Load,
-    /// `flavors`: the machine types, or those that fit into the first value.
+    /// `flavors`: machine types, or those that fit into the first value.
     MachineTypes,
-    /// `flavors/<n>`: machine types that did not fit into the values before.
+    /// `flavors/<n>`: machine types that did not fit into the previous values.
     FurtherMachineTypes(u32),
-    /// `j/<job>`: a job as it was accepted, [`super::Accepted`]; never changed.
+    /// `j/<job>`: job as accepted, [`super::Accepted`]; never changed.
     Job(JobId),
-    /// `d/<job>`: a job's completed tasks and its end, [`super::Progress`].
+    /// `d/<job>`: completed tasks and end of a job, [`super::Progress`].
     Progress(JobId),
-    /// `m/<group>`: machines that tasks may be on, [`super::MachineGroup`].
+    /// `m/<group>`: machines that may hold tasks, [`super::MachineGroup`].
     MachineGroup(u32),
-    /// `n/<node>`: a controller that is up, [`super::MemberRecord`]; on its lease.
+    /// `n/<node>`: controller that is up, [`super::MemberRecord`]; bound to the controller's lease.
     Member(NodeId),
-    /// `e/<n>`: task ranges that the last epochs granted, [`super::EpochRecord`].
+    /// `e/<n>`: task ranges granted by the last epochs, [`super::EpochRecord`].
     Epoch(u32),
-    /// `x/<to>/<from>/<n>`: a chunk of a message between controllers that cannot reach each other.
+    /// `x/<to>/<from>/<n>`: chunk of a message between controllers that cannot reach each other.
     PeerMessage {
-        /// The receiver.
+        /// Receiver of the message.
         to: NodeId,
-        /// The sender.
+        /// Sender of the message.
         from: NodeId,
         /// Number of the chunk within the message, from 0.
         chunk: u32,
@@ -59,7 +60,7 @@
 }
 
 impl StoreKey {
-    /// Parses a key's name; `None` if it is not one that this version knows.
+    /// Parses a key's name; `None` if this version does not know the key.
     pub fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER_KEY => return Some(StoreKey::Leader),
@@ -114,42 +115,42 @@
     }
 }
 
-/// The key of an accepted job.
+/// Key of an accepted job.
 pub fn job_key(job: JobId) -> String {
     StoreKey::Job(job).to_string()
 }
 
-/// The key of a job's progress.
+/// Key of a job's progress.
 pub fn progress_key(job: JobId) -> String {
     StoreKey::Progress(job).to_string()
 }
 
-/// The key of a group of machines.
+/// Key of a group of machines.
 pub fn machine_key(group: u32) -> String {
     StoreKey::MachineGroup(group).to_string()
 }
 
-/// The key of a controller that is up.
+/// Key of a controller that is up.
 pub fn member_key(node: NodeId) -> String {
     StoreKey::Member(node).to_string()
 }
 
-/// The `n`th key of the granted ranges.
+/// Key number `n` of the granted task ranges.
 pub fn epoch_key(n: u32) -> String {
     StoreKey::Epoch(n).to_string()
 }
 
-/// The key of a chunk of a message that goes through the state service.
+/// Key of a chunk of a message sent through the state service.
 pub fn peer_message_key(to: NodeId, from: NodeId, chunk: u32) -> String {
     StoreKey::PeerMessage { to, from, chunk }.to_string()
 }
 
-/// The group whose key a machine is first written to. Names are numbered in the order of creation,
-/// so machines of one scale-out mostly share a key and are written at once.
+/// Group whose key a machine is first written to. Machine names are numbered in the order of
+/// creation, so machines of one scale-out mostly share a key and are written together.
 pub fn machine_group(machine: &MachineId) -> u32 {
     let name = &*machine.0;
-    let digits = name.len() - name.bytes().rev().take_while(u8::is_ascii_digit).count();
-    let number: u64 = name[digits..].parse().unwrap_or(0);
-    // Five digits of the key's name.
-    (number / MACHINES_IN_GROUP % 100_000) as u32
+    let digits_start = name.len() - name.bytes().rev().take_while(u8::is_ascii_digit).count();
+    let number: u64 = name[digits_start..].parse().unwrap_or(0);
+    // The key's name has five digits for the group.
+    (number / MACHINES_PER_GROUP % 100_000) as u32
 }
--- a/src/replica/machine_groups.rs
+++ b/src/replica/machine_groups.rs
@@ -1,8 +1,8 @@
-//! Machines on record, several of which share a key.
+//! Machine records, several of which share a key.
 //!
-//! A machine is mostly in one group. A version of the program with larger values may have written it to
-//! a further one; then the replica shows the record that is furthest along: a machine that any key
-//! calls terminated is terminated.
+//! A machine is usually in one group. A version of the program with a larger value limit may have
+//! written the machine to a further group. The replica shows the most advanced record: a machine
+//! that any key marks as terminated is terminated.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,17 +11,17 @@
 use super::versioned::is_newer;
 use super::{MachineGroup, MachineRecord, Replica, Versioned};
 
-/// The groups of machines as the state service has them.
+/// Machine groups as stored in the state service.
 #[derive(Debug, Default)]
 pub(super) struct MachineGroups {
     groups: BTreeMap<u32, Versioned<MachineGroup>>,
-    /// The groups that name a machine; no machine has an empty list once a change was merged.
+    /// Groups that name each machine. No machine has an empty list once a change has been merged.
     groups_by_machine: HashMap<MachineId, Vec<u32>>,
 }
 
 impl MachineGroups {
-    /// Puts a group in place of what its key held before, and returns the machines that either of
-    /// them names; none if the group is known as it is or newer.
+    /// Replaces the content of a group and returns the machines named by the old or the new
+    /// content; none if the known content has the same or a newer version.
     fn put(&mut self, group: u32, record: MachineGroup, version: Revision) -> Vec<MachineId> {
         if !is_newer(self.groups.get(&group), version) {
             return Vec::new();
@@ -45,8 +45,8 @@
         named
     }
 
-    /// What all groups together say of a machine; `None` if none names it any more. That it is gone
-    /// stays true: a key that does not say so was written before.
+    /// Most advanced record of a machine over all groups; `None` if no group names the machine. A
+    /// termination is final: a group without it was written before.
     fn merged(&self, id: &MachineId) -> Option<&MachineRecord> {
         let groups = self.of_machine(id).iter().filter_map(|group| self.groups.get(group));
         let records = groups.flat_map(|group| &group.value.machines);
@@ -60,14 +60,14 @@
         self.groups_by_machine.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Version of a group's key; `None` if there is none.
+    /// Version of a group's key; `None` if the key does not exist.
     pub(super) fn version(&self, group: u32) -> Option<Revision> {
         self.groups.get(&group).map(|group| group.version)
     }
 }
 
 impl Replica {
-    /// Puts a group of machines in place of what its key held before.
+    /// Replaces the content of a group and updates the merged machine records.
     pub(super) fn put_group(&mut self, group: u32, record: MachineGroup, version: Revision) {
         for id in self.machine_groups.put(group, record, version) {
             match self.machine_groups.merged(&id).cloned() {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// The machines in a group's key, as the state service has them.
+    /// Machine records stored under a group's key.
     pub fn machines_in_group(&self, group: u32) -> &[(MachineId, MachineRecord)] {
         self.machine_groups.groups.get(&group).map_or(&[], |group| &group.value.machines)
     }
 
-    /// The groups that name a machine, the one that it was first written to first.
+    /// Groups that name a machine, starting with the group that the machine was first written to.
     pub fn groups_of_machine(&self, id: &MachineId) -> &[u32] {
         self.machine_groups.of_machine(id)
     }
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -1,5 +1,5 @@
-//! What the replica answers: what controllers support, which tasks may run, which machines are up, and
-//! the conditions of transactions.
+//! Queries on the replica: capabilities of controllers, runnable tasks, running machines, and
+//! conditions of transactions.
 
 use rustc_hash::FxHashSet;
 
@@ -12,24 +12,25 @@
 };
 
 impl Replica {
-    /// Whether a controller that is up knows gangs.
+    /// Whether a controller that is up supports gangs.
     pub fn supports_gangs(&self, node: NodeId) -> bool {
         self.member_supports(node, CAPABILITY_GANGS)
     }
 
-    /// Whether a controller that is up starts tasks granted ahead of their resources' release.
+    /// Whether a controller that is up starts tasks granted before their resources are released.
     pub fn supports_grants_ahead(&self, node: NodeId) -> bool {
         self.member_supports(node, CAPABILITY_GRANTS_AHEAD)
     }
 
-    /// Whether a controller can be sent cancellation notices. One that the store refuses is
-    /// no member for a while, and needs it most, so that what it last supported counts.
+    /// Whether a controller can be sent cancellation notices. The last known capabilities count,
+    /// because a controller refused by the store is temporarily not a member and needs the notices
+    /// most.
     pub fn supports_cancellation_notices(&self, node: NodeId) -> bool {
         self.last_supported(node, CAPABILITY_CANCELLATION_NOTICE)
     }
 
-    /// Whether a controller can be asked for how long the leader has been silent to it; as above, what
-    /// it last supported counts.
+    /// Whether a controller can be asked how long the leader has been silent to it. The last known
+    /// capabilities count, as for cancellation notices.
     pub fn supports_standby(&self, node: NodeId) -> bool {
         self.last_supported(node, CAPABILITY_STANDBY)
     }
@@ -42,8 +43,8 @@
         self.last_capabilities.get(&node).is_some_and(|last| *last >= capability)
     }
 
-    /// Whether a task may be started as far as its job is concerned: the job has not ended, and the
-    /// task is one of its and not done.
+    /// Whether the state of a task's job allows the task to start: the job has not ended, and the
+    /// task is part of the job and not done.
     pub fn may_run(&self, task: TaskId) -> bool {
         self.jobs
             .get(&task.job)
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Whether a task's outcome no longer matters: its job has ended or it is durably done.
+    /// Whether a task's outcome no longer matters: its job has ended, or the task is durably done.
     pub fn is_outcome_recorded(&self, task: TaskId) -> bool {
         self.ended.contains_key(&task.job) || self.is_done(task)
     }
 
-    /// Tasks that any earlier epoch granted and that are not done: they may be running.
+    /// Tasks that earlier epochs granted and that are not done, so they may be running.
     pub fn unfinished_granted_tasks(&self) -> FxHashSet<TaskId> {
         let mut tasks = FxHashSet::default();
         for (job, ranges) in self.epochs.values().flat_map(|epoch| &epoch.value.granted) {
@@ -73,24 +74,24 @@
         tasks
     }
 
-    /// Whether a machine may be given tasks: it is durably known to be up and not terminated.
+    /// Whether a machine may receive tasks: it is durably recorded as up and not as terminated.
     pub fn is_machine_up(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.up && machine.gone.is_none())
     }
 
-    /// Whether a machine is durably known to be terminated.
+    /// Whether a machine is durably recorded as terminated.
     pub fn is_machine_gone(&self, id: &MachineId) -> bool {
         self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
     }
 
-    /// The condition that a node still leads as it did; `None` if nobody leads.
+    /// Condition that the known leader record is unchanged; `None` without a leader.
     pub fn leader_condition(&self) -> Option<Condition> {
         let version = self.leader.as_ref()?.version;
         Some(Condition { key: LEADER_KEY.into(), version })
     }
 
-    /// The condition that a key which the leader writes is as it is known here: so a transaction
-    /// that is carried out late, or once more, never puts an older value back.
+    /// Condition that a key written by the leader has the version known here. It prevents a
+    /// transaction that is executed late or twice from restoring an older value.
     pub fn unchanged_condition(&self, key: &str) -> Condition {
         let version = match StoreKey::parse(key) {
             Some(StoreKey::Load) => self.load.as_ref().map(|load| load.version),
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -1,7 +1,7 @@
-//! The records that controllers write to the state service, and what versions of the program support.
+//! Records that controllers write to the state service, and the capabilities of program versions.
 //!
-//! Their field names as stored never change; a field that came later has a default, so that every version
-//! reads what another wrote. [`super::StoreKey`] says which key holds which record.
+//! Stored field names never change, and every field added later has a default, so that each version
+//! reads what another wrote. [`super::StoreKey`] lists the key of each record.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,95 +9,99 @@
 use crate::resources::Resources;
 use crate::wire::{JobSpec, JobState};
 
-/// A job as it was accepted. Never changed.
+/// Job as accepted; never changed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    /// What its user asked for.
+    /// Job description from the user.
     pub spec: JobSpec,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub at: WallTime,
 }
 
-/// What is durable about a job's progress.
+/// Durable progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Set once the job has ended, and never changed then.
+    /// Final state, set once the job has ended and not changed afterwards.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<JobState>,
     /// Tasks that are durably done.
     #[serde(default)]
     pub done: TaskRanges,
-    /// What a gang that is done may still use. All of its tasks are done once one is, but a machine
-    /// that hangs or cannot be reached runs them until it is reconciled.
+    /// Resources that a completed gang may still use. One completed task completes all tasks of a
+    /// gang, but a machine that hangs or cannot be reached runs its tasks until it is reconciled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gang: Option<ResidualUsage>,
 }
 
-/// Who leads; its key hangs on the leader's store lease.
+/// Current leader; the key is bound to the leader's store lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader.
+    /// Controller that leads.
     pub node: NodeId,
-    /// The incarnation of its process.
+    /// Incarnation of the leader's process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Its term.
+    /// Term of the leader.
     pub term: Term,
 }
 
-/// A controller that is up; its key hangs on its store lease.
+/// Controller that is up; the key is bound to the controller's store lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The incarnation of its process.
+    /// Incarnation of the controller's process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Its program's version; empty for those before 0.2.
+    /// Program version of the controller; empty for versions before 0.2.
     #[serde(default)]
     pub version: String,
-    /// What it supports, see [`CAPABILITIES`]; 0 for the version before gangs.
+    /// Capability level of the controller, see [`CAPABILITIES`]; 0 for the version before gangs.
     #[serde(default)]
     #[serde(rename = "speaks")]
     pub capabilities: u32,
 }
 
-// Capabilities are levels: a version that has one has all lower ones.
+// Capabilities are levels: a version that supports one supports all lower ones.
 
-/// Gangs: [`crate::peer::GangStop`], waiting tasks, and that a gang is done as a whole.
+/// Gangs: [`crate::peer::GangStop`], tasks that wait for their gang, and completion of a gang as a
+/// whole.
 pub const CAPABILITY_GANGS: u32 = 1;
-/// Cancellations are taken directly, [`crate::peer::PeerRequest::Ended`].
+/// Direct cancellation notices, [`crate::peer::PeerRequest::Ended`].
 pub const CAPABILITY_CANCELLATION_NOTICE: u32 = 2;
-/// Tasks granted ahead of their resources' release are started, [`crate::peer::PlanBody::grants_awaiting_release`].
+/// Starting tasks granted before their resources are released,
+/// [`crate::peer::PlanBody::grants_awaiting_release`].
 pub const CAPABILITY_GRANTS_AHEAD: u32 = 3;
-/// For how long the leader was silent is answered, [`crate::peer::PeerRequest::LeaderSilence`].
+/// Answering how long the leader has been silent, [`crate::peer::PeerRequest::LeaderSilence`].
 pub const CAPABILITY_STANDBY: u32 = 4;
-/// What this version supports.
+/// Capability level of this version.
 pub const CAPABILITIES: u32 = CAPABILITY_STANDBY;
 
-/// A machine that tasks may be on.
+/// Machine that may hold tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Whether it has sent a heartbeat. Only then may tasks start on it, so a machine that still
-    /// boots never holds up the proof that a task is nowhere.
+    /// Whether the machine has sent a heartbeat. Tasks may start only on such a machine, so a
+    /// machine that still boots never delays the proof that a task is on no machine.
     #[serde(default)]
     pub up: bool,
-    /// Set once it is proven terminated; the record stays for a while so that late heartbeats are known
-    /// for what they are.
+    /// Time of termination, set once termination is proven. The record is kept for a while so that
+    /// late heartbeats are recognized as such.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gone: Option<WallTime>,
-    /// Where its worker listens, for controllers that it never sent a heartbeat to.
+    /// Address of the machine's worker, for controllers that never received a heartbeat from the
+    /// machine.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub endpoint: String,
 }
 
 impl MachineRecord {
-    /// The record that stays of a machine terminated at `at`: that it is, and since when.
+    /// Returns the record that is kept of a machine terminated at `at`: the fact and the time of
+    /// termination. A time already recorded is retained.
     pub fn tombstone(&self, at: WallTime) -> Self {
         MachineRecord {
             machine_type: String::new(),
@@ -112,25 +116,25 @@
 /// Machines whose records share a key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroup {
-    /// The machines.
+    /// Machines with their records.
     pub machines: Vec<(MachineId, MachineRecord)>,
 }
 
-/// What the tasks of a cancelled job, or of a gang that is done, may use until they are proven to have ended; it
-/// counts towards quotas.
+/// Resources that the tasks of a cancelled job, or of a completed gang, may use until the tasks are
+/// proven to have ended. They count towards quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualUsage {
-    /// Its team.
+    /// Team that owns the job.
     pub owner: String,
-    /// The resources of each task.
+    /// Resources of each task.
     pub need: Resources,
-    /// How many tasks were not done when the job ended.
+    /// Number of tasks that were not done when the job ended; all tasks for a completed gang.
     #[serde(rename = "left")]
     pub unfinished_tasks: u32,
 }
 
 impl ResidualUsage {
-    /// What a job may still use of which so many tasks are done.
+    /// Residual usage of a job with `done` completed tasks.
     pub(super) fn of(spec: &JobSpec, done: u32) -> Self {
         ResidualUsage {
             owner: spec.team.clone(),
@@ -140,18 +144,18 @@
     }
 }
 
-/// The term as a key of its own, which stays when a leader's lease ends.
+/// Term under a key of its own, which remains when a leader's lease ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The highest term given out.
+    /// Highest term given out.
     pub term: Term,
 }
 
-/// Task ranges that epochs granted: any of these tasks that is not done may be running.
+/// Task ranges granted by epochs. Each of these tasks that is not done may be running.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// The term that wrote it.
+    /// Term of the leader that wrote the record.
     pub term: Term,
-    /// Granted tasks by job.
+    /// Granted task ranges by job.
     pub granted: Vec<(JobId, TaskRanges)>,
 }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for `replica`.
+//! Tests of the replica, its keys and its records.
 
 use serde::Serialize;
 
@@ -22,7 +22,7 @@
     MachineGroup { machines: machines.collect() }
 }
 
-fn set<T: Serialize>(key: String, value: &T, version: u64) -> WatchEvent {
+fn put_event<T: Serialize>(key: String, value: &T, version: u64) -> WatchEvent {
     WatchEvent {
         put_key: Some(key),
         deleted_key: None,
@@ -30,28 +30,29 @@
         version: Revision(version),
     }
 }
-fn dropped(key: String, version: u64) -> WatchEvent {
+fn delete_event(key: String, version: u64) -> WatchEvent {
     WatchEvent { put_key: None, deleted_key: Some(key), value: None, version: Revision(version) }
 }
-fn changes(revision: u64, events: Vec<WatchEvent>) -> WatchResponse {
+fn watch_response(revision: u64, events: Vec<WatchEvent>) -> WatchResponse {
     WatchResponse { revision: Revision(revision), events }
 }
 
 #[test]
 fn overlapping_and_late_watch_responses_change_nothing() {
     let id = JobId(7);
-    let job = set(job_key(id), &Accepted { spec: spec(7, 2), at: WallTime(1) }, 3);
+    let job = put_event(job_key(id), &Accepted { spec: spec(7, 2), at: WallTime(1) }, 3);
     let leader =
         |term| LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(term) };
     let mut replica = Replica::new(NodeId(0));
-    assert!(replica.apply(&changes(4, vec![job.clone()])).new_jobs);
-    replica.apply(&changes(9, vec![set(LEADER_KEY.into(), &leader(2), 8)]));
-    // A slower watch that covers only older changes comes back afterwards.
-    let late = vec![job, set(LEADER_KEY.into(), &leader(1), 5), dropped(LEADER_KEY.into(), 6)];
-    assert_eq!(replica.apply(&changes(7, late)), ReplicaChanges::default());
+    assert!(replica.apply(&watch_response(4, vec![job.clone()])).new_jobs);
+    replica.apply(&watch_response(9, vec![put_event(LEADER_KEY.into(), &leader(2), 8)]));
+    // The response of a slower watch, which covers only older changes, arrives afterwards.
+    let late =
+        vec![job, put_event(LEADER_KEY.into(), &leader(1), 5), delete_event(LEADER_KEY.into(), 6)];
+    assert_eq!(replica.apply(&watch_response(7, late)), ReplicaChanges::default());
     assert_eq!(replica.leader.as_ref().unwrap().value.term, Term(2));
     assert_eq!(replica.revision, Revision(9));
-    replica.apply(&changes(10, vec![dropped(LEADER_KEY.into(), 10)]));
+    replica.apply(&watch_response(10, vec![delete_event(LEADER_KEY.into(), 10)]));
     assert!(replica.leader.is_none());
 }
 
@@ -72,41 +73,41 @@
     assert!(job.with_completed([0], 2_048).is_none());
     replica.load(&item(progress_key(JobId(7)), wire::to_value(&end), 6), &mut replica_changes);
     assert_eq!(replica.ended[&JobId(7)], EndedJob { state: JobState::Done, done: 2 });
-    // An ended job stays ended whatever is read later.
+    // An ended job stays ended when older records are read later.
     replica.load(&item(progress_key(JobId(7)), wire::to_value(&done), 5), &mut replica_changes);
     replica.load(&item(job_key(JobId(7)), wire::to_value(&accepted), 4), &mut replica_changes);
     assert!(replica.jobs.is_empty() && replica.ended.len() == 1);
 }
 
 #[test]
-fn forgetting_usage_of_cancelled_jobs_is_remembered() {
-    // Their tasks may run on machines that send no heartbeats; a limit must not be passed by
-    // forgetting them. (cancelled jobs, remembered, whether some are forgotten)
-    let most = RESIDUAL_USAGE_KEPT as u64;
-    for (cancelled, remembered, forgotten) in
-        [(3, 3, false), (most, most, false), (most + 1, most, true)]
+fn discarded_residual_usage_is_flagged_as_truncated() {
+    // Guards against exceeding a limit because residual usage was discarded: the tasks may run on
+    // machines that send no heartbeats. (cancelled jobs, kept usages, whether some are discarded)
+    let max_jobs = MAX_RESIDUAL_USAGE_JOBS as u64;
+    for (cancelled, kept, discarded) in
+        [(3, 3, false), (max_jobs, max_jobs, false), (max_jobs + 1, max_jobs, true)]
     {
         let mut replica = Replica::new(NodeId(0));
         let cancelled_progress = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
         for n in 1..=cancelled {
             let accepted = Accepted { spec: spec(n, 2), at: WallTime(1) };
-            let news = vec![
-                set(job_key(JobId(n)), &accepted, 2 * n),
-                set(progress_key(JobId(n)), &cancelled_progress, 2 * n + 1),
+            let events = vec![
+                put_event(job_key(JobId(n)), &accepted, 2 * n),
+                put_event(progress_key(JobId(n)), &cancelled_progress, 2 * n + 1),
             ];
-            replica.apply(&changes(2 * n + 1, news));
+            replica.apply(&watch_response(2 * n + 1, events));
         }
         assert_eq!(
             (replica.residual_usage.len() as u64, replica.residual_usage_truncated),
-            (remembered, forgotten)
+            (kept, discarded)
         );
     }
 }
 
 #[test]
 fn residual_usage_of_a_completed_gang_is_recorded() {
-    // Found in the simulation: a machine that hung had tasks of a gang that was done, and after a
-    // failover they counted for no limit. (shape, tasks that may still be somewhere)
+    // Guards against tasks of a completed gang that count towards no limit. In the simulation, a
+    // machine hung with such tasks, and a failover followed. (kind, tasks that may still run)
     for (kind, residual) in [(wire::JobKind::Gang, Some(3)), (wire::JobKind::Array, None)] {
         let job = Job {
             spec: JobSpec { kind, ..spec(7, 3) },
@@ -116,7 +117,7 @@
         };
         let end = job.with_completed(0..3, 2_048).unwrap();
         let mut replica_changes = ReplicaChanges::default();
-        // A controller that has never seen the job read its end alone.
+        // A controller that has never read the job reads only its end.
         let mut replica = Replica::new(NodeId(0));
         replica.put(
             &progress_key(JobId(7)),
@@ -125,7 +126,7 @@
             &mut replica_changes,
         );
         assert_eq!(
-            replica.residual_usage.get(&JobId(7)).map(|w| w.unfinished_tasks),
+            replica.residual_usage.get(&JobId(7)).map(|usage| usage.unfinished_tasks),
             residual,
             "{kind:?}"
         );
@@ -133,18 +134,18 @@
 }
 
 #[test]
-fn scattered_completions_fit_into_a_value_and_are_recorded_in_the_end() {
+fn scattered_completions_stay_within_the_value_limit_until_all_are_recorded() {
     let mut job = Job {
         spec: spec(7, 4_000),
         at: WallTime(1),
         progress: Progress::default(),
         progress_version: Revision(0),
     };
-    let apart = (0..4_000).filter(|i| i % 2 == 0);
-    let some = job.with_completed(apart.clone(), 2_048).unwrap();
+    let scattered = (0..4_000).filter(|i| i % 2 == 0);
+    let some = job.with_completed(scattered.clone(), 2_048).unwrap();
     assert!(wire::stored_bytes(&some) <= 2_048 && some.done.len() > 100);
-    // What a version with larger values wrote is read, and shrinks when it is written again.
-    job.progress.done = apart.clone().collect();
+    // A value written by a version with a larger limit is read, and shrinks when written again.
+    job.progress.done = scattered.clone().collect();
     let more = job.with_completed([1], 2_048).unwrap();
     assert!(wire::stored_bytes(&more) <= 2_048 && more.done.contains(1));
     job.progress = some;
@@ -153,14 +154,14 @@
 }
 
 #[test]
-fn recently_ended_jobs_stay_known_among_many() {
-    // All ends were forgotten at once when there were too many: tasks of a job that had been cancelled
-    // just before got no kill any more, and ran on.
+fn most_recently_ended_jobs_are_kept() {
+    // Guards against discarding all ends at once when the maximum is exceeded: tasks of a job
+    // cancelled just before were no longer killed and kept running.
     let mut replica = Replica::new(NodeId(0));
     let cancelled_progress = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
     let cancelled_progress = wire::to_value(&cancelled_progress);
     let mut replica_changes = ReplicaChanges::default();
-    let ends = ENDED_KEPT as u64 + 3;
+    let ends = MAX_ENDED_JOBS as u64 + 3;
     for n in 1..=ends {
         replica.put(
             &progress_key(JobId(n)),
@@ -168,7 +169,7 @@
             Revision(n),
             &mut replica_changes,
         );
-        // What is applied twice counts once.
+        // An end that is applied twice counts once.
         replica.put(
             &progress_key(JobId(n)),
             &cancelled_progress,
@@ -178,7 +179,7 @@
     }
     assert_eq!(
         (replica.ended.len(), replica_changes.cancelled_jobs.len() as u64),
-        (ENDED_KEPT, ends)
+        (MAX_ENDED_JOBS, ends)
     );
     for (id, known) in [(1, false), (3, false), (4, true), (ends - 1, true), (ends, true)] {
         assert_eq!(replica.ended.contains_key(&JobId(id)), known, "{id}");
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_reloaded_replica_keeps_what_cannot_change() {
+fn a_reloaded_replica_keeps_facts_that_never_change() {
     let member = |capabilities| MemberRecord {
         incarnation: Incarnation(9),
         version: String::new(),
@@ -194,13 +195,13 @@
     };
     let done = Progress { end: Some(JobState::Done), ..Progress::default() };
     let mut replica = Replica::new(NodeId(0));
-    replica.apply(&changes(
+    replica.apply(&watch_response(
         4,
-        vec![set(member_key(NodeId(1)), &member(CAPABILITY_CANCELLATION_NOTICE), 3)],
+        vec![put_event(member_key(NodeId(1)), &member(CAPABILITY_CANCELLATION_NOTICE), 3)],
     ));
-    replica.apply(&changes(6, vec![dropped(member_key(NodeId(1)), 5)]));
-    replica.apply(&changes(8, vec![set(progress_key(JobId(7)), &done, 7)]));
-    let moves = replica.membership_changes[&NodeId(1)];
+    replica.apply(&watch_response(6, vec![delete_event(member_key(NodeId(1)), 5)]));
+    replica.apply(&watch_response(8, vec![put_event(progress_key(JobId(7)), &done, 7)]));
+    let changes_before = replica.membership_changes[&NodeId(1)];
     let mut read = Replica::new(NodeId(0));
     let mut replica_changes = ReplicaChanges::default();
     let other = KeyValue {
@@ -210,8 +211,9 @@
     };
     read.load(&other, &mut replica_changes);
     replica.replace(read);
-    // It was created and deleted between two reads; controllers that the store refuses get cancellation notices.
-    assert!(replica.membership_changes[&NodeId(1)] > moves && replica.members.is_empty());
+    // The member key was created and deleted between two reads. Controllers refused by the store
+    // are sent cancellation notices.
+    assert!(replica.membership_changes[&NodeId(1)] > changes_before && replica.members.is_empty());
     assert!(
         replica.supports_cancellation_notices(NodeId(1))
             && !replica.supports_gangs(NodeId(1))
@@ -221,7 +223,7 @@
 }
 
 #[test]
-fn a_full_read_of_the_store_reads_every_key_once() {
+fn key_prefixes_match_every_key_exactly_once() {
     let keys = [
         job_key(JobId(412)),
         progress_key(JobId(412)),
@@ -265,21 +267,21 @@
 }
 
 #[test]
-fn an_unusable_record_says_why_and_changes_no_other() {
-    let unsound = Progress {
+fn an_unreadable_record_reports_the_cause_and_changes_no_other_record() {
+    let invalid = Progress {
         done: wire::to_value(&[(3, 4), (0, 1)]).deserialized().unwrap(),
         ..Progress::default()
     };
-    // (key, value, why)
+    // (key, value, start of the error text)
     let cases = [
-        (StoreKey::Job(JobId(7)), Value::Null, "value of the wrong shape"),
-        (StoreKey::Progress(JobId(7)), wire::to_value(&unsound), "ranges of completed tasks"),
-        (StoreKey::Member(NodeId(1)), Value::Null, "value of the wrong shape"),
-        (StoreKey::Epoch(1), Value::Text("1".into()), "value of the wrong shape"),
+        (StoreKey::Job(JobId(7)), Value::Null, "value has an unexpected structure"),
+        (StoreKey::Progress(JobId(7)), wire::to_value(&invalid), "completed task ranges"),
+        (StoreKey::Member(NodeId(1)), Value::Null, "value has an unexpected structure"),
+        (StoreKey::Epoch(1), Value::Text("1".into()), "value has an unexpected structure"),
         (
             StoreKey::PeerMessage { to: NodeId(0), from: NodeId(1), chunk: 0 },
             Value::Null,
-            "chunk of a peer message",
+            "peer message chunk",
         ),
     ];
     let mut replica = Replica::new(NodeId(0));
@@ -289,7 +291,7 @@
         assert!(error.to_string().starts_with(why), "{key}: {error}");
     }
     assert_eq!(changes, ReplicaChanges::default());
-    // Who leads is not known any more once the record of it cannot be read.
+    // The leader is unknown once its record cannot be read.
     let leader = LeaderRecord { node: NodeId(1), incarnation: Incarnation(9), term: Term(2) };
     let leader = wire::to_value(&leader);
     replica.try_put(StoreKey::Leader, &leader, Revision(6), &mut changes).unwrap();
@@ -298,16 +300,16 @@
 }
 
 #[test]
-fn chunks_of_peer_messages_are_held_for_the_receiver_alone_until_they_are_deleted() {
+fn peer_message_chunks_are_kept_only_for_the_receiver_until_deleted() {
     let key = |to, chunk| peer_message_key(NodeId(to), NodeId(1), chunk);
     let mut replica = Replica::new(NodeId(0));
     let text = "text".to_string();
-    assert!(!replica.apply(&changes(1, vec![set(key(2, 0), &text, 1)])).peer_messages);
-    let both = vec![set(key(0, 1), &text, 2), set(key(0, 0), &text, 2)];
-    assert!(replica.apply(&changes(2, both)).peer_messages);
+    assert!(!replica.apply(&watch_response(1, vec![put_event(key(2, 0), &text, 1)])).peer_messages);
+    let both = vec![put_event(key(0, 1), &text, 2), put_event(key(0, 0), &text, 2)];
+    assert!(replica.apply(&watch_response(2, both)).peer_messages);
     assert!(replica.peer_messages[&NodeId(1)].keys().eq([&0, &1]));
-    replica.apply(&changes(3, vec![dropped(key(0, 0), 3), dropped(key(2, 1), 3)]));
+    replica.apply(&watch_response(3, vec![delete_event(key(0, 0), 3), delete_event(key(2, 1), 3)]));
     assert!(replica.peer_messages[&NodeId(1)].keys().eq([&1]));
-    replica.apply(&changes(4, vec![dropped(key(0, 1), 4)]));
+    replica.apply(&watch_response(4, vec![delete_event(key(0, 1), 4)]));
     assert!(replica.peer_messages.is_empty());
 }
--- a/src/replica/versioned.rs
+++ b/src/replica/versioned.rs
@@ -1,4 +1,4 @@
-//! Values of the state service together with the version of their key, and the errors of reading them.
+//! Stored values with the version of their key, and decoding errors.
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -9,60 +9,60 @@
 /// Why a record of the state service cannot be used.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The value is not of the shape that its key calls for.
-    #[error("value of the wrong shape: {0}")]
+    /// The value does not have the structure expected for its key.
+    #[error("value has an unexpected structure: {0}")]
     Malformed(#[from] ciborium::value::Error),
-    /// The completed tasks of a job's progress are no sorted, disjoint ranges.
-    #[error("ranges of completed tasks are empty, overlap or are out of order")]
-    UnsoundRanges,
-    /// A chunk of a message between controllers is no text.
-    #[error("chunk of a peer message is not text")]
+    /// The completed tasks of a job's progress are not non-empty, sorted, disjoint ranges.
+    #[error("completed task ranges are empty, overlapping or out of order")]
+    InvalidRanges,
+    /// A chunk of a message between controllers is not text.
+    #[error("peer message chunk is not text")]
     NotText,
 }
 
-/// Reads a record from a value.
+/// Decodes a record from a value.
 ///
 /// # Errors
-/// [`RecordError::Malformed`] if the value has another shape.
+/// [`RecordError::Malformed`] if the value has another structure.
 pub(super) fn decode<T: DeserializeOwned>(value: &Value) -> Result<T, RecordError> {
     Ok(value.deserialized()?)
 }
 
-/// A record as the state service had it at a version of its key.
+/// Record of the state service at a version of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// The record.
+    /// Decoded record.
     pub value: T,
-    /// Version of the key that holds it: what a compare-and-swap on it names.
+    /// Version of the key that holds the record, for use in compare-and-swap conditions.
     pub version: Revision,
 }
 
 impl<T: DeserializeOwned> Versioned<T> {
-    /// Reads a record that its key holds since `version`.
+    /// Decodes a record that its key has held since `version`.
     ///
     /// # Errors
-    /// [`RecordError::Malformed`] if the value has another shape.
+    /// [`RecordError::Malformed`] if the value has another structure.
     pub(super) fn decode(value: &Value, version: Revision) -> Result<Self, RecordError> {
         Ok(Versioned { value: decode(value)?, version })
     }
 }
 
-/// Whether a change at `version` is newer than what is known of its key.
+/// Whether a change at `version` is newer than the known record of its key.
 pub(super) fn is_newer<T>(known: Option<&Versioned<T>>, version: Revision) -> bool {
     known.is_none_or(|known| known.version < version)
 }
 
-/// Whether a deletion at `version` concerns what is known of its key: a late one does not delete
-/// what was put afterwards.
+/// Whether a deletion at `version` applies to the known record of its key. A late deletion does not
+/// remove a value that was put afterwards.
 pub(super) fn is_deleted_by<T>(known: Option<&Versioned<T>>, version: Revision) -> bool {
     known.is_some_and(|known| known.version < version)
 }
 
-/// Replaces what is known of a key by a newer value. One that cannot be read replaces it all the same: what it was
-/// written over holds no longer.
+/// Replaces the known record of a key with a newer value. A newer value that cannot be read also
+/// removes the known record, which is no longer valid once overwritten.
 ///
 /// # Errors
-/// [`RecordError::Malformed`] if a newer value has another shape.
+/// [`RecordError::Malformed`] if a newer value has another structure.
 pub(super) fn replace_if_newer<T: DeserializeOwned>(
     known: &mut Option<Versioned<T>>,
     value: &Value,
