--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -16,7 +16,7 @@
         let is_follower = self.leader.is_none();
         let follow = self.standby.as_ref().filter(|_| is_follower).map(Standby::request);
         Summary {
-            since_store_response_ms: self.rights.served_age(now),
+            since_store_response_ms: self.rights.since_served_ms(now),
             follow,
             ..self.shard.summary(now, &timing, byte_budget)
         }
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,10 +1,11 @@
-//! Tables of cases for `lease`.
+//! Tests of the rights that follow from lease renewals and replica synchronization.
 
 use super::*;
 
 #[test]
-fn rights_count_from_when_the_confirmed_request_was_sent() {
-    // (renewed, synced, now, may respond, may lead), with a keep-alive of 18 s
+fn rights_are_measured_from_the_time_the_confirmed_request_was_sent() {
+    // (renewal sent, sync sent, now, may answer, may lead), in milliseconds, with a keep-alive of
+    // 18 s
     let cases = [
         (None, None, 0, false, false),
         (Some(1_000), None, 1_001, false, true),
@@ -15,52 +16,53 @@
         (Some(1_000), Some(9_000), 18_990, false, false),
         (Some(9_000), Some(1_000), 18_990, false, false),
     ];
-    for (renewed, synced, now, answer, leader) in cases {
-        let mut r = LeaseRights::new(18_000);
-        r.lease = Some(StoreLease(1));
-        if let Some(t) = renewed {
-            r.confirm_renewal(MonotonicTime(t));
-            r.confirm_renewal(MonotonicTime(t / 2));
+    for (renewal_sent, sync_sent, now, answer, leader) in cases {
+        let mut rights = LeaseRights::new(18_000);
+        rights.lease = Some(StoreLease(1));
+        if let Some(t) = renewal_sent {
+            rights.confirm_renewal(MonotonicTime(t));
+            rights.confirm_renewal(MonotonicTime(t / 2));
         }
-        if let Some(t) = synced {
-            r.confirm_sync(MonotonicTime(t));
+        if let Some(t) = sync_sent {
+            rights.confirm_sync(MonotonicTime(t));
         }
-        let got = (r.may_answer(MonotonicTime(now)), r.may_lead(MonotonicTime(now)));
-        assert_eq!(got, (answer, leader), "{renewed:?} {synced:?} {now}");
-        r.lose_lease();
-        assert!(!r.may_lead(MonotonicTime(now)));
+        let got = (rights.may_answer(MonotonicTime(now)), rights.may_lead(MonotonicTime(now)));
+        assert_eq!(got, (answer, leader), "{renewal_sent:?} {sync_sent:?} {now}");
+        rights.lose_lease();
+        assert!(!rights.may_lead(MonotonicTime(now)));
     }
 }
 
 #[test]
 fn the_rights_of_an_absent_controller_are_bounded() {
-    // A controller renews at 0 at the latest, its key vanishes at 3 s at the earliest.
+    // The controller renews at 0 at the latest, because its key vanishes at 3 s at the earliest.
     let bound = last_possible_answer(MonotonicTime(3_000), 18_000);
-    let mut r = LeaseRights::new(18_000);
-    r.confirm_renewal(MonotonicTime(0));
-    r.confirm_sync(MonotonicTime(2_000));
-    assert!(!r.may_answer(bound));
+    let mut rights = LeaseRights::new(18_000);
+    rights.confirm_renewal(MonotonicTime(0));
+    rights.confirm_sync(MonotonicTime(2_000));
+    assert!(!rights.may_answer(bound));
 }
 
 #[test]
-fn a_start_needs_a_fresher_confirmation_than_keeping_alive() {
-    // An owner that the store refuses started what others had confirmed as cancelled, until its right
-    // to respond ended. (keep-alive, renewed, synced, now, may start, may respond)
+fn starting_tasks_requires_a_more_recent_proof_than_answering_heartbeats() {
+    // Guards against an owner refused by the store that starts tasks whose cancellation others had
+    // confirmed, until its right to answer ends. (keep-alive, renewal sent, sync sent, now, may
+    // start, may answer)
     let cases = [
         (18_000, 1_000, 1_000, 4_400, true, true),
         (18_000, 1_000, 1_000, 4_500, false, true),
         (18_000, 9_000, 1_000, 9_100, false, true),
-        // Being current is what counts; a lease that is not renewed costs the right to respond.
+        // A start depends on a current replica; without lease renewals, the right to answer ends.
         (18_000, 1_000, 9_000, 12_000, true, true),
         (18_000, 1_000, 20_000, 20_100, false, false),
         (2_000, 1_000, 1_000, 2_900, true, true),
         (2_000, 1_000, 1_000, 3_000, false, false),
     ];
-    for (keep_alive, renewed, synced, now, start, answer) in cases {
-        let mut r = LeaseRights::new(keep_alive);
-        r.confirm_renewal(MonotonicTime(renewed));
-        r.confirm_sync(MonotonicTime(synced));
-        let got = (r.may_start(MonotonicTime(now)), r.may_answer(MonotonicTime(now)));
-        assert_eq!(got, (start, answer), "{keep_alive} {renewed} {synced} {now}");
+    for (keep_alive, renewal_sent, sync_sent, now, start, answer) in cases {
+        let mut rights = LeaseRights::new(keep_alive);
+        rights.confirm_renewal(MonotonicTime(renewal_sent));
+        rights.confirm_sync(MonotonicTime(sync_sent));
+        let got = (rights.may_start(MonotonicTime(now)), rights.may_answer(MonotonicTime(now)));
+        assert_eq!(got, (start, answer), "{keep_alive} {renewal_sent} {sync_sent} {now}");
     }
 }
