--- a/src/leader.rs
+++ b/src/leader.rs
@@ -148,7 +148,7 @@
 #[derive(Default)]
 struct GangStates {
     /// Gangs granted in this term.
-    granted: FxHashMap<JobId, gang_scheduling::Gang>,
+    granted: FxHashMap<JobId, gang_scheduling::GrantedGang>,
     /// Gangs that are being stopped.
     pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
     /// Machines that are reserved for gangs, sorted.
@@ -243,7 +243,7 @@
         if due {
             self.drain_for_scale_in();
         }
-        self.compose(cluster, &mut epoch);
+        self.prepare_transaction(cluster, &mut epoch);
         epoch
     }
 
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -147,7 +147,15 @@
             let team = &request.job.spec.team;
             tracing::debug!(%task, node = node.0, %team, %used, "grants");
         }
-        let grant = TaskGrant { usage, node, attempt, at: now, zone, seen: false, awaits_release };
+        let grant = TaskGrant {
+            usage,
+            node,
+            attempt,
+            last_used_at: now,
+            zone,
+            reported: false,
+            awaits_release,
+        };
         self.grants.push(NewGrant { task, grant });
     }
 }
--- a/src/leader/gang_presence.rs
+++ b/src/leader/gang_presence.rs
@@ -1,4 +1,5 @@
-//! Where the tasks of gangs are: on machines, on their way there, or unaccounted for.
+//! Counts of where the tasks of gangs are: on machines, granted and not yet on a machine, or
+//! unaccounted for.
 
 use std::collections::BTreeMap;
 
@@ -7,72 +8,72 @@
 use crate::model::{JobId, MonotonicTime, TaskId};
 use crate::wire::{JobKind, TaskState};
 
-/// Where a gang's tasks are.
+/// Where the tasks of one gang are, and the state of their machines.
 pub(super) struct GangPresence {
-    /// Tasks on machines.
+    /// Tasks on reconciled machines.
     pub(super) on_machines: u32,
-    /// Those of them that run or save a checkpoint.
+    /// Tasks on reconciled machines that run or save a checkpoint.
     pub(super) running: u32,
-    /// Granted tasks that no machine shows.
-    pub(super) under_way: u32,
-    /// Revoked tasks that no machine shows and whose end is not confirmed.
+    /// Granted tasks that no reconciled machine reports.
+    pub(super) starting: u32,
+    /// Revoked tasks that no reconciled machine reports and whose revocation is not confirmed.
     pub(super) revoked: u32,
-    /// Tasks of earlier terms that may be running anywhere.
+    /// Tasks granted by earlier terms that may be running on any unreconciled machine.
     pub(super) unresolved: u32,
-    /// A worker had shown one of its tasks, and that is nowhere now.
-    pub(super) lost: bool,
-    /// When the cloud takes the first of its machines.
-    pub(super) machine_leaves: Option<MonotonicTime>,
-    /// All its machines reported lately.
-    pub(super) machines_heard: bool,
+    /// Whether a granted task that a worker had reported is no longer on any machine.
+    pub(super) task_lost: bool,
+    /// When the cloud preempts the first of the machines; `None` without a notice.
+    pub(super) first_preemption: Option<MonotonicTime>,
+    /// Whether every machine sent a heartbeat within `unavailable_after_ms`.
+    pub(super) all_machines_responsive: bool,
 }
 
 impl GangPresence {
-    /// A gang that is nowhere.
-    fn nowhere() -> Self {
+    /// A gang without any task on a machine, granted or unresolved.
+    fn absent() -> Self {
         GangPresence {
             on_machines: 0,
             running: 0,
-            under_way: 0,
+            starting: 0,
             revoked: 0,
             unresolved: 0,
-            lost: false,
-            machine_leaves: None,
-            machines_heard: true,
+            task_lost: false,
+            first_preemption: None,
+            all_machines_responsive: true,
         }
     }
 
-    /// Whether nothing of it is or may be anywhere.
+    /// Whether none of the tasks is or may be on a machine.
     pub(super) fn is_empty(&self) -> bool {
-        self.on_machines + self.under_way + self.revoked + self.unresolved == 0
+        self.on_machines + self.starting + self.revoked + self.unresolved == 0
     }
 
-    /// Whether all of its `task_count` tasks are on machines or on their way there.
-    pub(super) fn is_whole(&self, task_count: u32) -> bool {
-        self.on_machines + self.under_way == task_count && self.revoked == 0 && !self.lost
+    /// Whether all `task_count` tasks are on machines or granted, and none is lost or revoked.
+    pub(super) fn is_complete(&self, task_count: u32) -> bool {
+        self.on_machines + self.starting == task_count && self.revoked == 0 && !self.task_lost
     }
 }
 
 impl TaskGrants {
-    /// Where the tasks of all open gangs are.
+    /// Where the tasks of each open gang are.
     pub(super) fn gang_presence(&self, inputs: &EpochInputs<'_>) -> BTreeMap<JobId, GangPresence> {
         let jobs = inputs.cluster.replica.jobs.iter();
         let mut gangs: BTreeMap<JobId, GangPresence> = jobs
             .filter(|(_, job)| job.spec.kind == JobKind::Gang)
-            .map(|(id, _)| (*id, GangPresence::nowhere()))
+            .map(|(id, _)| (*id, GangPresence::absent()))
             .collect();
         if gangs.is_empty() {
             return gangs;
         }
         count_on_machines(inputs, &mut gangs);
-        let not_shown = |task: &&TaskId| !inputs.on_machines.contains_key(*task);
-        for (task, grant) in self.granted.iter().filter(|(task, _)| not_shown(task)) {
+        let not_on_machine = |task: &&TaskId| !inputs.on_machines.contains_key(*task);
+        for (task, grant) in self.granted.iter().filter(|(task, _)| not_on_machine(task)) {
             if let Some(gang) = gangs.get_mut(&task.job) {
-                gang.under_way += 1;
-                gang.lost |= grant.seen;
+                gang.starting += 1;
+                gang.task_lost |= grant.reported;
             }
         }
-        for task in self.revoked.keys().filter(not_shown) {
+        for task in self.revoked.keys().filter(not_on_machine) {
             if let Some(gang) = gangs.get_mut(&task.job) {
                 gang.revoked += 1;
             }
@@ -86,20 +87,21 @@
     }
 }
 
-/// Counts tasks on machines, and how these machines stand.
+/// Counts the tasks on reconciled machines, and adds the state of these machines.
 fn count_on_machines(inputs: &EpochInputs<'_>, gangs: &mut BTreeMap<JobId, GangPresence>) {
     let EpochInputs { cluster, fleet, on_machines } = inputs;
-    let silent_ms = cluster.settings.timing().unavailable_after_ms;
-    for (task, seen) in on_machines.iter() {
+    let unavailable_after_ms = cluster.settings.timing().unavailable_after_ms;
+    for (task, observed) in on_machines.iter() {
         let Some(gang) = gangs.get_mut(&task.job) else { continue };
         gang.on_machines += 1;
-        let runs = matches!(seen.state, TaskState::Running | TaskState::SavingCheckpoint);
-        gang.running += u32::from(runs);
-        gang.machine_leaves = match (gang.machine_leaves, fleet.preempted_at(&seen.machine.id)) {
-            (Some(first), Some(other)) => Some(first.min(other)),
-            (first, other) => first.or(other),
-        };
-        gang.machines_heard &=
-            fleet.sent_heartbeat_within(cluster.now, &seen.machine.id, silent_ms);
+        let is_running = matches!(observed.state, TaskState::Running | TaskState::SavingCheckpoint);
+        gang.running += u32::from(is_running);
+        gang.first_preemption =
+            match (gang.first_preemption, fleet.preempted_at(&observed.machine.id)) {
+                (Some(first), Some(other)) => Some(first.min(other)),
+                (first, other) => first.or(other),
+            };
+        gang.all_machines_responsive &=
+            fleet.sent_heartbeat_within(cluster.now, &observed.machine.id, unavailable_after_ms);
     }
 }
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -1,4 +1,5 @@
-//! Machines that are reserved for gangs, so that a gang that arrives finds room for all of its tasks.
+//! The reservation of machines for gangs, so that a gang that arrives finds room for all of its
+//! tasks.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,31 +14,33 @@
 use crate::resources::Resources;
 use crate::wire::JobKind;
 
-/// Most of all cores that are reserved for gangs: in a small fleet others would find nothing.
+/// Largest share of the cores of open machines that is reserved for gangs that allow spot machines,
+/// and for gangs that do not. Without a limit, other work would find no machine in a small fleet.
 const MAX_RESERVED_SHARE: f64 = 0.25;
 
-/// How long the images of gangs count as wanted after the last one, in milliseconds.
-const IMAGES_KEPT_MS: u64 = 300_000;
+/// Milliseconds for which the needs of gangs are remembered after the last gang with them was open:
+/// their images, and whether they have to be spread over zones.
+const GANG_NEEDS_RETENTION_MS: u64 = 300_000;
 
-/// What gangs use now.
+/// The resources that gangs use now.
 struct GangUse<'a> {
-    /// Cores of gangs that do not allow spot machines, and of those that do.
+    /// Cores of gangs that may not use spot machines, and of gangs that may.
     cores: [Cores; 2],
     /// Machines with tasks of gangs.
     hosts: FxHashSet<&'a MachineId>,
 }
 
-/// Room to reserve in one zone after the other.
+/// Free room that is to be reserved, zone by zone.
 struct Reservation<'a> {
-    /// Machines that may be reserved, best first, by their place among the targets.
+    /// Indices of the machines that may be reserved, best first.
     order: Vec<usize>,
-    /// Zones to reserve in first, with equal shares of it.
+    /// Zones in which room is reserved first, with equal shares of `cores`.
     zones: &'a [String],
-    /// Cores that are to be free there.
+    /// Free cores to reserve.
     cores: f64,
 }
 
-/// Cores that a machine has in all.
+/// All cores of a machine, free or not; 0 if its type is not in the catalog.
 fn offered_cores(cluster: &ClusterView<'_>, target: &PlacementTarget) -> Cores {
     let machine_type = cluster.catalog.get(&*target.machine_type);
     machine_type.map_or(Cores(0), |offered| Cores::offer(offered.vcpus))
@@ -59,8 +62,8 @@
 }
 
 impl Leader {
-    /// Marks the machines that are reserved for gangs: so much stays free there, on as few machines as
-    /// hold it, in one zone as far as that goes. Work that may go elsewhere takes nothing there.
+    /// Marks the machines that are reserved for gangs: as few as hold the wanted free cores,
+    /// preferably in one zone. Tasks that may run elsewhere are not placed on them.
     pub(super) fn reserve_for_gangs(
         &mut self,
         inputs: &EpochInputs<'_>,
@@ -74,12 +77,12 @@
         }
         let gang_use = GangUse::of(inputs);
         let open = targets.iter().filter(|target| target.open);
-        let open = open.map(|target| offered_cores(cluster, target).amount()).sum::<f64>();
+        let open_cores = open.map(|target| offered_cores(cluster, target).amount()).sum::<f64>();
         for allows_spot in [false, true] {
             let in_use = gang_use.cores[usize::from(allows_spot)].amount();
-            let wanted = self.remembered.market.load.gang_headroom(allows_spot, in_use);
-            let wanted = wanted.min(open * MAX_RESERVED_SHARE);
-            if wanted <= 0.0 {
+            let wanted_cores = self.remembered.market.load.gang_headroom(allows_spot, in_use);
+            let wanted_cores = wanted_cores.min(open_cores * MAX_RESERVED_SHARE);
+            if wanted_cores <= 0.0 {
                 continue;
             }
             let may_reserve = |target: &PlacementTarget| {
@@ -92,13 +95,13 @@
                 (0..targets.len()).filter(|&i| may_reserve(&targets[i])).collect();
             let zones = self.gang_zones(cluster, targets, &order);
             let order = self.reservation_order(cluster, targets, &gang_use, order);
-            self.reserve(targets, &Reservation { order, zones: &zones, cores: wanted });
+            self.reserve(targets, &Reservation { order, zones: &zones, cores: wanted_cores });
             self.remembered.market.gang_zones = zones;
         }
         self.gangs.reserved.sort();
     }
 
-    /// Notes what the gangs that are open need: their images, and whether some have to be spread.
+    /// Records the images of open gangs, and whether some of them have to be spread over zones.
     fn observe_gang_needs(&mut self, cluster: &ClusterView<'_>) {
         let images = &mut self.remembered.gang_images;
         for job in cluster.replica.jobs.values().filter(|job| job.spec.kind == JobKind::Gang) {
@@ -107,11 +110,13 @@
                 self.gangs.spread_seen = Some(cluster.now);
             }
         }
-        images.retain(|_, at| cluster.now.since(*at) < IMAGES_KEPT_MS);
-        self.gangs.spread_seen.take_if(|at| cluster.now.since(*at) >= IMAGES_KEPT_MS);
+        images.retain(|_, at| cluster.now.since(*at) < GANG_NEEDS_RETENTION_MS);
+        self.gangs.spread_seen.take_if(|at| cluster.now.since(*at) >= GANG_NEEDS_RETENTION_MS);
     }
 
-    /// Sorts machines by their worth for gangs: what gangs need again is there already.
+    /// Sorts machines by their suitability for gangs: most of the needed images first, next
+    /// machines with tasks of gangs, next the largest. Such machines already have what the next
+    /// gangs need.
     fn reservation_order(
         &self,
         cluster: &ClusterView<'_>,
@@ -134,24 +139,24 @@
         order
     }
 
-    /// Reserves machines until enough cores are free there: in the zones that are wanted, then
-    /// anywhere.
+    /// Reserves machines until enough cores are free on them: first in the zones of the
+    /// reservation, next in any zone.
     fn reserve(&mut self, targets: &mut [PlacementTarget], reservation: &Reservation<'_>) {
         let Reservation { order, zones, cores } = reservation;
         let mut missing = *cores;
-        let each = cores / zones.len().max(1) as f64;
-        let places = zones.iter().map(|zone| (Some(zone.as_str()), each));
+        let cores_per_zone = cores / zones.len().max(1) as f64;
+        let places = zones.iter().map(|zone| (Some(zone.as_str()), cores_per_zone));
         for (zone, limit) in places.chain([(None, *cores)]) {
-            let mut missing_here = limit.min(missing);
+            let mut missing_in_zone = limit.min(missing);
             for &i in order {
                 let target = &mut targets[i];
-                if missing_here <= 0.0
+                if missing_in_zone <= 0.0
                     || target.reserved
                     || zone.is_some_and(|zone| zone != &*target.zone)
                 {
                     continue;
                 }
-                missing_here -= target.free.cores.amount();
+                missing_in_zone -= target.free.cores.amount();
                 missing -= target.free.cores.amount();
                 target.reserved = true;
                 self.gangs.reserved.push(target.id.clone());
@@ -159,9 +164,10 @@
         }
     }
 
-    /// The zone where room is reserved for gangs: the one with most cores that may be reserved. It
-    /// stays as long as it is not much the smaller one, as its machines have the images. Both, if some
-    /// gangs have to be spread.
+    /// The zones in which room is reserved for gangs: the zone with most cores that may be
+    /// reserved, or the two largest if gangs have to be spread. The first zone of the last
+    /// reservation is kept while it has more than half of the cores of the largest, because its
+    /// machines have the images.
     fn gang_zones(
         &self,
         cluster: &ClusterView<'_>,
@@ -172,17 +178,19 @@
         for target in candidates.iter().map(|&i| &targets[i]) {
             *cores_by_zone.entry(&*target.zone).or_default() += offered_cores(cluster, target).0;
         }
-        let mut largest: Vec<(&str, u64)> = cores_by_zone.into_iter().collect();
-        largest.sort_by_key(|(_, cores)| Reverse(*cores));
-        let most_cores = largest.first().map_or(0, |(_, cores)| *cores);
-        let before = self.remembered.market.gang_zones.first();
-        let stays = |before: &String| {
-            largest.iter().position(|(zone, cores)| zone == before && cores * 2 > most_cores)
+        let mut zones_by_cores: Vec<(&str, u64)> = cores_by_zone.into_iter().collect();
+        zones_by_cores.sort_by_key(|(_, cores)| Reverse(*cores));
+        let most_cores = zones_by_cores.first().map_or(0, |(_, cores)| *cores);
+        let previous = self.remembered.market.gang_zones.first();
+        let may_stay = |previous: &String| {
+            zones_by_cores
+                .iter()
+                .position(|(zone, cores)| zone == previous && cores * 2 > most_cores)
         };
-        if let Some(i) = before.and_then(stays) {
-            largest[..=i].rotate_right(1);
+        if let Some(i) = previous.and_then(may_stay) {
+            zones_by_cores[..=i].rotate_right(1);
         }
         let count = if self.gangs.spread_seen.is_some() { 2 } else { 1 };
-        largest.into_iter().take(count).map(|(zone, _)| zone.to_string()).collect()
+        zones_by_cores.into_iter().take(count).map(|(zone, _)| zone.to_string()).collect()
     }
 }
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -1,10 +1,10 @@
-//! Gangs: jobs whose tasks run all at once or not at all.
+//! Gang scheduling: all tasks of a gang run at once, or none does.
 //!
-//! A gang is granted whole, with one attempt for all of its tasks, and only while none of them is
-//! on a machine, granted, or may be running. While it gathers, a start that was lost is granted
-//! again with that attempt. When a task is lost that a worker had shown, or the gang does not come
-//! together in time, the rest is stopped, and once all are proven to have ended the gang begins anew. The
-//! argument is in `docs/safety.md`, "Gangs".
+//! A gang is granted as a whole, with one attempt for all of its tasks, and only while none of its
+//! tasks is on a machine, granted or unresolved. While the gang forms, a task whose start was lost
+//! is granted again with the same attempt. If a task is lost that a worker had reported, or if the
+//! gang does not form in time, its other tasks are stopped. Once all of them are proven to have
+//! ended, the gang starts over. The argument is in `docs/safety.md`, "Gangs".
 
 use super::Leader;
 use super::allocation::{EpochAllocation, GrantRequest, ZoneRule};
@@ -17,23 +17,25 @@
 use crate::placement::{self, GangPlacement, PlacementRequest, PlacementTarget};
 use crate::replica::Job;
 
-/// Share of the time that a gang's tasks wait for each other in which it has to be whole.
-const GATHER_PART: f64 = 0.4;
-/// What a stop's way to all controllers and machines may take, besides one heartbeat, in milliseconds.
-const STOP_WAY_MS: u64 = 1_500;
-/// How long a stop is left to work before the tasks that are still there are ended at once, in
-/// milliseconds.
-const STOP_AGAIN_MS: u64 = 3_000;
+/// Share of `gang_wait_s`, the time for which a gang's tasks wait for each other, within which the
+/// gang has to be complete.
+const FORMATION_TIME_SHARE: f64 = 0.4;
+/// Milliseconds that a stop may take to reach all controllers and machines, besides one heartbeat
+/// interval.
+const STOP_DELIVERY_MS: u64 = 1_500;
+/// Milliseconds after a stop's grace period after which tasks that are still there are ended at
+/// once. Also how much earlier than necessary a stop before a preemption may begin.
+const STOP_MARGIN_MS: u64 = 3_000;
 
 /// A gang that was granted in this term.
 #[derive(Clone, Debug)]
-pub(super) struct Gang {
+pub(super) struct GrantedGang {
     attempt: Attempt,
-    since: MonotonicTime,
+    granted_at: MonotonicTime,
 }
 
-impl Gang {
-    /// The attempt with which it was granted.
+impl GrantedGang {
+    /// The attempt with which the gang was granted.
     pub(super) fn attempt(&self) -> Attempt {
         self.attempt
     }
@@ -42,14 +44,14 @@
 /// A gang that is being stopped.
 #[derive(Clone, Debug)]
 pub(super) struct PendingStop {
-    /// As plans carry it to controllers.
+    /// The stop as plans carry it to controllers.
     pub(super) stop: GangStop,
-    /// When it is stopped at once if it has not ended.
-    until: MonotonicTime,
+    /// When the gang is stopped without a grace period if it has not ended.
+    escalate_at: MonotonicTime,
 }
 
 impl Leader {
-    /// Looks after gangs that are under way: what is no longer whole is stopped.
+    /// Stops gangs that have lost a task, have not formed in time or are about to lose a machine.
     pub(super) fn supervise_gangs(&mut self, inputs: &EpochInputs<'_>) {
         let presence = self.task_grants.gang_presence(inputs);
         self.gangs.granted.retain(|id, _| presence.contains_key(id));
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Looks after one gang.
+    /// Checks one gang and stops it if necessary.
     fn supervise(&mut self, cluster: &ClusterView<'_>, id: JobId, presence: &GangPresence) {
         let now = cluster.now;
         if presence.is_empty() {
@@ -67,7 +69,8 @@
             self.gangs.pending_stops.remove(&id);
             return;
         }
-        // If one task is done all are, and what is left of them goes when that is on record.
+        // If one task is done, all are. The rest of the gang is removed once its progress is on
+        // record.
         let Some(job) = cluster.replica.jobs.get(&id) else { return };
         if cluster.completed_tasks.contains_key(&id)
             || presence.unresolved > 0
@@ -76,23 +79,24 @@
             return;
         }
         if let Some(pending) = self.gangs.pending_stops.get(&id) {
-            if pending.stop.grace_ms > 0 && now >= pending.until {
+            if pending.stop.grace_ms > 0 && now >= pending.escalate_at {
                 self.stop_gang(cluster, id, 0, "it does not end");
             }
             return;
         }
-        if presence.is_whole(job.spec.task_count) {
-            self.stop_in_order(cluster, job, presence);
+        if presence.is_complete(job.spec.task_count) {
+            self.stop_before_preemption(cluster, job, presence);
             return;
         }
         let workers = &cluster.settings.params.workers;
-        let limit_ms = (workers.gang_wait_s * GATHER_PART * 1000.0) as u64;
+        let formation_limit_ms = (workers.gang_wait_s * FORMATION_TIME_SHARE * 1000.0) as u64;
         let granted = self.gangs.granted.get(&id);
-        let gathers = granted.is_some_and(|gang| now.since(gang.since) < limit_ms);
-        if gathers && presence.running == 0 && !presence.lost {
+        let is_forming =
+            granted.is_some_and(|gang| now.since(gang.granted_at) < formation_limit_ms);
+        if is_forming && presence.running == 0 && !presence.task_lost {
             return;
         }
-        let reason = match (presence.lost || presence.running > 0, gathers) {
+        let reason = match (presence.task_lost || presence.running > 0, is_forming) {
             (true, _) => "a task is gone",
             (false, true) => "it is not whole",
             (false, false) => "it did not come together in time",
@@ -100,28 +104,36 @@
         self.stop_gang(cluster, id, 0, reason);
     }
 
-    /// Stops a running gang whose machine is about to be reclaimed, if all its machines can be reached in
-    /// time and saving is worth anything: as late as that allows.
-    fn stop_in_order(&mut self, cluster: &ClusterView<'_>, job: &Job, presence: &GangPresence) {
+    /// Stops a running gang one of whose machines is about to be preempted, so that its tasks save
+    /// checkpoints. The stop is as late as possible. It is skipped if a machine cannot be reached
+    /// in time or if the job saves no checkpoints.
+    fn stop_before_preemption(
+        &mut self,
+        cluster: &ClusterView<'_>,
+        job: &Job,
+        presence: &GangPresence,
+    ) {
         let all_run = presence.running == job.spec.task_count;
-        let Some(leaves) = presence.machine_leaves.filter(|_| all_run) else { return };
-        if job.spec.checkpoint_interval_s <= 0.0 || !presence.machines_heard {
+        let Some(preempted_at) = presence.first_preemption.filter(|_| all_run) else { return };
+        if job.spec.checkpoint_interval_s <= 0.0 || !presence.all_machines_responsive {
             return;
         }
         let timing = cluster.settings.timing();
         let peer_ms = (cluster.settings.params.workers.gang_peer_s * 1000.0) as u64;
         let save_ms = (job.spec.checkpoint_save_s * 1000.0) as u64;
-        let way_ms = (timing.max_interval_ms + STOP_WAY_MS).min(peer_ms);
-        let remaining_ms = leaves.since(cluster.now);
-        if remaining_ms < save_ms + way_ms / 2 || remaining_ms > save_ms + way_ms + STOP_AGAIN_MS {
-            return; // Too late, or there is time yet.
+        let delivery_ms = (timing.max_interval_ms + STOP_DELIVERY_MS).min(peer_ms);
+        let remaining_ms = preempted_at.since(cluster.now);
+        if remaining_ms < save_ms + delivery_ms / 2
+            || remaining_ms > save_ms + delivery_ms + STOP_MARGIN_MS
+        {
+            return; // Too late to save, or too early to stop.
         }
         self.stop_gang(cluster, job.spec.id, save_ms + peer_ms, "its machine is about to be taken");
     }
 
-    /// Stops a gang wherever its tasks are and revokes what is granted of it.
+    /// Stops all tasks of a gang and revokes its grants.
     fn stop_gang(&mut self, cluster: &ClusterView<'_>, id: JobId, grace_ms: u64, reason: &str) {
-        tracing::info!(job = %id, why = reason, leeway_ms = grace_ms, "stopping a gang");
+        tracing::info!(job = %id, why = reason, leeway_ms = grace_ms, "ordered a gang to stop");
         let next_plan = self.plans.next();
         let granted = self.task_grants.granted.keys();
         let granted: Vec<TaskId> = granted.filter(|task| task.job == id).copied().collect();
@@ -130,13 +142,14 @@
         }
         let before = self.task_grants.attempts.allocate();
         let stop = GangStop { job: id.0, before, grace_ms };
-        let until = cluster.now.plus(grace_ms + STOP_AGAIN_MS);
-        self.gangs.pending_stops.insert(id, PendingStop { stop, until });
+        let escalate_at = cluster.now.plus(grace_ms + STOP_MARGIN_MS);
+        self.gangs.pending_stops.insert(id, PendingStop { stop, escalate_at });
         self.gangs.granted.remove(&id);
     }
 
-    /// How many tasks of a gang may be granted now: all, or, while it gathers, what is missing of it.
-    pub(super) fn gang_tries(&self, job: &Job, counts: TaskCounts) -> u32 {
+    /// How many tasks of a gang may be granted now: all of them, or the missing ones while it
+    /// forms.
+    pub(super) fn grantable_gang_tasks(&self, job: &Job, counts: TaskCounts) -> u32 {
         let id = job.spec.id;
         let TaskCounts { held, unresolved } = counts;
         let missing = job.spec.task_count.saturating_sub(held + unresolved);
@@ -146,7 +159,7 @@
         if open && (held == 0 || self.gangs.granted.contains_key(&id)) { missing } else { 0 }
     }
 
-    /// Grants a gang whole or not at all, or what is missing while it gathers.
+    /// Grants all tasks of a gang or none; while the gang forms, all missing ones or none.
     pub(super) fn grant_gang(
         &mut self,
         inputs: &EpochInputs<'_>,
@@ -169,7 +182,8 @@
         let mut zones = ZoneRule::of(&job.spec);
         let binds = zones.binds();
         self.count_zones(inputs, id, &mut zones);
-        let Some(chosen) = choose_for_gang(inputs, request, &allocation.targets, &zones) else {
+        let Some(chosen) = choose_gang_machines(inputs, request, &allocation.targets, &zones)
+        else {
             self.jobs.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
             return;
         };
@@ -184,22 +198,23 @@
         }
     }
 
-    /// Remembers a gang of which tasks were granted just now.
+    /// Records that tasks of a gang were granted.
     pub(super) fn record_gang(&mut self, now: MonotonicTime, job: JobId, attempt: Attempt) {
         let known = self.gangs.granted.get(&job).is_some_and(|gang| gang.attempt == attempt);
         if !known {
-            self.gangs.granted.insert(job, Gang { attempt, since: now });
+            self.gangs.granted.insert(job, GrantedGang { attempt, granted_at: now });
         }
     }
 
-    /// The gangs that shards are to stop.
+    /// The gangs that shards have to stop.
     pub(super) fn stops(&self) -> Vec<GangStop> {
         self.gangs.pending_stops.values().map(|pending| pending.stop).collect()
     }
 }
 
-/// Machines for a gang's tasks, where all can begin first, under the job's rule of zones.
-fn choose_for_gang(
+/// The machine of each of a gang's tasks: those on which all tasks can begin first, within the
+/// job's zone rule. `None` if the tasks do not all fit.
+fn choose_gang_machines(
     inputs: &EpochInputs<'_>,
     request: &GrantRequest<'_>,
     targets: &[PlacementTarget],
@@ -208,52 +223,55 @@
     let capable: Vec<bool> =
         targets.iter().map(|target| inputs.owner_knows_gangs(target)).collect();
     let packing = GangPacking { request, targets, capable: &capable };
-    let names = &inputs.cluster.settings.params.zones;
+    let zone_names = &inputs.cluster.settings.params.zones;
     let placed = if !zones.binds() {
         packing.pack(None, request.count)
     } else if zones.one {
-        packing.pack_in_one_zone(zones, names)
+        packing.pack_in_one_zone(zones, zone_names)
     } else {
-        packing.pack_spread(zones, names)
+        packing.pack_spread(zones, zone_names)
     };
     placed.map(|placed| placed.machines)
 }
 
-/// The ways to place a gang's tasks on machines.
+/// A gang to place, with the machines that are available.
 struct GangPacking<'a> {
     request: &'a GrantRequest<'a>,
     targets: &'a [PlacementTarget],
-    /// Whether each target's owner knows gangs.
+    /// Whether the owner of each target supports gangs.
     capable: &'a [bool],
 }
 
 impl GangPacking<'_> {
-    /// Places so many tasks, in a zone if one is given.
+    /// Places `count` tasks, in `zone` if one is given.
     fn pack(&self, zone: Option<&str>, count: usize) -> Option<GangPlacement> {
         let GrantRequest { job, need, .. } = self.request;
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
         placement::pack(&gang, self.targets, self.capable)
     }
 
-    /// The same in a zone; none are placed whatever the zone has.
-    fn pack_some(&self, zone: &str, count: usize) -> Option<GangPlacement> {
+    /// Places `count` tasks in a zone; an empty placement if `count` is 0.
+    fn pack_or_empty(&self, zone: &str, count: usize) -> Option<GangPlacement> {
         match count {
             0 => Some(GangPlacement::default()),
             _ => self.pack(Some(zone), count),
         }
     }
 
-    /// All in the open zone where they can begin first.
-    fn pack_in_one_zone(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
-        let open = zones.open(names);
+    /// Places all tasks in the allowed zone in which they can begin first.
+    fn pack_in_one_zone(&self, zones: &ZoneRule, zone_names: &[String]) -> Option<GangPlacement> {
+        let open = zones.open(zone_names);
         let found = open.iter().filter_map(|zone| self.pack(Some(zone), self.request.count));
         found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s))
     }
 
-    /// As many in one zone as the rule allows, the rest in another: the first pair where they can begin first.
-    fn pack_spread(&self, zones: &ZoneRule, names: &[String]) -> Option<GangPlacement> {
+    /// Places as many tasks in one zone as the rule allows, and the rest in another zone. Of all
+    /// pairs of zones in which the tasks fit, takes the first one with the earliest start.
+    fn pack_spread(&self, zones: &ZoneRule, zone_names: &[String]) -> Option<GangPlacement> {
         let mut best: Option<GangPlacement> = None;
-        for (first, second) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))) {
+        for (first, second) in
+            zone_names.iter().flat_map(|a| zone_names.iter().map(move |b| (a, b)))
+        {
             let Some(placed) = self.pack_in_pair(zones, first, second) else { continue };
             if best.as_ref().is_none_or(|best| placed.last_start_s < best.last_start_s) {
                 best = Some(placed);
@@ -262,7 +280,7 @@
         best
     }
 
-    /// As many in the first zone as the rule allows, the rest in the second.
+    /// Places as many tasks in the first zone as the rule allows, and the rest in the second.
     fn pack_in_pair(&self, zones: &ZoneRule, first: &str, second: &str) -> Option<GangPlacement> {
         let count = self.request.count;
         let in_first = (zones.room(first) as usize).min(count);
@@ -270,8 +288,8 @@
         if (in_second > 0 && first == second) || in_second > zones.room(second) as usize {
             return None;
         }
-        let mut placed = self.pack_some(first, in_first)?;
-        let rest = self.pack_some(second, in_second)?;
+        let mut placed = self.pack_or_empty(first, in_first)?;
+        let rest = self.pack_or_empty(second, in_second)?;
         placed.last_start_s = f64::max(placed.last_start_s, rest.last_start_s);
         placed.machines.extend(rest.machines);
         Some(placed)
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -170,7 +170,7 @@
     /// How many more tasks of a job could be granted now.
     fn tries(&self, job: &Job, counts: TaskCounts, failing: bool) -> u32 {
         if job.spec.kind == JobKind::Gang {
-            return self.gang_tries(job, counts);
+            return self.grantable_gang_tasks(job, counts);
         }
         let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
         // A job that fails everywhere keeps the value it would have, but only one task tries.
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -1,5 +1,5 @@
-//! The plans that controllers get of an epoch once it is on record. Nothing of an epoch reaches a plan
-//! before that (`docs/safety.md`, "Durable before said").
+//! The plans that controllers receive for an epoch. A plan contains nothing of an epoch before the
+//! epoch is on record (`docs/safety.md`, "Durable before said").
 
 use std::collections::BTreeMap;
 
@@ -12,27 +12,28 @@
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
-/// Longest time between two plans with the jobs' status, in milliseconds. Users see that status.
+/// Milliseconds after which changed job statuses are published even if no command has changed.
+/// Users see these statuses.
 const JOB_STATUS_PERIOD_MS: u64 = 1_000;
 
-/// What a controller is granted.
+/// The grants of one controller.
 #[derive(Default)]
 struct NodeGrants {
-    /// Where there is room now.
+    /// Grants that machines with free resources can serve now.
     with_room: Vec<Grant>,
-    /// For places that other tasks are about to leave.
+    /// Grants that start once other tasks release their resources.
     awaiting_release: Vec<Grant>,
 }
 
-/// Tasks of one [`GrantGroup`].
+/// The tasks of one [`GrantGroup`].
 struct GroupedTasks {
-    /// When the first of them was granted.
-    oldest: MonotonicTime,
+    /// Earliest [`TaskGrant::last_used_at`] of the tasks.
+    first_used_at: MonotonicTime,
     tasks: TaskRanges,
 }
 
 impl Leader {
-    /// Makes an epoch hold, once its transaction is known to be carried out.
+    /// Puts an epoch into effect. To be called once its transaction is known to be carried out.
     pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
         self.task_grants.recorded.extend(epoch.recorded);
         self.task_grants.recorded_ahead.extend(epoch.recorded_ahead);
@@ -43,25 +44,25 @@
             if let Some(attempt) = grant.attempt {
                 self.record_gang(cluster.now, task.job, attempt);
             }
-            self.task_grants.granted.insert(task, TaskGrant { at: cluster.now, ..grant });
+            self.task_grants.granted.insert(task, TaskGrant { last_used_at: cluster.now, ..grant });
         }
         let mut bodies = self.bodies_without_job_statuses();
-        let same = |id: &NodeId, body: &PlanBody| {
+        let is_unchanged = |id: &NodeId, body: &PlanBody| {
             self.plans.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
         };
-        // A plan that tells nothing new would only be sent around.
-        let due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
-        let news = self.plans.seq == PlanSeq(0)
+        // A plan without any change would cost messages and tell nothing.
+        let status_due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
+        let commands_changed = self.plans.seq == PlanSeq(0)
             || self.fleet.newest_change() > self.plans.seq
             || self.task_grants.revoked.values().any(|revoked| revoked.plan > self.plans.seq)
-            || bodies.iter().any(|(id, body)| !same(id, body));
-        if !news && !due {
+            || bodies.iter().any(|(id, body)| !is_unchanged(id, body));
+        if !commands_changed && !status_due {
             return;
         }
-        let (job_statuses, completed) = (self.job_statuses(cluster), completed(cluster));
-        let told =
+        let (job_statuses, completed) = (self.job_statuses(cluster), completed_counts(cluster));
+        let is_current =
             |body: &PlanBody| body.job_statuses == job_statuses && body.completed == completed;
-        if !news && self.plans.bodies.values().all(told) {
+        if !commands_changed && self.plans.bodies.values().all(is_current) {
             return;
         }
         self.plans.job_statuses_sent = cluster.now;
@@ -73,7 +74,7 @@
         self.plans.seq = self.plans.next();
     }
 
-    /// What each controller may do now, without how jobs stand.
+    /// What each controller may do now, without the job statuses.
     fn bodies_without_job_statuses(&self) -> BTreeMap<NodeId, PlanBody> {
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
@@ -99,43 +100,44 @@
         self.fleet.controllers.keys().map(body).collect()
     }
 
-    /// What each controller is granted. Grants that await a release stand in the order in which they
-    /// were granted, as the first ones are used first.
+    /// The grants of each controller. Grants that await a release are ordered by
+    /// [`GroupedTasks::first_used_at`], because shards use them in that order.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
         let mut groups: BTreeMap<GrantGroup<'_>, GroupedTasks> = BTreeMap::new();
         for (task, grant) in &self.task_grants.granted {
-            let group = groups
-                .entry(GrantGroup::of(task, grant))
-                .or_insert_with(|| GroupedTasks { oldest: grant.at, tasks: TaskRanges::default() });
-            group.oldest = grant.at.min(group.oldest);
+            let group = groups.entry(GrantGroup::of(task, grant)).or_insert_with(|| GroupedTasks {
+                first_used_at: grant.last_used_at,
+                tasks: TaskRanges::default(),
+            });
+            group.first_used_at = grant.last_used_at.min(group.first_used_at);
             group.tasks.insert(task.index);
         }
         let mut awaiting_release: Vec<(MonotonicTime, NodeId, Grant)> = Vec::new();
         let mut by_node: BTreeMap<NodeId, NodeGrants> = BTreeMap::new();
-        for (group, GroupedTasks { oldest, tasks }) in groups {
+        for (group, GroupedTasks { first_used_at, tasks }) in groups {
             let zone = group.zone.map(str::to_string);
             let grant = Grant { job: group.job.0, tasks, zone, attempt: group.attempt };
             if group.awaits_release {
-                awaiting_release.push((oldest, group.node, grant));
+                awaiting_release.push((first_used_at, group.node, grant));
             } else {
                 by_node.entry(group.node).or_default().with_room.push(grant);
             }
         }
-        awaiting_release.sort_by_key(|(oldest, _, _)| *oldest);
+        awaiting_release.sort_by_key(|(first_used_at, _, _)| *first_used_at);
         for (_, node, grant) in awaiting_release {
             by_node.entry(node).or_default().awaiting_release.push(grant);
         }
         by_node
     }
 
-    /// How jobs stand, for users.
+    /// The status of each open job, for answers to users.
     fn job_statuses(&self, cluster: &ClusterView<'_>) -> Vec<JobStatus> {
         let on_machines = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
-        // What still fetches its image or waits for its gang does not run.
-        let runs =
+        // A task that fetches its image or waits for its gang does not run yet.
+        let is_running =
             |state: TaskState| matches!(state, TaskState::Running | TaskState::SavingCheckpoint);
-        for (task, _) in on_machines.iter().filter(|(_, seen)| runs(seen.state)) {
+        for (task, _) in on_machines.iter().filter(|(_, seen)| is_running(seen.state)) {
             *running.entry(task.job).or_default() += 1;
         }
         cluster
@@ -150,7 +152,8 @@
             .collect()
     }
 
-    /// A node's plan as of now, with what it does not follow yet.
+    /// The current plan for a controller, without the parts that it follows already. `None` before
+    /// the first publication and for unknown controllers.
     pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<Plan> {
         let state = self.fleet.controllers.get(&node).filter(|_| self.plans.seq > PlanSeq(0))?;
         let body = self.plans.bodies.get(&node)?;
@@ -167,13 +170,13 @@
     }
 }
 
-/// Completed tasks of the jobs of which some are not on record yet.
-fn completed(cluster: &ClusterView<'_>) -> Vec<(u64, u32)> {
+/// How many tasks have completed, by job, for jobs with completed tasks that are not all on record.
+fn completed_counts(cluster: &ClusterView<'_>) -> Vec<(u64, u32)> {
     let completed_tasks = cluster.completed_tasks.iter();
     let counts = completed_tasks.filter_map(|(id, completed_tasks)| {
         let job = cluster.replica.jobs.get(id)?;
-        let new = completed_tasks.tasks.iter().filter(|index| !job.is_done(*index)).count();
-        Some((id.0, job.progress.done.len() + new as u32))
+        let unrecorded = completed_tasks.tasks.iter().filter(|index| !job.is_done(*index)).count();
+        Some((id.0, job.progress.done.len() + unrecorded as u32))
     });
     counts.collect()
 }
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -66,7 +66,7 @@
         let EpochInputs { cluster, on_machines, .. } = inputs;
         let mut used = TeamUses::none(&cluster.settings.params.teams);
         used.count_on_machines(cluster.replica, on_machines);
-        self.task_grants.count_under_way(on_machines, &mut used.uses);
+        self.task_grants.count_not_on_machines(on_machines, &mut used.uses);
         used.count_unidentified(inputs);
         self.count_unreconciled(inputs, &mut used);
         used.uses
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation: which tasks are proven not to run, and which grants are revoked. Why these
-//! proofs hold: `docs/safety.md`, "When a task is free".
+//! Reconciliation: finds tasks that are proven not to run, and revokes grants that are unused or
+//! obsolete. The proofs are argued in `docs/safety.md`, "When a task is free".
 
 use super::Leader;
 use super::inputs::EpochInputs;
@@ -9,7 +9,7 @@
 use crate::wire::TaskState;
 
 impl Leader {
-    /// Frees what is proven not to run, and revokes grants that were not used.
+    /// Frees tasks that are proven not to run, and revokes grants of ended tasks and unused grants.
     pub(super) fn reconcile(&mut self, inputs: &EpochInputs<'_>) {
         let replica = inputs.cluster.replica;
         let next_plan = self.plans.next();
@@ -19,16 +19,18 @@
         self.task_grants.revoke_unused(inputs, next_plan);
     }
 
-    /// Logs tasks that two machines show, once each: a rule is about to break, or has.
+    /// Logs each task that two machines report, once. Such a task violates at-most-once execution
+    /// or is about to.
     pub(super) fn log_duplicated_tasks(&mut self, inputs: &EpochInputs<'_>) {
-        let found = inputs.fleet.duplicated(inputs.on_machines);
+        let duplicated_tasks = inputs.fleet.duplicated(inputs.on_machines);
         let logged = &mut self.task_grants.duplicated;
-        logged.retain(|task| found.iter().any(|duplicated| duplicated.task == *task));
-        for duplicated in found {
+        logged.retain(|task| duplicated_tasks.iter().any(|duplicated| duplicated.task == *task));
+        for duplicated in duplicated_tasks {
             if logged.insert(duplicated.task) {
                 let [first, second] = duplicated.machines;
                 tracing::error!(
-                    task = %duplicated.task, %first, %second, term = %self.term, "on two machines"
+                    task = %duplicated.task, %first, %second, term = %self.term,
+                    "task reported by two machines"
                 );
             }
         }
@@ -36,28 +38,30 @@
 }
 
 impl TaskGrants {
-    /// Resolves tasks of earlier terms that are done or shown by a reconciled machine, and all of
-    /// them once no machine is left that may hold one unseen.
+    /// Resolves tasks of earlier terms that are done or that a reconciled machine reports. Once no
+    /// machine is unreconciled, resolves all of them.
     fn resolve(&mut self, inputs: &EpochInputs<'_>, term: Term) {
         let EpochInputs { cluster, fleet, on_machines } = inputs;
         self.unresolved
             .retain(|task| cluster.replica.may_run(*task) && !on_machines.contains_key(task));
         if fleet.unreconciled.is_empty() && !self.unresolved.is_empty() {
             let (tasks, evidence) = (self.unresolved.len(), fleet.evidence());
-            tracing::info!(%term, tasks, %evidence, "proven not to run");
+            tracing::info!(%term, tasks, %evidence, "proved that unresolved tasks do not run");
             for task in self.unresolved.drain() {
-                tracing::debug!(%task, %term, "proven not to run");
+                tracing::debug!(%task, %term, "proved that an unresolved task does not run");
             }
         }
     }
 
-    /// Revokes grants of tasks that are not to start any more: until their shards confirm that, the tasks may start
-    /// or have been started unseen. Those that were seen and are done have no further use.
+    /// Revokes grants of tasks that must no longer start. Until their shards confirm the
+    /// revocation, such a task may start or have started without being reported. A grant whose task
+    /// was reported and is done is dropped without a revocation.
     fn revoke_ended(&mut self, replica: &Replica, next_plan: PlanSeq) {
         let ended = self.granted.iter().filter(|(task, _)| !replica.may_run(**task));
-        let ended: Vec<(TaskId, bool)> = ended.map(|(task, grant)| (*task, grant.seen)).collect();
-        for (task, seen) in ended {
-            if seen && replica.is_done(task) {
+        let ended: Vec<(TaskId, bool)> =
+            ended.map(|(task, grant)| (*task, grant.reported)).collect();
+        for (task, reported) in ended {
+            if reported && replica.is_done(task) {
                 self.granted.remove(&task);
             } else {
                 self.revoke(task, next_plan, RevocationReason::Ended);
@@ -67,16 +71,16 @@
         self.recorded_ahead.retain(|task| replica.may_run(*task));
     }
 
-    /// Revokes grants whose task has not been on a machine for too long.
+    /// Revokes grants whose tasks no machine has reported for longer than `unused_grant_ms`.
     fn revoke_unused(&mut self, inputs: &EpochInputs<'_>, next_plan: PlanSeq) {
         let now = inputs.cluster.now;
         let unused_ms = inputs.cluster.settings.timing().unused_grant_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (task, grant) in &mut self.granted {
             if let Some(seen) = inputs.on_machines.get(task) {
-                grant.at = now;
-                grant.seen |= seen.state != TaskState::Unknown;
-            } else if now.since(grant.at) > unused_ms {
+                grant.last_used_at = now;
+                grant.reported |= seen.state != TaskState::Unknown;
+            } else if now.since(grant.last_used_at) > unused_ms {
                 unused.push(*task);
             }
         }
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -1,11 +1,12 @@
-//! The task grants of one term: which tasks may be running, and which are proven not to.
+//! The task grants of one term: which tasks may be running, and which are proven not to run.
 //!
-//! **The invariant:** a task is granted only if it is proven to be nowhere
-//! ([`TaskGrants::is_free`]). A term begins with nothing granted, and everything that an earlier
-//! term granted and that is not done is *unresolved*. It stays so until a reconciled machine shows
-//! the task, it is done, or every machine that may hold it is reconciled or proven terminated. Within the
-//! term a task has one grant; a revoked one blocks the task until its shard follows a plan without it.
-//! The argument is in `docs/safety.md`, "When a task is free".
+//! **Invariant:** a task is granted only if it is proven to be on no machine
+//! ([`TaskGrants::is_free`]). A term begins with no grants, and every task that an earlier term
+//! granted and that is not done is *unresolved*. An unresolved task becomes resolved when a
+//! reconciled machine reports it, when it is done, or when every machine that may hold it is
+//! reconciled or proven terminated. Within a term a task has at most one grant. A revoked grant
+//! blocks the task until the shard that held it follows a plan without it. The argument is in
+//! `docs/safety.md`, "When a task is free".
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -21,99 +22,105 @@
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 
-/// What a task counts for. It stays with the grant, as a job's description goes when the job ends.
+/// The resources that a task uses and the team that they count for. Kept with the grant, because
+/// the job's spec is dropped when the job ends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskUse {
-    /// Its team, by number.
+    /// Index of the team in the settings.
     pub(super) team: usize,
-    /// What it takes.
+    /// Resources of one task.
     pub(super) need: Resources,
 }
 
-/// A task that a controller may start.
+/// A task that one controller may start.
 #[derive(Clone)]
 pub(super) struct TaskGrant {
-    /// What it counts for.
+    /// Resources and team that the task counts for.
     pub(super) usage: TaskUse,
-    /// The controller.
+    /// The controller that may start the task.
     pub(super) node: NodeId,
-    /// Set for gangs: the attempt of all their tasks.
+    /// The attempt that all tasks of a gang share; `None` if the job is not a gang.
     pub(super) attempt: Option<Attempt>,
-    /// When it was granted, or the task was last on a machine.
-    pub(super) at: MonotonicTime,
-    /// Set for jobs that are bound to zones.
+    /// When a reconciled machine last reported the task; until one does, when it was granted.
+    pub(super) last_used_at: MonotonicTime,
+    /// The zone that the task has to start in; `None` unless the job is bound to zones.
     pub(super) zone: Option<String>,
-    /// Whether a worker has shown it.
-    pub(super) seen: bool,
-    /// Whether it waits for a place that another task is about to leave.
+    /// Whether a worker has reported the task.
+    pub(super) reported: bool,
+    /// Whether the task starts only once another task releases its resources.
     pub(super) awaits_release: bool,
 }
 
-/// A task that an epoch grants. It holds once the epoch is published.
+/// A grant that an epoch decides on. It takes effect once the epoch is published.
 pub(super) struct NewGrant {
-    /// The task.
+    /// The granted task.
     pub(super) task: TaskId,
-    /// Where it may start, and how.
+    /// Where it may start, and under which conditions.
     pub(super) grant: TaskGrant,
 }
 
 /// Why a grant is revoked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RevocationReason {
-    /// Its task has been on no machine for long.
+    /// The task has been on no machine for longer than `unused_grant_ms`.
     Unused,
-    /// Its task is not to start any more: the job has ended, or the task is done.
+    /// The task must no longer start: its job has ended, or the task is done.
     Ended,
     /// Its gang is being stopped.
     GangStopped,
 }
 
-/// A grant that was taken back. The task may still be started until its shard follows a later plan.
+/// A revoked grant. The controller may still start the task until it follows a plan without the
+/// grant.
 pub(super) struct RevokedGrant {
-    /// What it counts for until then.
+    /// Resources and team that the task counts for until the revocation is confirmed.
     pub(super) usage: TaskUse,
-    /// The controller that it was granted to.
+    /// The controller that held the grant.
     pub(super) node: NodeId,
     /// The first plan without the grant.
     pub(super) plan: PlanSeq,
-    /// Set for jobs that are bound to zones.
+    /// The zone that the task had to start in; `None` unless the job is bound to zones.
     pub(super) zone: Option<String>,
 }
 
-/// How many of a job's tasks are accounted for.
+/// Counts of one job's tasks that are running or may be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TaskCounts {
-    /// Tasks on machines, granted or revoked but not confirmed.
+    /// Tasks that are on reconciled machines, are granted, or whose revocation is not confirmed.
     pub(super) held: u32,
-    /// Tasks of earlier terms that may be running anywhere.
+    /// Tasks granted by earlier terms that may be running on any unreconciled machine.
     pub(super) unresolved: u32,
 }
 
-/// [`TaskCounts`] by job. Jobs without such tasks are left out.
+/// [`TaskCounts`] by job; jobs without such tasks have no entry.
 pub(super) type JobTaskCounts = FxHashMap<JobId, TaskCounts>;
 
-/// What this leader granted in its term, and what earlier terms may have left running.
+/// The grants of the current term, and the tasks that earlier terms may have left running.
 pub(super) struct TaskGrants {
-    /// Granted in this term.
+    /// Grants of this term that are in force.
     pub(super) granted: BTreeMap<TaskId, TaskGrant>,
-    /// Granted in this term and taken back, until that is confirmed.
+    /// Grants of this term that are revoked and whose revocation is not confirmed.
     pub(super) revoked: FxHashMap<TaskId, RevokedGrant>,
-    /// Granted by an earlier term and not proven to be nowhere yet.
+    /// Tasks granted by earlier terms and not yet proven to be on no machine.
     pub(super) unresolved: FxHashSet<TaskId>,
-    /// Grants on record in the store.
+    /// Tasks that the state service has on record as granted, by job.
     pub(super) recorded: FxHashMap<JobId, TaskRanges>,
-    /// Tasks on record that were never granted: this leader recorded them ahead of time.
+    /// Tasks on record that this leader recorded ahead of time and has never granted.
     pub(super) recorded_ahead: FxHashSet<TaskId>,
-    /// Tasks that two machines show.
+    /// Tasks that two machines report and that were logged as such.
     pub(super) duplicated: FxHashSet<TaskId>,
-    /// Attempts of this term, for gangs.
+    /// Allocator of this term's attempts, which gangs use.
     pub(super) attempts: AttemptAllocator,
 }
 
 impl TaskGrants {
-    /// Begins a term: nothing is granted, and whatever was is unresolved. `before` is the
-    /// value of the last term that this leader led.
-    pub(super) fn begin(replica: &Replica, term: Term, before: Option<(Term, TaskGrants)>) -> Self {
+    /// Begins a term: nothing is granted, and every unfinished task that an earlier term granted is
+    /// unresolved. `previous` is the last term that this leader led, with its grants.
+    pub(super) fn begin(
+        replica: &Replica,
+        term: Term,
+        previous: Option<(Term, TaskGrants)>,
+    ) -> Self {
         let mut recorded: FxHashMap<JobId, TaskRanges> = FxHashMap::default();
         for (job, ranges) in replica.epochs.values().flat_map(|epoch| &epoch.value.granted) {
             recorded.entry(*job).or_default().extend(ranges.iter());
@@ -127,22 +134,27 @@
             duplicated: FxHashSet::default(),
             attempts: AttemptAllocator::new(term, LEADER_ATTEMPTS_NODE),
         };
-        if let Some((last_term, old)) = before {
-            if last_term.0 + 1 == term.0 {
-                // Nobody led in between, so what this leader never granted is nowhere.
-                task_grants.unresolved.retain(|task| !old.recorded_ahead.contains(task));
-                task_grants.recorded_ahead = old.recorded_ahead;
+        if let Some((previous_term, previous_grants)) = previous {
+            if previous_term.0 + 1 == term.0 {
+                // No other leader led in between, so tasks that were recorded ahead and never
+                // granted are on no machine.
+                task_grants
+                    .unresolved
+                    .retain(|task| !previous_grants.recorded_ahead.contains(task));
+                task_grants.recorded_ahead = previous_grants.recorded_ahead;
             }
-            // The record in the store may lag behind what this very leader granted.
+            // The record in the state service may lag behind what this leader granted itself.
             let may_run = |task: &TaskId| replica.may_run(*task);
-            task_grants.unresolved.extend(old.granted.keys().copied().filter(may_run));
-            task_grants.unresolved.extend(old.revoked.keys().copied().filter(may_run));
-            task_grants.unresolved.extend(old.unresolved.iter().copied().filter(may_run));
+            task_grants.unresolved.extend(previous_grants.granted.keys().copied().filter(may_run));
+            task_grants.unresolved.extend(previous_grants.revoked.keys().copied().filter(may_run));
+            task_grants
+                .unresolved
+                .extend(previous_grants.unresolved.iter().copied().filter(may_run));
         }
         task_grants
     }
 
-    /// Whether a task may be granted: it is proven to be nowhere.
+    /// Whether a task may be granted: it is not done and proven to be on no machine.
     fn is_free(&self, inputs: &EpochInputs<'_>, task: TaskId) -> bool {
         let completed = inputs.cluster.completed_tasks.get(&task.job);
         inputs.cluster.replica.may_run(task)
@@ -153,7 +165,7 @@
             && !self.unresolved.contains(&task)
     }
 
-    /// The job's tasks that may be granted, in their order.
+    /// The job's tasks that may be granted, in ascending order.
     pub(super) fn free_tasks(
         &self,
         inputs: &EpochInputs<'_>,
@@ -165,28 +177,33 @@
             .filter(move |task| self.is_free(inputs, *task))
     }
 
-    /// Tasks granted or revoked in this term that no reconciled machine shows.
+    /// Tasks granted or revoked in this term that no reconciled machine reports.
     fn not_on_machines(&self, on_machines: &TasksOnMachines<'_>) -> impl Iterator<Item = &TaskId> {
         let held = self.granted.keys().chain(self.revoked.keys());
         held.filter(|task| !on_machines.contains_key(task))
     }
 
-    /// Counts the same for their teams, by number.
-    pub(super) fn count_under_way(&self, on_machines: &TasksOnMachines<'_>, teams: &mut [TeamUse]) {
-        let is_under_way = |task: &TaskId| !on_machines.contains_key(task);
-        for (_, grant) in self.granted.iter().filter(|(task, _)| is_under_way(task)) {
+    /// Adds the resources of tasks granted or revoked in this term that no reconciled machine
+    /// reports to the use of their teams. `teams` is indexed like the settings.
+    pub(super) fn count_not_on_machines(
+        &self,
+        on_machines: &TasksOnMachines<'_>,
+        teams: &mut [TeamUse],
+    ) {
+        let not_on_machine = |task: &TaskId| !on_machines.contains_key(task);
+        for (_, grant) in self.granted.iter().filter(|(task, _)| not_on_machine(task)) {
             if let Some(team) = teams.get_mut(grant.usage.team) {
                 team.granted.add(&grant.usage.need, 1);
             }
         }
-        for (_, revoked) in self.revoked.iter().filter(|(task, _)| is_under_way(task)) {
+        for (_, revoked) in self.revoked.iter().filter(|(task, _)| not_on_machine(task)) {
             if let Some(team) = teams.get_mut(revoked.usage.team) {
                 team.revoked.add(&revoked.usage.need, 1);
             }
         }
     }
 
-    /// How many tasks of each job are held, and how many may be running anywhere.
+    /// Counts the held and the unresolved tasks of each job.
     pub(super) fn counts(&self, on_machines: &TasksOnMachines<'_>) -> JobTaskCounts {
         let mut counts = JobTaskCounts::default();
         for task in on_machines.keys() {
@@ -201,29 +218,29 @@
         counts
     }
 
-    /// Takes a grant back as of a plan.
+    /// Revokes a grant; `plan` is the first plan without it.
     pub(super) fn revoke(&mut self, task: TaskId, plan: PlanSeq, reason: RevocationReason) {
         if let Some(TaskGrant { usage, node, zone, .. }) = self.granted.remove(&task) {
-            tracing::debug!(%task, node = node.0, plan = plan.0, ?reason, "revokes");
+            tracing::debug!(%task, node = node.0, plan = plan.0, ?reason, "revoked a grant");
             self.revoked.insert(task, RevokedGrant { usage, node, plan, zone });
         }
     }
 
-    /// Frees the tasks of revoked grants once their shard follows a plan without them and does not
-    /// hold them.
+    /// Frees the tasks of revoked grants that a controller held, once the controller follows a plan
+    /// without them and its machines do not report them.
     pub(super) fn free_revoked(&mut self, fleet: &Fleet, node: NodeId, applied_plan: PlanSeq) {
         let is_confirmed =
             |revoked: &RevokedGrant| revoked.node == node && revoked.plan <= applied_plan;
         let confirmed = self.revoked.iter().filter(|(_, revoked)| is_confirmed(revoked));
-        let mut free: FxHashSet<TaskId> = confirmed.map(|(task, _)| *task).collect();
-        if free.is_empty() {
+        let mut freed: FxHashSet<TaskId> = confirmed.map(|(task, _)| *task).collect();
+        if freed.is_empty() {
             return;
         }
         for held in fleet.views_of(node).flat_map(|machine| &machine.tasks) {
-            free.remove(&held.task);
+            freed.remove(&held.task);
         }
-        for task in &free {
-            tracing::debug!(%task, node = node.0, plan = applied_plan.0, "revocation confirmed");
+        for task in &freed {
+            tracing::debug!(%task, node = node.0, plan = applied_plan.0, "confirmed a revocation");
             self.revoked.remove(task);
         }
     }
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -1,4 +1,5 @@
-//! How a leader's term begins: nothing is granted, and all that earlier terms granted is unresolved.
+//! The start of a leader's term: nothing is granted, and all unfinished tasks that earlier terms
+//! granted are unresolved.
 
 use super::task_grants::TaskGrants;
 use super::{
@@ -10,15 +11,15 @@
 use crate::replica::Replica;
 
 impl Leader {
-    /// Begins a term. `before` is the same leader's state in its last term, if it led: what it
-    /// knows of machines and the market stays, what it knows of tasks does not.
-    pub fn begin(cluster: &ClusterView<'_>, term: Term, before: Option<Leader>) -> Self {
+    /// Begins a term. `previous` is this leader's state in its last term, if it led before:
+    /// machines and the market are kept, grants become unresolved tasks.
+    pub fn begin(cluster: &ClusterView<'_>, term: Term, previous: Option<Leader>) -> Self {
         let (mut fleet, mut task_grants, mut remembered) = (None, None, None);
-        if let Some(old) = before {
-            // Whoever led meanwhile may have scaled in machines and scaled out others.
-            fleet = Some(old.fleet);
-            task_grants = Some((old.term, old.task_grants));
-            remembered = Some(old.remembered);
+        if let Some(previous) = previous {
+            // Only a starting point: another leader may have scaled machines in or out since.
+            fleet = Some(previous.fleet);
+            task_grants = Some((previous.term, previous.task_grants));
+            remembered = Some(previous.remembered);
         }
         Leader {
             term,
@@ -37,7 +38,8 @@
 }
 
 impl Remembered {
-    /// What a leader that has not led before knows: the load that the last one put on record.
+    /// The state of a leader that has not led before: the offered load that the last leader
+    /// recorded.
     fn from_store(replica: &Replica) -> Self {
         let mut remembered = Remembered::default();
         if let Some(load) = &replica.load {
--- a/src/leader/tests/evidence.rs
+++ b/src/leader/tests/evidence.rs
@@ -4,34 +4,38 @@
 
 #[test]
 fn state_from_an_earlier_term_proves_no_absence() {
-    // Seen on a bench day: a failover, a summary from before the first plan with the task
-    // on n-1, then one in which the owner had forgotten that machine. The task was
-    // started on n-2 while it ran on n-1.
+    // Guards against a task that was started on n-2 while it ran on n-1, as happened in a benchmark
+    // run. After a failover, a summary from before the first plan had the task on n-1; in the next
+    // summary the owner had forgotten that machine.
     let mut controller = leader();
     let both = |tasks| vec![view("n-1", true, tasks), view("n-2", true, &[])];
-    assert!(!run_epoch(&mut controller, 1_100, 0, vec![]), "owners are assigned");
-    assert!(!run_epoch(&mut controller, 1_300, 0, both(&[0])), "remembered from before");
+    assert!(!run_epoch(&mut controller, 1_100, 0, vec![]), "only assigns owners");
+    assert!(
+        !run_epoch(&mut controller, 1_300, 0, both(&[0])),
+        "the summary is older than the term's first plan"
+    );
     assert!(
         !run_epoch(&mut controller, 1_500, 1, vec![view("n-2", true, &[])]),
         "n-1 is not in the summary"
     );
-    assert!(!run_epoch(&mut controller, 1_700, 1, both(&[0])), "it runs");
+    assert!(!run_epoch(&mut controller, 1_700, 1, both(&[0])), "n-1 runs the task");
     assert!(
         run_epoch(&mut controller, 1_900, 1, both(&[])),
-        "n-1 says itself that it is not there"
+        "n-1 itself reports that it does not have the task"
     );
 }
 
 #[test]
 fn a_task_on_two_machines_is_detected() {
-    // In production a controller owned both machines for seven seconds, and nobody said a word.
+    // In production, a controller owned two machines that ran the same task for seven seconds, and
+    // nothing was logged.
     // (tasks on n-1, tasks on n-2, whether n-2 is reconciled, tasks on both)
     type Case = (&'static [u32], &'static [u32], bool, &'static [u32]);
     let cases: [Case; 4] = [
         (&[0], &[], true, &[]),
         (&[0], &[0], true, &[0]),
         (&[0, 1], &[1, 2], true, &[1]),
-        (&[0], &[0], false, &[]), // what it seems to hold proves nothing
+        (&[0], &[0], false, &[]), // an unreconciled machine proves nothing
     ];
     for (first, second, reconciled, both) in cases {
         let mut controller = leader();
@@ -60,7 +64,7 @@
 
 #[test]
 fn an_unreconciled_machine_proves_nothing_about_its_tasks() {
-    // A late copy may show a task where it is no longer, and another one not show it.
+    // Its owner may report a task that has left the machine, or not report one that is on it.
     let mut controller = leader();
     let machines = |tasks| vec![view("n-1", false, tasks), view("n-2", true, &[])];
     assert!(!run_epoch(&mut controller, 1_100, 0, vec![]));
@@ -95,8 +99,8 @@
     let granted: Vec<TaskId> = leader.task_grants.granted.keys().copied().collect();
     assert!(!granted.is_empty() && granted.len() < 4, "{granted:?}");
     let recorded = leader.task_grants.recorded[&JobId(2)].clone();
-    assert!(recorded.len() as usize > granted.len(), "some are ahead");
-    // The record as the store has it, and the next term of the same leader.
+    assert!(recorded.len() as usize > granted.len(), "some are recorded ahead");
+    // The record as the state service has it, and the next term of the same leader.
     let record = EpochRecord { term: Term(3), granted: vec![(JobId(2), recorded.clone())] };
     let items = [
         item(replica::epoch_key(2), wire::to_value(&record)),
@@ -114,8 +118,8 @@
     let all = controller.replica.unfinished_granted_tasks();
     controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let unresolved = &controller.leader.as_ref().unwrap().task_grants.unresolved;
-    let of_two = |t: &&TaskId| t.job == JobId(2);
-    assert_eq!(unresolved.iter().filter(of_two).count(), granted.len());
+    let of_job_2 = |t: &&TaskId| t.job == JobId(2);
+    assert_eq!(unresolved.iter().filter(of_job_2).count(), granted.len());
     assert!(granted.iter().all(|t| unresolved.contains(t)));
-    assert_eq!(all.iter().filter(of_two).count(), recorded.len() as usize, "others");
+    assert_eq!(all.iter().filter(of_job_2).count(), recorded.len() as usize, "for other leaders");
 }
--- a/src/leader/tests/gangs.rs
+++ b/src/leader/tests/gangs.rs
@@ -1,11 +1,12 @@
-//! Gangs: granted whole, stopped and restarted as a whole, with machines reserved for them.
+//! Gangs: granted, stopped and restarted as a whole, with machines reserved for them.
 
 use super::task_grants::TaskGrant;
 use super::*;
 use crate::offered_load::GangSample;
 use crate::wire::JobKind;
 
-/// A leader with two machines that hold two tasks each, and a gang besides job 1.
+/// A leader with two machines, each with room for two tasks, and a gang (job 7) besides job 1.
+/// `capabilities` are those of its controller.
 fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), capabilities: u32) -> Controller {
     let mut controller = leader();
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
@@ -24,14 +25,14 @@
     controller
 }
 
-/// What a machine shows of the gang.
-fn shows(id: &str, tasks: &[(u32, TaskState)]) -> MachineView {
+/// A machine that reports these tasks of the gang.
+fn gang_view(id: &str, tasks: &[(u32, TaskState)]) -> MachineView {
     let task = |index| TaskId { job: JobId(7), index };
     let tasks = tasks.iter().map(|(i, state)| TaskView { task: task(*i), state: *state });
     MachineView { tasks: tasks.collect(), ..view(id, true, &[]) }
 }
 
-/// Tasks of the gang that are granted now, and their attempt.
+/// How many tasks of the gang are granted, and their attempt.
 fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
     let leader = controller.leader.as_ref().unwrap();
     let of: Vec<&TaskGrant> = leader
@@ -48,21 +49,21 @@
 #[test]
 fn a_gang_is_granted_whole_or_not_at_all() {
     type Edit = fn(&mut wire::JobSpec);
-    // (what, tasks, what is special, what the controller understands, tasks granted)
+    // (case, tasks, changes to the job, capabilities of the controller, tasks granted)
     let cases: [(&str, u32, Edit, u32, usize); 7] = [
         ("fits", 3, |_| {}, 1, 3),
         ("fills both machines", 4, |_| {}, 1, 4),
         ("does not fit", 5, |_| {}, 1, 0),
-        ("anywhere", 4, |s| s.one_zone = false, 1, 4),
+        ("in any zone", 4, |s| s.one_zone = false, 1, 4),
         (
-            "half of it has to be in the other zone",
+            "half of its tasks have to be in another zone",
             4,
             |s| (s.one_zone, s.spread_zones) = (false, true),
             1,
             0,
         ),
         ("beyond the team's limit", 4, |s| s.vcpus = 8.5, 1, 0),
-        ("the controller does not know gangs", 3, |_| {}, 0, 0),
+        ("the controller does not support gangs", 3, |_| {}, 0, 0),
     ];
     for (what, tasks, edit, capabilities, want) in cases {
         let mut controller = leader_with_gang(tasks, edit, capabilities);
@@ -79,11 +80,11 @@
 fn a_gang_that_lost_a_task_is_stopped_and_restarted_once_no_task_is_left() {
     use TaskState::{Running, Unknown, WaitingForGang};
     type Shown = &'static [(u32, TaskState)];
-    // What n-1 and n-2 show next, and whether the gang is stopped then.
+    // (case, tasks that n-1 reports, tasks that n-2 reports, whether the gang is stopped)
     let cases: [(&str, Shown, Shown, bool); 5] = [
         ("all run", &[(0, Running), (1, Running)], &[(2, Running)], false),
         (
-            "one fetches still",
+            "one still fetches its image",
             &[(0, WaitingForGang), (1, WaitingForGang)],
             &[(2, TaskState::FetchingImage)],
             false,
@@ -105,10 +106,13 @@
         run_epoch(&mut controller, 1_300, 1, idle());
         run_epoch(&mut controller, 1_500, 1, idle());
         let attempt = granted_of(&controller).1.unwrap();
-        let now = || vec![shows("n-1", first), shows("n-2", second)];
+        let now = || vec![gang_view("n-1", first), gang_view("n-2", second)];
         controller.rights.confirm_renewal(MonotonicTime(1_700));
         if stopped {
-            let all = [shows("n-1", &[(0, Running), (1, Running)]), shows("n-2", &[(2, Running)])];
+            let all = [
+                gang_view("n-1", &[(0, Running), (1, Running)]),
+                gang_view("n-2", &[(2, Running)]),
+            ];
             run_epoch(&mut controller, 1_800, 2, all.to_vec());
         }
         run_epoch(&mut controller, 2_000, 2, now());
@@ -119,14 +123,15 @@
         }
         assert!(stops[0].before > attempt && stops[0].grace_ms == 0);
         let plan = controller.plan_for(NodeId(0), MonotonicTime(2_000)).unwrap().0;
-        assert_eq!(plan.body.unwrap().stops, stops, "shards are informed");
-        // While any task is left, none starts, whatever is free: it would run beside the old ones.
+        assert_eq!(plan.body.unwrap().stops, stops, "the plan tells shards to stop");
+        // While any task is left, none starts, even if there is room: it would run beside the
+        // tasks of the old attempt.
         for ms in [2_300, 2_600] {
             assert!(!run_epoch(
                 &mut controller,
                 ms,
                 9,
-                vec![shows("n-1", &[(0, Running)]), shows("n-2", &[])]
+                vec![gang_view("n-1", &[(0, Running)]), gang_view("n-2", &[])]
             ));
             assert_eq!(granted_of(&controller).0, 0, "{what}");
         }
@@ -139,7 +144,8 @@
 
 #[test]
 fn a_gang_on_a_reclaimed_machine_is_stopped_gracefully_if_time_allows() {
-    // (milliseconds until n-2 is reclaimed, time to save, interval of checkpoints, leeway of the stop)
+    // (milliseconds until n-2 is preempted, seconds to save a checkpoint, seconds between two
+    // checkpoints, grace period of the stop in milliseconds)
     let cases = [
         (60_000, 3.0, 20.0, None),
         (6_500, 3.0, 20.0, Some(8_000)),
@@ -159,7 +165,10 @@
             node: NodeId(0),
             seq: 1_300,
             applied_plan: PlanSeq(1),
-            machines: vec![shows("n-1", &[(0, runs), (1, runs)]), shows("n-2", &[(2, runs)])],
+            machines: vec![
+                gang_view("n-1", &[(0, runs), (1, runs)]),
+                gang_view("n-2", &[(2, runs)]),
+            ],
             answered: vec![(MachineId::new("n-1"), 0), (MachineId::new("n-2"), 0)],
             notices: vec![(MachineId::new("n-2"), ms)],
             ..summary(1, 0, INCARNATION)
@@ -177,8 +186,9 @@
 
 #[test]
 fn machines_are_reserved_for_gangs_but_not_all_and_not_from_starved_jobs() {
-    // Seen in the simulation: in a fleet of eight machines all were reserved for gangs, and arrays never
-    // began. (machines, age of the array in s, machines reserved, whether the array begins)
+    // Guards against a fault from the simulation: in a fleet of eight machines all were reserved
+    // for gangs, and arrays never began.
+    // (machines, age of the array in seconds, machines reserved, whether the array begins)
     let cases = [(2, 1, 1, true), (8, 1, 2, true), (1, 1, 1, false), (1, 101, 1, true)];
     for (machines, age_s, reserved, begins) in cases {
         let mut controller =
