--- a/src/leader/machine_records.rs
+++ b/src/leader/machine_records.rs
@@ -1,6 +1,8 @@
-//! Machines on record. They become durable before anything can start on them, and stay as tombstones for
-//! a while once they are terminated, so a new leader knows every machine that may hold a task
-//! (`docs/safety.md`, "When a task is free"). They are written in groups.
+//! The record of machines in the state service, in which machines are grouped by key.
+//!
+//! A machine is on record before anything can start on it. Once it is terminated, it stays on
+//! record as a tombstone for a while. A new leader therefore knows every machine that may hold a
+//! task (`docs/safety.md`, "When a task is free").
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,71 +12,76 @@
 use crate::replica::{self, MachineGroup, MachineRecord};
 use crate::wire::{self, Change};
 
-/// How long a terminated machine stays known, against late heartbeats, in milliseconds.
-const TOMBSTONE_MS: u64 = 600_000;
-/// Bytes of a group of machines besides those.
-const GROUP_BYTES: usize = 32;
-/// What tells a further key of machines from a group's own, see [`replica::machine_group`].
-const FURTHER_GROUPS: u32 = 100_000;
+/// Milliseconds for which the tombstone of a terminated machine is kept, so that late heartbeats
+/// are recognized.
+const TOMBSTONE_RETENTION_MS: u64 = 600_000;
+/// Estimated bytes of a group besides its machines.
+const GROUP_OVERHEAD_BYTES: usize = 32;
+/// Overflow keys of group `g` have the numbers `g + n * OVERFLOW_KEY_STRIDE`, which are above those
+/// of all groups' own keys; see [`replica::machine_group`].
+const OVERFLOW_KEY_STRIDE: u32 = 100_000;
 
-/// A machine on record.
-type Entry = (MachineId, MachineRecord);
+/// A machine and its record, as a group holds them.
+type MachineEntry = (MachineId, MachineRecord);
 
 /// The groups of machines that an epoch writes.
 pub(super) struct MachineWrites<'a> {
     cluster: &'a ClusterView<'a>,
     fleet: &'a Fleet,
-    /// Most keys that are written.
-    limit: usize,
-    /// Contents of further keys, which take what does not fit into a group's own.
-    further: BTreeMap<u32, Vec<Entry>>,
-    /// The writes of groups' own keys so far.
+    /// Most keys that may be written.
+    max_keys: usize,
+    /// New contents of overflow keys, which take the machines that do not fit into their group's
+    /// own key.
+    overflow: BTreeMap<u32, Vec<MachineEntry>>,
+    /// Changes of groups' own keys so far.
     written: Vec<Change>,
 }
 
 impl<'a> MachineWrites<'a> {
-    /// Nothing is written yet; `limit` is the most keys that may be.
-    pub(super) fn new(cluster: &'a ClusterView<'a>, fleet: &'a Fleet, limit: usize) -> Self {
-        MachineWrites { cluster, fleet, limit, further: BTreeMap::new(), written: Vec::new() }
+    /// Starts without any change; at most `max_keys` keys may be written.
+    pub(super) fn new(cluster: &'a ClusterView<'a>, fleet: &'a Fleet, max_keys: usize) -> Self {
+        MachineWrites { cluster, fleet, max_keys, overflow: BTreeMap::new(), written: Vec::new() }
     }
 
-    /// The changes that bring the record up to date, as far as the limit allows. Further keys stand
-    /// behind the groups' own, so that whoever follows both never lacks a machine in between.
+    /// The changes that bring the record up to date, as far as `max_keys` allows. Overflow keys
+    /// come after the groups' own keys, so that a reader that follows both never misses a machine
+    /// in between.
     pub(super) fn changes(mut self) -> Vec<Change> {
         for group in self.outdated_groups() {
-            if self.keys() >= self.limit || !self.write_group(group) {
-                break; // With the next epoch.
+            if self.key_count() >= self.max_keys || !self.write_group(group) {
+                break; // The next epoch writes the rest.
             }
         }
-        let further = self.further.into_iter();
-        self.written.extend(further.map(|(key, machines)| group_change(key, machines)));
+        let overflow = self.overflow.into_iter();
+        self.written.extend(overflow.map(|(key, machines)| group_change(key, machines)));
         self.written
     }
 
-    /// Keys that are written so far.
-    fn keys(&self) -> usize {
-        self.written.len() + self.further.len()
+    /// Number of keys to be written so far.
+    fn key_count(&self) -> usize {
+        self.written.len() + self.overflow.len()
     }
 
-    /// Whether a machine is up and not on record as that.
+    /// Whether a machine is up but on record neither as up nor as terminated.
     fn is_new(&self, id: &MachineId, machine: &FleetMachine) -> bool {
         let known = self.cluster.replica.machines.get(id);
         machine.up && known.is_none_or(|record| !record.up && record.gone.is_none())
     }
 
-    /// Whether a machine is terminated and not recorded as that.
-    fn has_died(&self, id: &MachineId, record: &MachineRecord) -> bool {
+    /// Whether a machine is terminated but not on record as terminated.
+    fn is_newly_terminated(&self, id: &MachineId, record: &MachineRecord) -> bool {
         record.gone.is_none() && self.fleet.terminated.contains(id)
     }
 
-    /// Whether a tombstone is not needed any more.
-    fn is_over(&self, record: &MachineRecord) -> bool {
+    /// Whether a tombstone has been kept for long enough.
+    fn is_expired(&self, record: &MachineRecord) -> bool {
         let wall = self.cluster.wall;
-        record.gone.is_some_and(|at| wall.0.saturating_sub(at.0) > TOMBSTONE_MS)
+        record.gone.is_some_and(|at| wall.0.saturating_sub(at.0) > TOMBSTONE_RETENTION_MS)
     }
 
-    /// The key that a new machine is written to: the one that names it, or that of its group.
-    fn home(&self, id: &MachineId) -> u32 {
+    /// The key that a new machine is written to: the first key that names it, else the own key of
+    /// its group.
+    fn key_for(&self, id: &MachineId) -> u32 {
         let named_by = self.cluster.replica.groups_of_machine(id).first().copied();
         named_by.unwrap_or_else(|| replica::machine_group(id))
     }
@@ -83,9 +90,9 @@
     fn outdated_groups(&self) -> BTreeSet<u32> {
         let machines = self.fleet.machines.iter();
         let new = machines.filter(|(id, machine)| self.is_new(id, machine));
-        let mut groups: BTreeSet<u32> = new.map(|(id, _)| self.home(id)).collect();
+        let mut groups: BTreeSet<u32> = new.map(|(id, _)| self.key_for(id)).collect();
         let outdated = |(id, record): &(&MachineId, &MachineRecord)| {
-            self.has_died(id, record) || self.is_over(record)
+            self.is_newly_terminated(id, record) || self.is_expired(record)
         };
         for (id, _) in self.cluster.replica.machines.iter().filter(outdated) {
             groups.extend(self.cluster.replica.groups_of_machine(id));
@@ -93,27 +100,28 @@
         groups
     }
 
-    /// What a group has to hold now.
-    fn content(&self, group: u32) -> Vec<Entry> {
+    /// The content that a key is to have now.
+    fn content(&self, group: u32) -> Vec<MachineEntry> {
         let replica = self.cluster.replica;
         let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
         for (id, record) in replica.machines_in_group(group) {
             let record = replica.machines.get(id).unwrap_or(record);
-            if record.gone.is_none() && !self.has_died(id, record) {
+            if record.gone.is_none() && !self.is_newly_terminated(id, record) {
                 machines.insert(id.clone(), record.clone());
-            } else if !self.is_over(record) {
+            } else if !self.is_expired(record) {
                 machines.insert(id.clone(), record.tombstone(self.cluster.wall));
             }
         }
         for (id, machine) in &self.fleet.machines {
-            if self.is_new(id, machine) && self.home(id) == group {
+            if self.is_new(id, machine) && self.key_for(id) == group {
                 machines.insert(id.clone(), record_of(machine));
             }
         }
         machines.into_iter().collect()
     }
 
-    /// Writes a group; false if there is no room for all that does not fit into its own key.
+    /// Adds the change of a key. False if the machines that do not fit into it have no overflow key
+    /// that may be written.
     fn write_group(&mut self, group: u32) -> bool {
         let mut machines = self.content(group);
         let mut moved = Vec::new();
@@ -126,42 +134,44 @@
             moved.push(last);
         }
         for entry in moved {
-            if !self.move_further(group, entry) {
+            if !self.move_to_overflow(group, entry) {
                 return false;
             }
         }
-        // An empty group stays: the version of its key tells late writes from new ones.
+        // An empty group is written too: the version of its key distinguishes late writes from new
+        // ones.
         self.written.push(group_change(group, machines));
         true
     }
 
-    /// Moves a machine from a full group to a further key; false if no further one may be written.
-    fn move_further(&mut self, group: u32, entry: Entry) -> bool {
+    /// Moves a machine from a full key to an overflow key. False if no further overflow key may be
+    /// written.
+    fn move_to_overflow(&mut self, group: u32, entry: MachineEntry) -> bool {
         let key = (1..)
-            .map(|n| group % FURTHER_GROUPS + n * FURTHER_GROUPS)
+            .map(|n| group % OVERFLOW_KEY_STRIDE + n * OVERFLOW_KEY_STRIDE)
             .find(|key| *key != group && self.has_room(*key, &entry));
         let Some(key) = key else { return true };
-        // Besides this key, the group's own has to be written.
-        if !self.further.contains_key(&key) && self.keys() + 1 >= self.limit.max(2) {
+        // Besides the overflow key, the key that the machine is moved from has to be written.
+        if !self.overflow.contains_key(&key) && self.key_count() + 1 >= self.max_keys.max(2) {
             return false;
         }
         let stored = || self.cluster.replica.machines_in_group(key).to_vec();
-        let content = self.further.entry(key).or_insert_with(stored);
+        let content = self.overflow.entry(key).or_insert_with(stored);
         content.retain(|(id, _)| *id != entry.0);
         content.push(entry);
         true
     }
 
-    /// Whether a further key has room for a machine.
-    fn has_room(&self, key: u32, entry: &Entry) -> bool {
+    /// Whether an overflow key has room for a machine.
+    fn has_room(&self, key: u32, entry: &MachineEntry) -> bool {
         let stored = || self.cluster.replica.machines_in_group(key);
-        let content = self.further.get(&key).map_or_else(stored, Vec::as_slice);
+        let content = self.overflow.get(&key).map_or_else(stored, Vec::as_slice);
         let bytes = group_bytes(content) + group_bytes(std::slice::from_ref(entry));
         bytes <= self.cluster.limits.value_bytes()
     }
 }
 
-/// A machine as it is put on record.
+/// The record of a machine that is up.
 fn record_of(machine: &FleetMachine) -> MachineRecord {
     MachineRecord {
         machine_type: machine.offer.machine_type.clone(),
@@ -173,14 +183,14 @@
     }
 }
 
-/// The write of a group.
-fn group_change(group: u32, machines: Vec<Entry>) -> Change {
+/// The change that writes a key.
+fn group_change(group: u32, machines: Vec<MachineEntry>) -> Change {
     let value = wire::to_value(&MachineGroup { machines });
     Change::Put { key: replica::machine_key(group), value, lease: None }
 }
 
-/// Bytes that a group takes as a value.
-fn group_bytes(machines: &[Entry]) -> usize {
+/// Estimated bytes that a group takes as a value.
+fn group_bytes(machines: &[MachineEntry]) -> usize {
     let each = machines.iter().map(|m| wire::stored_bytes(m) + 1);
-    GROUP_BYTES + each.sum::<usize>()
+    GROUP_OVERHEAD_BYTES + each.sum::<usize>()
 }
