--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -1,4 +1,4 @@
-//! The line in the log that tells operators what is held, granted and open.
+//! The text of the log line `epoch`, which shows operators the leader's state.
 
 use super::{ClusterView, Leader};
 use crate::model::Cores;
@@ -6,19 +6,19 @@
 use crate::resources::Resources;
 use crate::wire::TaskState;
 
-/// The versions of the controllers that are up, in their order.
+/// The program versions of the controllers that are up, ordered by controller.
 fn versions(cluster: &ClusterView<'_>) -> String {
-    let of = |m: &replica::MemberRecord| match m.version.as_str() {
+    let version_of = |m: &replica::MemberRecord| match m.version.as_str() {
         "" => "before 0.2".to_string(),
         version => version.to_string(),
     };
-    let all: Vec<String> =
-        cluster.replica.members.values().map(|member| of(&member.value)).collect();
-    all.join(",")
+    let versions: Vec<String> =
+        cluster.replica.members.values().map(|member| version_of(&member.value)).collect();
+    versions.join(",")
 }
 
 impl Leader {
-    /// A line for operators: what is held, granted and open, and what cores do.
+    /// The leader's state in one line: counts of machines and tasks, and cores by their use.
     pub fn describe(&self, cluster: &ClusterView<'_>) -> String {
         let on_machines = self.fleet.on_machines();
         let (mut running, mut fetching, mut waiting) = (Cores(0), Cores(0), Cores(0));
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -1,4 +1,5 @@
-//! The autoscaler's input (machines and pending work), and how its decision is applied.
+//! The autoscaler's inputs, which are the machines and the pending work, and how its decision is
+//! applied.
 
 use std::collections::HashMap;
 
@@ -16,49 +17,51 @@
 use crate::resources::Resources;
 use crate::wire::{JobKind, Priority};
 
-/// Time between two scaling decisions, in milliseconds.
+/// Milliseconds between two scaling decisions.
 pub(super) const SCALING_PERIOD_MS: u64 = 1_000;
 
-/// What open jobs would use.
+/// The load that open jobs offer.
 #[derive(Default)]
 struct OpenLoad {
-    /// All work but short-running gangs.
+    /// All work except short-running gangs.
     work: LoadSample,
-    /// Gangs that may not use spot machines, and those that may.
+    /// Gangs that may not use spot machines, and gangs that may.
     gangs: [GangSample; 2],
 }
 
-/// One job's demand as given to the autoscaler.
+/// The load of one open job.
 struct JobLoad<'a> {
     job: &'a Job,
     need: Resources,
-    /// Seconds that a task is expected to run.
+    /// Expected run time of a task, in seconds.
     run_s: f64,
-    /// Whether that is short in comparison with how long machines boot.
+    /// Whether `run_s` is short in comparison with the boot time of machines.
     short_running: bool,
-    /// Tasks that its team's limit allows, beside more urgent jobs.
+    /// Tasks that its team's limit allows besides the jobs that are more urgent.
     allowed: u64,
-    /// Tasks that are on machines or granted.
+    /// Tasks that are on machines, granted or being granted.
     running: u32,
 }
 
 impl OpenLoad {
-    /// Counts a job in. It counts from its arrival for as long as it runs, wherever it is.
+    /// Adds a job to the samples. Gangs and short-running work count in full from their arrival for
+    /// one run time, whether their tasks run or wait. Long-running work counts while its tasks run,
+    /// and the largest gang while its job is open.
     fn add(&mut self, cluster: &ClusterView<'_>, load: &JobLoad<'_>) {
         let spec = &load.job.spec;
-        let arriving = (waiting_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
+        let runs_since_arrival = (waiting_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
         let cores = load.need.cores.0;
         if spec.kind == JobKind::Gang {
-            let all = Cores(cores * u64::from(spec.task_count));
+            let total_cores = Cores(cores * u64::from(spec.task_count));
             let gangs = &mut self.gangs[usize::from(spec.allows_spot)];
-            if arriving {
-                gangs.total.0 += all.0;
+            if runs_since_arrival {
+                gangs.total.0 += total_cores.0;
             }
-            gangs.largest = all.max(gangs.largest);
-        } else if load.short_running && arriving {
-            let all = cores * u64::from(spec.task_count).min(load.allowed);
-            self.work.short_running.0 += all;
-            self.work.urgent.0 += if spec.priority <= Priority::High { all } else { 0 };
+            gangs.largest = total_cores.max(gangs.largest);
+        } else if load.short_running && runs_since_arrival {
+            let total_cores = cores * u64::from(spec.task_count).min(load.allowed);
+            self.work.short_running.0 += total_cores;
+            self.work.urgent.0 += if spec.priority <= Priority::High { total_cores } else { 0 };
         }
         if !load.short_running {
             self.work.long_running.0 += cores * u64::from(load.running);
@@ -87,7 +90,7 @@
         market.record_surplus(now, self.scaling.decision.has_surplus);
     }
 
-    /// Tasks of each job that are on machines, granted, or being granted.
+    /// Number of tasks of each job that are on machines, granted or being granted.
     fn running_tasks(&self, inputs: &EpochInputs<'_>, epoch: &Epoch) -> FxHashMap<JobId, u32> {
         let on_machines = inputs.on_machines;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|new| new.task).collect();
@@ -100,7 +103,8 @@
         running
     }
 
-    /// Open jobs, the most urgent first, as far as their teams' limits allow, and what they would use.
+    /// The open jobs, most urgent first, with the tasks that their teams' limits allow; and the
+    /// load that they offer.
     fn pending_work<'a>(
         &self,
         inputs: &EpochInputs<'a>,
@@ -140,7 +144,7 @@
         (pending, open_load)
     }
 
-    /// How the machines are used.
+    /// The machines and how they are used.
     fn machine_usage(
         &self,
         inputs: &EpochInputs<'_>,
@@ -168,25 +172,27 @@
         machines.collect()
     }
 
-    /// Drains the machines that are to be returned.
+    /// Starts to drain the machines that are to be scaled in.
     pub(super) fn drain_for_scale_in(&mut self) {
         let next_plan = self.plans.next();
         for id in &self.scaling.decision.scale_in {
             let machine = self.fleet.machines.get_mut(id);
             if let Some(machine) = machine.filter(|machine| machine.draining.is_none()) {
-                tracing::info!(machine = %id, "draining an idle machine");
+                tracing::info!(machine = %id, "started to drain an idle machine");
                 machine.draining = Some(next_plan);
             }
         }
     }
 
-    /// The scale-out to request now. Taken once per decision, so that nothing is requested twice.
+    /// Takes the machines to request now. Each decision is handed out once, so nothing is requested
+    /// twice.
     pub fn take_scale_out(&mut self) -> Vec<RequestedMachines> {
         std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
-    /// Forgets a scale-out that was decided before the results of the last one were known.
-    pub fn decide_anew(&mut self) {
+    /// Discards a scale-out that was decided before the outcome of the last one was known. A new
+    /// decision is due then.
+    pub fn discard_scale_out(&mut self) {
         if !self.scaling.decision.scale_out.is_empty() {
             self.scaling.decision.scale_out.clear();
             self.scaling.decided_at = None;
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -1,4 +1,5 @@
-//! The leader's decisions as its standbys follow them, and what a successor takes over of them.
+//! The leader's decisions as its standbys mirror them, and the state that a new leader takes over
+//! from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +14,14 @@
 use crate::autoscaler::MachineOffer;
 use crate::model::{JobId, MachineId, NodeId, TaskId, WallTime};
 
-/// A time of day is computed anew from the steady clock each time and then differs by a little. One that moved by
-/// less than this is the same.
-const SAME_TIME_MS: u64 = 2_000;
-/// Bounds of what is believed of another controller's learned run times.
-const MOST_RATIO: f64 = 100.0;
-const MOST_WEIGHT: f64 = 1_000.0;
+/// Times of day are computed from the monotonic clock each time, and the results differ slightly. A
+/// time that moved by less than these milliseconds counts as unchanged.
+const TIME_TOLERANCE_MS: u64 = 2_000;
+/// Largest ratio of run times that is accepted from another controller.
+const MAX_RUN_TIME_RATIO: f64 = 100.0;
+/// Largest weight of a class's run times, in estimated seconds, that is accepted from another
+/// controller.
+const MAX_RUN_TIME_WEIGHT: f64 = 1_000.0;
 
 impl From<&MachineOffer> for MachineOfferRecord {
     fn from(offer: &MachineOffer) -> Self {
@@ -40,20 +43,22 @@
     }
 }
 
-/// The time of day of a moment, or the one that is known of it already.
-fn steady_time(known: Option<WallTime>, computed: u64) -> WallTime {
-    known.filter(|w| w.0.abs_diff(computed) < SAME_TIME_MS).unwrap_or(WallTime(computed))
+/// The recorded time of day if the computed one differs from it only slightly, else the computed
+/// one.
+fn stable_time(known: Option<WallTime>, computed: u64) -> WallTime {
+    known.filter(|w| w.0.abs_diff(computed) < TIME_TOLERANCE_MS).unwrap_or(WallTime(computed))
 }
 
-/// Counts a decision as confirmed or dropped, and says which.
-fn count(counts: &mut VerificationCounts, confirmed: bool) -> bool {
+/// Counts a decision as confirmed or as dropped, and returns whether it is confirmed.
+fn count_verified(counts: &mut VerificationCounts, confirmed: bool) -> bool {
     let total = if confirmed { &mut counts.confirmed } else { &mut counts.dropped };
     *total += 1;
     confirmed
 }
 
 impl Leader {
-    /// What the decisions of this leader add up to. `known` is what was recorded before.
+    /// The state that this leader's decisions amount to. `known` is the state that was recorded
+    /// last.
     pub fn decision_target(
         &self,
         cluster: &ClusterView<'_>,
@@ -73,33 +78,33 @@
         }
     }
 
-    /// The jobs' shares.
+    /// Admitted tasks of each job.
     fn admissions(&self) -> BTreeMap<JobNumber, Admission> {
         let shares = self.jobs.shares.iter();
         shares.map(|(job, share)| ((*job).into(), Admission { share: *share })).collect()
     }
 
-    /// The controllers that granted tasks are on.
+    /// The controller that each granted task is granted to.
     fn granted_controllers(&self) -> BTreeMap<TaskNumber, NodeId> {
         let granted = self.task_grants.granted.iter();
         granted.map(|(task, grant)| ((*task).into(), grant.node)).collect()
     }
 
-    /// Machines that were asked for and have not come up.
+    /// Machines that were requested and are not up yet.
     fn provisioning_machines(&self) -> BTreeMap<MachineId, MachineOfferRecord> {
         let machines = self.fleet.machines.iter();
         let provisioning = machines.filter(|(_, machine)| !machine.up && !machine.failed);
         provisioning.map(|(id, machine)| (id.clone(), (&machine.offer).into())).collect()
     }
 
-    /// Machines that are given back to the cloud.
+    /// Machines that are being drained for their return to the cloud.
     fn draining_machines(&self) -> BTreeSet<MachineId> {
         let machines = self.fleet.machines.iter();
         let draining = machines.filter(|(_, machine)| machine.draining.is_some());
         draining.map(|(id, _)| id.clone()).collect()
     }
 
-    /// What classes of jobs took, beside the estimates.
+    /// Run times of each class of jobs, relative to the estimates.
     fn run_time_ratios(&self) -> BTreeMap<String, RunTimeRatio> {
         let classes = self.remembered.class_run_times.iter();
         let ratios = classes.map(|(class, times)| {
@@ -109,7 +114,7 @@
         ratios.collect()
     }
 
-    /// How fast machines are.
+    /// Measured speeds of machines.
     fn measured_speeds(&self) -> BTreeMap<MachineId, MachineSpeed> {
         let speeds = self.remembered.machine_speeds.iter();
         let measured = speeds.map(|(id, speed)| {
@@ -119,7 +124,7 @@
         measured.collect()
     }
 
-    /// Until when offers are not asked for, by the time of day.
+    /// Offers that the cloud refused, and the time of day until which they are not requested.
     fn refusal_times(
         &self,
         cluster: &ClusterView<'_>,
@@ -129,13 +134,13 @@
         let times = refusals.map(|(offer, until)| {
             let offer = MachineOfferRecord::from(offer);
             let computed = cluster.wall.0 + until.since(cluster.now);
-            let until = steady_time(known.refusals.entries().get(&offer).copied(), computed);
+            let until = stable_time(known.refusals.entries().get(&offer).copied(), computed);
             (offer, until)
         });
         times.collect()
     }
 
-    /// Since when jobs have had no task anywhere, by the time of day.
+    /// Jobs without a task on a machine or on its way there, and since which time of day.
     fn waiting_times(
         &self,
         cluster: &ClusterView<'_>,
@@ -145,13 +150,13 @@
         let times = idle_since.map(|(job, since)| {
             let computed = cluster.wall.0.saturating_sub(cluster.now.since(*since));
             let known = known.waiting.entries().get(&(*job).into()).copied();
-            ((*job).into(), steady_time(known, computed))
+            ((*job).into(), stable_time(known, computed))
         });
         times.collect()
     }
 
-    /// Applies what another leader's decisions are good for once the replica has been asked about them. None of it is
-    /// needed, and nothing of it says where a task is.
+    /// Applies the decisions of the last leader as far as the replica confirms them or says nothing
+    /// about them. They are hints: none is needed, and none says where a task is.
     pub fn apply_hints(
         &mut self,
         cluster: &ClusterView<'_>,
@@ -165,7 +170,8 @@
         counts
     }
 
-    /// Counts the decisions of which only the record holds, and nothing is applied.
+    /// Counts the decisions that are only compared with the state service's records and not
+    /// applied.
     fn verify_decisions(
         &self,
         cluster: &ClusterView<'_>,
@@ -174,17 +180,17 @@
     ) {
         let recorded = &self.task_grants.recorded;
         for task in state.grants.entries().keys().map(|t: &TaskNumber| TaskId::from(*t)) {
-            count(counts, recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
+            count_verified(counts, recorded.get(&task.job).is_some_and(|r| r.contains(task.index)));
         }
         for job in state.admissions.entries().keys().chain(state.gangs.entries().keys()) {
-            count(counts, cluster.replica.jobs.contains_key(&(*job).into()));
+            count_verified(counts, cluster.replica.jobs.contains_key(&(*job).into()));
         }
         for id in state.returning.entries().keys().chain(state.reserved.entries().keys()) {
-            count(counts, cluster.replica.is_machine_up(id));
+            count_verified(counts, cluster.replica.is_machine_up(id));
         }
     }
 
-    /// Takes over since when open jobs have had no task anywhere.
+    /// Takes over since when open jobs have had no task on a machine or on its way there.
     fn apply_waiting_times(
         &mut self,
         cluster: &ClusterView<'_>,
@@ -193,14 +199,14 @@
     ) {
         for (job, since) in state.waiting.entries() {
             let job = JobId::from(*job);
-            if count(counts, cluster.replica.jobs.contains_key(&job)) {
+            if count_verified(counts, cluster.replica.jobs.contains_key(&job)) {
                 let waited_ms = cluster.wall.0.saturating_sub(since.0);
                 self.jobs.idle_since.insert(job, cluster.now.less(waited_ms));
             }
         }
     }
 
-    /// Takes over how fast machines that are up are.
+    /// Takes over the speeds of machines that are up.
     fn apply_speeds(
         &mut self,
         cluster: &ClusterView<'_>,
@@ -208,33 +214,33 @@
         counts: &mut VerificationCounts,
     ) {
         for (id, speed) in state.speeds.entries() {
-            let sound = (0.0..=MOST_RATIO).contains(&speed.ratio);
-            if count(counts, cluster.replica.is_machine_up(id) && sound) {
+            let in_bounds = (0.0..=MAX_RUN_TIME_RATIO).contains(&speed.ratio);
+            if count_verified(counts, cluster.replica.is_machine_up(id) && in_bounds) {
                 let speed = Speed { ratio: speed.ratio, tasks: speed.tasks };
                 self.remembered.machine_speeds.insert(id.clone(), speed);
             }
         }
     }
 
-    /// Applies hints about what the store has no record of, and says how many.
+    /// Takes over hints that the state service has no record of, and returns how many.
     fn apply_unrecorded(&mut self, cluster: &ClusterView<'_>, state: &DecisionState) -> u64 {
         let mut hints = 0;
         for (class, ratio) in state.run_times.entries() {
-            let sound = (0.0..=MOST_WEIGHT).contains(&ratio.weight)
-                && (0.0..=MOST_RATIO * MOST_WEIGHT).contains(&ratio.sum);
-            if sound {
+            let in_bounds = (0.0..=MAX_RUN_TIME_WEIGHT).contains(&ratio.weight)
+                && (0.0..=MAX_RUN_TIME_RATIO * MAX_RUN_TIME_WEIGHT).contains(&ratio.sum);
+            if in_bounds {
                 let times = ClassRunTimes { actual_s: ratio.sum, estimated_s: ratio.weight };
                 self.remembered.class_run_times.insert(class.clone(), times);
                 hints += 1;
             }
         }
         for (offer, until) in state.refusals.entries() {
-            let left_ms = until.0.saturating_sub(cluster.wall.0);
-            if left_ms > 0 {
+            let remaining_ms = until.0.saturating_sub(cluster.wall.0);
+            if remaining_ms > 0 {
                 self.remembered.market.merge_refusal(
                     &MachineOffer::from(offer),
                     cluster.now,
-                    left_ms,
+                    remaining_ms,
                 );
                 hints += 1;
             }
@@ -253,7 +259,7 @@
         hints
     }
 
-    /// Where gangs under way are.
+    /// Gangs that are granted or being stopped.
     fn gang_steps(&self) -> BTreeMap<JobNumber, GangStep> {
         let granted = self
             .gangs
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the leader's decisions, by concern, and the fixtures that they share.
+//! Table-driven tests of the leader's decisions, grouped by concern, and their common fixtures.
 
 mod evidence;
 mod gangs;
@@ -22,18 +22,20 @@
 use crate::wire::tests::spec;
 use crate::wire::{self, KeyValue, TaskState};
 
+/// The incarnation of the tested controller.
 const INCARNATION: Incarnation = Incarnation(5);
 
+/// Clock readings `ms` milliseconds after the controller started.
 fn at(ms: u64) -> ClockReading {
     ClockReading { steady: MonotonicTime(ms), wall: WallTime(1_000_000 + ms) }
 }
 
-/// A leader of term 3 with a job of one task that term 2 granted, and two machines.
+/// A leader of term 3 with two machines and a job of one task that term 2 granted.
 fn leader() -> Controller {
     leader_with(EXAMPLE)
 }
 
-/// The same with these settings.
+/// The same leader with other settings.
 fn leader_with(settings: &str) -> Controller {
     let settings = Settings::parse(settings).unwrap();
     let mut controller = Controller::new(Rc::new(settings), INCARNATION);
@@ -62,6 +64,7 @@
     controller
 }
 
+/// A machine as its owner reports it, running these tasks of job 1.
 fn view(id: &str, reconciled: bool, tasks: &[u32]) -> MachineView {
     MachineView {
         id: MachineId::new(id),
@@ -84,6 +87,8 @@
     }
 }
 
+/// A summary of controller 1 that covers machine `n-1` without tasks. `base_seq` is 0 for a full
+/// one.
 fn summary(seq: u64, base_seq: u64, incarnation: Incarnation) -> Summary {
     Summary {
         node: NodeId(1),
@@ -108,7 +113,8 @@
     }
 }
 
-/// Sends the leader a full summary of its only controller and runs an epoch; returns whether it granted anything.
+/// Sends the leader a full summary of controller 0 and publishes an epoch. Returns whether the
+/// epoch grants anything.
 fn run_epoch(
     controller: &mut Controller,
     ms: u64,
@@ -139,7 +145,7 @@
     };
     controller.receive_summary(MonotonicTime(ms), summary);
     let (epoch, term) = controller.epoch(at(ms)).unwrap();
-    let grants = !epoch.is_empty();
+    let grants_anything = !epoch.is_empty();
     controller.publish(at(ms), epoch, term);
-    grants
+    grants_anything
 }
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -149,7 +149,7 @@
         if queue.open.is_empty() {
             queue.unknown.clear();
             if let Some(leader) = &mut self.controller.borrow_mut().leader {
-                leader.decide_anew();
+                leader.discard_scale_out();
             }
         }
     }
