--- a/src/api.rs
+++ b/src/api.rs
@@ -96,10 +96,10 @@
             ("/v1/report" | "/ready", _) => return Response::empty(405),
             _ => {}
         }
-        if self.serving.get() >= MAX_USER_REQUESTS {
+        if self.user_requests_in_flight.get() >= MAX_USER_REQUESTS {
             return Response::later(1);
         }
-        let _served = Served::one(&self.serving);
+        let _served = Served::one(&self.user_requests_in_flight);
         self.answer_user(path, &request).await
     }
 
@@ -152,7 +152,7 @@
 
     /// Another controller that reaches the store.
     async fn reaching_peer(&self) -> Option<NodeId> {
-        for node in self.others() {
+        for node in self.other_nodes() {
             if let Ok(PeerResponse::Reach(true)) =
                 self.call_peer(node, &PeerRequest::Reach, REACH_LIMIT).await
             {
@@ -166,7 +166,7 @@
     /// none, the answer is 503.
     async fn forward(&self, request: PeerRequest) -> Response {
         let deadline = Instant::now() + FORWARDING_LIMIT;
-        for node in self.others() {
+        for node in self.other_nodes() {
             let answer =
                 timeout_at(deadline, self.call_peer(node, &request, PEER_FORWARDING_LIMIT)).await;
             if let Ok(Ok(PeerResponse::Answer(status, body))) = answer
@@ -213,7 +213,7 @@
             if let Some(refusal) = self.refuse_infeasible(&spec).await {
                 return refusal;
             }
-            match self.accept(spec.clone()).await {
+            match self.accept_submission(spec.clone()).await {
                 // While the store's answer was on its way, others may have read the job, answered for it and
                 // cancelled it.
                 SubmissionOutcome::New => {
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,11 +1,13 @@
-//! One controller: its state, and the loops that keep what is close to what is wanted.
+//! One controller process: its state and its loops, which are asynchronous tasks.
 //!
-//! [`Service::run`] starts all loops and lists what each does; each lives in a module named for its job, with the queue
-//! or the wake-up that it serves. Everything runs on one thread, and the loops share [`Controller`] through a `RefCell`.
+//! [`Service::run`] starts all loops. Each loop is in the module named after its subject, together
+//! with its queue or its wake-up. Everything runs on one thread, and the loops share [`Controller`]
+//! in a `RefCell`.
 //!
-//! Invariant: no `RefCell` borrow is held across an `await`. A loop borrows the controller, takes what it needs out, and
-//! drops the borrow before it waits; after the wait the state may have changed, so it looks again. What a loop decides
-//! takes effect only once the store has confirmed it; see `docs/safety.md`.
+//! Invariant: no `RefCell` borrow is held across an `await`. A loop borrows the controller, takes
+//! what it needs and ends the borrow before it awaits. The state may have changed by the end of the
+//! await, so the loop reads it again. A decision takes effect only once the store has confirmed it;
+//! see `docs/safety.md`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -52,34 +54,37 @@
 mod submissions;
 mod summaries;
 
-/// Where a controller shows operators the state of its warm standby, on its address for the other controllers.
+/// Path of the warm standby's status, on a controller's address for other controllers.
 pub const STATUS_PATH: &str = "/standby";
 
-/// Time between two messages through the store to one controller: they share the store's budget with all other writes.
+/// Minimum time between two messages to one controller through the store. The messages share the
+/// store's request budget with all other writes.
 const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
-/// Most bytes of a message between controllers.
+/// Maximum size in bytes of a request body from another controller.
 const MAX_PEER_MESSAGE_BYTES: usize = 1 << 20;
-/// Most bytes that a summary fills of such a message, with room for what its estimate leaves out.
+/// Byte budget of a summary in such a request. The remaining quarter covers what the size estimate
+/// leaves out.
 const MAX_SUMMARY_BYTES: usize = MAX_PEER_MESSAGE_BYTES * 3 / 4;
-/// Bytes of a message's chunk for each kilobyte that a value in the store may have; the rest is for the value's own
-/// encoding.
+/// Size in bytes of a message chunk for each kilobyte that the store allows for a value. The
+/// remainder covers the encoding of the value.
 const CHUNK_BYTES_PER_VALUE_KB: f64 = 900.0;
-/// Sockets reserved for the store, the cloud, the other controllers and the process itself.
+/// Number of sockets reserved for the store, the cloud, other controllers and the process itself.
 const RESERVED_SOCKETS: usize = 80;
-/// Fewest connections that the public address takes, however few sockets there are.
+/// Minimum number of connections of the public server, whatever the limit on sockets.
 const MIN_PUBLIC_CONNECTIONS: usize = 32;
-/// Connections that the address for the other controllers takes.
-const PEER_CONNECTIONS: usize = 24;
+/// Maximum number of connections of the server for other controllers.
+const MAX_PEER_CONNECTIONS: usize = 24;
 
-/// Bytes of a message through the store that go into one value.
+/// Returns the maximum size in bytes of a message chunk, which is stored as one value of the store.
 fn message_chunk_bytes(limits: &StoreLimits) -> usize {
     (limits.value_kb * CHUNK_BYTES_PER_VALUE_KB) as usize
 }
 
-/// Bounds of the public address, within so many sockets: all workers of a fleet must fit in, whatever users do.
-fn public_limits(sockets: usize) -> ServerLimits {
-    let reserved = RESERVED_SOCKETS + max_direct_commands(sockets);
-    let connections = sockets.saturating_sub(reserved).max(MIN_PUBLIC_CONNECTIONS);
+/// Returns the limits of the public server for a process limited to `sockets` sockets. Users get
+/// only a share of the connections, so that all workers of a fleet can connect whatever users do.
+fn public_server_limits(sockets: usize) -> ServerLimits {
+    let reserved_sockets = RESERVED_SOCKETS + max_direct_commands(sockets);
+    let connections = sockets.saturating_sub(reserved_sockets).max(MIN_PUBLIC_CONNECTIONS);
     let kind = |path: &str| match path.starts_with("/api/") {
         true => ClientKind::User,
         false => ClientKind::Worker,
@@ -92,56 +97,57 @@
     }
 }
 
-/// Wake-ups of loops that otherwise look at their work from time to time.
+/// Wake-ups of loops that otherwise run periodically.
 #[derive(Default)]
 struct WakeUps {
-    /// For [`Service::run_epochs`]: jobs, progress or a summary changed what the leader decides on.
+    /// Wakes [`Service::run_epochs`]: the leader's inputs (jobs, progress or a summary) changed.
     epoch: Notify,
-    /// For [`Service::send_summaries`]: the shard or the leader changed.
+    /// Wakes [`Service::send_summaries`]: the shard or the leader changed.
     summary: Notify,
-    /// For [`Service::run_elections`]: the leader's key or this controller's lease changed.
+    /// Wakes [`Service::run_elections`]: the leader's key or this controller's lease changed.
     election: Notify,
-    /// For [`Service::write_completions`]: tasks completed.
+    /// Wakes [`Service::write_completions`]: tasks completed.
     completions: Notify,
 }
 
-/// One controller.
+/// One controller process.
 pub struct Service {
-    /// Settings.
+    /// Settings of the site.
     pub settings: Rc<Settings>,
-    /// This controller's index among all controllers.
-    pub me: NodeId,
-    /// How many controllers the site has.
-    nodes: usize,
-    /// When the process started; [`Service::now`] counts from here.
-    started: Instant,
-    /// What this controller knows and decides.
+    /// Index of this controller among all controllers of the site.
+    pub node_id: NodeId,
+    /// Number of controllers of the site.
+    controller_count: usize,
+    /// Start of the process, from which [`Service::now`] counts.
+    started_at: Instant,
+    /// State and decisions of this controller, which need no connections.
     pub controller: RefCell<Controller>,
-    /// The state service.
+    /// Client of the state service, called the store.
     pub store: StoreClient,
     cloud: CloudClient,
-    /// The other controllers, and how they are reached.
+    /// Clients for requests to other controllers.
     peers: Peers,
     wake_ups: WakeUps,
-    /// Callers that wait until the replica is confirmed to be current.
+    /// Callers waiting for a confirmation that the replica is current.
     confirmations: ConfirmationQueue,
-    /// Submissions that wait for the next group commit.
+    /// Submissions waiting for the next group commit.
     submissions: SubmissionQueue,
-    /// As the leader, when each controller's last summary came through the store, and the answer to it.
-    responses_through_store: RefCell<HashMap<NodeId, (MonotonicTime, PeerResponse)>>,
-    /// User requests being served.
-    pub(crate) serving: Cell<usize>,
-    /// Direct commands that machines have not answered yet.
+    /// On the leader, the response to the last summary that each controller sent through the store,
+    /// and the time at which the summary was received.
+    store_summary_responses: RefCell<HashMap<NodeId, (MonotonicTime, PeerResponse)>>,
+    /// Number of user requests in progress.
+    pub(crate) user_requests_in_flight: Cell<usize>,
+    /// Number of direct commands that machines have not answered yet.
     direct_commands_in_flight: Cell<usize>,
     metrics: LatencyMetrics,
-    /// Microseconds that the last epoch took.
-    epoch_us: Cell<u64>,
+    /// Computation time of the last epoch, in microseconds.
+    last_epoch_us: Cell<u64>,
 }
 
 impl Service {
-    /// A controller with these settings and what is enabled besides.
+    /// Creates a controller from the settings and the enabled features.
     pub fn new(settings: Settings, feature_flags: FeatureFlags) -> Self {
-        // Kept below 2^53 so that every reader of numbers takes it.
+        // Below 2^53, so that decoders that read numbers as doubles keep the exact value.
         let incarnation = Incarnation(rand::rng().random_range(1..(1 << 53)));
         let settings = Rc::new(settings);
         let mut controller = Controller::new(settings.clone(), incarnation);
@@ -149,8 +155,8 @@
             controller.enable_standby(standby);
         }
         Service {
-            me: controller.me,
-            nodes: controller.nodes.len(),
+            node_id: controller.me,
+            controller_count: controller.nodes.len(),
             peers: Peers::new(&controller.nodes),
             store: StoreClient::new(
                 settings.external.store,
@@ -160,90 +166,95 @@
             cloud: CloudClient::new(settings.external.cloud, settings.params.cloud.rps),
             controller: RefCell::new(controller),
             settings,
-            started: Instant::now(),
+            started_at: Instant::now(),
             wake_ups: WakeUps::default(),
             confirmations: ConfirmationQueue::default(),
             submissions: SubmissionQueue::default(),
-            responses_through_store: RefCell::default(),
-            serving: Cell::new(0),
+            store_summary_responses: RefCell::default(),
+            user_requests_in_flight: Cell::new(0),
             direct_commands_in_flight: Cell::new(0),
             metrics: LatencyMetrics::default(),
-            epoch_us: Cell::new(0),
+            last_epoch_us: Cell::new(0),
         }
     }
 
-    /// Now, by this process's steady clock.
+    /// Current time of this process's monotonic clock.
     pub fn now(&self) -> MonotonicTime {
-        MonotonicTime(self.started.elapsed().as_millis() as u64)
+        MonotonicTime(self.started_at.elapsed().as_millis() as u64)
     }
 
-    /// Now, by the time of day.
-    pub fn wall(&self) -> WallTime {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        WallTime(since.as_millis() as u64)
+    /// Current time of day.
+    pub fn wall_time(&self) -> WallTime {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        WallTime(since_epoch.as_millis() as u64)
     }
 
-    /// Now, by both clocks.
-    pub fn moment(&self) -> ClockReading {
-        ClockReading { steady: self.now(), wall: self.wall() }
+    /// Current time of both clocks.
+    pub fn clock_reading(&self) -> ClockReading {
+        ClockReading { steady: self.now(), wall: self.wall_time() }
     }
 
-    /// Serves until the process is killed.
+    /// Runs the controller until the process is killed.
+    ///
+    /// # Errors
+    /// Fails if one of the two addresses cannot be bound.
     pub async fn run(self: Rc<Self>) -> std::io::Result<()> {
-        let api = TcpListener::bind(self.settings.api_addr).await?;
-        let back = TcpListener::bind(self.settings.peer_addr).await?;
+        let public_listener = TcpListener::bind(self.settings.api_addr).await?;
+        let peer_listener = TcpListener::bind(self.settings.peer_addr).await?;
         let incarnation = self.controller.borrow().incarnation;
         let version = env!("CARGO_PKG_VERSION");
         info!(node = %self.settings.node_name, %incarnation, version, "serving");
-        self.clone().spawn_servers(api, back);
+        self.clone().spawn_servers(public_listener, peer_listener);
         self.clone().spawn_loops();
         self.follow_store().await;
         Ok(())
     }
 
-    /// Serves the public address and the one for the other controllers.
-    fn spawn_servers(self: Rc<Self>, api: TcpListener, back: TcpListener) {
-        let limits = public_limits(self.settings.params.limits.sockets);
+    /// Starts the public server and the server for other controllers.
+    fn spawn_servers(self: Rc<Self>, public_listener: TcpListener, peer_listener: TcpListener) {
+        let limits = public_server_limits(self.settings.params.limits.sockets);
         let service = self.clone();
-        spawn_local(http::serve(api, limits, move |request| {
+        spawn_local(http::serve(public_listener, limits, move |request| {
             let service = service.clone();
             async move { service.answer(request).await }
         }));
         let limits =
-            ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(PEER_CONNECTIONS) };
-        spawn_local(http::serve(back, limits, move |request| {
+            ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(MAX_PEER_CONNECTIONS) };
+        spawn_local(http::serve(peer_listener, limits, move |request| {
             let service = self.clone();
             async move { service.handle_peer_request(&request.path, &request.body).await }
         }));
     }
 
-    /// Starts the loops. [`Service::follow_store`], which keeps the replica current, runs besides them.
+    /// Starts all loops except [`Service::follow_store`], which keeps the replica current.
     fn spawn_loops(self: Rc<Self>) {
-        // Renews the lease in the store and registers this process as a member.
-        spawn_local(self.clone().keep_lease());
-        // Runs for leader when nobody leads.
+        // Renews the store lease and registers this process as a member.
+        spawn_local(self.clone().maintain_lease());
+        // Stands for election while there is no leader.
         spawn_local(self.clone().run_elections());
-        // Sends the shard's summaries to the leader and applies its plans.
+        // Sends summaries of the shard to the leader and applies the leader's plans.
         spawn_local(self.clone().send_summaries());
-        // As the leader, works out epochs, writes and publishes them.
+        // On the leader, computes, commits and publishes epochs.
         spawn_local(self.clone().run_epochs());
-        // As the leader, scales the fleet out and in.
+        // On the leader, scales the fleet out and in.
         spawn_local(self.clone().run_scaling());
-        // Writes completed tasks to the store.
+        // Commits completed tasks to the store.
         spawn_local(self.clone().write_completions());
-        // Writes submissions to the store in group commits.
+        // Commits submissions to the store in groups.
         spawn_local(self.clone().write_submissions());
-        // Confirms that the replica is current to those that wait for it.
+        // Confirms to waiting callers that the replica is current.
         spawn_local(self.clone().serve_confirmations());
-        // Logs counts and times of what is done.
+        // Logs operation counts and latencies.
         spawn_local(self.clone().log_measurements());
-        // While the store does not serve this controller, receives new terms from peers.
+        // Requests the leader and its term from peers while the store does not serve this
+        // controller.
         spawn_local(self.clone().learn_term_from_peers());
-        // Sends machines what cannot wait for their next heartbeat.
+        // Sends machines the commands that cannot wait for the next heartbeat.
         spawn_local(self.clone().send_direct_commands());
         if self.controller.borrow().standby.is_some() {
-            info!("the warm standby is enabled");
-            // Watches the leader, and replaces it when a majority receives nothing from it.
+            info!("warm standby enabled");
+            // Monitors the leader, and replaces it once a majority of the controllers receives
+            // nothing from it.
             spawn_local(self.watch_leader());
         }
     }
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -1,4 +1,4 @@
-//! Durable cancellations, and the notices of them to other controllers.
+//! Durable cancellations, and notices of them to other controllers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,24 +11,28 @@
 use crate::replica;
 use crate::store_client::{StoreError, TxnOutcome};
 
-/// Time without the store's answer after which the same transaction is sent a second time: a user waits for it.
-const HEDGE_AFTER: Duration = Duration::from_millis(150);
-/// How long another controller has to answer a cancellation notice, which is not sent again.
-const NOTICE_LIMIT: Duration = Duration::from_millis(500);
+/// Time without a response from the store after which the same transaction is sent again. A user is
+/// waiting for its outcome.
+const HEDGE_DELAY: Duration = Duration::from_millis(150);
+/// Time limit for another controller's response to a cancellation notice. Notices are not repeated.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What became of a cancellation that the store answered.
+/// Outcome of a cancellation that the store responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CancellationOutcome {
-    /// The job is cancelled, durably.
+    /// The cancellation is durable.
     Cancelled,
-    /// The replica shows no such open job any more: it has ended meanwhile.
+    /// The replica has no such open job: it has ended in the meantime.
     NotOpen,
-    /// The job's progress changed meanwhile, and the caller has to look again.
+    /// The job's progress record changed in the meantime. The caller has to try again.
     Conflict,
 }
 
 impl Service {
-    /// Cancels a job durably. Errors are the store's; the cancellation may have been committed then.
+    /// Cancels a job durably.
+    ///
+    /// # Errors
+    /// Returns the store's error. The cancellation may have been committed nevertheless.
     pub(crate) async fn write_cancellation(
         self: &Rc<Self>,
         id: JobId,
@@ -36,7 +40,7 @@
         let Some((txn, progress)) = self.controller.borrow().cancel_txn(id) else {
             return Ok(CancellationOutcome::NotOpen);
         };
-        match self.store.commit_hedged(&txn, HEDGE_AFTER).await? {
+        match self.store.commit_hedged(&txn, HEDGE_DELAY).await? {
             TxnOutcome::Committed(version) => {
                 self.apply_committed(&txn, version);
                 self.send_cancellation_notices(id, progress, version);
@@ -46,8 +50,9 @@
         }
     }
 
-    /// Notifies the other controllers of a cancellation, as the store may refuse one of them alone: it would start tasks
-    /// of the job until its right to start expires. The user's answer does not wait for this.
+    /// Notifies the other controllers of a cancellation. The store may refuse service to one of
+    /// them, which would otherwise start tasks of the job until its right to start tasks expires.
+    /// The response to the user does not wait for the notices.
     fn send_cancellation_notices(
         self: &Rc<Self>,
         id: JobId,
@@ -56,11 +61,11 @@
     ) {
         let request = Rc::new(PeerRequest::Ended(id, progress, version));
         for node in self
-            .others()
+            .other_nodes()
             .filter(|node| self.controller.borrow().replica.supports_cancellation_notices(*node))
         {
             let (service, request) = (self.clone(), request.clone());
-            spawn_local(async move { service.call_peer(node, &request, NOTICE_LIMIT).await });
+            spawn_local(async move { service.call_peer(node, &request, NOTICE_TIMEOUT).await });
         }
     }
 }
--- a/src/service/completions.rs
+++ b/src/service/completions.rs
@@ -1,4 +1,4 @@
-//! The loop that writes completed tasks to the store, many jobs at a time.
+//! Writes completed tasks to the store, many jobs per transaction.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,31 +10,33 @@
 use crate::store_client::TxnOutcome;
 use crate::wire::Txn;
 
-/// Longest wait between two looks at what is to be written; completions bring them forward.
-const MAX_WAIT: Duration = Duration::from_millis(500);
-/// Pause before each write, so that completions that come together share a transaction.
+/// Maximum time between two checks for completions to write. A completion triggers a check earlier.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Pause before each write, so that several completions share a transaction.
 const BATCH_PAUSE: Duration = Duration::from_millis(150);
-/// Attempts of one transaction, each without the jobs that somebody else wrote before it.
-const COMMIT_ATTEMPTS: usize = 3;
+/// Maximum number of attempts for one transaction. Each attempt leaves out the jobs whose records
+/// another writer changed.
+const MAX_COMMIT_ATTEMPTS: usize = 3;
 
 impl Service {
-    /// Writes completed tasks as they become due.
+    /// Writes completed tasks to the store when a write is due.
     pub(super) async fn write_completions(self: Rc<Self>) {
         loop {
-            let _ = timeout(MAX_WAIT, self.wake_ups.completions.notified()).await;
+            let _ = timeout(CHECK_PERIOD, self.wake_ups.completions.notified()).await;
             sleep(BATCH_PAUSE).await;
             let now = self.now();
             self.store.set_leading(self.controller.borrow().leader.is_some());
-            let next = self.controller.borrow_mut().completions_txn(now);
-            if let Some(txn) = next {
+            let due_txn = self.controller.borrow_mut().completions_txn(now);
+            if let Some(txn) = due_txn {
                 self.commit_completions(txn).await;
             }
         }
     }
 
-    /// Commits completions. Jobs that somebody else wrote meanwhile come next time, the others go now.
+    /// Commits completions. A job whose record another writer changed in the meantime is left out
+    /// and is written by a later transaction.
     async fn commit_completions(&self, mut txn: Txn) {
-        for _ in 0..COMMIT_ATTEMPTS {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
             match self.store.commit(&txn).await {
                 Ok(TxnOutcome::Committed(version)) => {
                     self.apply_committed(&txn, version);
@@ -42,7 +44,7 @@
                 }
                 Ok(TxnOutcome::ConditionsFailed(failed)) => txn.leave_out(&failed),
                 Err(e) => {
-                    debug!(error = %e, "completions not written");
+                    debug!(error = %e, "commit of completed tasks failed");
                     self.lower_limits_if_malformed(&e);
                     let _ = self.sync_replica(Duration::ZERO).await;
                     return;
--- a/src/service/confirmations.rs
+++ b/src/service/confirmations.rs
@@ -1,4 +1,4 @@
-//! Confirmations on request that the replica is current, shared by callers that come together.
+//! Confirmations that the replica is current. Concurrent callers share one request to the store.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,26 +10,26 @@
 
 use super::Service;
 
-/// How long a caller waits for a confirmation: a user's request is answered within a second.
-const CONFIRMATION_LIMIT: Duration = Duration::from_millis(900);
-/// Pause between two confirmations, so that callers that come meanwhile share the next one.
+/// Time limit for a confirmation. Users' requests are answered within 1 s.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause after a confirmation, so that callers arriving in the meantime share the next one.
 const BATCH_PAUSE: Duration = Duration::from_millis(20);
 
-/// Why the replica could not be confirmed to be current.
+/// Reason why the replica was not confirmed to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfirmError {
-    /// The store has not been read yet.
-    #[error("the store has not been read yet")]
+    /// The store has not been read in full yet.
+    #[error("the store has not been read in full yet")]
     NotLoaded,
-    /// The store did not answer the request for changes, or refused it.
-    #[error("the store does not confirm that the replica is current")]
+    /// The store did not answer the request for changes, or rejected it.
+    #[error("the store did not confirm that the replica is current")]
     Refused,
-    /// The confirmation did not come in time.
-    #[error("the store has not confirmed in time that the replica is current")]
+    /// The confirmation did not arrive within the time limit.
+    #[error("the store did not confirm within the time limit that the replica is current")]
     TimedOut,
 }
 
-/// Callers that wait for the next confirmation.
+/// Callers waiting for the next confirmation, each with the channel for its result.
 #[derive(Default)]
 pub(super) struct ConfirmationQueue {
     waiting: RefCell<Vec<oneshot::Sender<bool>>>,
@@ -44,7 +44,7 @@
         receiver
     }
 
-    /// Brings the replica up to date soon, for a caller that does not wait for it.
+    /// Triggers an update of the replica without waiting for it.
     pub(super) fn request_without_waiting(&self) {
         drop(self.push());
     }
@@ -55,19 +55,23 @@
 }
 
 impl Service {
-    /// Waits until the replica is known to be as current as this moment.
+    /// Waits for a proof that the replica was current at a time after the call.
+    ///
+    /// # Errors
+    /// [`ConfirmError`] if the store does not give this proof within the time limit.
     pub async fn confirm_replica(&self) -> Result<(), ConfirmError> {
         if !self.controller.borrow().loaded {
             return Err(ConfirmError::NotLoaded);
         }
-        match timeout(CONFIRMATION_LIMIT, self.confirmations.push()).await {
+        match timeout(CONFIRMATION_TIMEOUT, self.confirmations.push()).await {
             Ok(Ok(true)) => Ok(()),
             Ok(_) => Err(ConfirmError::Refused),
             Err(_) => Err(ConfirmError::TimedOut),
         }
     }
 
-    /// Serves those that wait for confirmations, all with one request.
+    /// Confirms to waiting callers that the replica is current; one request serves all callers that
+    /// wait.
     pub(super) async fn serve_confirmations(self: Rc<Self>) {
         loop {
             self.confirmations.wake.notified().await;
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -1,4 +1,4 @@
-//! The leader's loop: an epoch is worked out, written, and only then published.
+//! The leader's loop: computes an epoch, commits it to the store and only afterwards publishes it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,24 +12,27 @@
 use crate::store_client::{StoreError, TxnOutcome};
 use crate::wire::Txn;
 
-/// Longest wait between two epochs; submissions, progress and summaries bring them forward.
+/// Maximum wait before an epoch. Submissions, progress and summaries trigger one earlier.
 const MAX_EPOCH_WAIT: Duration = Duration::from_millis(1_000);
-/// Shortest pause between two epochs, so that changes that come together share one.
+/// Minimum pause between two epochs, so that several changes share one epoch.
 const MIN_EPOCH_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause after an epoch that cost much.
+/// Maximum pause after an epoch, reached when the computation is expensive.
 const MAX_EPOCH_PAUSE: Duration = Duration::from_millis(250);
-/// Pause after an epoch, in multiples of the time that working it out took, so that the leader always has time for its
-/// workers and users. Bounded by [`MIN_EPOCH_PAUSE`] and [`MAX_EPOCH_PAUSE`].
-const PAUSE_PER_EPOCH_TIME: u64 = 80;
-/// Pause after a new term could not be taken: the outcome may be unknown, and the replica shows it soon.
-const TERM_RETRY: Duration = Duration::from_millis(500);
-/// Time between two lines of measurements in the log.
+/// Pause after an epoch as a multiple of its computation time, which leaves the leader time for
+/// workers and users. [`MIN_EPOCH_PAUSE`] and [`MAX_EPOCH_PAUSE`] bound the pause.
+const PAUSE_PER_COMPUTATION_TIME: u64 = 80;
+/// Pause after a failed attempt to acquire a new term. The outcome may be unknown, and the replica
+/// shows it soon.
+const TERM_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two log lines with measurements.
 const MEASUREMENT_PERIOD: Duration = Duration::from_secs(10);
-/// Status by which the store calls a write malformed, which it does as well when a write exceeds its limits.
-const MALFORMED_STATUS: u16 = 400;
+/// HTTP status with which the store rejects a malformed write, including a write that exceeds its
+/// limits.
+const MALFORMED_WRITE_STATUS: u16 = 400;
 
 impl Service {
-    /// As the leader, runs epochs, and sends plans through the store to those that are not reached otherwise.
+    /// On the leader, runs epochs, and sends plans through the store to controllers that are not
+    /// reached directly.
     pub(super) async fn run_epochs(self: Rc<Self>) {
         let mut sent_through_store = self.now();
         loop {
@@ -40,42 +43,44 @@
                 sent_through_store = now;
                 self.send_plans_through_store().await;
             }
-            let pause = Duration::from_micros(self.epoch_us.get() * PAUSE_PER_EPOCH_TIME);
+            let pause =
+                Duration::from_micros(self.last_epoch_us.get() * PAUSE_PER_COMPUTATION_TIME);
             sleep(pause.clamp(MIN_EPOCH_PAUSE, MAX_EPOCH_PAUSE)).await;
         }
     }
 
-    /// Logs from time to time what is done and how long it takes.
+    /// Logs operation counts and latencies periodically and, on the leader, a description of its
+    /// state.
     pub(super) async fn log_measurements(self: Rc<Self>) {
         loop {
             sleep(MEASUREMENT_PERIOD).await;
             let refused_starts = self.controller.borrow().shard.refused_starts();
             info!(work = %self.metrics.line(), refused_starts, "measured");
-            self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
+            self.controller.borrow_mut().with_leader(self.clock_reading(), |leader, cluster| {
                 info!(term = %leader.term, state = %leader.describe(cluster), "epoch");
             });
         }
     }
 
-    /// Works out one epoch, writes it, and publishes it once it is durable.
+    /// Computes one epoch, commits it, and publishes it once it is durable.
     async fn run_epoch(&self) {
-        let moment = self.moment();
+        let now = self.clock_reading();
         let (result, took_us) = {
             let mut controller = self.controller.borrow_mut();
-            self.metrics.timed(Operation::Epoch, || controller.epoch(moment))
+            self.metrics.timed(Operation::Epoch, || controller.epoch(now))
         };
-        self.epoch_us.set(took_us);
+        self.last_epoch_us.set(took_us);
         let Some((epoch, term)) = result else { return };
-        let renewal = {
+        let renewal_reason = {
             let controller = self.controller.borrow();
             controller.leader.as_ref().and_then(|leader| leader.renew_term)
         };
-        if let Some(reason) = renewal {
-            // As a string, which the log quotes.
+        if let Some(reason) = renewal_reason {
+            // A string value is quoted in the log.
             info!(%term, reason = reason.as_str(), "taking a new term");
             if let Err(e) = self.acquire_leadership().await {
-                debug!(error = %e, "new term undecided");
-                sleep(TERM_RETRY).await;
+                debug!(error = %e, "taking a new term failed or its outcome is unknown");
+                sleep(TERM_RETRY_PAUSE).await;
             }
             return;
         }
@@ -85,16 +90,17 @@
             return;
         }
         let granted = !epoch.is_empty();
-        let moment = self.moment();
+        let now = self.clock_reading();
         let mut controller = self.controller.borrow_mut();
-        self.metrics.time(Operation::Publish, || controller.publish(moment, epoch, term));
+        self.metrics.time(Operation::Publish, || controller.publish(now, epoch, term));
         drop(controller);
         if granted {
             self.wake_ups.summary.notify_one();
         }
     }
 
-    /// Writes an epoch to the store; false if it did not become durable, as far as is known.
+    /// Commits an epoch to the store. Returns `false` if the commit failed or its outcome is
+    /// unknown.
     async fn commit_epoch(&self, txn: &Txn) -> bool {
         match self.store.commit(txn).await {
             Ok(TxnOutcome::Committed(version)) => {
@@ -102,28 +108,28 @@
                 true
             }
             Ok(TxnOutcome::ConditionsFailed(failed)) => {
-                debug!(?failed, "epoch not written");
+                debug!(?failed, "epoch not committed: conditions failed");
                 let _ = self.sync_replica(Duration::ZERO).await;
                 false
             }
             Err(e) => {
-                debug!(error = %e, "epoch not written");
+                debug!(error = %e, "commit of an epoch failed");
                 self.lower_limits_if_malformed(&e);
                 false
             }
         }
     }
 
-    /// Lowers the limits that writes keep to when the store calls a write malformed.
+    /// Lowers the size limits of writes if the store rejected a write as malformed.
     pub(super) fn lower_limits_if_malformed(&self, error: &StoreError) {
-        if matches!(error, StoreError::Malformed(MALFORMED_STATUS)) {
+        if matches!(error, StoreError::Malformed(MALFORMED_WRITE_STATUS)) {
             self.controller.borrow_mut().lower_store_limits();
         }
     }
 
-    /// Applies a transaction of this controller that was just committed.
+    /// Applies a transaction that this controller has just committed to the replica.
     pub(super) fn apply_committed(&self, txn: &Txn, version: Revision) {
         let replica_changes = self.controller.borrow_mut().apply_committed(txn, version);
-        self.follow_changes(&replica_changes);
+        self.on_replica_changes(&replica_changes);
     }
 }
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -1,9 +1,9 @@
-//! The loop of the warm standby: ticks the failover's state machine and executes its commands, each as a message or a
-//! transaction whose outcome goes back to the controller.
+//! Loop of the warm standby: advances the failover's state machine and executes its commands.
 //!
-//! Responses of the leader and of peers are hints. Two things here prove something: the commit of the election's
-//! transaction, whose effect the replica then shows, and that of [`Service::still_leads`]. The argument is in
-//! `docs/safety.md`, "Replacing a leader that is not heard".
+//! Each command is a request or a transaction, whose outcome is reported back to the controller.
+//! Responses of the leader and of peers are only hints. Proofs come from two transactions: the
+//! election's, whose effect the replica shows, and the one in [`Service::verify_leadership`]. The
+//! argument is in `docs/safety.md`, "Replacing a leader that is not heard".
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,38 +19,43 @@
 use crate::peer::{self, PeerRequest, PeerResponse};
 use crate::store_client::TxnOutcome;
 
-/// Time between two ticks of the failure detector: short beside the least silence that it suspects.
+/// Time between two checks by the failure detector, short compared with the shortest silence that
+/// makes it suspect the leader.
 const LEADER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// How long another controller has to respond when it last received from the leader; it is queried again after that.
+/// Time limit for another controller's response about when it last received from the leader. The
+/// controller is queried again after the limit.
 const PEER_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the leader has to respond to the probe: longer than to a summary, as it may only be slow.
+/// Time limit for the leader's response to a probe. It is longer than the limit for a summary, as
+/// the leader may only be slow.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time without the store's response after which the transaction that takes a term is sent a second time; its
-/// conditions let only one of the two commit.
-pub(super) const FENCE_HEDGE_AFTER: Duration = Duration::from_millis(150);
+/// Time without a response from the store after which the transaction that acquires a term is sent
+/// again. Its conditions allow only one of the two requests to commit.
+pub(super) const FENCE_HEDGE_DELAY: Duration = Duration::from_millis(150);
 
 impl Service {
-    /// Ticks the failover; runs only while the warm standby is enabled.
+    /// Advances the failover's state machine periodically. Runs only if the warm standby is
+    /// enabled.
     pub(super) async fn watch_leader(self: Rc<Self>) {
         loop {
             sleep(LEADER_CHECK_PERIOD).await;
             let command = self.controller.borrow_mut().standby_tick(self.now());
-            self.execute(command).await;
+            self.execute_failover_command(command).await;
         }
     }
 
     /// Executes a command of the failover's state machine.
-    async fn execute(self: &Rc<Self>, command: Option<FailoverCommand>) {
+    async fn execute_failover_command(self: &Rc<Self>, command: Option<FailoverCommand>) {
         match command {
             Some(FailoverCommand::ProbeLeader(term)) => self.probe_leader(term),
             Some(FailoverCommand::QueryPeers(term)) => self.query_peers(term),
             Some(FailoverCommand::Fence(term)) => self.fence_leader(term).await,
-            // The replica is compared where it shows the new term.
+            // The controller verifies the mirrored decisions itself, once the replica shows the new
+            // term.
             Some(FailoverCommand::Verify(_)) | None => {}
         }
     }
 
-    /// Probes the leader. Any response shows that the process lives, which is all that is asked.
+    /// Probes the leader. Any response proves that its process runs; the content does not matter.
     fn probe_leader(self: &Rc<Self>, term: Term) {
         let leader =
             self.controller.borrow().replica.leader.as_ref().map(|leader| leader.value.node);
@@ -63,25 +68,27 @@
             let response = client.call("POST", "/peer", &body, PROBE_TIMEOUT).await;
             let outcome =
                 match response.map(|response| peer::decode::<PeerResponse>(&response.body)) {
-                    // Another process than the leader's responds at its address.
+                    // Another process than the leader responded at the leader's address.
                     Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
-                    // Whatever the response is: a version that does not know the request is alive as well.
+                    // Any other response counts, even an error: a version that does not know this
+                    // request is alive as well.
                     Ok(_) => ProbeOutcome::Answered,
                     Err(CallError::Connect) => ProbeOutcome::Refused,
                     Err(_) => ProbeOutcome::Silent,
                 };
             let command =
                 service.controller.borrow_mut().on_probe_completed(service.now(), outcome);
-            service.execute(command).await;
+            service.execute_failover_command(command).await;
         });
     }
 
-    /// Queries all others but the leader concurrently, as one that is down must not delay the rest. Versions that don't
-    /// know the query are left out.
+    /// Queries all other controllers except the leader when they last received from it. The queries
+    /// run concurrently, so that an unavailable controller does not delay the others. Controllers
+    /// of versions that do not support this query are left out.
     fn query_peers(self: &Rc<Self>, term: Term) {
         let leader = self.controller.borrow().leader();
         let supports = |node: &NodeId| self.controller.borrow().replica.supports_standby(*node);
-        for node in self.others().filter(|node| Some(*node) != leader).filter(supports) {
+        for node in self.other_nodes().filter(|node| Some(*node) != leader).filter(supports) {
             let service = self.clone();
             spawn_local(async move {
                 let response = service
@@ -91,13 +98,13 @@
                 let observation = PeerObservation { node, silence_ms };
                 let command =
                     service.controller.borrow_mut().on_peer_observation(service.now(), observation);
-                service.execute(command).await;
+                service.execute_failover_command(command).await;
             });
         }
     }
 
-    /// Takes the term after that one, from whose leader a majority receives nothing, by the guarded transaction of an
-    /// election.
+    /// Acquires the term after `term` with the conditional transaction of an election. A majority
+    /// of the controllers receives nothing from the leader of `term`.
     async fn fence_leader(&self, term: Term) {
         if self.controller.borrow().replica.term != term {
             self.controller
@@ -107,13 +114,14 @@
         }
         warn!(%term, "replacing the leader, as a majority of the controllers does not hear it");
         if let Err(e) = self.acquire_leadership().await {
-            debug!(error = %e, "replacing the leader is undecided");
+            debug!(error = %e, "replacement of the leader failed or its outcome is unknown");
         }
     }
 
-    /// Whether this process still leads, proven by a transaction of the store. Called right before actions on the
-    /// cloud, which no condition in the store can fence. False as well if the store does not respond.
-    pub(super) async fn still_leads(&self) -> bool {
+    /// Verifies by a transaction of the store that this process still leads. Called directly before
+    /// actions on the cloud, which conditions in the store cannot fence. Returns `false` also if
+    /// the store does not respond, and `true` without a check if the warm standby is disabled.
+    pub(super) async fn verify_leadership(&self) -> bool {
         if self.controller.borrow().standby.is_none() {
             return true;
         }
@@ -121,22 +129,22 @@
         match self.store.commit(&check).await {
             Ok(TxnOutcome::Committed(_)) => true,
             Ok(TxnOutcome::ConditionsFailed(_)) => {
-                warn!("an action as leader is given up: another controller leads");
+                warn!("leader action cancelled: another controller leads");
                 if let Some(standby) = &mut self.controller.borrow_mut().standby {
                     standby.record_refused_action();
                 }
                 false
             }
             Err(e) => {
-                debug!(error = %e, "whether this controller still leads is not known");
+                debug!(error = %e, "leadership could not be verified");
                 false
             }
         }
     }
 
-    /// The standby's status as JSON.
-    pub(super) fn answer_status(&self) -> Response {
-        let status = self.controller.borrow().standby_status(self.moment());
+    /// Returns the warm standby's status as JSON, or status 404 if the standby is disabled.
+    pub(super) fn status_response(&self) -> Response {
+        let status = self.controller.borrow().standby_status(self.clock_reading());
         match status.and_then(|status| serde_json::to_vec(&status).ok()) {
             Some(body) => Response::new(200, body),
             None => Response::empty(404),
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats, answered by the owner of their machine.
+//! Workers' heartbeats, answered by the controller that owns the worker's machine.
 
 use super::Service;
 use crate::http::Response;
@@ -7,15 +7,16 @@
 use crate::wire;
 
 impl Service {
-    /// Answers a worker's heartbeat: 200 with commands, 421 with the controller to send them to, 503 while this controller may
-    /// not answer, 400 for what is no heartbeat.
+    /// Answers a worker's heartbeat: 200 with commands, 400 for a malformed heartbeat, 421 with the
+    /// name of the controller that owns the machine, or 503 while this controller may not answer
+    /// workers.
     pub(crate) fn on_heartbeat(&self, body: &[u8]) -> Response {
         let Ok(heartbeat) = wire::decode::<wire::Heartbeat>(body) else {
             return Response::empty(400);
         };
         let mut controller = self.controller.borrow_mut();
         if heartbeat.token > controller.shard.term() {
-            // A leader was elected that this controller does not know of yet.
+            // The worker has seen a later term, so the replica is outdated.
             self.confirmations.request_without_waiting();
         }
         let now = self.now();
@@ -28,7 +29,7 @@
             self.wake_ups.completions.notify_one();
         }
         match outcome {
-            HeartbeatOutcome::Respond(reply) => Response::new(200, wire::encode(&reply)),
+            HeartbeatOutcome::Respond(response) => Response::new(200, wire::encode(&response)),
             HeartbeatOutcome::Redirect(name) => {
                 Response::new(421, wire::encode(&wire::Redirect { controller: Some(name) }))
             }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -1,4 +1,4 @@
-//! Requests between controllers, both ways, on the address that only controllers use.
+//! Requests to and from other controllers, over the address that only controllers use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,67 +14,70 @@
 use crate::peer::{self, Forwarding, PeerRequest, PeerResponse};
 use crate::replica::Progress;
 
-/// Least time, in milliseconds, between two warnings of messages that this version does not read: while versions are
-/// exchanged, such messages may come many times a second.
-const UNREADABLE_WARNING_MS: u64 = 10_000;
-/// Most bytes of a peer's answer: a plan with decisions is larger than any request.
+/// Minimum time in milliseconds between two warnings about unreadable messages. During an upgrade,
+/// such messages may arrive many times per second.
+const UNREADABLE_WARNING_PERIOD_MS: u64 = 10_000;
+/// Maximum size in bytes of a peer's response. A plan with decisions is larger than any request.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Why a request to another controller brought no response.
+/// Reason why a request to another controller failed.
 #[derive(Debug, Error)]
 pub(crate) enum PeerCallError {
-    /// The site has no controller of that index.
-    #[error("no such controller")]
+    /// The site has no controller with this index.
+    #[error("the site has no controller with this index")]
     UnknownController,
-    /// There was no answer; the request may have been carried out unless no connection was made.
+    /// There was no response. The request may have been carried out unless the connection failed.
     #[error(transparent)]
-    NoAnswer(#[from] CallError),
-    /// The controller did not accept the request and answered with this status.
-    #[error("refused with status {0}")]
+    NoResponse(#[from] CallError),
+    /// The controller rejected the request with this HTTP status.
+    #[error("request rejected with status {0}")]
     Refused(u16),
-    /// This version does not read the response.
-    #[error("the response is of a form that this version does not read")]
+    /// This version of the program cannot read the response.
+    #[error("response has a form that this version cannot read")]
     Unreadable,
 }
 
-/// All controllers by index, this one included.
+/// Clients and names of all controllers, by index, including this one.
 pub(super) struct Peers {
     clients: Vec<Rc<Client>>,
     names: Vec<String>,
-    /// When operators were last warned of a message that was not understood.
-    warned_unreadable_at: Cell<Option<MonotonicTime>>,
+    /// Time of the last warning about an unreadable message; `None` before the first.
+    last_unreadable_warning: Cell<Option<MonotonicTime>>,
 }
 
 impl Peers {
-    /// Clients for all controllers; they connect when they are first used.
+    /// Creates the clients of all controllers. A client connects on its first request.
     pub(super) fn new(nodes: &[NodeInfo]) -> Self {
         let client = |node: &NodeInfo| Rc::new(Client::new(node.peer_addr, MAX_RESPONSE_BYTES));
         Peers {
             clients: nodes.iter().map(client).collect(),
             names: nodes.iter().map(|node| node.name.clone()).collect(),
-            warned_unreadable_at: Cell::new(None),
+            last_unreadable_warning: Cell::new(None),
         }
     }
 
-    /// The client for a controller; `None` for an index that the site does not have.
+    /// Returns the client of a controller; `None` if the site has no controller with this index.
     pub(super) fn client(&self, node: NodeId) -> Option<Rc<Client>> {
         self.clients.get(usize::from(node.0)).cloned()
     }
 }
 
-/// What a user's answer becomes for the controller that forwarded the request.
-fn forwarded_answer(response: Response) -> PeerResponse {
+/// Wraps the response to a forwarded user request for the controller that forwarded it.
+fn forwarded_response(response: Response) -> PeerResponse {
     PeerResponse::Answer(response.status, response.body)
 }
 
 impl Service {
-    /// All controllers but this one.
-    pub(crate) fn others(&self) -> impl Iterator<Item = NodeId> + use<> {
-        let me = self.me;
-        (0..self.settings.params.nodes as u8).map(NodeId).filter(move |node| *node != me)
+    /// Returns all controllers of the site except this one.
+    pub(crate) fn other_nodes(&self) -> impl Iterator<Item = NodeId> + use<> {
+        let own_id = self.node_id;
+        (0..self.settings.params.nodes as u8).map(NodeId).filter(move |node| *node != own_id)
     }
 
-    /// Sends a request to another controller, which has `limit` to answer.
+    /// Sends a request to another controller and waits up to `limit` for the response.
+    ///
+    /// # Errors
+    /// [`PeerCallError`] if there is no readable response with status 200.
     pub(crate) async fn call_peer(
         &self,
         node: NodeId,
@@ -83,47 +86,48 @@
     ) -> Result<PeerResponse, PeerCallError> {
         let client = self.peers.client(node).ok_or(PeerCallError::UnknownController)?;
         let body = peer::encode(request);
-        let answer = client.call("POST", "/peer", &body, limit).await?;
-        if answer.status != 200 {
-            return Err(PeerCallError::Refused(answer.status));
+        let http_response = client.call("POST", "/peer", &body, limit).await?;
+        if http_response.status != 200 {
+            return Err(PeerCallError::Refused(http_response.status));
         }
-        let Ok(response) = peer::decode(&answer.body) else {
-            self.warn_unreadable(self.name_of(node));
+        let Ok(response) = peer::decode(&http_response.body) else {
+            self.warn_unreadable_message(self.node_name(node));
             return Err(PeerCallError::Unreadable);
         };
         self.controller.borrow_mut().last_peer_contact = self.now();
         Ok(response)
     }
 
-    /// The name of a controller, for logs.
-    pub(super) fn name_of(&self, node: NodeId) -> &str {
-        self.peers.names.get(usize::from(node.0)).map_or("an unknown controller", String::as_str)
+    /// Returns the name of a controller, for logs.
+    pub(super) fn node_name(&self, node: NodeId) -> &str {
+        self.peers.names.get(usize::from(node.0)).map_or("unknown controller", String::as_str)
     }
 
-    /// Warns operators of a message that this version does not read, at most once per [`UNREADABLE_WARNING_MS`].
-    pub(super) fn warn_unreadable(&self, from: &str) {
+    /// Logs a warning about an unreadable message, at most once per
+    /// [`UNREADABLE_WARNING_PERIOD_MS`].
+    pub(super) fn warn_unreadable_message(&self, from: &str) {
         let now = self.now();
         if self
             .peers
-            .warned_unreadable_at
+            .last_unreadable_warning
             .get()
-            .is_none_or(|at| now.since(at) >= UNREADABLE_WARNING_MS)
+            .is_none_or(|at| now.since(at) >= UNREADABLE_WARNING_PERIOD_MS)
         {
-            self.peers.warned_unreadable_at.set(Some(now));
-            warn!(from, "a message that this version does not read is refused");
+            self.peers.last_unreadable_warning.set(Some(now));
+            warn!(from, "rejected a message of a form that this version cannot read");
         }
     }
 
-    /// Answers a request on the address for the other controllers.
+    /// Answers a request on the address for other controllers.
     pub(super) async fn handle_peer_request(self: &Rc<Self>, path: &str, body: &[u8]) -> Response {
         if path == STATUS_PATH {
-            return self.answer_status();
+            return self.status_response();
         }
         if path != "/peer" {
             return Response::empty(404);
         }
         let Ok(request) = peer::decode::<PeerRequest>(body) else {
-            self.warn_unreadable("a controller that does not say its name");
+            self.warn_unreadable_message("unidentified controller");
             return Response { close: true, ..Response::empty(400) };
         };
         self.controller.borrow_mut().last_peer_contact = self.now();
@@ -136,16 +140,17 @@
         Response::new(200, peer::encode(&response))
     }
 
-    /// Whether the site has a controller of that index, and it is not this one.
+    /// Whether `node` is the index of another controller of the site.
     fn is_other_controller(&self, node: NodeId) -> bool {
-        usize::from(node.0) < self.nodes && node != self.me
+        usize::from(node.0) < self.controller_count && node != self.node_id
     }
 
-    /// Carries out another controller's request; a summary is known to be of a controller of this site.
+    /// Carries out another controller's request. The sender of a summary is already known to be
+    /// another controller of the site.
     async fn respond_to_peer(self: &Rc<Self>, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Summary(summary) => {
-                self.responses_through_store.borrow_mut().remove(&summary.node);
+                self.store_summary_responses.borrow_mut().remove(&summary.node);
                 self.receive_summary(summary)
             }
             PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
@@ -156,13 +161,13 @@
                 PeerResponse::Leader(self.controller.borrow().leader_for_peer(self.now()))
             }
             PeerRequest::Submit(spec) => {
-                forwarded_answer(self.submit(spec, Forwarding::Forbidden).await)
+                forwarded_response(self.submit(spec, Forwarding::Forbidden).await)
             }
             PeerRequest::Query(job) => {
-                forwarded_answer(self.query(job, Forwarding::Forbidden).await)
+                forwarded_response(self.query(job, Forwarding::Forbidden).await)
             }
             PeerRequest::Abort(job) => {
-                forwarded_answer(self.abort(job, Forwarding::Forbidden).await)
+                forwarded_response(self.abort(job, Forwarding::Forbidden).await)
             }
             PeerRequest::Ended(job, progress, version) => {
                 self.receive_cancellation(job, &progress, version)
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Applies another controller's notice that a job has been cancelled, durably.
+    /// Applies another controller's notice of a durable cancellation.
     fn receive_cancellation(
         &self,
         job: JobId,
@@ -179,7 +184,7 @@
     ) -> PeerResponse {
         let replica_changes =
             self.controller.borrow_mut().apply_cancellation_notice(job, progress, version);
-        self.follow_changes(&replica_changes);
+        self.on_replica_changes(&replica_changes);
         PeerResponse::Reach(self.controller.borrow().store_ok)
     }
 }
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -1,4 +1,4 @@
-//! Messages through the store, for controllers that cannot reach each other.
+//! Messages through the store between controllers without a direct connection.
 
 use tracing::{debug, warn};
 
@@ -10,18 +10,20 @@
 use crate::store_client::TxnOutcome;
 use crate::wire::{self, Change, Condition, Txn};
 
-/// Most transactions that a message through the store takes.
+/// Maximum number of transactions for one message through the store.
 const MAX_TXNS_PER_STORE_MESSAGE: usize = 16;
-/// Milliseconds after its last summary through the store for which a controller is still sent plans this way.
-const SEND_PLANS_FOR_MS: u64 = 5_000;
+/// Time in milliseconds after a controller's last summary through the store during which the
+/// controller is sent plans through the store.
+const STORE_PLANS_EXPIRY_MS: u64 = 5_000;
 
 impl Service {
-    /// Sends a summary to the leader through the store, under the condition that this process is still the member.
+    /// Sends a summary to the leader through the store, on condition that this process is still the
+    /// registered member.
     pub(super) async fn send_summary_through_store(&self, leader: NodeId, summary: &Summary) {
         let condition = {
             let controller = self.controller.borrow();
-            controller.replica.members.get(&self.me).map(|member| Condition {
-                key: replica::member_key(self.me),
+            controller.replica.members.get(&self.node_id).map(|member| Condition {
+                key: replica::member_key(self.node_id),
                 version: member.version,
             })
         };
@@ -34,21 +36,24 @@
         .await;
     }
 
-    /// Writes a message for another controller in chunks, each under the condition.
+    /// Writes a message for another controller to the store in chunks, subject to the condition.
     async fn send_through_store(&self, to: NodeId, condition: Condition, message: &[u8]) {
         let limits = &self.settings.params.store;
         let chunks = message_chunks::split(message, message_chunk_bytes(limits));
         if chunks.len() > MAX_TXNS_PER_STORE_MESSAGE * limits.txn_ops {
-            warn!(chunks = chunks.len(), "message too large for the store");
+            warn!(
+                chunks = chunks.len(),
+                "message exceeded the maximum number of chunks; not sent through the store"
+            );
             return;
         }
         let mut puts = chunks.into_iter().enumerate().map(|(i, text)| Change::Put {
-            key: replica::peer_message_key(to, self.me, i as u32),
+            key: replica::peer_message_key(to, self.node_id, i as u32),
             value: wire::Value::Text(text),
             lease: None,
         });
-        // What does not fit into one transaction follows in others. The receiver reads the message once it has all of its
-        // chunks; while some belong to another message, it waits.
+        // Chunks beyond the first transaction are written by further ones. The receiver waits while
+        // chunks are missing or belong to another message.
         loop {
             let changes: Vec<Change> = puts.by_ref().take(limits.txn_ops).collect();
             if changes.is_empty() {
@@ -59,14 +64,14 @@
                 Ok(TxnOutcome::Committed(_)) => {}
                 Ok(TxnOutcome::ConditionsFailed(_)) => return,
                 Err(e) => {
-                    debug!(error = %e, "message through the store failed");
+                    debug!(error = %e, "writing a message to the store failed");
                     return;
                 }
             }
         }
     }
 
-    /// Handles messages that came through the store.
+    /// Handles messages received through the store.
     pub(super) fn receive_store_messages(&self) {
         let senders: Vec<NodeId> =
             self.controller.borrow().replica.peer_messages.keys().copied().collect();
@@ -76,14 +81,15 @@
                 let chunks = controller.replica.peer_messages.get(&from).into_iter().flatten();
                 message_chunks::join(chunks.map(|(_, text)| text.as_str()))
             };
-            // Chunks of a message that is still being written are not one yet; they are looked at again when more come.
+            // A message is incomplete while its sender is writing it. It is read again when more
+            // chunks arrive.
             let Ok(message) = message else { continue };
             match peer::decode::<StoreMessage>(&message) {
                 Ok(StoreMessage::Summary(summary))
                     if summary.node == from && self.controller.borrow().leader.is_some() =>
                 {
                     let response = self.receive_summary(*summary);
-                    self.responses_through_store.borrow_mut().insert(from, (self.now(), response));
+                    self.store_summary_responses.borrow_mut().insert(from, (self.now(), response));
                 }
                 Ok(StoreMessage::PeerResponse(response)) => {
                     self.controller
@@ -91,27 +97,28 @@
                         .record_leader_message_from_store(self.now(), &response);
                     self.controller.borrow_mut().apply_leader_response(response);
                 }
-                Err(_) => self.warn_unreadable(self.name_of(from)),
+                Err(_) => self.warn_unreadable_message(self.node_name(from)),
                 _ => {}
             }
         }
     }
 
-    /// As the leader, sends plans through the store to the controllers that sent their summaries this way.
+    /// On the leader, sends plans through the store to controllers that sent their summaries this
+    /// way.
     pub(super) async fn send_plans_through_store(&self) {
         let now = self.now();
         let receivers: Vec<(NodeId, bool)> = {
-            let mut responses_through_store = self.responses_through_store.borrow_mut();
-            responses_through_store.retain(|_, (at, _)| now.since(*at) < SEND_PLANS_FOR_MS);
-            responses_through_store
+            let mut responses = self.store_summary_responses.borrow_mut();
+            responses.retain(|_, (received_at, _)| now.since(*received_at) < STORE_PLANS_EXPIRY_MS);
+            responses
                 .iter()
                 .map(|(node, (_, response))| (*node, matches!(response, PeerResponse::SendWhole)))
                 .collect()
         };
-        for (node, whole) in receivers {
-            let message = self.controller.borrow().plan_for(node, now);
-            if let Some((plan, condition)) = message {
-                let response = if whole {
+        for (node, needs_full_summary) in receivers {
+            let plan_and_condition = self.controller.borrow().plan_for(node, now);
+            if let Some((plan, condition)) = plan_and_condition {
+                let response = if needs_full_summary {
                     PeerResponse::SendWhole
                 } else {
                     PeerResponse::Plan(Box::new(plan))
--- a/src/service/submissions.rs
+++ b/src/service/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions, written in group commits.
+//! Group commits of submissions.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,36 +14,38 @@
 use crate::store_client::TxnOutcome;
 use crate::wire::JobSpec;
 
-/// Attempts of one group commit, each without the jobs that turned out to be known.
-const COMMIT_ATTEMPTS: usize = 4;
-/// Time without the store's answer after which the same transaction is sent a second time: a user waits for it.
-const HEDGE_AFTER: Duration = Duration::from_millis(60);
+/// Maximum number of attempts for one group commit. Each attempt leaves out the jobs that the last
+/// one found to exist.
+const MAX_COMMIT_ATTEMPTS: usize = 4;
+/// Time without a response from the store after which the same transaction is sent again. A user is
+/// waiting for its outcome.
+const HEDGE_DELAY: Duration = Duration::from_millis(60);
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubmissionOutcome {
-    /// It is durable, and was not there before.
+    /// The job is durable and did not exist before.
     New,
-    /// The job was known already.
+    /// The job existed already.
     Known,
-    /// The store did not take it, or did not say so.
+    /// The store rejected the submission, or its outcome is unknown.
     Failed,
 }
 
-/// A submission that waits for the next group commit, and where its outcome goes.
+/// A submission waiting for the next group commit.
 struct Submission {
     spec: JobSpec,
     outcome: oneshot::Sender<SubmissionOutcome>,
 }
 
 impl Submission {
-    /// Answers with the outcome; a user who no longer waits misses nothing.
+    /// Sends the outcome to the caller. A caller that no longer waits does not need it.
     fn finish(self, outcome: SubmissionOutcome) {
         let _ = self.outcome.send(outcome);
     }
 }
 
-/// Submissions that wait for the next group commit.
+/// Submissions waiting for the next group commit.
 #[derive(Default)]
 pub(super) struct SubmissionQueue {
     waiting: RefCell<Vec<Submission>>,
@@ -51,7 +53,7 @@
 }
 
 impl SubmissionQueue {
-    /// Queues a submission; its outcome comes through the receiver.
+    /// Queues a submission and returns the receiver of its outcome.
     fn push(&self, spec: JobSpec) -> oneshot::Receiver<SubmissionOutcome> {
         let (outcome, receiver) = oneshot::channel();
         self.waiting.borrow_mut().push(Submission { spec, outcome });
@@ -59,7 +61,7 @@
         receiver
     }
 
-    /// Takes the oldest submissions, at most `limit`.
+    /// Removes and returns the oldest submissions, at most `limit`.
     fn next_batch(&self, limit: usize) -> Vec<Submission> {
         let mut waiting = self.waiting.borrow_mut();
         let count = waiting.len().min(limit);
@@ -68,12 +70,13 @@
 }
 
 impl Service {
-    /// Queues a submission for the next group commit and waits for what becomes of it.
-    pub(crate) async fn accept(&self, spec: JobSpec) -> SubmissionOutcome {
+    /// Queues a submission for the next group commit and waits for the outcome.
+    pub(crate) async fn accept_submission(&self, spec: JobSpec) -> SubmissionOutcome {
         self.submissions.push(spec).await.unwrap_or(SubmissionOutcome::Failed)
     }
 
-    /// Commits queued submissions, as many at a time as a transaction holds. Commits overlap.
+    /// Commits queued submissions in groups of up to the maximum size of a transaction. Commits may
+    /// overlap.
     pub(super) async fn write_submissions(self: Rc<Self>) {
         loop {
             self.submissions.wake.notified().await;
@@ -89,20 +92,20 @@
         }
     }
 
-    /// Commits submissions together. Those whose key exists already are known jobs, or this very submission, committed
-    /// by a request whose answer was lost.
+    /// Commits a group of submissions. An existing key belongs to a job that was submitted before,
+    /// or to this submission itself, if the response to an earlier commit of it was lost.
     async fn commit_submissions(&self, mut batch: Vec<Submission>) {
-        for _ in 0..COMMIT_ATTEMPTS {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
             if batch.is_empty() {
                 return;
             }
             let txn = {
                 let controller = self.controller.borrow();
-                let bytes = controller.limits.value_bytes();
+                let max_value_bytes = controller.limits.value_bytes();
                 let specs = batch.iter().map(|submission| &submission.spec);
-                submission_txn(specs, self.wall(), &controller.catalog, bytes)
+                submission_txn(specs, self.wall_time(), &controller.catalog, max_value_bytes)
             };
-            match self.store.commit_hedged(&txn, HEDGE_AFTER).await {
+            match self.store.commit_hedged(&txn, HEDGE_DELAY).await {
                 Ok(TxnOutcome::Committed(version)) => {
                     self.apply_committed(&txn, version);
                     for submission in batch {
@@ -114,12 +117,13 @@
                 }
                 Ok(TxnOutcome::ConditionsFailed(failed)) => {
                     let is_known = |s: &Submission| failed.contains(&replica::job_key(s.spec.id));
-                    let (known, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_known);
-                    batch = rest;
+                    let (known, remaining): (Vec<_>, Vec<_>) =
+                        batch.into_iter().partition(is_known);
+                    batch = remaining;
                     known.into_iter().for_each(|s| s.finish(SubmissionOutcome::Known));
                 }
                 Err(e) => {
-                    debug!(error = %e, "submissions not written");
+                    debug!(error = %e, "commit of submissions failed");
                     self.lower_limits_if_malformed(&e);
                     break;
                 }
