--- a/src/api.rs
+++ b/src/api.rs
@@ -153,8 +153,8 @@
     /// Another controller that reaches the store.
     async fn reaching_peer(&self) -> Option<NodeId> {
         for node in self.others() {
-            if let Ok(PeerResponse::Reach(true)) =
-                self.call_peer(node, &PeerRequest::Reach, REACH_LIMIT).await
+            if let Ok(PeerResponse::StoreReachable(true)) =
+                self.call_peer(node, &PeerRequest::StoreReachable, REACH_LIMIT).await
             {
                 return Some(node);
             }
@@ -375,7 +375,7 @@
         }
         match self.final_answer(id) {
             Some(answer) => answer,
-            None => self.forward_if_allowed(forwarding, PeerRequest::Abort(id)).await,
+            None => self.forward_if_allowed(forwarding, PeerRequest::Cancel(id)).await,
         }
     }
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,7 +1,8 @@
-//! Client of the cloud's interface, limited to its rate.
+//! Rate-limited client of the cloud's API.
 //!
-//! An error says whether a request may have been carried out. A scale-out request of which that is not known is
-//! repeated under the same idempotency key, so that no machine is paid for twice.
+//! [`CloudError`] tells whether a failed request may have been carried out. A scale-out request
+//! with an unknown outcome is repeated with the same idempotency key, so that no machine is rented
+//! twice.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,53 +16,56 @@
 use crate::store_client::TokenBucket;
 use crate::wire::{self, MachineListPage, MachineNames, MachineTypes, ScaleOutRequest};
 
-/// Why the cloud gave no answer that can be used.
+/// Error of a request to the cloud.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum CloudError {
-    /// None of that kind is to be had now.
-    #[error("no capacity")]
+    /// The cloud has no machine of the requested type now.
+    #[error("the cloud has no capacity for the requested machines")]
     NoCapacity,
-    /// The request was certainly not carried out; 0 if no connection was made, else the status.
-    #[error("refused ({0})")]
+    /// The request was certainly not carried out. Contains the HTTP status, or 0 if no connection
+    /// was made.
+    #[error("request not carried out (HTTP status {0}, or 0 without a connection)")]
     Refused(u16),
-    /// The request may have been carried out, or may still be.
-    #[error("no answer")]
+    /// The request may have been carried out, or may be carried out later.
+    #[error("no valid response; the request may have been carried out")]
     Unknown,
 }
 
-/// Time for a request. The cloud is slower than the store, and nobody waits for it.
-const REQUEST_LIMIT: Duration = Duration::from_millis(2_500);
-/// Most bytes of an answer.
-const ANSWER_LIMIT: usize = 4 << 20;
-/// Share of the budget that a controller uses: the rest is for the few calls of the others.
-const USED_SHARE: f64 = 0.7;
-/// Machines in a page of the list.
-const PAGE_MACHINES: usize = 500;
-
-/// The client.
+/// Timeout of a request. It is longer than the store client's, because the cloud is slower and no
+/// user waits for its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Share of the rate limit that one controller uses. The rest is for the few calls of the other
+/// controllers.
+const RATE_SHARE: f64 = 0.7;
+/// Number of machines requested per page of the machine list.
+const MACHINES_PER_PAGE: usize = 500;
+
+/// Client of the cloud's API.
 pub struct CloudClient {
     http: Client,
-    calls: RefCell<TokenBucket>,
+    call_bucket: RefCell<TokenBucket>,
 }
 
 impl CloudClient {
-    /// A client for that address; `rps` is for all controllers together, and only the leader
-    /// makes more than a few calls.
+    /// Creates a client for the address. `rps` is the rate limit of all controllers together; only
+    /// the leader makes more than a few calls.
     pub fn new(addr: SocketAddr, rps: f64) -> Self {
-        let used_rps = rps * USED_SHARE;
+        let used_rps = rps * RATE_SHARE;
         CloudClient {
-            http: Client::new(addr, ANSWER_LIMIT),
-            calls: RefCell::new(TokenBucket::new(used_rps, used_rps, Instant::now())),
+            http: Client::new(addr, MAX_RESPONSE_BYTES),
+            call_bucket: RefCell::new(TokenBucket::new(used_rps, used_rps, Instant::now())),
         }
     }
 
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, CloudError> {
-        let wait = self.calls.borrow_mut().take(1.0, Instant::now());
+        let wait = self.call_bucket.borrow_mut().take(1.0, Instant::now());
         tokio::time::sleep(wait).await;
-        Self::checked(self.http.call(method, path, body, REQUEST_LIMIT).await)
+        Self::map_errors(self.http.call(method, path, body, REQUEST_TIMEOUT).await)
     }
 
-    fn checked(answer: Result<Answer, CallError>) -> Result<Answer, CloudError> {
+    fn map_errors(answer: Result<Answer, CallError>) -> Result<Answer, CloudError> {
         match answer {
             Ok(answer) if answer.status == 200 => Ok(answer),
             Ok(answer) if answer.status == 503 && says_no_capacity(&answer.body) => {
@@ -73,41 +77,44 @@
         }
     }
 
-    fn body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, CloudError> {
+    fn decode_body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, CloudError> {
         wire::decode(&answer.body).map_err(|_| CloudError::Unknown)
     }
 
-    /// Machine types with current prices.
+    /// Returns the machine types with current prices.
     pub async fn catalog(&self) -> Result<MachineTypes, CloudError> {
-        Self::body(&self.call("GET", "/flavors", &[]).await?)
+        Self::decode_body(&self.call("GET", "/flavors", &[]).await?)
     }
 
-    /// Asks for machines, and gives the names of those that come.
+    /// Requests machines, and returns the ids of the machines that the cloud provides.
     ///
     /// # Errors
-    /// After [`CloudError::Unknown`] the same request has to be repeated under the same idempotency key.
+    /// After [`CloudError::Unknown`] the caller has to repeat the request with the same idempotency
+    /// key.
     pub async fn scale_out(&self, request: &ScaleOutRequest) -> Result<Vec<MachineId>, CloudError> {
         let answer = self.call("POST", "/machines", &wire::encode(request)).await?;
-        Ok(Self::body::<MachineNames>(&answer)?.machines)
+        Ok(Self::decode_body::<MachineNames>(&answer)?.machines)
     }
 
-    /// Returns machines; once this is `Ok`, they and all tasks on them are terminated.
+    /// Returns machines to the cloud. On success, the machines and all tasks on them are
+    /// terminated.
     pub async fn scale_in(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = wire::encode(&MachineNames { machines: machines.to_vec() });
         self.call("POST", "/machines/return", &body).await.map(|_| ())
     }
 
-    /// A page of the list of machines, which lags behind by `list_lag_s` of the settings.
+    /// Returns a page of the machine list. The list may be outdated by up to `list_lag_s` of the
+    /// settings.
     pub async fn list(&self, after: Option<&MachineId>) -> Result<MachineListPage, CloudError> {
         let path = match after {
-            Some(id) => format!("/machines?After={id}&Limit={PAGE_MACHINES}"),
-            None => format!("/machines?Limit={PAGE_MACHINES}"),
+            Some(id) => format!("/machines?After={id}&Limit={MACHINES_PER_PAGE}"),
+            None => format!("/machines?Limit={MACHINES_PER_PAGE}"),
         };
-        Self::body(&self.call("GET", &path, &[]).await?)
+        Self::decode_body(&self.call("GET", &path, &[]).await?)
     }
 }
 
-/// Whether a 503 is for want of machines, and not for some trouble of the cloud.
+/// Whether the body of a 503 response reports a lack of machines, and not a failure of the cloud.
 fn says_no_capacity(body: &[u8]) -> bool {
     const NO_CAPACITY: &[u8] = b"no capacity";
     body.windows(NO_CAPACITY.len()).any(|window| window == NO_CAPACITY)
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,10 +1,10 @@
-//! Tables of cases for `cloud`.
+//! Tests of the cloud client's error mapping.
 
 use super::*;
 use ciborium::cbor;
 
 #[test]
-fn responses_say_whether_a_scale_out_is_undecided() {
+fn errors_show_whether_a_scale_out_was_carried_out() {
     let answer = |status, error: &str| {
         let body = wire::encode(&cbor!({"error" => error}).unwrap());
         Ok(Answer { status, body, retry_after: None })
@@ -16,7 +16,7 @@
         (Err(CallError::Connect), CloudError::Refused(0)),
         (Err(CallError::Timeout), CloudError::Unknown),
     ];
-    for (given, want) in cases {
-        assert_eq!(CloudClient::checked(given).unwrap_err(), want);
+    for (answer, expected) in cases {
+        assert_eq!(CloudClient::map_errors(answer).unwrap_err(), expected);
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,17 +1,19 @@
-//! What a controller knows and decides, without any connection: the service's loops bring answers in and carry
-//! transactions and messages out. Tests drive the same code.
+//! State and decisions of a controller, without I/O. The service's loops deliver responses to it
+//! and execute the transactions and messages that it returns. Tests drive the same code.
 //!
-//! This module owns the state and keeps it in step with the store's replica; the modules below decide on it:
+//! This module owns the state and applies changes of the store to the replica. The submodules make
+//! the decisions:
 //!
-//! - `election`: membership, elections, who leads;
+//! - `election`: membership, elections and the current leader;
 //! - `failover`: the warm standby, which follows the leader and replaces it;
-//! - `coordination`: summaries, epochs and plans between the leader and the shards;
+//! - `coordination`: summaries, epochs and plans exchanged between the leader and the shards;
 //! - `completions`: group writes of completed tasks;
 //! - `jobs`: submissions, cancellations and answers to users;
 //! - `workers`: heartbeats and direct commands.
 //!
-//! Invariants: nothing is decided before the store has been read once; a term never goes back; the replica changes only
-//! by what the store has confirmed. `docs/safety.md` builds on these.
+//! Invariants: nothing is decided before the store has been read in full once; terms never
+//! decrease; the replica only holds changes that the store has confirmed. `docs/safety.md` relies
+//! on them.
 
 use std::rc::Rc;
 
@@ -36,48 +38,50 @@
 pub use election::Candidacy;
 pub use jobs::submission_txn;
 
-/// A controller's state.
+/// State of one controller process.
 pub struct Controller {
-    /// Settings.
+    /// Settings of this controller and of the cluster.
     pub settings: Rc<Settings>,
-    /// All controllers.
+    /// All controllers of the cluster, indexed by [`NodeId`].
     pub nodes: Vec<NodeInfo>,
-    /// This controller's index among them.
-    pub me: NodeId,
-    /// This process's incarnation, which tells it from earlier processes of the same controller.
+    /// Index of this controller in `nodes`.
+    pub local_node: NodeId,
+    /// Incarnation of this process. It differs from those of earlier processes of this controller.
     pub incarnation: Incarnation,
-    /// The replica of the store.
+    /// Replica of the state service.
     pub replica: Replica,
-    /// What this controller may do: answer heartbeats, start tasks, lead.
+    /// Lease rights, which decide whether this controller may answer heartbeats, start tasks and
+    /// lead.
     pub rights: LeaseRights,
-    /// The shard of machines that this controller owns.
+    /// Shard of machines that this controller owns.
     pub shard: Shard,
-    /// The leader's state, while this process leads.
+    /// State of the leader; `None` unless this process leads.
     pub leader: Option<Leader>,
-    /// Machine types.
+    /// Machine types by name.
     pub catalog: MachineCatalog,
-    /// Whether the replica holds the whole store; until then nothing is decided.
+    /// Whether the replica holds the whole store. No decisions are made while it does not.
     pub loaded: bool,
-    /// Whether the last request to the store was served.
+    /// Whether the last request to the store succeeded.
     pub store_ok: bool,
-    /// When a message or an answer of another controller last arrived.
+    /// Time at which the last message or response of another controller arrived.
     pub last_peer_contact: MonotonicTime,
-    /// The state service's limits that writes keep to; lowered when it refuses what should fit.
+    /// State service limits that writes observe. They are lowered when the store rejects a write
+    /// that fits the settings.
     pub limits: StoreLimits,
-    /// A leader of a later term than the replica shows, named by a peer.
+    /// Leader of a later term than the replica's, as reported by a peer.
     leader_from_peer: Option<LeaderRecord>,
-    /// The warm standby, if it is enabled.
+    /// Warm standby; `None` if it is not enabled.
     pub standby: Option<Standby>,
 }
 
 impl Controller {
-    /// A controller that has not read the store yet.
+    /// Creates a controller that has not read the store yet.
     pub fn new(settings: Rc<Settings>, incarnation: Incarnation) -> Self {
-        let (nodes, me) = settings.all_nodes();
+        let (nodes, local_node) = settings.all_nodes();
         Controller {
-            replica: Replica::new(me),
+            replica: Replica::new(local_node),
             rights: LeaseRights::new(settings.keep_alive_ms()),
-            shard: Shard::new(me, incarnation),
+            shard: Shard::new(local_node, incarnation),
             leader: None,
             catalog: MachineCatalog::new(),
             loaded: false,
@@ -88,13 +92,13 @@
             limits: settings.params.store.clone(),
             settings,
             nodes,
-            me,
+            local_node,
             incarnation,
         }
     }
 
-    /// Halves the limits that writes keep to. The store called a well-formed write malformed, so its limits are lower than
-    /// the settings say.
+    /// Halves the limits that writes observe. The store rejected a well-formed write as malformed,
+    /// so its actual limits are lower than the configured ones.
     pub fn lower_store_limits(&mut self) {
         let limits = &mut self.limits;
         limits.txn_ops = (limits.txn_ops / 2).max(2);
@@ -103,11 +107,12 @@
         tracing::warn!(
             value_kb,
             txn_ops,
-            "the store refuses what it took before; writing less at once"
+            "state service rejected a write within the limits; halved the write limits"
         );
     }
 
-    /// Calls `act` with the leader's state, if any, and the view of the cluster that it decides on.
+    /// Calls `act` with the leader's state, which is `None` unless this process leads, and the
+    /// cluster view that the leader decides on.
     fn with_cluster_view<T>(
         &mut self,
         now: ClockReading,
@@ -128,7 +133,8 @@
         act(&mut self.leader, &cluster)
     }
 
-    /// Calls `act` with the leader's state and the view of the cluster; `None` if this process does not lead.
+    /// Calls `act` with the leader's state and the cluster view. Returns `None` if this process
+    /// does not lead.
     pub fn with_leader<T>(
         &mut self,
         now: ClockReading,
@@ -139,15 +145,17 @@
         })
     }
 
-    /// Installs the whole store as it was read, `revision` being that of the first page: pages read later may hold newer
-    /// items, and versions tell which changes are old.
+    /// Replaces the replica with all items of the store. `revision` is the revision of the first
+    /// page; later pages may hold newer items, and each item's version prevents older changes from
+    /// overwriting it.
     pub fn load(&mut self, items: &[KeyValue], revision: Revision) {
-        let mut replica = Replica::new(self.me);
+        let mut replica = Replica::new(self.local_node);
         items.iter().for_each(|item| replica.load(item, &mut ReplicaChanges::default()));
         self.install_replica(replica, revision);
     }
 
-    /// Installs a replica into which the whole store was read; `revision` as for [`Controller::load`].
+    /// Replaces the replica with one into which the whole store was read. `revision` is the same as
+    /// in [`Controller::load`].
     pub fn install_replica(&mut self, replica: Replica, revision: Revision) {
         self.replica.replace(replica);
         self.replica.revision = revision;
@@ -155,14 +163,15 @@
         self.store_ok = true;
     }
 
-    /// The revision after which the replica needs the changes; `None` before the store has been read. Asked for changes
-    /// since the beginning, the store would send all that it has, without a bound on their size.
-    pub fn changes_from(&self) -> Option<Revision> {
+    /// Revision after which a watch has to start; `None` before the store has been read in full. A
+    /// watch from revision 0 would return the whole store in one response of unbounded size.
+    pub fn watch_start_revision(&self) -> Option<Revision> {
         self.loaded.then_some(self.replica.revision)
     }
 
-    /// Applies a watch's answer to a request sent at `sent`; `None` if the replica has to be read whole first.
-    pub fn apply(
+    /// Applies the response to a watch that was sent at `sent`. Returns `None` if the replica has
+    /// to be read in full first.
+    pub fn apply_watch_response(
         &mut self,
         changes: &WatchResponse,
         sent: MonotonicTime,
@@ -174,7 +183,7 @@
         Some(self.replica.apply(changes))
     }
 
-    /// Applies a transaction of this controller that was committed at that revision.
+    /// Applies a transaction of this controller that the store committed at revision `version`.
     pub fn apply_committed(&mut self, txn: &Txn, version: Revision) -> ReplicaChanges {
         let mut replica_changes = ReplicaChanges::default();
         for change in &txn.changes {
@@ -186,8 +195,8 @@
         replica_changes
     }
 
-    /// Acts on what changed in the replica: terms, cancellations, gangs, machine types.
-    pub fn follow(&mut self, now: ClockReading, replica_changes: &ReplicaChanges) {
+    /// Reacts to changes of the replica: terms, cancellations, gangs and machine types.
+    pub fn on_replica_changes(&mut self, now: ClockReading, replica_changes: &ReplicaChanges) {
         if replica_changes.leader {
             self.follow_leader_key(now);
         }
@@ -207,7 +216,7 @@
         }
     }
 
-    /// Replaces the machine types.
+    /// Replaces all machine types.
     pub fn set_machine_types(&mut self, catalog: &wire::MachineTypes) {
         self.catalog = catalog
             .machine_types
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,31 +1,33 @@
 //! Group writes of completed tasks.
 //!
-//! A job that ends is written at once; the progress of jobs that go on is batched, so that it takes a bounded share of
-//! the store's budget. Until a completion is on record its worker keeps it, so nothing is lost by waiting.
+//! A job's end is written at once. The progress of unfinished jobs is batched, so that it takes a
+//! bounded share of the store's budget. A worker keeps a completion until it is recorded, so a
+//! delayed write loses nothing.
 
 use super::Controller;
 use crate::model::{JobId, MonotonicTime, TaskId};
 use crate::replica::{self};
-use crate::store_client::leaders_writes_per_s;
+use crate::store_client::leader_writes_per_s;
 use crate::wire::{self, Change, Condition, Txn};
 
-/// Least and longest time, in milliseconds, over which the completions of a job that goes on are batched.
+/// Minimum and maximum time, in milliseconds, over which the completions of an unfinished job are
+/// batched.
 const MIN_COMPLETION_BATCH_MS: u64 = 1_200;
 const MAX_COMPLETION_BATCH_MS: u64 = 8_000;
-/// Share of the leader's writes to the store that the progress of jobs that go on may take. Epochs and the ends of
-/// jobs are what others wait for.
+/// Maximum share of the leader's writes that the progress of unfinished jobs may take. The rest is
+/// for epochs and the ends of jobs, which other work waits for.
 pub(super) const PROGRESS_WRITE_SHARE: f64 = 0.25;
-/// Most changes of that kind in one transaction, in seconds of what the leader may write: whatever is to be written
-/// next has to wait for them.
+/// Maximum size of a transaction's part for unfinished jobs, in seconds of the leader's write rate.
+/// The next write has to wait until the rate limit allows it again.
 const MAX_PROGRESS_TXN_S: f64 = 0.2;
-/// Milliseconds that the leader has to write what other controllers reported to it, beyond the batching time, before
-/// they write it themselves.
+/// Milliseconds after the batching time for which other controllers leave the write of their
+/// completions to the leader. After this delay they write the completions themselves.
 const FOLLOWER_WRITE_DELAY_MS: u64 = 3_000;
 
 impl Controller {
-    /// The transaction that makes finished tasks durable, if there are any to be written now.
-    /// The leader writes for all, so that controllers do not conflict; the others write only when
-    /// it takes too long.
+    /// Returns the transaction that records completed tasks; `None` if none are due. The leader
+    /// writes for all controllers, which avoids conflicts. Other controllers write only when the
+    /// leader takes too long.
     pub fn completions_txn(&mut self, now: MonotonicTime) -> Option<Txn> {
         if !self.loaded {
             return None;
@@ -50,40 +52,41 @@
         (!txn.changes.is_empty()).then_some(txn)
     }
 
-    /// Jobs whose completions are to be written now: all that end, and some of those that go on,
-    /// the oldest first.
+    /// Returns the jobs whose completions are due: all jobs that end, and a limited number of
+    /// unfinished jobs, oldest completions first.
     fn completions_due(&self, now: MonotonicTime) -> Vec<JobId> {
         let leads = self.leader.is_some();
         let completion_batch_ms = self.completion_batch_ms();
-        let (mut ending, mut going_on) = (Vec::new(), Vec::new());
+        let (mut ending, mut unfinished) = (Vec::new(), Vec::new());
         for (id, completed) in &self.shard.completed_tasks {
             let Some(job) = self.replica.jobs.get(id) else { continue };
             let ends = job.remaining() <= completed.tasks.len();
             let batch_ms = if ends { 0 } else { completion_batch_ms };
             let wait = batch_ms + if leads { 0 } else { FOLLOWER_WRITE_DELAY_MS };
             if now.since(completed.since) >= wait {
-                let due = if ends { &mut ending } else { &mut going_on };
+                let due = if ends { &mut ending } else { &mut unfinished };
                 due.push((completed.since, *id));
             }
         }
         ending.sort();
-        going_on.sort();
-        let at_once = leaders_writes_per_s(&self.limits) * MAX_PROGRESS_TXN_S;
-        going_on.truncate((at_once as usize).max(1));
-        let due = ending.into_iter().chain(going_on).map(|(_, id)| id);
+        unfinished.sort();
+        let max_unfinished = leader_writes_per_s(&self.limits) * MAX_PROGRESS_TXN_S;
+        unfinished.truncate((max_unfinished as usize).max(1));
+        let due = ending.into_iter().chain(unfinished).map(|(_, id)| id);
         due.take(self.limits.txn_ops).collect()
     }
 
-    /// Milliseconds over which the completions of jobs that go on are batched: the more such jobs there are, the longer,
-    /// so that they take their share of the store's budget and no more.
+    /// Milliseconds over which the completions of unfinished jobs are batched. The time grows with
+    /// the number of jobs, so that their writes stay within `PROGRESS_WRITE_SHARE`.
     fn completion_batch_ms(&self) -> u64 {
         let jobs = self.shard.completed_tasks.len() as f64;
-        let per_s = leaders_writes_per_s(&self.limits) * PROGRESS_WRITE_SHARE;
-        ((jobs / per_s * 1_000.0) as u64).clamp(MIN_COMPLETION_BATCH_MS, MAX_COMPLETION_BATCH_MS)
+        let progress_writes_per_s = leader_writes_per_s(&self.limits) * PROGRESS_WRITE_SHARE;
+        ((jobs / progress_writes_per_s * 1_000.0) as u64)
+            .clamp(MIN_COMPLETION_BATCH_MS, MAX_COMPLETION_BATCH_MS)
     }
 
-    /// Completes every gang of which a task is done: if one task is, all are. A version that does not know this may have
-    /// recorded some of them alone.
+    /// Completes every gang that has a done task, because the tasks of a gang complete together. A
+    /// version that does not know this rule may have recorded only some of the tasks.
     pub(super) fn complete_gangs(&mut self, now: MonotonicTime) {
         let partly_done: Vec<JobId> = self
             .replica
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -1,6 +1,6 @@
-//! What the leader and the controllers' shards exchange: summaries, plans and the epochs that they come from.
+//! Summaries, epochs and plans that the leader and the shards exchange.
 //!
-//! An epoch is worked out, written to the store, and published to the shards only after it is durable.
+//! An epoch is computed, written to the store, and published to the shards only once it is durable.
 
 use super::Controller;
 use crate::leader::Epoch;
@@ -10,7 +10,7 @@
 use crate::wire::Condition;
 
 impl Controller {
-    /// The summary of this shard for the leader, in about `byte_budget` bytes.
+    /// Returns the shard's summary for the leader, of about `byte_budget` bytes.
     pub fn summary(&mut self, now: MonotonicTime, byte_budget: usize) -> Summary {
         let timing = self.settings.timing();
         let is_follower = self.leader.is_none();
@@ -22,8 +22,8 @@
         }
     }
 
-    /// As the leader, merges a controller's summary and answers with its plan; also says whether the next epoch should be
-    /// brought forward.
+    /// As the leader, merges a controller's summary. Returns the response with the controller's
+    /// plan, and whether the next epoch should start early.
     pub fn receive_summary(
         &mut self,
         now: MonotonicTime,
@@ -33,7 +33,7 @@
         let Some(leader) = &mut self.leader else {
             return (PeerResponse::NotLeading(term), false);
         };
-        if summary.node != self.me {
+        if summary.node != self.local_node {
             self.shard.merge_completions(now, &self.replica, &summary.completed_tasks);
         }
         let (follow, term) = (summary.follow, leader.term);
@@ -46,18 +46,18 @@
         (response, changed)
     }
 
-    /// Applies the leader's answer to a summary.
+    /// Applies the leader's response to a summary.
     pub fn apply_leader_response(&mut self, response: PeerResponse) {
         match response {
             PeerResponse::Plan(plan) => {
                 self.shard.apply_plan(*plan);
             }
-            PeerResponse::SendWhole => self.shard.request_full_summary(),
+            PeerResponse::SendFullSummary => self.shard.request_full_summary(),
             _ => {}
         }
     }
 
-    /// Works out an epoch, if this controller may lead.
+    /// Computes an epoch. Returns `None` if this controller does not lead or may no longer lead.
     pub fn epoch(&mut self, now: ClockReading) -> Option<(Epoch, Term)> {
         if !self.rights.may_lead(now.steady) {
             return None;
@@ -65,7 +65,7 @@
         self.with_leader(now, |leader, cluster| (leader.epoch(cluster), leader.term))
     }
 
-    /// Publishes an epoch that is durable by now, unless the term has ended meanwhile.
+    /// Publishes an epoch that has become durable, unless its term has ended in the meantime.
     pub fn publish(&mut self, now: ClockReading, epoch: Epoch, term: Term) {
         self.with_leader(now, |leader, cluster| {
             if leader.term == term {
@@ -75,7 +75,8 @@
         self.record_decisions(now);
     }
 
-    /// A controller's plan, for messages through the store, with the condition that this process still leads.
+    /// Returns a controller's plan for sending through the store, and the condition that this
+    /// process still leads.
     pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<(Plan, Condition)> {
         let plan = self.leader.as_ref()?.plan_for(node, now)?;
         Some((plan, self.replica.leader_condition()?))
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -1,8 +1,9 @@
-//! Membership, elections and who leads.
+//! Membership, elections and the current leader.
 //!
-//! A leadership begins in one place only, [`Controller::follow_leader_key`]: when the replica shows this process's own
-//! leader record. By then the replica also holds all that earlier leaders wrote, as their later writes fail on the
-//! leader key's version. `docs/safety.md` has the argument.
+//! [`Controller::follow_leader_key`] is the only place where a leadership begins: when the replica
+//! shows this process's own leader record. At this time the replica holds all writes of earlier
+//! leaders, because their later writes fail on the version of the leader key. `docs/safety.md` has
+//! the argument.
 
 use tracing::info;
 
@@ -12,32 +13,35 @@
 use crate::replica::{self, LeaderRecord, MemberRecord, TermRecord, Versioned};
 use crate::wire::{self, Change, Condition, Txn};
 
-/// How old, in milliseconds, the proof may be that the replica is current when peers ask who leads. A watch that
-/// brings nothing is answered within a second, so a served controller stays below this.
-const LEADER_FRESHNESS_MS: u64 = 2_500;
+/// Maximum age, in milliseconds, of the proof that the replica is current for answering peers that
+/// ask for the leader. The store answers a watch without changes within a second, so a controller
+/// that the store serves stays below this age.
+const MAX_REPLICA_AGE_FOR_PEERS_MS: u64 = 2_500;
 
-/// Whether a controller may run for leader, and why.
+/// Whether a controller may run for leader, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidacy {
-    /// It may not: it has not read the store, or its lease does not allow it to lead.
+    /// Not allowed: the store has not been read, or the lease does not permit leading.
     NotEligible,
-    /// It may not: another process leads, or this one does already.
+    /// Not allowed: a process is the leader, possibly this one.
     LeaderExists,
-    /// It may: nobody leads.
+    /// Allowed: there is no leader.
     Vacant,
-    /// It may, at once: the leader on record is an earlier process of this controller, which is certainly dead.
+    /// Allowed at once: the recorded leader is an earlier process of this controller, which is
+    /// certainly dead.
     OwnPredecessor,
 }
 
 impl Candidacy {
-    /// Whether the controller may run.
+    /// Whether the controller may run for leader.
     pub fn may_run(self) -> bool {
         matches!(self, Candidacy::Vacant | Candidacy::OwnPredecessor)
     }
 }
 
 impl Controller {
-    /// Follows changes of term and leader, and begins or ends this process's leadership.
+    /// Follows changes of the term and the leader key, and begins or ends this process's
+    /// leadership.
     pub(super) fn follow_leader_key(&mut self, now: ClockReading) {
         let replica_term = self.replica.term;
         if self.shard.begin_term(replica_term) {
@@ -70,7 +74,7 @@
         self.follow_another_leader(now.steady);
     }
 
-    /// Logs who leads the term that the replica shows, and how old the proof is that the replica was current.
+    /// Logs the replica's term, its leader, and the age of the proof that the replica is current.
     fn log_term(&self, now: MonotonicTime) {
         let term = self.replica.term;
         let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
@@ -82,24 +86,25 @@
         info!(%term, leader = leader_name, learned, proof_ms, revision, "a term begins");
     }
 
-    /// The name of a controller.
+    /// Returns a controller's name, or `unknown` if the settings do not list it.
     fn name_of(&self, node: NodeId) -> &str {
         self.nodes.get(usize::from(node.0)).map_or("unknown", |info| &info.name)
     }
 
-    /// The leader according to a replica that is current, for peers that the store does not serve; `None` if this replica
-    /// is too old to say.
+    /// Returns the leader according to a current replica, for peers that the store does not serve;
+    /// `None` if the proof that the replica is current is too old.
     pub fn leader_for_peer(&self, now: MonotonicTime) -> Option<LeaderRecord> {
-        let fresh = self.rights.sync_age(now).is_some_and(|age| age < LEADER_FRESHNESS_MS);
+        let is_current =
+            self.rights.sync_age(now).is_some_and(|age| age < MAX_REPLICA_AGE_FOR_PEERS_MS);
         let leader = self.replica.leader.as_ref().map(|leader| &leader.value);
-        leader.filter(|r| self.loaded && fresh && r.term == self.replica.term).cloned()
+        leader.filter(|r| self.loaded && is_current && r.term == self.replica.term).cloned()
     }
 
-    /// Adopts the leader that a peer named, if its term is later than the one known here. A controller that the store
-    /// refuses would otherwise keep its workers under an old fencing token until its lease expires, and nothing could
-    /// start on them.
+    /// Adopts a leader that a peer reported, if its term is later than the known term. Otherwise, a
+    /// controller that the store refuses would keep its workers on an old fencing token until its
+    /// lease expires, and no task could start on them.
     pub fn adopt_leader_from_peer(&mut self, leader: LeaderRecord) {
-        if !self.loaded || leader.term <= self.shard.term() || leader.node == self.me {
+        if !self.loaded || leader.term <= self.shard.term() || leader.node == self.local_node {
             return;
         }
         let (term, leader_name) = (leader.term, self.name_of(leader.node));
@@ -109,18 +114,18 @@
         self.leader = None;
     }
 
-    /// The leader that this controller's shard sends its summaries to.
+    /// Returns the leader that receives this controller's summaries; `None` if no leader is known.
     pub fn leader(&self) -> Option<NodeId> {
         let from_replica = self.replica.leader.as_ref().map(|leader| &leader.value);
         self.leader_from_peer.as_ref().or(from_replica).filter(|_| self.loaded).map(|r| r.node)
     }
 
-    /// The transaction that registers this process as a member; it replaces the record of the controller's previous
-    /// process at once.
+    /// Returns the transaction that registers this process as a member. It replaces the record of
+    /// this controller's previous process at once.
     pub fn member_txn(&self, lease: StoreLease) -> Txn {
-        let key = replica::member_key(self.me);
+        let key = replica::member_key(self.local_node);
         let version =
-            self.replica.members.get(&self.me).map_or(Revision(0), |member| member.version);
+            self.replica.members.get(&self.local_node).map_or(Revision(0), |member| member.version);
         let value = wire::to_value(&MemberRecord {
             incarnation: self.incarnation,
             version: env!("CARGO_PKG_VERSION").into(),
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Whether this controller may run for leader now.
+    /// Returns whether this controller may run for leader now.
     pub fn candidacy(&self, now: MonotonicTime) -> Candidacy {
         if !self.loaded || !self.rights.may_lead(now) {
             return Candidacy::NotEligible;
@@ -140,7 +145,7 @@
         match &self.replica.leader {
             None => Candidacy::Vacant,
             Some(Versioned { value: leader, .. })
-                if leader.node == self.me && leader.incarnation != self.incarnation =>
+                if leader.node == self.local_node && leader.incarnation != self.incarnation =>
             {
                 Candidacy::OwnPredecessor
             }
@@ -148,23 +153,23 @@
         }
     }
 
-    /// The transaction that takes the next term, replacing the leader's key as it is known
-    /// here; `None` without a lease for it to hang on.
+    /// Returns the transaction that takes the next term and replaces the leader key at its version
+    /// in the replica; `None` without a lease to bind the key to.
     pub fn election_txn(&self) -> Option<Txn> {
         let lease = self.rights.lease?;
         let term = Term(self.replica.term.0 + 1);
-        let leader = LeaderRecord { node: self.me, incarnation: self.incarnation, term };
+        let leader = LeaderRecord { node: self.local_node, incarnation: self.incarnation, term };
         let version = self.replica.leader.as_ref().map_or(Revision(0), |leader| leader.version);
         let condition = |key: &str, version| Condition { key: key.into(), version };
-        let set = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
+        let put = |key: &str, value, lease| Change::Put { key: key.into(), value, lease };
         Some(Txn {
             conditions: vec![
                 condition(replica::LEADER_KEY, version),
                 condition(replica::TERM_KEY, self.replica.term_version),
             ],
             changes: vec![
-                set(replica::LEADER_KEY, wire::to_value(&leader), Some(lease)),
-                set(replica::TERM_KEY, wire::to_value(&TermRecord { term }), None),
+                put(replica::LEADER_KEY, wire::to_value(&leader), Some(lease)),
+                put(replica::TERM_KEY, wire::to_value(&TermRecord { term }), None),
             ],
         })
     }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,10 +1,12 @@
-//! The controller's side of the warm standby: what it tells [`Standby`] of responses, the replica and transactions, and
-//! how it begins to lead. Without the standby, all of this does nothing.
+//! Connects a controller to its warm standby: forwards responses, replica changes and transaction
+//! outcomes to [`Standby`], and starts the leadership after a failover. Does nothing if the standby
+//! is not enabled.
 //!
-//! What responses and peers say is a hint: it starts a failover and gives a new leader what it need not measure again.
-//! Only the store proves who leads: the next term is taken by the guarded transaction of any election
-//! (`Controller::election_txn`), and begins once the replica shows it. The argument is in `docs/safety.md`, "Replacing
-//! a leader that is not heard".
+//! Responses of the leader and of peers are hints. They trigger a failover and provide values that
+//! a new leader would otherwise have to measure again. Only the store proves who leads: the guarded
+//! transaction of every election (`Controller::election_txn`) takes the next term, and the term
+//! begins once the replica shows it. The argument is in `docs/safety.md`, "Replacing a leader that
+//! is not heard".
 
 use willowshore_standby::failover::{
     FailoverCause, FailoverCommand, FailoverEvent, FenceOutcome, PeerObservation, ProbeOutcome,
@@ -22,10 +24,11 @@
 use crate::store_client::TxnOutcome;
 use crate::wire::Txn;
 
-/// Longest time since the replica was proven current, in milliseconds, for this controller to suspect the leader: a
-/// controller that does not know of a newer term would query its peers about the wrong one, and one that the store
-/// refuses could not replace anybody.
-const REPLICA_FRESHNESS_MS: u64 = 2_500;
+/// Maximum age, in milliseconds, of the proof that the replica is current for this controller to
+/// suspect the leader. A controller with an older replica may not know of a newer term and would
+/// query its peers about the wrong one. A controller that the store refuses could not replace the
+/// leader.
+const MAX_REPLICA_AGE_MS: u64 = 2_500;
 
 impl Controller {
     /// Enables the warm standby.
@@ -33,40 +36,42 @@
         self.standby = Some(Standby::new(settings, self.nodes.len()));
     }
 
-    /// Whether the record names this very process, and not an earlier incarnation of the controller.
+    /// Whether a leader record names this process, and not an earlier incarnation of this
+    /// controller.
     pub(super) fn is_this_process(&self, record: &LeaderRecord) -> bool {
-        record.node == self.me && record.incarnation == self.incarnation
+        record.node == self.local_node && record.incarnation == self.incarnation
     }
 
-    /// The leader responded to a request that was sent at `sent`.
+    /// Records the leader's response to a request that was sent at `sent`.
     pub fn record_leader_response(&mut self, sent: MonotonicTime, response: &PeerResponse) {
         let Some(standby) = &mut self.standby else { return };
         match response {
             PeerResponse::Plan(plan) => {
                 standby.receive_plan(sent, plan.term, plan.decisions.as_ref())
             }
-            // A leader that has no plan yet, or lacks a summary, is alive as well.
+            // A leader that has no plan yet, or that lacks a summary, is alive as well.
             PeerResponse::NotLeading(term) => {
                 standby.record_heartbeat(sent, *term);
             }
-            PeerResponse::SendWhole => {
+            PeerResponse::SendFullSummary => {
                 standby.record_heartbeat(sent, self.replica.term);
             }
             _ => {}
         }
     }
 
-    /// Advances the standby to this time; the caller executes its command.
+    /// Advances the standby to `now`. The caller executes the returned command.
     pub fn standby_tick(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
         let rank = self.rank(now);
         self.standby.as_mut()?.tick(now, rank)
     }
 
-    /// This controller's rank among those that may replace the leader; `None` if it may not do so now.
+    /// Returns this controller's rank in the failover order; `None` if it may not replace the
+    /// leader now.
     fn rank(&self, now: MonotonicTime) -> Option<u64> {
         let standby = self.standby.as_ref()?;
-        let fresh = self.rights.sync_age(now).is_some_and(|age| age < REPLICA_FRESHNESS_MS);
-        if !self.loaded || !fresh || !self.rights.may_lead(now) {
+        let is_current = self.rights.sync_age(now).is_some_and(|age| age < MAX_REPLICA_AGE_MS);
+        if !self.loaded || !is_current || !self.rights.may_lead(now) {
             return None;
         }
         let leader = &self.replica.leader.as_ref()?.value;
@@ -83,11 +88,12 @@
             }
         };
         let candidates: Vec<Candidate> = self.nodes.iter().enumerate().map(candidate).collect();
-        rank_of(self.me, leader.node, &candidates)
+        rank_of(self.local_node, leader.node, &candidates)
     }
 
-    /// Milliseconds since the last heartbeat of the leader of a term, for another controller's query; 0 from the leader
-    /// itself, `None` if this controller does not follow it.
+    /// Returns the milliseconds since the last heartbeat of the leader of `term`, for another
+    /// controller's query. The leader itself returns 0; a controller that does not follow this
+    /// leader returns `None`.
     pub fn leader_silence_ms(&self, now: MonotonicTime, term: Term) -> Option<u64> {
         if self.leader.as_ref().is_some_and(|leader| leader.term == term) {
             return Some(0);
@@ -95,7 +101,7 @@
         self.standby.as_ref()?.leader_silence_ms(now, term)
     }
 
-    /// The probe of the leader has an outcome. The caller executes the command.
+    /// Handles the outcome of a probe of the leader. The caller executes the returned command.
     pub fn on_probe_completed(
         &mut self,
         now: MonotonicTime,
@@ -104,8 +110,8 @@
         self.standby.as_mut()?.step(now, FailoverEvent::ProbeCompleted(outcome))
     }
 
-    /// A plan of the leader was received through the store: the leader was alive when it wrote that. Decisions are
-    /// never sent this way.
+    /// Records a plan received through the store, which shows that the leader was alive when it
+    /// wrote the plan. Decisions are never sent through the store.
     pub fn record_leader_message_from_store(
         &mut self,
         now: MonotonicTime,
@@ -116,7 +122,8 @@
         }
     }
 
-    /// Another controller responded when it last heard the leader. The caller executes the command.
+    /// Handles a peer's answer on when it last heard the leader. The caller executes the returned
+    /// command.
     pub fn on_peer_observation(
         &mut self,
         now: MonotonicTime,
@@ -125,14 +132,16 @@
         self.standby.as_mut()?.step(now, FailoverEvent::PeerObserved(answer))
     }
 
-    /// The leader's key expired with its lease, and this controller runs for the next term.
+    /// Records that the leader key expired with its lease and that this controller runs for the
+    /// next term.
     pub fn on_leader_lease_expired(&mut self, now: MonotonicTime) {
         if let Some(standby) = &mut self.standby {
             standby.step(now, FailoverEvent::LeaseExpired);
         }
     }
 
-    /// The transaction that takes the next term has an outcome; `None` if it is not known.
+    /// Handles the outcome of the transaction that takes the next term; `None` if the outcome is
+    /// unknown.
     pub fn on_fence_completed(&mut self, now: MonotonicTime, outcome: Option<&TxnOutcome>) {
         let outcome = match outcome {
             Some(TxnOutcome::Committed(revision)) => FenceOutcome::Done(*revision),
@@ -144,15 +153,15 @@
         }
     }
 
-    /// A transaction without changes that commits only while this process leads, and so proves that it does; `None` if
-    /// it already knows that it does not.
-    pub fn leadership_check(&self) -> Option<Txn> {
+    /// Returns a transaction without changes that commits only while this process leads, and thus
+    /// proves that it leads. Returns `None` if this process knows that it does not lead.
+    pub fn leadership_check_txn(&self) -> Option<Txn> {
         self.leader.as_ref()?;
         let condition = self.replica.leader_condition()?;
         Some(Txn { conditions: vec![condition], changes: Vec::new() })
     }
 
-    /// The standby follows the leader that the replica shows, if that is another process.
+    /// Lets the standby follow the leader in the replica, unless this process is the leader.
     pub(super) fn follow_another_leader(&mut self, now: MonotonicTime) {
         let known = self.replica.leader.as_ref().map(|leader| &leader.value);
         let leader = known
@@ -163,13 +172,14 @@
         }
     }
 
-    /// This process leads a new term, as the replica shows: compares the mirrored decisions with the replica, gives the
-    /// new leader those that hold as hints, and names the previous leader if it was replaced on suspicion.
+    /// Starts the term that the replica shows as led by this process. Verifies the mirrored
+    /// decisions against the replica, passes the confirmed ones to the new leader as hints, and
+    /// tells it which leader was replaced on suspicion.
     pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
         let followed = standby.followed();
-        let shows = FailoverEvent::ReplicaShows { term, mine: true };
-        let is_failover = standby.step(now.steady, shows) == Some(FailoverCommand::Verify(term));
+        let event = FailoverEvent::ReplicaShows { term, mine: true };
+        let is_failover = standby.step(now.steady, event) == Some(FailoverCommand::Verify(term));
         let counts = is_failover.then(|| {
             let state = standby.mirror().state();
             let counts =
@@ -185,7 +195,7 @@
         self.standby = Some(standby);
     }
 
-    /// As the leader, records the decisions that hold now for the standbys.
+    /// As the leader, records the current decisions for the standbys.
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
@@ -199,14 +209,15 @@
         self.standby = Some(standby);
     }
 
-    /// The standby's status for operators; `None` if the standby is not enabled.
+    /// Returns the standby's status for operators; `None` if the standby is not enabled.
     pub fn standby_status(&self, now: ClockReading) -> Option<Status> {
         let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let standby = self.standby.as_ref()?;
-        Some(standby.status(now.steady, now.wall, self.me, &names))
+        Some(standby.status(now.steady, now.wall, self.local_node, &names))
     }
 
-    /// What the last failover found of the mirrored decisions; `None` if the standby is not enabled.
+    /// Returns the result of the last failover's verification of the mirrored decisions; `None` if
+    /// the standby is not enabled.
     pub fn verification(&self) -> Option<VerificationCounts> {
         self.standby.as_ref().map(Standby::verification)
     }
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -1,6 +1,7 @@
-//! Submissions, cancellations and what users are answered.
+//! Submissions, cancellations and answers to users' queries.
 //!
-//! A job is accepted, done or cancelled when the store says so; answers may run ahead of the store only in counts.
+//! The store alone decides whether a job is accepted, done or cancelled. Only task counts in
+//! answers may be ahead of the store.
 
 use super::Controller;
 use crate::model::{JobId, Revision, WallTime};
@@ -10,7 +11,8 @@
 use crate::wire::{self, Change, Condition, KeyValue, Txn};
 
 impl Controller {
-    /// The answer for a job that has ended, which nothing can change any more; `None` for any other.
+    /// Returns the answer for an ended job, which can no longer change; `None` if the job has not
+    /// ended or is unknown.
     pub fn final_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
         let replica::EndedJob { state, done } = self.replica.ended.get(&id).copied()?;
         let reason = match state {
@@ -20,11 +22,13 @@
         Some(wire::JobAnswer { job: id, state, done, running: 0, reason })
     }
 
-    /// The answer for a job that has not ended, as the replica shows it; `None` if it shows no such job.
+    /// Returns the answer for a job that has not ended, according to the replica; `None` if the
+    /// replica holds no such job.
     pub fn open_answer(&self, id: JobId) -> Option<wire::JobAnswer> {
         let job = self.replica.jobs.get(&id)?;
         let job_status = self.shard.job_status(id);
-        // A job is done when the store says so; the count may be ahead of what is on record.
+        // The count may be ahead of the recorded progress; the job is done only once the store says
+        // so.
         let done =
             job.progress.done.len().max(self.shard.completed_count(id)).min(job.spec.task_count);
         let running = job_status.map_or(0, |s| s.running).min(job.spec.task_count - done);
@@ -37,7 +41,8 @@
         Some(wire::JobAnswer { job: id, state, done, running, reason: reason.map(str::to_string) })
     }
 
-    /// The transaction that cancels a job, if it has not ended, and the progress record it writes.
+    /// Returns the transaction that cancels a job, and the progress record that it writes; `None`
+    /// if the replica holds no unended job with this id.
     pub fn cancel_txn(&self, id: JobId) -> Option<(Txn, replica::Progress)> {
         let job = self.replica.jobs.get(&id)?;
         let progress = replica::Progress {
@@ -53,8 +58,9 @@
         Some((txn, progress))
     }
 
-    /// Applies a cancellation that a peer reports as recorded. The store may not serve this controller, and whoever was
-    /// answered that the job is cancelled relies on no task of it being started.
+    /// Applies a cancellation that a peer reports as durable. The store may be unavailable to this
+    /// controller, but the user who was told that the job is cancelled relies on no task of it
+    /// being started.
     pub fn apply_cancellation_notice(
         &mut self,
         job: JobId,
@@ -74,7 +80,7 @@
     }
 }
 
-/// The text that users see for a wait reason; `None` if nothing holds the job back.
+/// Returns the text shown to users for a wait reason; `None` if the job does not wait.
 fn wait_reason_text(
     wait_reason: WaitReason,
     kind: wire::JobKind,
@@ -82,25 +88,27 @@
 ) -> Option<&'static str> {
     let waiting_gang = kind == wire::JobKind::Gang && running == 0;
     match wait_reason {
-        WaitReason::No if waiting_gang => Some("waits: its tasks begin once all of them can"),
-        WaitReason::No => None,
-        WaitReason::ForMachines if waiting_gang => Some(
+        WaitReason::NotWaiting if waiting_gang => {
+            Some("waits: its tasks begin once all of them can")
+        }
+        WaitReason::NotWaiting => None,
+        WaitReason::NoFreeMachines if waiting_gang => Some(
             "waits: machines that hold all its tasks at once are not free, or are being rented",
         ),
         WaitReason::BelowWaterline => Some("waits: more urgent jobs need the machines"),
         WaitReason::TeamLimit => Some("waits: its team's limit is used up"),
-        WaitReason::ForMachines => Some("waits: machines are full, more are being rented"),
+        WaitReason::NoFreeMachines => Some("waits: machines are full, more are being rented"),
         WaitReason::Failing => {
             Some("its tasks fail on every machine; it is tried again after pauses")
         }
-        WaitReason::Unproven => {
+        WaitReason::TasksPossiblyRunning => {
             Some("waits: a machine was lost and its tasks may still be running")
         }
     }
 }
 
-/// The transaction that accepts jobs which are not known yet, `at` being the time of acceptance and `bytes` the largest
-/// value that the store takes.
+/// Returns the transaction that accepts the jobs that the store does not hold yet. `at` is the time
+/// of acceptance and `bytes` the size of the largest value that the store takes.
 pub fn submission_txn<'a>(
     specs: impl Iterator<Item = &'a wire::JobSpec>,
     at: WallTime,
--- a/src/controller/workers.rs
+++ b/src/controller/workers.rs
@@ -1,26 +1,27 @@
-//! Heartbeats and direct commands: what this controller's shard exchanges with machines.
+//! Heartbeats of workers and direct commands to them.
 //!
-//! Whether heartbeats may be answered and tasks started is decided by [`crate::lease::LeaseRights`] alone.
+//! [`crate::lease::LeaseRights`] alone decides whether heartbeats may be answered and tasks
+//! started.
 
 use super::Controller;
 use crate::model::MonotonicTime;
 use crate::shard::{DirectMessage, HeartbeatOutcome, Shard, ShardContext};
 use crate::wire::Heartbeat;
 
-/// How long, in milliseconds, a controller reaches neither the store nor a peer before it sends its workers to other
-/// controllers.
-const ISOLATION_MS: u64 = 5_000;
+/// Milliseconds without contact to the store and to every peer after which a controller redirects
+/// its workers to other controllers.
+const ISOLATION_TIMEOUT_MS: u64 = 5_000;
 
 impl Controller {
-    /// Whether this controller has reached neither the store nor a peer for a while. It cannot distinguish that from an
-    /// outage in which connections between controllers fail as well.
+    /// Whether this controller has reached neither the store nor a peer for `ISOLATION_TIMEOUT_MS`.
+    /// An outage of the store in which connections between controllers fail as well looks the same.
     pub fn is_isolated(&self, now: MonotonicTime) -> bool {
         self.nodes.len() > 1
-            && now.since(self.last_peer_contact) > ISOLATION_MS
-            && self.rights.synced_at().is_some_and(|at| now.since(at) > ISOLATION_MS)
+            && now.since(self.last_peer_contact) > ISOLATION_TIMEOUT_MS
+            && self.rights.synced_at().is_some_and(|at| now.since(at) > ISOLATION_TIMEOUT_MS)
     }
 
-    /// Calls `act` with the shard and the context that it decides in.
+    /// Calls `act` with the shard and its decision context.
     fn with_shard<T>(
         &mut self,
         now: MonotonicTime,
@@ -41,13 +42,14 @@
         act(&mut self.shard, &context)
     }
 
-    /// Answers a worker's heartbeat.
+    /// Handles a worker's heartbeat and returns the answer to it.
     pub fn on_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> HeartbeatOutcome {
         self.with_shard(now, |shard, context| shard.on_heartbeat(context, heartbeat))
     }
 
-    /// Direct commands to machines that are due now, at most `limit`. Only a controller that may answer workers announces
-    /// its term; any may stop tasks that are no longer wanted.
+    /// Returns at most `limit` direct commands to machines that are due now. Only a controller that
+    /// may answer workers announces its term; every controller may stop tasks that are no longer
+    /// wanted.
     pub fn direct_messages_due(&mut self, now: MonotonicTime, limit: usize) -> Vec<DirectMessage> {
         if !self.loaded {
             return Vec::new();
@@ -56,7 +58,7 @@
         self.shard.direct_messages_due(now, &self.replica, may_answer, limit)
     }
 
-    /// Applies a machine's answer to a direct command.
+    /// Applies a worker's response to a direct command.
     pub fn on_direct_response(
         &mut self,
         now: MonotonicTime,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -202,7 +202,7 @@
                 (PeerResponse::NotLeading(self.term), true)
             }
             SummaryOutcome::Stale => (PeerResponse::NotLeading(self.term), false),
-            SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
+            SummaryOutcome::MissingBase => (PeerResponse::SendFullSummary, false),
             SummaryOutcome::Applied { changed } => {
                 if !self.task_grants.revoked.is_empty() {
                     self.task_grants.free_revoked(&self.fleet, node, applied_plan);
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -170,7 +170,7 @@
         let binds = zones.is_constrained();
         self.count_tasks_by_zone(inputs, id, &mut zones);
         let Some(chosen) = choose_for_gang(inputs, request, &allocation.targets, &zones) else {
-            self.jobs.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
+            self.jobs.wait_reasons.entry(id).or_insert(WaitReason::NoFreeMachines);
             return;
         };
         let attempt = match self.gangs.granted.get(&id).filter(|_| held > 0) {
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -93,13 +93,13 @@
     fn record_wait_reasons(&mut self, demand: &Demand, share: u32, context: &AdmissionContext<'_>) {
         let wait_reasons = &mut self.jobs.wait_reasons;
         if context.counts.get(&demand.job).is_some_and(|counts| counts.unresolved > 0) {
-            wait_reasons.insert(demand.job, WaitReason::Unproven);
+            wait_reasons.insert(demand.job, WaitReason::TasksPossiblyRunning);
         }
         if context.failing.contains(&demand.job) {
             wait_reasons.insert(demand.job, WaitReason::Failing);
         }
         if share < demand.max {
-            wait_reasons.entry(demand.job).or_insert(WaitReason::ForMachines);
+            wait_reasons.entry(demand.job).or_insert(WaitReason::NoFreeMachines);
         }
     }
 
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -145,7 +145,12 @@
             .map(|job| JobStatus {
                 job: job.0,
                 running: running.get(job).copied().unwrap_or(0),
-                wait_reason: self.jobs.wait_reasons.get(job).copied().unwrap_or(WaitReason::No),
+                wait_reason: self
+                    .jobs
+                    .wait_reasons
+                    .get(job)
+                    .copied()
+                    .unwrap_or(WaitReason::NotWaiting),
             })
             .collect()
     }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -58,7 +58,8 @@
     controller.rights.lease = Some(StoreLease(1));
     controller.rights.confirm_renewal(MonotonicTime(0));
     controller.rights.confirm_sync(MonotonicTime(0));
-    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller
+        .on_replica_changes(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     controller
 }
 
--- a/src/leader/tests/evidence.rs
+++ b/src/leader/tests/evidence.rs
@@ -112,7 +112,10 @@
     ];
     items.iter().for_each(|i| controller.replica.load(i, &mut replica_changes));
     let all = controller.replica.unfinished_granted_tasks();
-    controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller.on_replica_changes(
+        at(2_000),
+        &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
+    );
     let unresolved = &controller.leader.as_ref().unwrap().task_grants.unresolved;
     let of_two = |t: &&TaskId| t.job == JobId(2);
     assert_eq!(unresolved.iter().filter(of_two).count(), granted.len());
--- a/src/leader/tests/limits.rs
+++ b/src/leader/tests/limits.rs
@@ -63,7 +63,8 @@
     let all: Vec<KeyValue> = items.values().cloned().collect();
     controller.load(&all, Revision(9));
     controller.rights.lease = Some(StoreLease(1));
-    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller
+        .on_replica_changes(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     (controller, items)
 }
 
@@ -198,7 +199,8 @@
     });
     controller.load(&items_without_epochs, Revision(9));
     controller.rights.lease = Some(StoreLease(1));
-    controller.follow(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller
+        .on_replica_changes(at(0), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let mut granted = 0;
     for step in 0..6u64 {
         let ms = 1_200 + step * 450;
--- a/src/leader/tests/quotas.rs
+++ b/src/leader/tests/quotas.rs
@@ -171,7 +171,10 @@
         let term = TermRecord { term: Term(4) };
         load(&mut controller, replica::LEADER_KEY.into(), wire::to_value(&leader), 12);
         load(&mut controller, replica::TERM_KEY.into(), wire::to_value(&term), 12);
-        controller.follow(at(2_000), &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+        controller.on_replica_changes(
+            at(2_000),
+            &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
+        );
         let (before, after) = grants_around_reconciliation(&mut controller, 2_200);
         assert_eq!(before, granted_before, "granted by the same leader, {end:?}");
         assert_eq!(after, !granted_before, "granted by the same leader, {end:?}");
--- a/src/leader/tests/summaries.rs
+++ b/src/leader/tests/summaries.rs
@@ -79,13 +79,13 @@
     let mut controller = leader();
     let mut receive = |s| controller.receive_summary(MonotonicTime(1_000), s).0;
     assert!(
-        matches!(receive(summary(4, 3, INCARNATION)), PeerResponse::SendWhole),
+        matches!(receive(summary(4, 3, INCARNATION)), PeerResponse::SendFullSummary),
         "nothing is known yet"
     );
-    assert!(!matches!(receive(summary(5, 0, INCARNATION)), PeerResponse::SendWhole));
-    assert!(!matches!(receive(summary(6, 5, INCARNATION)), PeerResponse::SendWhole));
+    assert!(!matches!(receive(summary(5, 0, INCARNATION)), PeerResponse::SendFullSummary));
+    assert!(!matches!(receive(summary(6, 5, INCARNATION)), PeerResponse::SendFullSummary));
     assert!(
-        matches!(receive(summary(9, 8, INCARNATION)), PeerResponse::SendWhole),
+        matches!(receive(summary(9, 8, INCARNATION)), PeerResponse::SendFullSummary),
         "7 and 8 are missing"
     );
     let late = Summary { machines: vec![], ..summary(5, 0, INCARNATION) };
--- a/src/message_chunks.rs
+++ b/src/message_chunks.rs
@@ -1,11 +1,12 @@
-//! Messages between controllers through the store, cut into chunks of the size of its values.
+//! Splits messages between controllers into chunks that fit into values of the store.
 //!
-//! The store takes no binary values, so a message travels as text. Each chunk names the message that it belongs to by a
-//! checksum, so chunks of different messages never mix: a receiver gets a message whole or not at all.
+//! The store takes no binary values, so messages are encoded as text. Each chunk carries the
+//! checksum of its message, so that chunks of different messages are never combined: a receiver
+//! gets a message either whole or not at all.
 //!
-//! A chunk reads `<checksum>:<index>:<count>:<payload>`: the message's checksum in 16 hexadecimal digits, the chunk's
-//! index and the number of chunks in decimal, and a piece of the message in base 64. This form is on the wire between
-//! versions.
+//! Format of a chunk: `<checksum>:<index>:<count>:<payload>`, with the message's checksum in 16
+//! hexadecimal digits, the chunk's index and the number of chunks in decimal, and a part of the
+//! base64-encoded message. Controllers of different versions exchange this format.
 
 use std::fmt;
 
@@ -13,38 +14,39 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use thiserror::Error;
 
-/// Bytes of a chunk that are set aside for its header, which takes 16 digits, two numbers and three colons.
+/// Bytes of a chunk reserved for its header: 16 digits, two numbers and three colons.
 const HEADER_BYTES: usize = 64;
-/// Least bytes of payload in a chunk, however small the store's values are.
+/// Minimum payload of a chunk in bytes, even if the store's values are smaller.
 const MIN_PAYLOAD_BYTES: usize = 64;
 
-/// Why chunks do not make up a message. While a message is being replaced by the next one, that is usual.
+/// Reason why chunks do not form a message. Errors are expected while a message is being replaced
+/// by the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChunkError {
-    /// There are no chunks, or fewer than the message has.
+    /// No chunks, or fewer than the message has.
     #[error("chunks of the message are missing")]
     Incomplete,
-    /// A chunk is not of the form that this module writes.
-    #[error("chunk {index} is malformed")]
+    /// A chunk that does not have the format of this module.
+    #[error("chunk {index} does not have the format <checksum>:<index>:<count>:<payload>")]
     Malformed {
-        /// Its place among the chunks.
+        /// Index of the chunk.
         index: usize,
     },
-    /// A chunk belongs to another message, or stands in another place of it.
-    #[error("chunk {index} belongs elsewhere")]
-    Foreign {
-        /// Its place among the chunks.
+    /// A chunk of another message, or a chunk with another index than its position.
+    #[error("chunk {index} belongs to another message or position")]
+    Mismatched {
+        /// Position of the chunk.
         index: usize,
     },
-    /// The payloads together are not base 64.
-    #[error("the payload is not base 64")]
+    /// The combined payloads are not valid base64.
+    #[error("the payload is not valid base64")]
     Encoding,
-    /// The message is not the one that the checksum was made of.
-    #[error("the checksum does not match")]
+    /// The decoded message does not match its checksum.
+    #[error("the checksum does not match the message")]
     Checksum,
 }
 
-/// The header of a chunk. The checksum stays as it was written, since it is only compared.
+/// Header of a chunk. The checksum is kept as text, because it is only compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ChunkHeader<'a> {
     checksum: &'a str,
@@ -53,7 +55,7 @@
 }
 
 impl<'a> ChunkHeader<'a> {
-    /// Parses a chunk into its header and payload; `None` if it is malformed.
+    /// Parses a chunk into its header and payload; `None` if the chunk is malformed.
     fn parse(chunk: &'a str) -> Option<(Self, &'a str)> {
         let mut fields = chunk.splitn(4, ':');
         let checksum = fields.next()?;
@@ -70,18 +72,18 @@
     }
 }
 
-/// Bytes of a chunk of up to `limit` bytes that are left for its payload.
+/// Payload size of a chunk of up to `limit` bytes.
 fn payload_bytes(limit: usize) -> usize {
     limit.saturating_sub(HEADER_BYTES).max(MIN_PAYLOAD_BYTES)
 }
 
-/// The largest message, in bytes, that fits into so many chunks of up to `limit` bytes: base 64 writes three bytes as
-/// four.
-pub fn capacity(limit: usize, chunks: usize) -> usize {
+/// Size of the largest message, in bytes, that fits into `chunks` chunks of up to `limit` bytes
+/// each. Base64 encodes three bytes as four.
+pub fn max_message_bytes(limit: usize, chunks: usize) -> usize {
     payload_bytes(limit) * chunks / 4 * 3
 }
 
-/// Cuts a message into chunks of up to `limit` bytes.
+/// Splits a message into chunks of up to `limit` bytes.
 pub fn split(message: &[u8], limit: usize) -> Vec<String> {
     let text = BASE64.encode(message);
     let checksum = checksum_text(message);
@@ -94,17 +96,17 @@
     payloads.into_iter().enumerate().map(chunk).collect()
 }
 
-/// Puts a message together from its chunks in order. Chunks after its last one are left over from a longer message and
-/// are ignored.
+/// Joins chunks, given in order, into a message. Chunks after the last one of the message are left
+/// over from a longer message and are ignored.
 pub fn join<'a>(chunks: impl Iterator<Item = &'a str>) -> Result<Vec<u8>, ChunkError> {
     let mut expected_checksum: Option<&str> = None;
     let mut text = String::new();
     for (index, chunk) in chunks.enumerate() {
         let (header, payload) = ChunkHeader::parse(chunk).ok_or(ChunkError::Malformed { index })?;
         let same_message = expected_checksum.is_none_or(|checksum| checksum == header.checksum);
-        // A count that is passed already cannot be reached any more.
+        // A count up to the current index cannot be right, as the message would have ended earlier.
         if header.index != index || !same_message || header.count <= index {
-            return Err(ChunkError::Foreign { index });
+            return Err(ChunkError::Mismatched { index });
         }
         expected_checksum = Some(header.checksum);
         text.push_str(payload);
@@ -115,7 +117,7 @@
     Err(ChunkError::Incomplete)
 }
 
-/// Decodes the payloads of a whole message and checks it.
+/// Decodes the combined payloads and verifies the checksum.
 fn decode(text: &str, checksum: &str) -> Result<Vec<u8>, ChunkError> {
     let message = BASE64.decode(text).map_err(|_| ChunkError::Encoding)?;
     if checksum_text(&message) == checksum { Ok(message) } else { Err(ChunkError::Checksum) }
@@ -125,7 +127,8 @@
     format!("{:016x}", checksum(message))
 }
 
-/// The 64-bit FNV-1a hash. It detects mixed and torn messages; nobody forges them in the store.
+/// Computes the 64-bit FNV-1a hash. It detects mixed and torn messages. Protection against forged
+/// messages is out of scope.
 fn checksum(message: &[u8]) -> u64 {
     message.iter().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/src/message_chunks/tests.rs
+++ b/src/message_chunks/tests.rs
@@ -1,11 +1,11 @@
-//! Tables of cases for `message_chunks`.
+//! Tests of splitting and joining messages.
 
 use super::*;
 
 type Joined = Result<Vec<u8>, ChunkError>;
 
 #[test]
-fn chunked_messages_are_reassembled_whole_or_not_at_all() {
+fn chunks_are_joined_into_a_whole_message_or_none() {
     let long: Vec<u8> = (0..2_000u32).map(|n| n as u8).collect();
     let chunks = split(&long, 500);
     assert!(chunks.len() > 3 && chunks.iter().all(|p| p.len() <= 500));
@@ -19,24 +19,25 @@
         (texts(&chunks), Ok(long)),
         (texts(&chunks[..2]), Err(ChunkError::Incomplete)),
         (mixed, Ok(b"short".to_vec())),
-        (torn, Err(ChunkError::Foreign { index: 1 })),
+        (torn, Err(ChunkError::Mismatched { index: 1 })),
         (vec!["rubbish".into()], malformed.clone()),
         (vec!["00:x:1:".into()], malformed.clone()),
         (vec!["00:0:-1:".into()], malformed),
-        (vec!["00:0:0:".into()], Err(ChunkError::Foreign { index: 0 })),
-        (vec!["00:1:2:".into()], Err(ChunkError::Foreign { index: 0 })),
+        (vec!["00:0:0:".into()], Err(ChunkError::Mismatched { index: 0 })),
+        (vec!["00:1:2:".into()], Err(ChunkError::Mismatched { index: 0 })),
         (vec!["00:0:1:!!".into()], Err(ChunkError::Encoding)),
         (vec!["0000000000000000:0:1:AAAA".into()], Err(ChunkError::Checksum)),
         (vec![], Err(ChunkError::Incomplete)),
     ];
-    for (chunks, want) in cases {
-        assert_eq!(join(chunks.iter().map(String::as_str)), want);
+    for (chunks, expected) in cases {
+        assert_eq!(join(chunks.iter().map(String::as_str)), expected);
     }
 }
 
 #[test]
 fn chunks_keep_the_format_of_earlier_versions() {
-    // (message, its only chunk); the checksum of nothing is the hash's offset basis, and nothing has no chunk.
+    // (message, its only chunk). An empty message has no chunk; its checksum would be the hash's
+    // offset basis.
     assert_eq!(split(b"", 500), Vec::<String>::new());
     let chunks = split(b"a", 500);
     assert_eq!(chunks, ["af63dc4c8601ec8c:0:1:YQ"]);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and times of what a controller does over and over, for its operators.
+//! Counts and latencies of a controller's frequent operations, logged for operators.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -6,27 +6,27 @@
 
 use hdrhistogram::Histogram;
 
-/// What is measured. The order is that of the log line.
+/// Operations that are measured, in the order of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A worker's heartbeat answered.
+    /// Handling a worker's heartbeat.
     Heartbeat,
-    /// An epoch worked out, without its write.
+    /// Computing an epoch, without writing it.
     Epoch,
-    /// Plans made from an epoch.
+    /// Creating plans from an epoch.
     Publish,
-    /// A summary made.
+    /// Creating a summary.
     Summary,
-    /// As the leader, a summary merged.
+    /// Merging a summary, as the leader.
     SummaryMerge,
-    /// A plan applied.
+    /// Applying a plan.
     Plan,
-    /// Changes from the store applied.
+    /// Applying changes from the store.
     Watch,
 }
 
 impl Operation {
-    /// All operations; each stands at the index that its discriminant says.
+    /// All operations, ordered by discriminant.
     const ALL: [Operation; 7] = [
         Operation::Heartbeat,
         Operation::Epoch,
@@ -37,7 +37,8 @@
         Operation::Watch,
     ];
 
-    /// The name in the log line `measured`, which operators read; it stays when the operation's own name changes.
+    /// Returns the name in the log line `measured`. The name is independent of the variant's name,
+    /// because operators' tools read it.
     const fn name(self) -> &'static str {
         match self {
             Operation::Heartbeat => "report",
@@ -51,21 +52,21 @@
     }
 }
 
-/// The longest time that is distinguished, in microseconds: a minute.
+/// Maximum latency that is distinguished: one minute.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Significant digits of a recorded time: with two, a histogram takes a few kilobytes.
+/// Significant digits of recorded latencies. With two digits, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Times since the last line in the log, in microseconds.
+/// Latencies since the last log line, in microseconds.
 #[derive(Debug, Default)]
 pub struct LatencyMetrics {
-    /// By operation; one that has not been measured has no histogram.
+    /// Histograms by operation; `None` for operations that were never measured.
     histograms: RefCell<[Option<Histogram<u64>>; Operation::ALL.len()]>,
 }
 
 impl LatencyMetrics {
-    /// Does something and records how long it took; returns that too, in microseconds.
-    pub fn timed<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> (T, u64) {
+    /// Calls `act` and records its latency. Returns the result and the latency in microseconds.
+    pub fn time_and_measure<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> (T, u64) {
         let began = Instant::now();
         let done = act();
         let took_us = began.elapsed().as_micros() as u64;
@@ -73,12 +74,12 @@
         (done, took_us)
     }
 
-    /// Does something and records how long it took.
+    /// Calls `act` and records its latency.
     pub fn time<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> T {
-        self.timed(operation, act).0
+        self.time_and_measure(operation, act).0
     }
 
-    /// Records a time in microseconds.
+    /// Records a latency in microseconds.
     fn record(&self, operation: Operation, took_us: u64) {
         let mut histograms = self.histograms.borrow_mut();
         let slot = &mut histograms[operation as usize];
@@ -90,8 +91,8 @@
         }
     }
 
-    /// A line with counts, means and 99th percentiles since the last one.
-    pub fn line(&self) -> String {
+    /// Returns a line with counts, means and 99th percentiles since the last call, and resets them.
+    pub fn take_line(&self) -> String {
         let mut line = String::new();
         let mut histograms = self.histograms.borrow_mut();
         for (operation, histogram) in Operation::ALL.iter().zip(histograms.iter_mut()) {
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,18 +1,18 @@
-//! Tables of cases for `metrics`.
+//! Tests of the log line with the measured latencies.
 
 use super::*;
 
 #[test]
-fn a_log_line_covers_the_time_since_the_last() {
+fn a_log_line_covers_the_time_since_the_previous_line() {
     let metrics = LatencyMetrics::default();
-    assert_eq!(metrics.line(), "");
+    assert_eq!(metrics.take_line(), "");
     metrics.record(Operation::Epoch, 100);
     metrics.record(Operation::Epoch, 300);
     metrics.record(Operation::Watch, u64::MAX);
-    let line = metrics.line();
+    let line = metrics.take_line();
     assert!(line.starts_with("epoch 2 x 200 us (p99 30"), "{line}");
     assert!(line.contains("watch 1 x"), "{line}");
-    assert_eq!(metrics.line(), "");
+    assert_eq!(metrics.take_line(), "");
 }
 
 #[test]
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,12 +1,12 @@
-//! Messages between controllers: shard summaries to the leader, plans back, and requests
-//! handed over to a controller that can reach the store. Encoded with `rmp-serde`.
+//! Messages between controllers: shard summaries to the leader, plans in response, and requests
+//! forwarded to a controller that can reach the store. Encoded as MessagePack with `rmp-serde`.
 //!
-//! Controllers of two versions understand each other by one rule: messages are maps by field
-//! name, so what a reader does not know it ignores, and a field that came later has a default.
-//! What comes in numbers ([`MachineView`], [`ForeignMachine`], [`Grant`], [`JobStatus`], [`TaskView`]) is
-//! written as a list of its first fields and never grows; what is to be sent besides gets a field in
-//! the message around it. No enum gets a variant that a version without it has to read. The
-//! version before this rule wrote lists throughout, which are read as well.
+//! Compatibility between versions: messages are maps by field name, a reader ignores unknown
+//! fields, and a field that was added later has a default. Types of which a message holds many
+//! ([`MachineView`], [`ForeignMachine`], [`Grant`], [`JobStatus`], [`TaskView`]) are arrays of a
+//! fixed set of fields and never change; new data goes into a new field of the enclosing message.
+//! No enum gets a variant that a version without it has to read. The version before this rule wrote
+//! arrays throughout; they can still be read.
 
 mod lists;
 mod messages;
@@ -21,29 +21,29 @@
     WaitReason,
 };
 
-/// A message that cannot be read: not MessagePack, or of the wrong shape, such as a variant of a later
-/// version.
+/// Error for a message that is not MessagePack or has an unexpected shape, such as an enum variant
+/// of a later version.
 #[derive(Debug, Error)]
-#[error("unreadable message of a controller: {0}")]
+#[error("invalid message from a controller: {0}")]
 pub struct DecodeError(#[from] rmp_serde::decode::Error);
 
-/// Whether a request may be forwarded to another controller. A forwarded one is not forwarded again.
+/// Whether a request may be forwarded to another controller. A request is forwarded at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Forwarding {
-    /// It came from a user.
+    /// The request came from a user and may be forwarded.
     Allowed,
-    /// It came from another controller.
+    /// The request came from another controller and must not be forwarded again.
     Forbidden,
 }
 
 /// Encodes a message.
 ///
-/// This cannot fail: writing to memory does not, and MessagePack expresses all that our messages are made of.
-/// A type that broke this would fail the debug assertion in the tests; a release build would send an empty
-/// body, which every reader refuses.
+/// Encoding does not fail: writes to memory succeed, and MessagePack can represent all types in
+/// these messages. A type that breaks this rule fails the debug assertion in tests. A release build
+/// then sends an empty body, which every reader rejects.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(message).unwrap_or_else(|error| {
-        debug_assert!(false, "a message that MessagePack cannot express: {error}");
+        debug_assert!(false, "cannot encode message as MessagePack: {error}");
         Vec::new()
     })
 }
@@ -51,7 +51,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// [`DecodeError`] with what the decoder says.
+/// [`DecodeError`] with the decoder's message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/src/peer/lists.rs
+++ b/src/peer/lists.rs
@@ -1,5 +1,5 @@
-//! What messages between controllers hold in numbers. Each is written as a list of its first fields and
-//! never grows; a field that is to be added goes into the message around it.
+//! Types of which a message between controllers holds many. Each is serialized as an array of a
+//! fixed set of fields and never changes; new data goes into a field of the enclosing message.
 
 use std::rc::Rc;
 
@@ -10,8 +10,8 @@
 use crate::model::{AgentEpoch, Attempt, JobId, MachineId, TaskId, TaskRanges};
 use crate::wire::TaskState;
 
-/// Writes a struct as the list of these fields, in this order.
-macro_rules! as_list {
+/// Serializes a struct as an array of the given fields, in the given order.
+macro_rules! serialize_as_array {
     ($name:ident, $count:literal: $($field:ident),*) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -22,25 +22,26 @@
         }
     };
 }
-as_list!(MachineView, 11: id, machine_type, zone, spot, endpoint, reconciled, agent_epoch, leaving, quarantine_ms, tasks, images);
-as_list!(ForeignMachine, 6: id, machine_type, zone, spot, silent_ms, since_ms);
-as_list!(Grant, 4: job, tasks, zone, attempt);
-as_list!(JobStatus, 3: job, running, wait_reason);
+serialize_as_array!(MachineView, 11: id, machine_type, zone, spot, endpoint, reconciled, agent_epoch, leaving, quarantine_ms, tasks, images);
+serialize_as_array!(ForeignMachine, 6: id, machine_type, zone, spot, silent_ms, since_ms);
+serialize_as_array!(Grant, 4: job, tasks, zone, attempt);
+serialize_as_array!(JobStatus, 3: job, running, wait_reason);
 
-/// A task as its machine's owner knows it.
+/// Task, as known to the owner of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, u32, u8)", into = "(u64, u32, u8)")]
 pub struct TaskView {
-    /// The task.
+    /// Task that is described.
     pub task: TaskId,
-    /// Its state; `Unknown` for a start that no heartbeat has shown yet.
+    /// State of the task; `Unknown` for a start that no heartbeat has confirmed yet.
     #[serde(rename = "stage")]
     pub state: TaskState,
 }
 
 /// Task states by their number in messages between controllers.
 ///
-/// The version before gangs reads the last one as `Unknown`: on its machine, not shown yet.
+/// Versions without support for gangs read the last state as `Unknown`, which means that the task
+/// is on its machine and not confirmed yet.
 const TASK_STATES: [TaskState; 6] = [
     TaskState::Unknown,
     TaskState::FetchingImage,
@@ -64,85 +65,88 @@
     }
 }
 
-/// A machine as its owner knows it.
+/// Machine, as known to its owner.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct MachineView {
-    /// The machine.
+    /// Machine that is described.
     pub id: MachineId,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub machine_type: Rc<str>,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: Rc<str>,
-    /// Spot or ordinary.
+    /// Whether this is a spot machine.
     pub spot: bool,
-    /// Where its worker listens.
+    /// Address at which the machine's worker listens.
     pub endpoint: Rc<str>,
-    /// Whether its last heartbeat carried the sender's term: it refuses commands of older ones,
-    /// and its task list is the truth.
+    /// Whether the machine's last heartbeat carried the sender's term. The machine then refuses
+    /// commands of earlier terms, and its task list is authoritative.
     #[serde(rename = "settled")]
     pub reconciled: bool,
-    /// Its agent epoch.
+    /// Agent epoch of the machine.
     #[serde(rename = "session")]
     pub agent_epoch: AgentEpoch,
-    /// Whether the cloud is about to take it.
+    /// Whether the cloud has announced that it will take the machine back.
     pub leaving: bool,
-    /// Milliseconds for which it is quarantined, that is takes no new tasks: it failed tasks or showed no effect of
-    /// commands lately.
+    /// Remaining quarantine in milliseconds. A machine that recently failed tasks or showed no
+    /// effect of commands gets no new tasks during its quarantine.
     #[serde(rename = "shun_ms")]
     pub quarantine_ms: u64,
-    /// Tasks on it or on their way to it.
+    /// Tasks on the machine or being started on it.
     pub tasks: Vec<TaskView>,
-    /// Images it has, with their sizes in GB, most recently used last.
+    /// Images on the machine with their sizes in GB, most recently used last.
     pub images: Vec<(Rc<str>, f64)>,
 }
 
-/// A machine that sends its heartbeats to a controller that does not own it.
+/// Machine that sends heartbeats to a controller that does not own it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ForeignMachine {
-    /// The machine.
+    /// Machine that is described.
     pub id: MachineId,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether this is a spot machine.
     pub spot: bool,
-    /// Milliseconds since its last heartbeat here.
+    /// Milliseconds since the sender received the machine's last heartbeat.
     pub silent_ms: u64,
-    /// Milliseconds since it began to send heartbeats here without being able to reach its owner.
+    /// Milliseconds since the machine, unable to reach its owner, began to send heartbeats to the
+    /// sender.
     pub since_ms: u64,
 }
 
-/// Task ranges that a shard may start.
+/// Task ranges of a job that a shard may start.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Grant {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// The tasks.
+    /// Tasks that may be started.
     pub tasks: TaskRanges,
-    /// The only zone in which they may start, for jobs whose tasks must be together or apart.
+    /// Only zone in which the tasks may start, for jobs with tasks that must be placed together or
+    /// apart.
     pub zone: Option<String>,
-    /// The attempt that all tasks of a gang share; others get their own from the shard.
+    /// Common attempt of all tasks of a gang. For other jobs, the shard assigns an attempt to each
+    /// task.
     pub attempt: Option<Attempt>,
 }
 
 impl Grant {
-    /// The job.
+    /// Returns the id of the job.
     pub fn job(&self) -> JobId {
         JobId(self.job)
     }
 }
 
-/// Status of a job, for answers to users.
+/// Status of a job for answers to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct JobStatus {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// Tasks running.
+    /// Number of running tasks.
     pub running: u32,
-    /// What holds it back.
+    /// Reason why the job waits.
     #[serde(rename = "waits")]
     pub wait_reason: WaitReason,
 }
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -1,4 +1,4 @@
-//! The messages themselves: summaries to the leader, plans back, and requests between controllers.
+//! Message types: summaries to the leader, plans in response, and requests between controllers.
 
 use serde::{Deserialize, Serialize};
 use willowshore_standby::decision_log::{Batch, FollowRequest};
@@ -10,150 +10,159 @@
 use crate::replica::{LeaderRecord, Progress};
 use crate::wire::JobSpec;
 
-/// A shard's state as its controller sends it to the leader: all that changed since an earlier summary which the
-/// leader is known to have applied.
+/// State of a shard, sent by its controller to the leader. Contains all changes since an earlier
+/// summary that the leader is known to have applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Sender.
+    /// Controller that sends the summary.
     pub node: NodeId,
-    /// Incarnation of its process.
+    /// Incarnation of the sender's process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Counts its summaries; late ones are dropped.
+    /// Sequence number of the summary. The leader drops summaries that arrive late.
     #[serde(rename = "number")]
     pub seq: u64,
-    /// The summary that this one adds to; 0 if it is whole.
+    /// Sequence number of the summary that this one is a difference to; 0 for a full summary.
     #[serde(rename = "base")]
     pub base_seq: u64,
-    /// Whether the next one goes on with what did not fit into this one.
+    /// Whether the next summary continues with the data that did not fit into this one.
     #[serde(rename = "more")]
     pub has_more: bool,
-    /// The term it knows.
+    /// Term known to the sender.
     pub term: Term,
-    /// The last plan of this term that it follows.
+    /// Last plan of this term that the sender applied.
     #[serde(rename = "followed")]
     pub applied_plan: PlanSeq,
-    /// The leader's clock as given in that plan: this summary was made after that.
+    /// Leader's clock in `applied_plan`. The summary was made after this time.
     #[serde(rename = "echo_ms")]
     pub echoed_clock_ms: u64,
-    /// Milliseconds since its process started.
+    /// Milliseconds since the sender's process started.
     #[serde(rename = "up_ms")]
     pub uptime_ms: u64,
-    /// Milliseconds since the store last served it.
+    /// Milliseconds since the store last served the sender.
     #[serde(rename = "served_ms")]
     pub since_store_response_ms: u64,
-    /// Milliseconds since its last heartbeat of any worker.
+    /// Milliseconds since the sender received the last heartbeat of any worker.
     #[serde(rename = "heard_ms")]
     pub since_heartbeat_ms: u64,
-    /// The machines of its shard that changed since the base.
+    /// Machines of the sender's shard that changed since the base summary.
     pub machines: Vec<MachineView>,
-    /// For every machine it answered since the base: milliseconds since the last answer.
+    /// Machines that the sender answered since the base summary, with the milliseconds since the
+    /// last answer.
     pub answered: Vec<(MachineId, u64)>,
-    /// Foreign machines: ones that send it heartbeats without being of its shard.
+    /// Machines outside the sender's shard that send it heartbeats.
     #[serde(rename = "strays")]
     pub foreign_machines: Vec<ForeignMachine>,
-    /// Machines that were restarted and count their heartbeats from the start again.
+    /// Machines that restarted and count their heartbeats from the beginning again.
     #[serde(rename = "reborn")]
     pub restarted: Vec<MachineId>,
-    /// Jobs that fail wherever they are tried.
+    /// Numbers of jobs that fail on every machine on which they are tried.
     pub failing: Vec<u64>,
-    /// Tasks that completed and are not known to be on record yet.
+    /// Completed tasks by job number that are not known to be recorded yet.
     #[serde(rename = "finished")]
     pub completed_tasks: Vec<(u64, TaskRanges)>,
-    /// Machines of its shard that the cloud is about to take, and in how many milliseconds.
+    /// Machines of the sender's shard that the cloud will take back, with the milliseconds until
+    /// then.
     #[serde(default)]
     pub notices: Vec<(MachineId, u64)>,
-    /// What it asks for of the leader's decisions, if it follows them.
+    /// Request for the leader's decisions; `None` if the sender does not follow them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub follow: Option<FollowRequest>,
 }
 
-/// Why a job does not run as wide as it could.
+/// Reason why a job runs fewer tasks than it could.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaitReason {
-    /// Nothing holds it back.
-    No,
-    /// Its rank is below the admission threshold.
+    /// The job does not wait.
+    #[serde(rename = "No")]
+    NotWaiting,
+    /// The job's rank is below the admission threshold.
     BelowWaterline,
-    /// Its team's limit is used up.
+    /// The limit of the job's team is used up.
     TeamLimit,
     /// Machines are full; the cluster scales out if it can.
-    ForMachines,
-    /// Its tasks keep failing; it is tried again after a pause.
+    #[serde(rename = "ForMachines")]
+    NoFreeMachines,
+    /// The job's tasks keep failing; the job is retried after a pause.
     Failing,
-    /// A controller or machine was lost and its tasks are not yet proven gone.
-    Unproven,
+    /// A controller or machine was lost, and the job's tasks may still be running there.
+    #[serde(rename = "Unproven")]
+    TasksPossiblyRunning,
 }
 
-/// What changed about owners of machines since an earlier plan.
+/// Changes of machine owners since an earlier plan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OwnershipChanges {
-    /// The plan that this adds to; 0 if it is whole.
+    /// Plan that the changes are relative to; 0 if `set` lists all owners.
     pub base: PlanSeq,
-    /// Owners of machines.
+    /// New owners of machines.
     pub set: Vec<(MachineId, NodeId)>,
-    /// Machines that are no longer owned.
+    /// Machines that no longer have an owner.
     #[serde(rename = "gone")]
     pub removed: Vec<MachineId>,
 }
 
-/// The leader's answer to a summary: what the controller's shard may do.
+/// Leader's response to a summary, with the commands for the controller's shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The term.
+    /// Term of the leader.
     pub term: Term,
-    /// The incarnation that it is meant for.
+    /// Incarnation of the receiver's process that the plan is for.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Its number in the term.
+    /// Sequence number of the plan within the term.
     pub seq: PlanSeq,
-    /// The leader's clock when it was sent, to be echoed.
+    /// Leader's clock in milliseconds when the plan was sent. The receiver echoes it in its
+    /// summaries.
     #[serde(rename = "clock_ms")]
     pub leader_clock_ms: u64,
-    /// The last summary that the leader applied from the receiver.
+    /// Sequence number of the receiver's last summary that the leader applied.
     #[serde(rename = "heard")]
     pub acknowledged_summary: u64,
-    /// Owners of machines.
+    /// Changes of machine owners.
     pub owners: OwnershipChanges,
-    /// The rest; `None` if it is as in the plan that the receiver follows already.
+    /// Commands and job statuses; `None` if they are the same as in the plan that the receiver
+    /// follows.
     pub body: Option<PlanBody>,
-    /// Decisions of the leader that the receiver asked for. Never in messages through the store.
+    /// Decisions of the leader that the receiver requested. Never set in messages through the
+    /// store.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub decisions: Option<Batch>,
 }
 
-/// What a shard may do.
+/// Commands for a shard and job statuses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanBody {
-    /// What this shard may start.
+    /// Tasks that the shard may start.
     pub grants: Vec<Grant>,
-    /// Machines that are to take nothing new.
+    /// Machines that must not get new tasks.
     pub drain: Vec<MachineId>,
-    /// Machines that are used last, as they run slow.
+    /// Slow machines, which the shard uses last.
     pub slow: Vec<MachineId>,
-    /// Machines whose lease has run out, and the agent epoch that ended with it.
+    /// Machines whose lease has expired, with the agent epoch that ended with the lease.
     #[serde(rename = "lapsed")]
     pub expired_leases: Vec<(MachineId, AgentEpoch)>,
-    /// Status of jobs, for answers to users.
+    /// Job statuses for answers to users.
     #[serde(rename = "standings")]
     pub job_statuses: Vec<JobStatus>,
-    /// Gangs that are to be stopped wherever their tasks are.
+    /// Gangs to be stopped wherever their tasks are.
     #[serde(default)]
     pub stops: Vec<GangStop>,
-    /// Machines that are reserved for gangs, and for work that may not use spot machines.
+    /// Machines reserved for gangs and for jobs that must not use spot machines.
     #[serde(default, rename = "kept")]
     pub reserved: Vec<MachineId>,
-    /// What this shard may start besides, as soon as other tasks leave room for it, where no work that is
-    /// more urgent may go.
+    /// Tasks that the shard may start in addition to `grants` once other tasks release resources,
+    /// only where no more urgent work may be placed.
     #[serde(default, rename = "ahead")]
     pub grants_awaiting_release: Vec<Grant>,
-    /// Jobs' numbers and how many of their tasks have completed, where not all of that is on record yet.
+    /// Numbers of jobs with unrecorded completions, and the total number of their completed tasks.
     #[serde(default)]
     pub completed: Vec<(u64, u32)>,
 }
 
 impl PlanBody {
-    /// Whether both hold the same commands, whatever the status of jobs.
+    /// Whether both bodies hold the same commands. Job statuses and completion counts are not
+    /// compared.
     pub fn has_same_commands(&self, other: &PlanBody) -> bool {
         self.grants == other.grants
             && self.grants_awaiting_release == other.grants_awaiting_release
@@ -165,70 +174,77 @@
     }
 }
 
-/// A gang that is to be stopped. The command may come any number of times, and late: what
-/// starts afterwards has another attempt.
+/// Command to stop a gang. It may be delivered repeatedly and late, because tasks that start
+/// afterwards have a later attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GangStop {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
     /// Attempts below this one are stopped.
     pub before: Attempt,
-    /// Milliseconds that each task has to save; 0 to end at once.
+    /// Milliseconds that each task has to save its state; 0 to stop at once.
     #[serde(rename = "leeway_ms")]
     pub grace_ms: u64,
 }
 
-/// A request between controllers.
+/// Request between controllers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A shard's summary to the leader.
+    /// Summary of a shard for the leader.
     Summary(Summary),
-    /// Whether the asked node reaches the store.
-    Reach,
-    /// Who leads, asked by a node that the store does not serve.
+    /// Asks whether the receiver can reach the store.
+    #[serde(rename = "Reach")]
+    StoreReachable,
+    /// Asks for the leader. Sent by a controller that the store does not serve.
     #[serde(rename = "Lead")]
     Leader,
-    /// A submission handed over.
+    /// Forwarded submission.
     Submit(JobSpec),
-    /// A query handed over.
+    /// Forwarded query.
     Query(JobId),
-    /// A cancellation handed over.
-    Abort(JobId),
-    /// A job has been cancelled, durably: its progress record and its revision. Only for controllers whose
-    /// member record says that they read it. The answer is that of `Reach`.
-    Ended(JobId, Progress, Revision),
-    /// Asks when the last message of the leader of that term was received. Only for controllers whose member record
-    /// says that they read it.
+    /// Forwarded cancellation.
+    #[serde(rename = "Abort")]
+    Cancel(JobId),
+    /// Reports a durable cancellation of a job, with the job's progress record and its revision.
+    /// Only for controllers whose member record lists this capability. Answered like
+    /// `StoreReachable`.
+    #[serde(rename = "Ended")]
+    JobCancelled(JobId, Progress, Revision),
+    /// Asks when the receiver got the last message of the leader of this term. Only for controllers
+    /// whose member record lists this capability.
     LeaderSilence(Term),
 }
 
-/// An answer between controllers.
+/// Response between controllers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The leader's plan.
+    /// Plan of the leader.
     Plan(Box<Plan>),
-    /// The asked node does not lead; this is the term it knows.
+    /// The responder does not lead. Contains the term that it knows.
     NotLeading(Term),
-    /// The summary adds to one that the leader does not have: a whole one is needed.
-    SendWhole,
-    /// Whether the asked node reaches the store.
-    Reach(bool),
-    /// Who leads, if the asked node knows it from the store just now.
+    /// The leader lacks the summary that the received one is a difference to, and needs a full
+    /// summary.
+    #[serde(rename = "SendWhole")]
+    SendFullSummary,
+    /// Whether the responder can reach the store.
+    #[serde(rename = "Reach")]
+    StoreReachable(bool),
+    /// Leader, according to a current replica of the responder; `None` if it has none.
     #[serde(rename = "Lead")]
     Leader(Option<LeaderRecord>),
-    /// The answer to a handed-over request: status and CBOR body.
+    /// Answer to a forwarded request: status and CBOR body.
     Answer(u16, Vec<u8>),
-    /// Milliseconds since the last message of the leader that was asked about; `None` if the asked node does not follow
-    /// it.
+    /// Milliseconds since the last message of the leader in question; `None` if the responder does
+    /// not follow this leader.
     LeaderSilence(Option<u64>),
 }
 
-/// A message through the store, for controllers that cannot reach each other.
+/// Message through the store, for controllers that cannot reach each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreMessage {
-    /// A shard's summary to the leader.
+    /// Summary of a shard for the leader.
     Summary(Box<Summary>),
-    /// The leader's answer.
+    /// Response of the leader.
     #[serde(rename = "Tell")]
     PeerResponse(PeerResponse),
 }
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -65,7 +65,7 @@
 /// Gangs: [`crate::peer::GangStop`], tasks that wait for their gang, and completion of a gang as a
 /// whole.
 pub const CAPABILITY_GANGS: u32 = 1;
-/// Direct cancellation notices, [`crate::peer::PeerRequest::Ended`].
+/// Direct cancellation notices, [`crate::peer::PeerRequest::JobCancelled`].
 pub const CAPABILITY_CANCELLATION_NOTICE: u32 = 2;
 /// Starting tasks granted before their resources are released,
 /// [`crate::peer::PlanBody::grants_awaiting_release`].
--- a/src/service.rs
+++ b/src/service.rs
@@ -149,7 +149,7 @@
             controller.enable_standby(standby);
         }
         Service {
-            me: controller.me,
+            me: controller.local_node,
             nodes: controller.nodes.len(),
             peers: Peers::new(&controller.nodes),
             store: StoreClient::new(
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -54,7 +54,7 @@
         progress: replica::Progress,
         version: Revision,
     ) {
-        let request = Rc::new(PeerRequest::Ended(id, progress, version));
+        let request = Rc::new(PeerRequest::JobCancelled(id, progress, version));
         for node in self
             .others()
             .filter(|node| self.controller.borrow().replica.supports_cancellation_notices(*node))
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -50,7 +50,7 @@
         loop {
             sleep(MEASUREMENT_PERIOD).await;
             let refused_starts = self.controller.borrow().shard.refused_starts();
-            info!(work = %self.metrics.line(), refused_starts, "measured");
+            info!(work = %self.metrics.take_line(), refused_starts, "measured");
             self.controller.borrow_mut().with_leader(self.moment(), |leader, cluster| {
                 info!(term = %leader.term, state = %leader.describe(cluster), "epoch");
             });
@@ -62,7 +62,7 @@
         let moment = self.moment();
         let (result, took_us) = {
             let mut controller = self.controller.borrow_mut();
-            self.metrics.timed(Operation::Epoch, || controller.epoch(moment))
+            self.metrics.time_and_measure(Operation::Epoch, || controller.epoch(moment))
         };
         self.epoch_us.set(took_us);
         let Some((epoch, term)) = result else { return };
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -117,7 +117,7 @@
         if self.controller.borrow().standby.is_none() {
             return true;
         }
-        let Some(check) = self.controller.borrow().leadership_check() else { return false };
+        let Some(check) = self.controller.borrow().leadership_check_txn() else { return false };
         match self.store.commit(&check).await {
             Ok(TxnOutcome::Committed(_)) => true,
             Ok(TxnOutcome::ConditionsFailed(_)) => {
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -55,13 +55,13 @@
         let lease = self.controller.borrow().rights.lease;
         if let Some(lease) = lease {
             let sent = self.now();
-            return match self.store.renew(lease).await {
+            return match self.store.renew_lease(lease).await {
                 Ok(()) => {
                     self.controller.borrow_mut().rights.confirm_renewal(sent);
                     Ok(())
                 }
                 Err(e) => {
-                    if e == StoreError::NoLease {
+                    if e == StoreError::LeaseNotFound {
                         warn!("the lease in the store has ended");
                         self.controller.borrow_mut().rights.lose_lease();
                     }
@@ -69,7 +69,7 @@
                 }
             };
         }
-        let lease = self.store.grant(CONTROLLER_LEASE_MS).await?;
+        let lease = self.store.grant_lease(CONTROLLER_LEASE_MS).await?;
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
@@ -135,7 +135,7 @@
     /// Writes the transaction that takes the next term, and brings the replica up to date. Without an error the replica
     /// shows who leads, which may be another controller.
     pub(super) async fn acquire_leadership(&self) -> Result<(), StoreError> {
-        let txn = self.controller.borrow().election_txn().ok_or(StoreError::NoLease)?;
+        let txn = self.controller.borrow().election_txn().ok_or(StoreError::LeaseNotFound)?;
         let has_standby = self.controller.borrow().standby.is_some();
         let outcome = match has_standby {
             true => self.store.commit_hedged(&txn, FENCE_HEDGE_AFTER).await,
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -148,7 +148,9 @@
                 self.responses_through_store.borrow_mut().remove(&summary.node);
                 self.receive_summary(summary)
             }
-            PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
+            PeerRequest::StoreReachable => {
+                PeerResponse::StoreReachable(self.controller.borrow().store_ok)
+            }
             PeerRequest::LeaderSilence(term) => PeerResponse::LeaderSilence(
                 self.controller.borrow().leader_silence_ms(self.now(), term),
             ),
@@ -161,10 +163,10 @@
             PeerRequest::Query(job) => {
                 forwarded_answer(self.query(job, Forwarding::Forbidden).await)
             }
-            PeerRequest::Abort(job) => {
+            PeerRequest::Cancel(job) => {
                 forwarded_answer(self.abort(job, Forwarding::Forbidden).await)
             }
-            PeerRequest::Ended(job, progress, version) => {
+            PeerRequest::JobCancelled(job, progress, version) => {
                 self.receive_cancellation(job, &progress, version)
             }
         }
@@ -180,6 +182,6 @@
         let replica_changes =
             self.controller.borrow_mut().apply_cancellation_notice(job, progress, version);
         self.follow_changes(&replica_changes);
-        PeerResponse::Reach(self.controller.borrow().store_ok)
+        PeerResponse::StoreReachable(self.controller.borrow().store_ok)
     }
 }
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -105,14 +105,16 @@
             responses_through_store.retain(|_, (at, _)| now.since(*at) < SEND_PLANS_FOR_MS);
             responses_through_store
                 .iter()
-                .map(|(node, (_, response))| (*node, matches!(response, PeerResponse::SendWhole)))
+                .map(|(node, (_, response))| {
+                    (*node, matches!(response, PeerResponse::SendFullSummary))
+                })
                 .collect()
         };
         for (node, whole) in receivers {
             let message = self.controller.borrow().plan_for(node, now);
             if let Some((plan, condition)) = message {
                 let response = if whole {
-                    PeerResponse::SendWhole
+                    PeerResponse::SendFullSummary
                 } else {
                     PeerResponse::Plan(Box::new(plan))
                 };
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -35,7 +35,7 @@
             }
             match self.sync_replica(self.watch_wait()).await {
                 Ok(()) => sleep(WATCH_PAUSE).await,
-                Err(StoreError::TooOld) => self.controller.borrow_mut().loaded = false,
+                Err(StoreError::ChangesTooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
                     debug!(error = %e, "cannot follow the store");
                     sleep(WATCH_RETRY).await;
@@ -93,15 +93,15 @@
     /// current when this was called.
     pub(super) async fn sync_replica(&self, wait: Duration) -> Result<(), StoreError> {
         let sent = self.now();
-        let after = self.controller.borrow().changes_from().ok_or(StoreError::Unknown)?;
+        let after = self.controller.borrow().watch_start_revision().ok_or(StoreError::Unknown)?;
         let got = self.store.changes(after, wait).await;
         let replica_changes = {
             let mut controller = self.controller.borrow_mut();
             controller.store_ok = got.is_ok();
             let got = got?;
             self.metrics
-                .time(Operation::Watch, || controller.apply(&got, sent))
-                .ok_or(StoreError::TooOld)?
+                .time(Operation::Watch, || controller.apply_watch_response(&got, sent))
+                .ok_or(StoreError::ChangesTooOld)?
         };
         self.follow_changes(&replica_changes);
         Ok(())
@@ -109,7 +109,7 @@
 
     /// Acts on changes in the replica and wakes the loops that they concern.
     pub(super) fn follow_changes(&self, replica_changes: &ReplicaChanges) {
-        self.controller.borrow_mut().follow(self.moment(), replica_changes);
+        self.controller.borrow_mut().on_replica_changes(self.moment(), replica_changes);
         if replica_changes.leader {
             self.wake_ups.election.notify_one();
             self.wake_ups.summary.notify_one();
--- a/src/service/summaries.rs
+++ b/src/service/summaries.rs
@@ -99,7 +99,8 @@
             route.last_through_store = now;
             let limits = &self.settings.params.store;
             let chunks = limits.txn_ops * TXNS_PER_STORE_SUMMARY;
-            let byte_budget = message_chunks::capacity(message_chunk_bytes(limits), chunks);
+            let byte_budget =
+                message_chunks::max_message_bytes(message_chunk_bytes(limits), chunks);
             let summary = self.summary(byte_budget);
             self.send_summary_through_store(leader, &summary).await;
         }
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -56,7 +56,8 @@
     );
     controller.rights.lease = Some(StoreLease(1));
     let moment = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
-    controller.follow(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
+    controller
+        .on_replica_changes(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let grant = Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt: None };
     controller.shard.apply_plan(Plan {
         term: TERM,
--- a/src/shard/tests/direct_messages.rs
+++ b/src/shard/tests/direct_messages.rs
@@ -129,8 +129,10 @@
 fn cancel(controller: &mut Controller, ms: u64) {
     let cancelled = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
     let replica_changes = controller.apply_cancellation_notice(JobId(1), &cancelled, Revision(12));
-    controller
-        .follow(ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) }, &replica_changes);
+    controller.on_replica_changes(
+        ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) },
+        &replica_changes,
+    );
 }
 
 #[test]
--- a/src/shard/tests/terms.rs
+++ b/src/shard/tests/terms.rs
@@ -24,7 +24,7 @@
     let leader = match source {
         TermSource::Peer => return controller.adopt_leader_from_peer(other),
         TermSource::Watch => other,
-        TermSource::OwnElection => leader(controller.me, INCARNATION),
+        TermSource::OwnElection => leader(controller.local_node, INCARNATION),
     };
     let mut replica_changes = ReplicaChanges::default();
     let records = [
@@ -35,7 +35,7 @@
         let item = KeyValue { key: key.into(), value: v, version: Revision(20) };
         controller.replica.load(&item, &mut replica_changes);
     }
-    controller.follow(
+    controller.on_replica_changes(
         ClockReading { steady: MonotonicTime(1_000), wall: WallTime(1_000) },
         &replica_changes,
     );
@@ -141,7 +141,7 @@
     shard.job_progress.job_statuses.push(JobStatus {
         job: 1,
         running: 1,
-        wait_reason: WaitReason::No,
+        wait_reason: WaitReason::NotWaiting,
     });
     shard.job_progress.completed.push((1, 1));
     shard.machines.insert(machine(), Machine::new(&shown, MonotonicTime(5)));
@@ -168,7 +168,7 @@
     // Both structs are destructured in full, so that a new field does not compile until it is covered here.
     for source in TERM_SOURCES {
         let mut controller = controller_with_filled_shard();
-        let fresh = TermState::begin(TERM, controller.me);
+        let fresh = TermState::begin(TERM, controller.local_node);
         let TermState {
             term,
             attempts,
@@ -214,7 +214,7 @@
         );
 
         begin_next_term(&mut controller, source);
-        let node_id = controller.me;
+        let node_id = controller.local_node;
         let Shard {
             node_id: _,
             incarnation,
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -72,7 +72,7 @@
     fn moment(&self, now: u64) -> ClockReading {
         // A clock that runs a little fast, differently on each node.
         let elapsed = now - self.started;
-        let drift = elapsed * u64::from(self.controller.me.0) / 4_000;
+        let drift = elapsed * u64::from(self.controller.local_node.0) / 4_000;
         ClockReading { steady: MonotonicTime(elapsed + drift), wall: WallTime(1_000_000 + now) }
     }
 }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -41,7 +41,7 @@
             }
             let settings = Rc::new(Settings::parse(&text).unwrap());
             let mut controller = Controller::new(settings, Incarnation(self.incarnations));
-            assert_eq!(controller.me, NodeId(n as u8));
+            assert_eq!(controller.local_node, NodeId(n as u8));
             controller.set_machine_types(&catalog());
             if let Some(standby) = self.standby.clone().filter(|_| !self.old[n]) {
                 controller.enable_standby(standby);
@@ -205,11 +205,11 @@
             let (items, revision) = self.store.all();
             controller.load(&items, revision);
             let all = willowshore::replica::ReplicaChanges { leader: true, ..Default::default() };
-            controller.follow(moment, &all);
+            controller.on_replica_changes(moment, &all);
         }
         let changes = self.store.changes(controller.replica.revision);
-        if let Some(replica_changes) = controller.apply(&changes, moment.steady) {
-            controller.follow(moment, &replica_changes);
+        if let Some(replica_changes) = controller.apply_watch_response(&changes, moment.steady) {
+            controller.on_replica_changes(moment, &replica_changes);
         }
         if controller.candidacy(moment.steady).may_run()
             && let Some(txn) = controller.election_txn()
@@ -323,7 +323,7 @@
         let Ok(node) = &mut self.nodes[n] else { return };
         if let Some((txn, version)) = durable {
             let replica_changes = node.controller.apply_committed(&txn, version);
-            node.controller.follow(moment, &replica_changes);
+            node.controller.on_replica_changes(moment, &replica_changes);
         }
         let began = Instant::now();
         node.controller.publish(moment, epoch, term);
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -103,7 +103,8 @@
         if self.standby.is_none() {
             return true;
         }
-        let check = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leadership_check());
+        let check =
+            self.nodes[n].as_ref().ok().and_then(|node| node.controller.leadership_check_txn());
         let outcome = check.and_then(|txn| self.commit(n, &txn));
         if let Some(TxnOutcome::ConditionsFailed(_)) = outcome {
             self.refused_actions += 1;
@@ -117,8 +118,8 @@
         let leader = leader.filter(|node| node.controller.leader.is_some());
         let leader =
             leader.max_by_key(|node| node.controller.leader.as_ref().map(|leader| leader.term));
-        let led =
-            leader.map(|node| (usize::from(node.controller.me.0), node.controller.incarnation.0));
+        let led = leader
+            .map(|node| (usize::from(node.controller.local_node.0), node.controller.incarnation.0));
         if led.is_some() && led != self.last_led {
             self.changes_of_leader += 1;
             self.last_led = led;
--- a/tests/sim/world/messages.rs
+++ b/tests/sim/world/messages.rs
@@ -190,7 +190,7 @@
                 );
             }
             Message::CancellationNotice(to, ask) => {
-                let (Ok(node), PeerRequest::Ended(job, progress, version)) =
+                let (Ok(node), PeerRequest::JobCancelled(job, progress, version)) =
                     (&mut self.nodes[to], ask)
                 else {
                     return;
@@ -198,7 +198,7 @@
                 let moment = node.moment(now);
                 let replica_changes =
                     node.controller.apply_cancellation_notice(job, &progress, version);
-                node.controller.follow(moment, &replica_changes);
+                node.controller.on_replica_changes(moment, &replica_changes);
             }
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -167,7 +167,7 @@
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
-                    controller.follow(moment, &replica_changes);
+                    controller.on_replica_changes(moment, &replica_changes);
                     let answer = controller.final_answer(job);
                     return Some(answer.map_or(ShownState::Open, |a| shown(a.state)));
                 }
@@ -196,12 +196,12 @@
                     let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
-                    controller.follow(moment, &replica_changes);
+                    controller.on_replica_changes(moment, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
                         if self.old[to] || !self.sends_cancellation_notices {
                             continue;
                         }
-                        let ask = PeerRequest::Ended(job, progress.clone(), version);
+                        let ask = PeerRequest::JobCancelled(job, progress.clone(), version);
                         self.send(
                             super::Place::Node(n),
                             super::Place::Node(to),
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -119,7 +119,7 @@
             job_statuses: vec![JobStatus {
                 job: 412,
                 running: 3,
-                wait_reason: WaitReason::ForMachines,
+                wait_reason: WaitReason::NoFreeMachines,
             }],
             stops: vec![],
             reserved: vec![],
@@ -165,7 +165,7 @@
     assert!(matches!(ask("ask-lead"), Ok(PeerRequest::Leader)));
     assert!(matches!(ask("ask-query"), Ok(PeerRequest::Query(JobId(412)))));
     assert!(matches!(response("tell-plan"), Ok(PeerResponse::Plan(p)) if *p == plan()));
-    assert!(matches!(response("tell-send-whole"), Ok(PeerResponse::SendWhole)));
+    assert!(matches!(response("tell-send-whole"), Ok(PeerResponse::SendFullSummary)));
     assert!(
         matches!(response("tell-lead"), Ok(PeerResponse::Leader(Some(l))) if l.term == Term(41))
     );
@@ -313,9 +313,11 @@
         assert_eq!(replica.supports_cancellation_notices(NodeId(1)), supported, "{capabilities}");
     }
     let cancelled = Progress { end: Some(JobState::Cancelled), ..Progress::default() };
-    let sent = peer::encode(&PeerRequest::Ended(JobId(412), cancelled.clone(), Revision(9)));
+    let sent = peer::encode(&PeerRequest::JobCancelled(JobId(412), cancelled.clone(), Revision(9)));
     let read = peer::decode::<PeerRequest>(&sent);
-    assert!(matches!(read, Ok(PeerRequest::Ended(JobId(412), p, Revision(9))) if p == cancelled));
+    assert!(
+        matches!(read, Ok(PeerRequest::JobCancelled(JobId(412), p, Revision(9))) if p == cancelled)
+    );
     assert!(rmp_serde::from_slice::<frozen::Ask>(&sent).is_err(), "the version before refuses it");
 }
 
