--- a/src/service.rs
+++ b/src/service.rs
@@ -155,7 +155,7 @@
             controller.enable_standby(standby);
         }
         Service {
-            node_id: controller.me,
+            node_id: controller.local_node,
             controller_count: controller.nodes.len(),
             peers: Peers::new(&controller.nodes),
             store: StoreClient::new(
--- a/src/service/leader_election.rs
+++ b/src/service/leader_election.rs
@@ -60,13 +60,13 @@
         let lease = self.controller.borrow().rights.lease;
         if let Some(lease) = lease {
             let sent = self.now();
-            return match self.store.renew(lease).await {
+            return match self.store.renew_lease(lease).await {
                 Ok(()) => {
                     self.controller.borrow_mut().rights.confirm_renewal(sent);
                     Ok(())
                 }
                 Err(e) => {
-                    if e == StoreError::NoLease {
+                    if e == StoreError::LeaseNotFound {
                         warn!("store lease expired");
                         self.controller.borrow_mut().rights.lose_lease();
                     }
@@ -74,7 +74,7 @@
                 }
             };
         }
-        let lease = self.store.grant(CONTROLLER_LEASE_MS).await?;
+        let lease = self.store.grant_lease(CONTROLLER_LEASE_MS).await?;
         let txn = self.controller.borrow().member_txn(lease);
         let sent = self.now();
         match self.store.commit(&txn).await? {
@@ -140,7 +140,7 @@
     /// Commits the transaction that acquires the next term, and brings the replica up to date. On
     /// success the replica shows the leader, which may be another controller.
     pub(super) async fn acquire_leadership(&self) -> Result<(), StoreError> {
-        let txn = self.controller.borrow().election_txn().ok_or(StoreError::NoLease)?;
+        let txn = self.controller.borrow().election_txn().ok_or(StoreError::LeaseNotFound)?;
         let has_standby = self.controller.borrow().standby.is_some();
         let outcome = match has_standby {
             true => self.store.commit_hedged(&txn, FENCE_HEDGE_DELAY).await,
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -153,7 +153,9 @@
                 self.store_summary_responses.borrow_mut().remove(&summary.node);
                 self.receive_summary(summary)
             }
-            PeerRequest::Reach => PeerResponse::Reach(self.controller.borrow().store_ok),
+            PeerRequest::StoreReachable => {
+                PeerResponse::StoreReachable(self.controller.borrow().store_ok)
+            }
             PeerRequest::LeaderSilence(term) => PeerResponse::LeaderSilence(
                 self.controller.borrow().leader_silence_ms(self.now(), term),
             ),
@@ -166,10 +168,10 @@
             PeerRequest::Query(job) => {
                 forwarded_response(self.query(job, Forwarding::Forbidden).await)
             }
-            PeerRequest::Abort(job) => {
+            PeerRequest::Cancel(job) => {
                 forwarded_response(self.abort(job, Forwarding::Forbidden).await)
             }
-            PeerRequest::Ended(job, progress, version) => {
+            PeerRequest::JobCancelled(job, progress, version) => {
                 self.receive_cancellation(job, &progress, version)
             }
         }
@@ -185,6 +187,6 @@
         let replica_changes =
             self.controller.borrow_mut().apply_cancellation_notice(job, progress, version);
         self.on_replica_changes(&replica_changes);
-        PeerResponse::Reach(self.controller.borrow().store_ok)
+        PeerResponse::StoreReachable(self.controller.borrow().store_ok)
     }
 }
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -112,14 +112,16 @@
             responses.retain(|_, (received_at, _)| now.since(*received_at) < STORE_PLANS_EXPIRY_MS);
             responses
                 .iter()
-                .map(|(node, (_, response))| (*node, matches!(response, PeerResponse::SendWhole)))
+                .map(|(node, (_, response))| {
+                    (*node, matches!(response, PeerResponse::SendFullSummary))
+                })
                 .collect()
         };
         for (node, needs_full_summary) in receivers {
             let plan_and_condition = self.controller.borrow().plan_for(node, now);
             if let Some((plan, condition)) = plan_and_condition {
                 let response = if needs_full_summary {
-                    PeerResponse::SendWhole
+                    PeerResponse::SendFullSummary
                 } else {
                     PeerResponse::Plan(Box::new(plan))
                 };
--- a/src/service/store_watch.rs
+++ b/src/service/store_watch.rs
@@ -37,7 +37,7 @@
             }
             match self.sync_replica(self.watch_wait()).await {
                 Ok(()) => sleep(WATCH_PAUSE).await,
-                Err(StoreError::TooOld) => self.controller.borrow_mut().loaded = false,
+                Err(StoreError::ChangesTooOld) => self.controller.borrow_mut().loaded = false,
                 Err(e) => {
                     debug!(error = %e, "watch of the store failed");
                     sleep(WATCH_RETRY_PAUSE).await;
@@ -101,15 +101,15 @@
     /// applies them. Success proves that the replica was current when this function was called.
     pub(super) async fn sync_replica(&self, wait: Duration) -> Result<(), StoreError> {
         let sent = self.now();
-        let after = self.controller.borrow().changes_from().ok_or(StoreError::Unknown)?;
+        let after = self.controller.borrow().watch_start_revision().ok_or(StoreError::Unknown)?;
         let response = self.store.changes(after, wait).await;
         let replica_changes = {
             let mut controller = self.controller.borrow_mut();
             controller.store_ok = response.is_ok();
             let response = response?;
             self.metrics
-                .time(Operation::Watch, || controller.apply(&response, sent))
-                .ok_or(StoreError::TooOld)?
+                .time(Operation::Watch, || controller.apply_watch_response(&response, sent))
+                .ok_or(StoreError::ChangesTooOld)?
         };
         self.on_replica_changes(&replica_changes);
         Ok(())
@@ -117,7 +117,7 @@
 
     /// Reacts to changes in the replica and wakes the loops that depend on them.
     pub(super) fn on_replica_changes(&self, replica_changes: &ReplicaChanges) {
-        self.controller.borrow_mut().follow(self.clock_reading(), replica_changes);
+        self.controller.borrow_mut().on_replica_changes(self.clock_reading(), replica_changes);
         if replica_changes.leader {
             self.wake_ups.election.notify_one();
             self.wake_ups.summary.notify_one();
--- a/src/service/summaries.rs
+++ b/src/service/summaries.rs
@@ -103,7 +103,8 @@
             route.last_through_store_at = now;
             let limits = &self.settings.params.store;
             let max_chunks = limits.txn_ops * MAX_TXNS_PER_STORE_SUMMARY;
-            let byte_budget = message_chunks::capacity(message_chunk_bytes(limits), max_chunks);
+            let byte_budget =
+                message_chunks::max_message_bytes(message_chunk_bytes(limits), max_chunks);
             let summary = self.summary(byte_budget);
             self.send_summary_through_store(leader, &summary).await;
         }
