--- a/crates/model/src/amounts.rs
+++ b/crates/model/src/amounts.rs
@@ -1,8 +1,8 @@
-//! Amounts of resources.
+//! Resource amounts as fixed-point numbers.
 
 use serde::{Deserialize, Serialize};
 
-/// Processor cores, or another amount, in thousandths so that sums are exact.
+/// CPU cores or another resource amount (accelerators, GB of memory), in thousandths so that sums are exact.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -10,21 +10,23 @@
 pub struct Cores(pub u64);
 
 impl Cores {
-    /// What a task needs, from the decimal amount of the protocol, rounded up: a machine is never
-    /// filled beyond what it has. Nothing below 0; a millionth of a thousandth is taken for an error of
-    /// the decimal form.
-    pub fn need(amount: f64) -> Self {
+    /// Converts the decimal amount that a task requests, rounded up so that a machine is never overcommitted.
+    /// Negative amounts become 0. An excess of up to 1e-6 thousandths is taken for a floating-point error and
+    /// not rounded up.
+    pub fn round_up(amount: f64) -> Self {
         Cores((amount.max(0.0) * 1000.0 - 1e-6).ceil().max(0.0) as u64)
     }
-    /// What a machine or a quota offers, from the decimal amount, rounded down; as above otherwise.
-    pub fn offer(amount: f64) -> Self {
+    /// Converts the decimal amount that a machine or a quota provides, rounded down so that a machine is never
+    /// overcommitted. Negative amounts become 0. A shortfall of up to 1e-6 thousandths is taken for a
+    /// floating-point error and not rounded down.
+    pub fn round_down(amount: f64) -> Self {
         Cores((amount.max(0.0) * 1000.0 + 1e-6).floor() as u64)
     }
-    /// This less the other, not below 0.
-    pub fn less(self, other: Cores) -> Cores {
+    /// Subtracts another amount; 0 if the result would be negative.
+    pub fn saturating_sub(self, other: Cores) -> Cores {
         Cores(self.0.saturating_sub(other.0))
     }
-    /// As a decimal number of whole cores.
+    /// Converts to a decimal number of whole units.
     pub fn amount(self) -> f64 {
         self.0 as f64 / 1000.0
     }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,16 +1,17 @@
-//! Ids of jobs, tasks, machines and controllers, and the numbers that order their doings.
+//! Ids of jobs, tasks, machines and controllers, and the counters that order terms, attempts, epochs and revisions.
 
 use std::fmt;
 use std::rc::Rc;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A job's id as users choose it. Always `wk-` followed by at least six digits.
+/// A job's id, chosen by its user: `wk-` followed by at least six digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Parses the only accepted form; anything that would not print back identically is refused.
+    /// Parses the canonical form; `None` for any text that `Display` would not reproduce, such as one with extra
+    /// leading zeros.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("wk-")?;
         if digits.len() < 6 || !digits.bytes().all(|b| b.is_ascii_digit()) {
@@ -27,17 +28,17 @@
     }
 }
 
-/// One task of a job, `wk-000412/3` on the wire and in the store.
+/// A task of a job, written as `wk-000412/3` on the wire and in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job it belongs to.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its number, from 0.
+    /// The task's number within its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses the wire form; `None` for anything else.
+    /// Parses the wire form; `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -50,7 +51,8 @@
     }
 }
 
-macro_rules! text_serde {
+/// Implements serialization of a type as its `Display` text, and deserialization by its `parse` function.
+macro_rules! serialize_as_text {
     ($name:ident, $what:literal) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
@@ -65,18 +67,18 @@
         }
     };
 }
-text_serde!(JobId, "a job id");
-text_serde!(TaskId, "a task id");
+serialize_as_text!(JobId, "a job id");
+serialize_as_text!(TaskId, "a task id");
 
-/// A machine's name as the cloud gave it. Names sort in creation order.
+/// A machine's name as assigned by the cloud. Names sort in creation order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MachineId(pub Rc<str>);
 
 impl MachineId {
-    /// The id of that name.
-    pub fn new(text: &str) -> Self {
-        MachineId(Rc::from(text))
+    /// Creates the id of the machine with this name.
+    pub fn new(name: &str) -> Self {
+        MachineId(Rc::from(name))
     }
 }
 
@@ -86,50 +88,52 @@
     }
 }
 
-count_type!(
-    /// A leadership term, from 1; 0 before the first. It is the fencing token, which workers show as `Baton`.
+u64_newtype!(
+    /// A leadership term, from 1; 0 before the first term. It is the fencing token, named `Baton` in the
+    /// worker protocol.
     Term
 );
-count_type!(
-    /// The number of one try at running a task, unique over all terms and controllers; see [`Attempt::of`].
+u64_newtype!(
+    /// The number of an attempt to run a task, unique across all terms and controllers; see [`Attempt::from_parts`].
     Attempt
 );
-count_type!(
-    /// A revision of the state service, and the version of a key: the revision that put it last, 0 for
+u64_newtype!(
+    /// A revision of the state service. The version of a key is the revision at which the key was last put; 0 for
     /// a key that does not exist.
     Revision
 );
-count_type!(
-    /// An agent's epoch, `Tenure` on the wire: from 1, one more each time its lease expires.
+u64_newtype!(
+    /// The epoch of a machine's agent, `Tenure` on the wire: starts at 1 and is incremented each time the agent's
+    /// lease expires.
     AgentEpoch
 );
-count_type!(
-    /// One run of a controller's process, told apart from those before and after.
+u64_newtype!(
+    /// Identifies one run of a controller's process among all its runs.
     Incarnation
 );
-count_type!(
-    /// The number of a plan within a term, from 1; 0 before the first.
+u64_newtype!(
+    /// The sequence number of a plan within a term, from 1; 0 before the first plan.
     PlanSeq
 );
-count_type!(
-    /// A lease of the state service, by the number that the service gave it.
+u64_newtype!(
+    /// The id of a lease of the state service, assigned by the service.
     StoreLease
 );
 
 impl Attempt {
-    /// The attempt that a controller allocates as its `n`th of a term: 32 bits of term, 6 of controller,
-    /// 26 of `n`. A controller allocates attempts in a term only in the incarnation that the term's leader
-    /// counts with, so no write is needed to keep them apart.
-    pub fn of(term: Term, node: NodeId, n: u32) -> Self {
-        Attempt((term.0 << 32) | (u64::from(node.0) << 26) | u64::from(n & 0x03ff_ffff))
+    /// Composes the attempt that a controller allocates as its `sequence`th of a term: 32 bits of term, 6 of
+    /// controller, 26 of sequence. The attempts are unique without a write to the store, as only the incarnation
+    /// of the controller that the term's leader recognizes allocates attempts in the term.
+    pub fn from_parts(term: Term, node: NodeId, sequence: u32) -> Self {
+        Attempt((term.0 << 32) | (u64::from(node.0) << 26) | u64::from(sequence & 0x03ff_ffff))
     }
 }
 
-/// The place under which the leader numbers the attempts that it allocates itself, apart from those that
-/// its controller allocates for its shard. It is beyond all controllers.
+/// The node id in the attempts that the leader allocates itself, which keeps them distinct from the attempts that
+/// the same controller allocates for its shard. No controller has this id.
 pub const LEADER_ATTEMPTS_NODE: NodeId = NodeId(32);
 
-/// A controller, by its place in the sorted list of all controllers' names, from 0.
+/// A controller's index in the sorted list of all controllers' names, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub u8);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small types for ids, versions, times and amounts.
+//! Newtypes for ids, versions, times and amounts.
 //!
-//! Everything that travels between modules is one of these, so that a term cannot be
-//! passed for an attempt or a wall time for a monotonic one.
+//! Values that modules exchange have these types, so that the compiler rejects a term in place of an attempt, or a
+//! wall-clock time in place of a monotonic one.
 
-macro_rules! count_type {
+/// Defines a newtype of `u64` that serializes as the number.
+macro_rules! u64_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -1,36 +1,37 @@
-//! Sets of task numbers, stored and sent as ranges: tasks of a job mostly start and end in order, so that a
-//! set of thousands takes a few bytes.
+//! Sets of task numbers, stored and sent as ranges. Tasks of a job mostly start and end in order, so that a set of
+//! thousands of tasks takes a few bytes.
 
 use std::cmp::Reverse;
 
 use serde::{Deserialize, Serialize};
 
-/// A set of task numbers, kept as sorted half-open ranges.
+/// A set of task numbers, held as sorted half-open ranges that neither overlap nor adjoin.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TaskRanges(Vec<(u32, u32)>);
 
 impl TaskRanges {
-    /// The numbers from `start` up to, not including, `end`.
+    /// Creates the set of the numbers from `start` up to, not including, `end`; empty if `end` is not above `start`.
     pub fn span(start: u32, end: u32) -> Self {
         if start < end { TaskRanges(vec![(start, end)]) } else { TaskRanges::default() }
     }
 
-    /// Whether the number is in the set.
+    /// Whether a number is in the set.
     pub fn contains(&self, number: u32) -> bool {
         let position = self.0.partition_point(|(_, end)| *end <= number);
         self.0.get(position).is_some_and(|(start, _)| *start <= number)
     }
 
-    /// Whether a number is in the set or next to one that is.
-    pub fn touches(&self, number: u32) -> bool {
+    /// Whether a number, the one before it or the one after it is in the set. Inserting such a number adds no
+    /// range.
+    pub fn contains_or_adjoins(&self, number: u32) -> bool {
         let position = self.0.partition_point(|(_, end)| *end < number);
         self.0.get(position).is_some_and(|(start, _)| *start <= number.saturating_add(1))
     }
 
-    /// Adds a number; false if it was there.
+    /// Adds a number. Returns false if it was in the set already.
     pub fn insert(&mut self, number: u32) -> bool {
-        // The first range that ends at the number or after it.
+        // The first range whose exclusive end is not below the number.
         let position = self.0.partition_point(|(_, end)| *end < number);
         match self.0.get(position).copied() {
             Some((start, end)) if start <= number && number < end => return false,
@@ -47,46 +48,47 @@
         true
     }
 
-    /// Adds numbers.
+    /// Adds several numbers.
     pub fn extend(&mut self, numbers: impl Iterator<Item = u32>) {
         for number in numbers {
             self.insert(number);
         }
     }
 
-    /// How many ranges fit into so many bytes of a value, whatever their numbers are; at least one. A
-    /// range has 16 bytes at most, and 64 are left for the rest of the record.
-    pub fn spans_in(bytes: usize) -> usize {
+    /// How many ranges fit into a stored value of `bytes` bytes, whatever their numbers are; at least 1. An encoded
+    /// range has 16 bytes at most, and 64 bytes are reserved for the rest of the record.
+    pub fn max_ranges_in(bytes: usize) -> usize {
         (bytes.saturating_sub(64) / 16).max(1)
     }
 
-    /// The set, or its largest ranges if it does not fit into so many bytes of a value.
-    pub fn fitting(&self, bytes: usize) -> TaskRanges {
-        let max_ranges = TaskRanges::spans_in(bytes);
+    /// Returns the whole set if it fits into a stored value of `bytes` bytes, otherwise the largest ranges that
+    /// fit.
+    pub fn largest_fitting(&self, bytes: usize) -> TaskRanges {
+        let max_ranges = TaskRanges::max_ranges_in(bytes);
         if self.0.len() <= max_ranges {
             return self.clone();
         }
-        let mut spans = self.0.clone();
-        spans.sort_by_key(|(start, end)| Reverse(end - start));
-        spans.truncate(max_ranges);
-        spans.sort_unstable();
-        TaskRanges(spans)
+        let mut ranges = self.0.clone();
+        ranges.sort_by_key(|(start, end)| Reverse(end - start));
+        ranges.truncate(max_ranges);
+        ranges.sort_unstable();
+        TaskRanges(ranges)
     }
 
-    /// A set of at most so many ranges, and at least one, that contains this one: the smallest gaps
-    /// are closed.
-    pub fn coarse(&self, max_ranges: usize) -> TaskRanges {
-        let mut spans = self.0.clone();
-        while spans.len() > max_ranges.max(1) {
-            let gap = |position: &usize| spans[position + 1].0 - spans[*position].1;
-            let Some(smallest) = (0..spans.len() - 1).min_by_key(gap) else { break };
-            spans[smallest].1 = spans[smallest + 1].1;
-            spans.remove(smallest + 1);
+    /// Returns a superset with at most `max_ranges` ranges (with one range if `max_ranges` is 0), made by closing the
+    /// smallest gaps between ranges.
+    pub fn merged_to(&self, max_ranges: usize) -> TaskRanges {
+        let mut ranges = self.0.clone();
+        while ranges.len() > max_ranges.max(1) {
+            let gap = |position: &usize| ranges[position + 1].0 - ranges[*position].1;
+            let Some(smallest) = (0..ranges.len() - 1).min_by_key(gap) else { break };
+            ranges[smallest].1 = ranges[smallest + 1].1;
+            ranges.remove(smallest + 1);
         }
-        TaskRanges(spans)
+        TaskRanges(ranges)
     }
 
-    /// How many numbers are in the set.
+    /// The number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|(start, end)| end - start).sum()
     }
@@ -96,19 +98,19 @@
         self.0.is_empty()
     }
 
-    /// The numbers, ascending.
+    /// The task numbers, ascending.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|(start, end)| *start..*end)
     }
 
-    /// The ranges, ascending, each from its first number up to, not including, its second.
-    pub fn spans(&self) -> &[(u32, u32)] {
+    /// The ranges in ascending order, as pairs of the first number and the exclusive end.
+    pub fn ranges(&self) -> &[(u32, u32)] {
         &self.0
     }
 
-    /// Whether the ranges are sorted, apart and not empty, as this type keeps them. A set that was read
-    /// from the wire or the store may not be so, and is then not to be used.
-    pub fn is_sound(&self) -> bool {
+    /// Whether the ranges are sorted and none is empty, overlaps or adjoins another. A set decoded from the wire or
+    /// the store may violate this and must not be used if it does.
+    pub fn is_normalized(&self) -> bool {
         self.0.iter().all(|(start, end)| start < end)
             && self.0.windows(2).all(|pair| pair[0].1 < pair[1].0)
     }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,12 +1,12 @@
-//! Moments by the two clocks of a process.
+//! Readings of the wall clock and of the monotonic clock.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-count_type!(
-    /// Milliseconds since the Unix epoch by the time of day. It may jump: it is for users and records, never
-    /// for rights and leases.
+u64_newtype!(
+    /// Milliseconds since the Unix epoch by the wall clock. The clock may jump, so wall times are for display and
+    /// records; leases and the rights that they grant use [`MonotonicTime`].
     WallTime
 );
 
@@ -16,25 +16,25 @@
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// This reading plus so many milliseconds.
+    /// Adds a number of milliseconds.
     pub fn plus(self, ms: u64) -> Self {
         MonotonicTime(self.0.saturating_add(ms))
     }
-    /// This reading less so many milliseconds, not before the start.
-    pub fn less(self, ms: u64) -> Self {
+    /// Subtracts a number of milliseconds; not before the start of the process.
+    pub fn saturating_sub(self, ms: u64) -> Self {
         MonotonicTime(self.0.saturating_sub(ms))
     }
-    /// Milliseconds since an earlier reading; 0 if it is not earlier.
+    /// Milliseconds since an earlier reading; 0 if that reading is not earlier.
     pub fn since(self, earlier: MonotonicTime) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// A moment by both clocks.
+/// Readings of both clocks at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The process's monotonic clock.
+    /// The monotonic clock of the process.
     pub steady: MonotonicTime,
-    /// The time of day.
+    /// The wall clock.
     pub wall: WallTime,
 }
--- a/crates/standby/src/detector/tests.rs
+++ b/crates/standby/src/detector/tests.rs
@@ -57,7 +57,7 @@
 fn responses_out_of_order_count_once() {
     let mut detector = new_detector();
     let last = record_heartbeats(&mut detector, std::iter::repeat_n(200, 20));
-    detector.record_heartbeat(last.less(300));
+    detector.record_heartbeat(last.saturating_sub(300));
     assert_eq!(detector.silence_ms(last.plus(5)), Some(5));
 }
 
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -127,7 +127,7 @@
         if need > free {
             return None;
         }
-        free = free.less(need);
+        free = free.saturating_sub(need);
     }
     Some(allocate(demands, bounds, waterline, &select_jobs(demands, bounds, waterline)))
 }
@@ -171,7 +171,7 @@
         demands.iter().map(|demand| demand.rank < waterline || demand.min > 0).collect();
     let mut free = bounds.held;
     for (demand, _) in demands.iter().zip(&admitted).filter(|(_, admitted)| **admitted) {
-        free = free.less(demand.cores_of(demand.smallest_share()));
+        free = free.saturating_sub(demand.cores_of(demand.smallest_share()));
     }
     let mut candidates: Vec<usize> = (0..demands.len())
         .filter(|&index| {
@@ -186,7 +186,7 @@
     for index in candidates {
         let need = demands[index].cores_of(demands[index].smallest_share());
         if need <= free {
-            free = free.less(need);
+            free = free.saturating_sub(need);
             admitted[index] = true;
         }
     }
--- a/src/admission/allocation.rs
+++ b/src/admission/allocation.rs
@@ -29,9 +29,9 @@
 
     /// Allocates cores that are in use, whether they fit into the bounds or not.
     fn allocate_in_use(&mut self, team: usize, cores: Cores) {
-        self.total = self.total.less(cores);
+        self.total = self.total.saturating_sub(cores);
         if let Some(Some(limit)) = self.teams.get_mut(team) {
-            *limit = limit.less(cores);
+            *limit = limit.saturating_sub(cores);
         }
     }
 }
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -4,7 +4,7 @@
 
 /// Allocates the attempts of one controller within a term.
 ///
-/// Attempts are unique over all terms and controllers without a write, see [`Attempt::of`]; there is one
+/// Attempts are unique over all terms and controllers without a write, see [`Attempt::from_parts`]; there is one
 /// allocator for a term and controller, which is dropped with the term.
 #[derive(Clone, Debug)]
 pub struct AttemptAllocator {
@@ -23,6 +23,6 @@
     /// A new attempt, higher than those before.
     pub fn allocate(&mut self) -> Attempt {
         self.count += 1;
-        Attempt::of(self.term, self.node, self.count)
+        Attempt::from_parts(self.term, self.node, self.count)
     }
 }
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -69,7 +69,7 @@
     let job = spec(1, 4);
     let mut market = MarketState::default();
     let busy = |mut machine: MachineUsage, used: u64| {
-        machine.free.cores = machine.free.cores.less(Cores(used * 1000));
+        machine.free.cores = machine.free.cores.saturating_sub(Cores(used * 1000));
         machine
     };
     // Two on-demand machines half used, spot machines free, idle for a short time.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -101,11 +101,11 @@
 impl Team {
     /// The limit on vCPUs, if there is one.
     pub fn core_limit(&self) -> Option<Cores> {
-        (self.max_vcpus > 0.0).then(|| Cores::offer(self.max_vcpus))
+        (self.max_vcpus > 0.0).then(|| Cores::round_down(self.max_vcpus))
     }
     /// The limit on accelerators, if there is one.
     pub fn accelerator_limit(&self) -> Option<Cores> {
-        (self.max_accelerators > 0.0).then(|| Cores::offer(self.max_accelerators))
+        (self.max_accelerators > 0.0).then(|| Cores::round_down(self.max_accelerators))
     }
 }
 
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -41,7 +41,7 @@
         let job = self.replica.jobs.get(&id)?;
         let progress = replica::Progress {
             end: Some(wire::JobState::Cancelled),
-            done: job.progress.done.fitting(self.limits.value_bytes()),
+            done: job.progress.done.largest_fitting(self.limits.value_bytes()),
             gang: None,
         };
         let key = replica::progress_key(id);
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -182,7 +182,7 @@
         pieces.whole |= !is_difference;
         pieces.views.extend(summary.machines);
         for (id, age_ms) in summary.answered {
-            let at = now.less(age_ms);
+            let at = now.saturating_sub(age_ms);
             let last_answer = self.last_answers.entry(id.clone()).or_default();
             *last_answer = (*last_answer).max(at);
             pieces.answered.push((id, at));
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -82,8 +82,8 @@
                     known_until = known_until.min(MonotonicTime(state.echoed_clock_ms));
                     // Its predecessor ended before this process started.
                     last_unknown = last_unknown
-                        .max(state.received_at.less(state.uptime_ms))
-                        .max(state.first_received_at.less(remembered_ms));
+                        .max(state.received_at.saturating_sub(state.uptime_ms))
+                        .max(state.first_received_at.saturating_sub(remembered_ms));
                 }
                 _ => {
                     let absent = self.absent.get(&id)?;
--- a/src/fleet/machine_records.rs
+++ b/src/fleet/machine_records.rs
@@ -114,7 +114,7 @@
         let age_ms = (listed.age_s.max(0.0) * 1000.0) as u64;
         self.add_machine(cluster.now, &listed.id, offer);
         if let Some(machine) = self.machines.get_mut(&listed.id) {
-            machine.rented_at = machine.rented_at.min(cluster.now.less(age_ms));
+            machine.rented_at = machine.rented_at.min(cluster.now.saturating_sub(age_ms));
             machine.first_listed.get_or_insert(cluster.now);
             machine.missing = false;
             machine.failed |= listed.state == wire::CloudMachineState::Failed;
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -40,7 +40,7 @@
 /// Cores that a machine has in all.
 fn offered_cores(cluster: &ClusterView<'_>, target: &PlacementTarget) -> Cores {
     let machine_type = cluster.catalog.get(&*target.machine_type);
-    machine_type.map_or(Cores(0), |offered| Cores::offer(offered.vcpus))
+    machine_type.map_or(Cores(0), |offered| Cores::round_down(offered.vcpus))
 }
 
 impl<'a> GangUse<'a> {
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -184,8 +184,8 @@
             ranges.extend(task.index..until);
         }
         // To have more on record than may run is safe, and what lies far apart has to fit.
-        for ranges in wider.values_mut().filter(|r| r.spans().len() > MOST_SPANS) {
-            *ranges = ranges.coarse(MOST_SPANS);
+        for ranges in wider.values_mut().filter(|r| r.ranges().len() > MOST_SPANS) {
+            *ranges = ranges.merged_to(MOST_SPANS);
         }
         wider
     }
@@ -210,5 +210,5 @@
 
 /// Bytes that a job's granted ranges take at most.
 fn ranges_bytes(ranges: &TaskRanges) -> usize {
-    JOB_BYTES + ranges.spans().len() * SPAN_BYTES
+    JOB_BYTES + ranges.ranges().len() * SPAN_BYTES
 }
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -43,7 +43,7 @@
     let open = allocation.targets.iter().filter(|target| target.open);
     let held = open.fold(awaited, |sum, target| {
         let machine_type = cluster.catalog.get(&*target.machine_type);
-        Cores(sum.0 + machine_type.map_or(0, |offered| Cores::offer(offered.vcpus).0))
+        Cores(sum.0 + machine_type.map_or(0, |offered| Cores::round_down(offered.vcpus).0))
     });
     let teams = cluster.settings.params.teams.iter().map(|team| team.core_limit()).collect();
     Bounds { held, teams }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -92,7 +92,7 @@
         .teams
         .iter()
         .filter(|t| t.guaranteed_vcpus > 0.0)
-        .map(|t| (t.name.as_str(), Cores::offer(t.guaranteed_vcpus)))
+        .map(|t| (t.name.as_str(), Cores::round_down(t.guaranteed_vcpus)))
         .collect();
     let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
     jobs.sort_by_key(|j| (j.at, j.spec.id));
@@ -106,7 +106,7 @@
         if let Some(left) = headroom.get_mut(job.spec.team.as_str())
             && need <= *left
         {
-            *left = left.less(need);
+            *left = left.saturating_sub(need);
             inside.insert(job.spec.id);
         }
     }
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -131,7 +131,7 @@
         let Some(limits) = cluster.settings.params.teams.get(team) else { return usize::MAX };
         let used = allocation.team_use.get(team).map(TeamUse::total).unwrap_or_default();
         let tasks_left = |limit: Option<Cores>, used: Cores, each: Cores| {
-            let tasks = limit.map(|limit| limit.less(used).0.checked_div(each.0));
+            let tasks = limit.map(|limit| limit.saturating_sub(used).0.checked_div(each.0));
             tasks.map_or(u64::MAX, |tasks| tasks.unwrap_or(u64::MAX))
         };
         let cores = tasks_left(limits.core_limit(), used.cores, need.cores);
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -195,7 +195,7 @@
             let job = JobId::from(*job);
             if count(counts, cluster.replica.jobs.contains_key(&job)) {
                 let waited_ms = cluster.wall.0.saturating_sub(since.0);
-                self.jobs.idle_since.insert(job, cluster.now.less(waited_ms));
+                self.jobs.idle_since.insert(job, cluster.now.saturating_sub(waited_ms));
             }
         }
     }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -132,7 +132,7 @@
 /// can have answered a heartbeat: its last renewal was a whole lease earlier, and the right to answer
 /// lasted `keep_alive_ms` milliseconds from there.
 pub fn last_possible_answer(absent: MonotonicTime, keep_alive_ms: u64) -> MonotonicTime {
-    absent.less(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
+    absent.saturating_sub(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
 }
 
 #[cfg(test)]
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -218,7 +218,7 @@
 
 /// What it costs to place a task on a machine, in seconds.
 fn cost_s(spec: &JobSpec, need: &Resources, target: &PlacementTarget) -> f64 {
-    let leftover_cores = target.free.cores.less(need.cores).amount();
+    let leftover_cores = target.free.cores.saturating_sub(need.cores).amount();
     let other_images_s_per_gb = match target.has_image(&spec.image) {
         true => OTHER_IMAGES_WARM_S_PER_GB,
         false => OTHER_IMAGES_S_PER_GB,
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -46,10 +46,11 @@
         tasks: impl IntoIterator<Item = u32>,
         max_bytes: usize,
     ) -> Option<Progress> {
-        let mut done = self.progress.done.fitting(max_bytes);
-        let max_ranges = TaskRanges::spans_in(max_bytes);
-        let fits =
-            |done: &TaskRanges, index| done.spans().len() < max_ranges || done.touches(index);
+        let mut done = self.progress.done.largest_fitting(max_bytes);
+        let max_ranges = TaskRanges::max_ranges_in(max_bytes);
+        let fits = |done: &TaskRanges, index| {
+            done.ranges().len() < max_ranges || done.contains_or_adjoins(index)
+        };
         let mut changed = false;
         let mut apart = Vec::new();
         for index in tasks.into_iter().filter(|index| *index < self.spec.task_count) {
@@ -114,7 +115,7 @@
         progress: Versioned<Progress>,
         changes: &mut ReplicaChanges,
     ) -> Result<(), RecordError> {
-        if !progress.value.done.is_sound() {
+        if !progress.value.done.is_normalized() {
             return Err(RecordError::UnsoundRanges);
         }
         changes.job_progress = true;
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -28,17 +28,17 @@
     /// What each task of a job takes.
     pub fn of(spec: &JobSpec) -> Self {
         Resources {
-            cores: Cores::need(spec.vcpus),
-            accelerators: Cores::need(spec.accelerators),
-            memory: Cores::need(spec.mem_gb),
+            cores: Cores::round_up(spec.vcpus),
+            accelerators: Cores::round_up(spec.accelerators),
+            memory: Cores::round_up(spec.mem_gb),
         }
     }
     /// What a machine of a type offers.
     pub fn offered(machine_type: &MachineType) -> Self {
         Resources {
-            cores: Cores::offer(machine_type.vcpus),
-            accelerators: Cores::offer(machine_type.accelerators),
-            memory: Cores::offer(machine_type.mem_gb),
+            cores: Cores::round_down(machine_type.vcpus),
+            accelerators: Cores::round_down(machine_type.accelerators),
+            memory: Cores::round_down(machine_type.mem_gb),
         }
     }
     /// Whether this fits into what is free.
@@ -49,8 +49,8 @@
     }
     /// Takes this away from what is free.
     pub fn take_from(&self, free: &mut Resources) {
-        free.cores = free.cores.less(self.cores);
-        free.accelerators = free.accelerators.less(self.accelerators);
-        free.memory = free.memory.less(self.memory);
+        free.cores = free.cores.saturating_sub(self.cores);
+        free.accelerators = free.accelerators.saturating_sub(self.accelerators);
+        free.memory = free.memory.saturating_sub(self.memory);
     }
 }
--- a/src/shard/term_announcement.rs
+++ b/src/shard/term_announcement.rs
@@ -34,6 +34,6 @@
 
     /// Has the next one be due at once.
     pub(super) fn expedite(&mut self) {
-        self.at = self.at.less(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
+        self.at = self.at.saturating_sub(ANNOUNCE_AGAIN_MS << ANNOUNCEMENTS);
     }
 }
