--- a/crates/standby/src/decision_log.rs
+++ b/crates/standby/src/decision_log.rs
@@ -1,11 +1,13 @@
-//! The leader's numbered log of its decisions.
+//! The leader's log of numbered decisions.
 //!
-//! Each decision of a term has an index, from 1. A standby names the last one that it has applied, and receives what
-//! follows, or a snapshot if that is no longer retained.
+//! Each decision of a term has an index, from 1. A standby sends the position of the last decision that it has applied
+//! and receives the following decisions, or a snapshot if they are no longer retained.
 //!
-//! Invariants: the log retains a bounded number of records, always the newest ones without gaps; the digest of a record
-//! is that of the state after it. Nothing waits for a standby: one that is slow or down only falls out of the window.
-//! Positions prove nothing to anybody; what a new leader makes of the decisions is in [`crate::mirror`].
+//! Invariants: the log retains a bounded number of records, the newest ones without gaps. The digest of a record is that
+//! of the state after its decision.
+//!
+//! The leader does not wait for standbys. A standby that is slow or down falls behind the retained records and catches up
+//! by a snapshot. Positions prove nothing; [`crate::mirror`] describes how a new leader uses the decisions.
 
 use std::collections::VecDeque;
 
@@ -17,93 +19,93 @@
 use crate::payload::{MAX_CHUNK_BYTES, encoded_len, pack};
 use crate::settings::StandbySettings;
 
-/// A position in the log.
+/// A position in the decision log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term.
+    /// The term of the log.
     pub term: Term,
-    /// The index of its last decision, counted from 1; 0 before the first one.
+    /// The index of the last decision up to this position, from 1; 0 before the first decision.
     pub index: u64,
 }
 
 /// A standby's request for decisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// The last decision that it has applied.
+    /// The position up to which the standby has applied all decisions.
     pub applied: LogPosition,
-    /// Whether it needs a snapshot, as what it holds does not match.
+    /// Whether the standby needs a snapshot, as its copy is inconsistent or incomplete.
     #[serde(default)]
     pub snapshot: bool,
-    /// Entries of the snapshot that it has received already.
+    /// The number of the snapshot's decisions that the standby has received already.
     #[serde(default)]
     pub received: u64,
 }
 
-/// Whether a batch goes on from the position before it or replaces everything.
+/// Whether a batch continues the log or replaces the standby's copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BatchKind {
-    /// The decisions after `from`.
+    /// The decisions after [`Batch::from`].
     Records,
-    /// The state at `to` as decisions, without the first `offset` of them; `more` if that is not all.
+    /// A chunk of the state at [`Batch::to`], expressed as decisions.
     Snapshot {
-        /// Decisions of the snapshot in the chunks before this one.
+        /// The number of decisions in the snapshot's chunks before this one.
         offset: u64,
-        /// Whether more follow.
+        /// Whether further chunks follow.
         more: bool,
     },
 }
 
-/// Decisions for a standby.
+/// A batch of decisions for a standby.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Records or a snapshot.
+    /// Whether the batch holds records or a chunk of a snapshot.
     pub kind: BatchKind,
-    /// The position before the first decision.
+    /// The position before the first decision of the batch.
     pub from: LogPosition,
-    /// The position after the last one.
+    /// The position after the last decision of the batch.
     pub to: LogPosition,
-    /// The leader's newest position.
+    /// The newest position of the leader's log.
     pub newest: LogPosition,
-    /// The digest of the state at `to`.
+    /// The digest of the leader's state at `to`.
     pub digest: u64,
-    /// When the last decision was made, by the leader's time of day.
+    /// When the last decision of the batch was recorded, by the leader's wall clock.
     pub made: WallTime,
     /// The decisions, encoded and compressed.
     pub payload: ByteBuf,
 }
 
-/// A decision in the log.
+/// A decision in the log with its metadata.
 #[derive(Clone, Debug)]
 struct Record {
     decision: Decision,
-    /// The digest of the state after it.
+    /// The digest of the state after the decision.
     digest: u64,
-    /// When it was made, by the leader's time of day.
-    made: WallTime,
+    /// When the decision was recorded, by the leader's wall clock.
+    recorded_at: WallTime,
 }
 
-/// The log of one term.
+/// The decision log of one term.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     term: Term,
-    /// What all decisions of the term add up to.
+    /// The state that results from all decisions of the term.
     state: DecisionState,
-    /// The index of the newest decision.
+    /// The index of the newest decision; 0 before the first one.
     newest_index: u64,
-    /// When the newest decision was made, by the leader's time of day.
+    /// When the newest decision was recorded, by the leader's wall clock.
     newest_decision_at: WallTime,
-    /// The newest records, oldest first.
+    /// The retained records, oldest first.
     records: VecDeque<Record>,
-    /// Most records that are retained.
+    /// The maximum number of retained records.
     window_records: usize,
-    /// Most records in a batch.
+    /// The maximum number of records in a batch.
     batch_records: usize,
-    /// Bytes of all payloads that were composed.
+    /// Total size in bytes of the payloads of all batches so far.
     bytes_sent: u64,
 }
 
 impl DecisionLog {
-    /// The log of a term that begins without any decision.
+    /// Creates the empty log of a term.
     pub fn new(term: Term, settings: &StandbySettings) -> Self {
         DecisionLog {
             term,
@@ -117,32 +119,32 @@
         }
     }
 
-    /// Its term.
+    /// The term of the log.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The newest position.
+    /// The position after the newest decision.
     pub fn newest(&self) -> LogPosition {
         LogPosition { term: self.term, index: self.newest_index }
     }
 
-    /// What its decisions add up to.
+    /// The state that results from all decisions of the term.
     pub fn state(&self) -> &DecisionState {
         &self.state
     }
 
-    /// Bytes of the payloads of all batches so far.
+    /// Total size in bytes of the payloads of all batches so far.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Records that are retained.
+    /// The number of retained records.
     pub fn retained(&self) -> usize {
         self.records.len()
     }
 
-    /// Records the decisions that lead from the present state to `target`, and returns how many they are.
+    /// Records the decisions that turn the current state into `target`, and returns their number.
     pub fn record(&mut self, now: WallTime, target: &DecisionTarget) -> usize {
         let decisions = self.state.changes_to(target);
         let count = decisions.len();
@@ -150,7 +152,11 @@
             self.state.apply(decision.clone());
             self.newest_index += 1;
             self.newest_decision_at = now;
-            self.records.push_back(Record { decision, digest: self.state.digest(), made: now });
+            self.records.push_back(Record {
+                decision,
+                digest: self.state.digest(),
+                recorded_at: now,
+            });
             if self.records.len() > self.window_records {
                 self.records.pop_front();
             }
@@ -158,7 +164,7 @@
         count
     }
 
-    /// The next batch for a standby; `None` if it has everything.
+    /// Composes the next batch for a standby; `None` if the standby has applied all decisions.
     pub fn batch_for(&mut self, request: &FollowRequest) -> Option<Batch> {
         let batch = self.compose_batch(request)?;
         self.bytes_sent += batch.payload.len() as u64;
@@ -167,7 +173,7 @@
 
     fn compose_batch(&self, request: &FollowRequest) -> Option<Batch> {
         let newest = self.newest();
-        // A position of another term, or one that this log never assigned, says nothing here.
+        // A position of another term, or beyond the newest decision, does not refer to this log.
         let applied = Some(request.applied)
             .filter(|at| at.term == self.term && at.index <= self.newest_index);
         let index = applied.map_or(0, |at| at.index);
@@ -191,20 +197,20 @@
             to,
             newest,
             digest: last.digest,
-            made: last.made,
+            made: last.recorded_at,
             payload: pack(&decisions),
         })
     }
 
-    /// A chunk of the state. The state may change between two chunks; the digest does not match then, and the standby
-    /// requests the snapshot from its beginning.
+    /// Composes a chunk of a snapshot. The state may change between two chunks of a snapshot; the digest does not match
+    /// in this case, and the standby requests the snapshot again from the start.
     fn snapshot_chunk(&self, offset: u64) -> Batch {
-        let all = self.state.decisions();
-        let remaining = all.get(offset as usize..).unwrap_or_default();
-        let mut bytes = 0;
+        let decisions = self.state.decisions();
+        let remaining = decisions.get(offset as usize..).unwrap_or_default();
+        let mut chunk_bytes = 0;
         let fits = |decision: &&Decision| {
-            bytes += encoded_len(decision);
-            bytes <= MAX_CHUNK_BYTES
+            chunk_bytes += encoded_len(decision);
+            chunk_bytes <= MAX_CHUNK_BYTES
         };
         let chunk_len = remaining.iter().take_while(fits).count().max(1).min(remaining.len());
         let kind = BatchKind::Snapshot { offset, more: chunk_len < remaining.len() };
--- a/crates/standby/src/decisions.rs
+++ b/crates/standby/src/decisions.rs
@@ -1,11 +1,13 @@
-//! The leader's decisions as typed records, and the state that they add up to.
+//! The leader's decisions as typed records, and the state that results from them.
 //!
-//! The leader and its standbys hold the same [`DecisionState`] and change it by the same code. The leader compares its
-//! state with what it is to be and gets the records that lead there ([`DecisionState::changes_to`]), so no place where
-//! it decides can forget to record that; the standby applies them. A digest tells whether both hold the same.
+//! The leader and its standbys hold the same [`DecisionState`] and change it by the same code. The leader does not record
+//! each decision where it is made, as a call site could miss one. Instead it compares its last recorded state with the
+//! decisions that hold now, and records the differences ([`DecisionState::changes_to`]). The standbys apply the records.
+//! A digest shows whether leader and standby hold the same state.
 //!
-//! Invariant: a state and its digest depend only on the entries, not on the order in which decisions were applied. What
-//! the records say is a hint to the next leader (`docs/safety.md`, "Replacing a leader that is not heard").
+//! Invariant: a state and its digest depend only on the entries, not on the order in which decisions were applied.
+//!
+//! The records are hints to the next leader (`docs/safety.md`, "Replacing a leader that is not heard").
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +16,7 @@
 
 use crate::payload::encode;
 
-/// A job by its number.
+/// The number of a job. It serializes as a number, a [`JobId`] as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobNumber(pub u64);
 
@@ -30,7 +32,7 @@
     }
 }
 
-/// A task by its job's number and its own.
+/// The number of a task's job, and the task's number within the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskNumber(pub u64, pub u32);
 
@@ -46,86 +48,88 @@
     }
 }
 
-/// What the leader decided about a job in its last epoch.
+/// The leader's admission decision about a job in its last epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Admission {
-    /// Tasks that it may run at a time; 0 while it waits below the admission threshold.
+    /// The number of tasks that the job may run concurrently; 0 while the job waits below the admission threshold.
     pub share: u32,
 }
 
-/// A kind of machine that the cloud offers.
+/// A combination of machine type, zone and spot or on-demand that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MachineOfferRecord {
-    /// The machine type.
+    /// The name of the machine type.
     pub machine_type: String,
     /// The zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether the machine is a spot machine, as opposed to an on-demand one.
     pub spot: bool,
 }
 
-/// How long a class's tasks run, relative to their users' estimates.
+/// The run times of a class's tasks relative to their users' estimates, as a weighted mean.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunTimeRatio {
-    /// Weighted sum of the ratios; older ones weigh less.
+    /// Weighted sum of the ratios; older ratios have a lower weight.
     pub sum: f64,
     /// Sum of the weights.
     pub weight: f64,
 }
 
-/// How long tasks run on a machine, relative to others of their jobs.
+/// The run time of tasks on a machine relative to other tasks of the same jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineSpeed {
-    /// Run time here divided by that elsewhere.
+    /// Run time on this machine divided by the run time on other machines.
     pub ratio: f64,
-    /// Tasks that were compared.
+    /// The number of tasks that were compared.
     pub tasks: u32,
 }
 
-/// A step of a gang.
+/// The scheduling step that a gang has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GangStep {
-    /// It was granted as a whole with this attempt.
+    /// All tasks of the gang were granted, with this attempt.
     Granted(Attempt),
-    /// Attempts below this one are being stopped.
+    /// The gang's attempts below this one are being stopped.
     Stopping(Attempt),
 }
 
-/// That something holds for a machine. Not `()`, of which an encoded `Some` cannot be told from `None`.
+/// The value of tables that only hold a set of machines. MessagePack does not distinguish `Some(())` from `None`, so `()`
+/// is not usable here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mark {
-    /// It holds.
+    /// The machine is in the set.
     Set,
 }
 
-/// One decision: what it is about, and what holds from now on; `None` if it holds no longer.
+/// A decision: the subject, and the value that holds from now on; `None` if the previous value no longer holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Decision {
-    /// A job was admitted with a share, or waits.
+    /// A job was admitted with a share of tasks, or waits with a share of 0.
     Admitted(JobNumber, Option<Admission>),
-    /// A task was granted to a controller's shard; the grant was used up or revoked.
+    /// A task was granted to the shard of this controller; `None` once the grant was used or revoked.
     Granted(TaskNumber, Option<NodeId>),
-    /// A gang took a step, or is over.
+    /// A gang reached a step; `None` once the gang has ended.
     Gang(JobNumber, Option<GangStep>),
-    /// A machine was added by scaling out and is not up yet; `None` once it is up, or removed.
+    /// A machine was added by scaling out and is not up yet; `None` once it is up or was removed.
     #[serde(rename = "Rented")]
     ScaledOut(MachineId, Option<MachineOfferRecord>),
-    /// A machine is cordoned and returned once it is empty; `None` once it is removed, or stays.
+    /// A machine is cordoned and will be returned to the cloud once it is empty; `None` once it was removed or is kept
+    /// after all.
     Returning(MachineId, Option<Mark>),
-    /// A class's run times were measured.
+    /// The run times of a class were measured.
     RunTime(String, Option<RunTimeRatio>),
-    /// A machine's speed was measured.
+    /// The speed of a machine was measured.
     Speed(MachineId, Option<MachineSpeed>),
-    /// The cloud refused an offer, which is not tried again before this time of day.
+    /// The cloud refused a request for an offer, which is not requested again before this wall-clock time.
     Refused(MachineOfferRecord, Option<WallTime>),
-    /// A job has had no running task since this time of day.
+    /// A job has had no running task since this wall-clock time.
     Waiting(JobNumber, Option<WallTime>),
     /// A machine is reserved for gangs.
     #[serde(rename = "Kept")]
     Reserved(MachineId, Option<Mark>),
 }
 
-/// A table of decisions of one kind, with a digest that follows each change.
+/// The entries of one kind of decision, with a digest that is updated with each change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table<K: Ord, V> {
     entries: BTreeMap<K, V>,
@@ -139,6 +143,7 @@
 }
 
 impl<K: Ord + Clone + Serialize, V: Clone + PartialEq + Serialize> Table<K, V> {
+    /// Sets the value of a key, or removes the key if there is no value.
     fn set(&mut self, key: K, value: Option<V>) {
         let added = value.as_ref().map_or(0, |value| entry_digest(&key, value));
         let removed = match value {
@@ -146,10 +151,11 @@
             None => self.entries.remove(&key),
         };
         let removed = removed.map_or(0, |value| entry_digest(&key, &value));
-        // A sum does not depend on the order in which entries came.
+        // The digest is a sum, so it does not depend on the order in which entries were set.
         self.digest = self.digest.wrapping_add(added).wrapping_sub(removed);
     }
 
+    /// The changes that turn this table's entries into those of `target`; removals come first.
     fn changes_to(&self, target: &BTreeMap<K, V>) -> Vec<(K, Option<V>)> {
         let removed = self.entries.keys().filter(|key| !target.contains_key(*key));
         let mut changes: Vec<(K, Option<V>)> = removed.map(|key| (key.clone(), None)).collect();
@@ -164,60 +170,60 @@
     }
 }
 
-/// A digest of an entry that is the same on every machine: FNV-1a over its encoding.
+/// The digest of an entry: the 64-bit FNV-1a hash of its encoding, which is the same on every platform.
 fn entry_digest<K: Serialize, V: Serialize>(key: &K, value: &V) -> u64 {
     encode(&(key, value)).iter().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-/// The state that the leader's decisions are to lead to.
+/// The decisions of the leader that hold at one time, to which a [`DecisionState`] has to be brought.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DecisionTarget {
-    /// Shares of jobs.
+    /// The share of each job.
     pub admissions: BTreeMap<JobNumber, Admission>,
-    /// Tasks that are granted, and to which controller's shard.
+    /// The controller whose shard each granted task was granted to.
     pub grants: BTreeMap<TaskNumber, NodeId>,
-    /// Gangs under way.
+    /// The step that each active gang has reached.
     pub gangs: BTreeMap<JobNumber, GangStep>,
-    /// Machines that were added and are not up yet.
+    /// The offers of machines that were added by scaling out and are not up yet.
     pub provisioning: BTreeMap<MachineId, MachineOfferRecord>,
-    /// Machines that are returned once they are empty.
+    /// Cordoned machines that will be returned to the cloud once they are empty.
     pub returning: BTreeSet<MachineId>,
-    /// Run times by class.
+    /// The relative run times of each class.
     pub run_times: BTreeMap<String, RunTimeRatio>,
-    /// Speeds of machines.
+    /// The relative speed of each machine.
     pub speeds: BTreeMap<MachineId, MachineSpeed>,
-    /// Offers that the cloud refused, and until when they are not tried again.
+    /// For each offer that the cloud refused, the wall-clock time until which it is not requested again.
     pub refusals: BTreeMap<MachineOfferRecord, WallTime>,
-    /// Jobs without a running task, and since when.
+    /// For each job without a running task, the wall-clock time since which it has had none.
     pub waiting: BTreeMap<JobNumber, WallTime>,
-    /// Machines reserved for gangs.
+    /// Machines that are reserved for gangs.
     pub reserved: BTreeSet<MachineId>,
 }
 
-/// The state that decisions add up to.
+/// The state that results from the decisions applied so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DecisionState {
-    /// Shares of jobs.
+    /// The share of each job.
     pub admissions: Table<JobNumber, Admission>,
-    /// Tasks that are granted, and to which controller's shard.
+    /// The controller whose shard each granted task was granted to.
     pub grants: Table<TaskNumber, NodeId>,
-    /// Gangs under way.
+    /// The step that each active gang has reached.
     pub gangs: Table<JobNumber, GangStep>,
-    /// Machines that were added and are not up yet.
+    /// The offers of machines that were added by scaling out and are not up yet.
     pub provisioning: Table<MachineId, MachineOfferRecord>,
-    /// Machines that are returned once they are empty.
+    /// Cordoned machines that will be returned to the cloud once they are empty.
     pub returning: Table<MachineId, Mark>,
-    /// Run times by class.
+    /// The relative run times of each class.
     pub run_times: Table<String, RunTimeRatio>,
-    /// Speeds of machines.
+    /// The relative speed of each machine.
     pub speeds: Table<MachineId, MachineSpeed>,
-    /// Offers that the cloud refused, and until when they are not tried again.
+    /// For each offer that the cloud refused, the wall-clock time until which it is not requested again.
     pub refusals: Table<MachineOfferRecord, WallTime>,
-    /// Jobs without a running task, and since when.
+    /// For each job without a running task, the wall-clock time since which it has had none.
     pub waiting: Table<JobNumber, WallTime>,
-    /// Machines reserved for gangs.
+    /// Machines that are reserved for gangs.
     pub reserved: Table<MachineId, Mark>,
 }
 
@@ -238,37 +244,50 @@
         }
     }
 
-    /// The decisions that lead from this state to another one.
+    /// The decisions that turn this state into the target.
     pub fn changes_to(&self, target: &DecisionTarget) -> Vec<Decision> {
-        fn of<K, V>(
+        fn decisions_of<K, V>(
             changes: Vec<(K, Option<V>)>,
             decision: fn(K, Option<V>) -> Decision,
         ) -> impl Iterator<Item = Decision> {
             changes.into_iter().map(move |(key, value)| decision(key, value))
         }
-        let set = |machines: &BTreeSet<MachineId>| -> BTreeMap<MachineId, Mark> {
+        let as_map = |machines: &BTreeSet<MachineId>| -> BTreeMap<MachineId, Mark> {
             machines.iter().map(|id| (id.clone(), Mark::Set)).collect()
         };
         let mut changes = Vec::new();
-        changes.extend(of(self.admissions.changes_to(&target.admissions), Decision::Admitted));
-        changes.extend(of(self.grants.changes_to(&target.grants), Decision::Granted));
-        changes.extend(of(self.gangs.changes_to(&target.gangs), Decision::Gang));
-        changes.extend(of(self.provisioning.changes_to(&target.provisioning), Decision::ScaledOut));
-        changes.extend(of(self.returning.changes_to(&set(&target.returning)), Decision::Returning));
-        changes.extend(of(self.run_times.changes_to(&target.run_times), Decision::RunTime));
-        changes.extend(of(self.speeds.changes_to(&target.speeds), Decision::Speed));
-        changes.extend(of(self.refusals.changes_to(&target.refusals), Decision::Refused));
-        changes.extend(of(self.waiting.changes_to(&target.waiting), Decision::Waiting));
-        changes.extend(of(self.reserved.changes_to(&set(&target.reserved)), Decision::Reserved));
+        changes.extend(decisions_of(
+            self.admissions.changes_to(&target.admissions),
+            Decision::Admitted,
+        ));
+        changes.extend(decisions_of(self.grants.changes_to(&target.grants), Decision::Granted));
+        changes.extend(decisions_of(self.gangs.changes_to(&target.gangs), Decision::Gang));
+        changes.extend(decisions_of(
+            self.provisioning.changes_to(&target.provisioning),
+            Decision::ScaledOut,
+        ));
+        changes.extend(decisions_of(
+            self.returning.changes_to(&as_map(&target.returning)),
+            Decision::Returning,
+        ));
+        changes
+            .extend(decisions_of(self.run_times.changes_to(&target.run_times), Decision::RunTime));
+        changes.extend(decisions_of(self.speeds.changes_to(&target.speeds), Decision::Speed));
+        changes.extend(decisions_of(self.refusals.changes_to(&target.refusals), Decision::Refused));
+        changes.extend(decisions_of(self.waiting.changes_to(&target.waiting), Decision::Waiting));
+        changes.extend(decisions_of(
+            self.reserved.changes_to(&as_map(&target.reserved)),
+            Decision::Reserved,
+        ));
         changes
     }
 
-    /// The state as decisions, in an order that only depends on its entries.
+    /// The decisions that build this state from an empty one, in an order that depends only on the entries.
     pub fn decisions(&self) -> Vec<Decision> {
         DecisionState::default().changes_to(&self.target())
     }
 
-    /// This state as a target.
+    /// The entries of this state as a target.
     pub fn target(&self) -> DecisionTarget {
         DecisionTarget {
             admissions: self.admissions.entries.clone(),
@@ -284,8 +303,8 @@
         }
     }
 
-    /// A digest of the state. Each table's digest is rotated by another amount, so that entries of two kinds don't
-    /// cancel out.
+    /// The digest of the state. Each table's digest is rotated by a different amount, so that equal entries of two tables
+    /// do not cancel each other out.
     pub fn digest(&self) -> u64 {
         let digests = [
             self.admissions.digest,
@@ -303,7 +322,7 @@
         rotated.fold(0, |sum: u64, (digest, by)| sum ^ digest.rotate_left(by))
     }
 
-    /// How many entries it holds.
+    /// The number of entries in all tables.
     pub fn len(&self) -> usize {
         self.admissions.entries.len()
             + self.grants.entries.len()
@@ -317,7 +336,7 @@
             + self.reserved.entries.len()
     }
 
-    /// Whether it holds nothing.
+    /// Whether all tables are empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/standby/src/decisions/tests.rs
+++ b/crates/standby/src/decisions/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions add up to the same state at the leader and at its standbys.
+//! Tests that decisions result in the same state at the leader and at its standbys.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     MachineId::new(&format!("n-{n:06}"))
 }
 
-/// A state with something of each kind that depends on `n`.
+/// A target with entries of each kind; they differ by `n`.
 pub(crate) fn target(n: u64) -> DecisionTarget {
     let offer = MachineOfferRecord {
         machine_type: "g8".into(),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn decisions_lead_from_any_state_to_any_other() {
+fn changes_turn_any_state_into_any_target() {
     let mut state = DecisionState::default();
     for n in [1, 2, 9, 2, 40, 3] {
         for decision in state.changes_to(&target(n)) {
@@ -36,7 +36,7 @@
         }
         assert_eq!(state.target(), target(n));
         assert!(state.changes_to(&target(n)).is_empty());
-        // The digest depends on what is held, not on the way there.
+        // The digest depends on the entries only, not on the order of the decisions.
         let mut fresh = DecisionState::default();
         fresh.changes_to(&target(n)).into_iter().rev().for_each(|d| fresh.apply(d));
         assert_eq!((fresh.digest(), fresh.len()), (state.digest(), state.len()));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn any_single_difference_shows_in_the_digest() {
+fn removing_any_single_entry_changes_the_digest() {
     let mut state = DecisionState::default();
     state.changes_to(&target(5)).into_iter().for_each(|d| state.apply(d));
     for decision in state.decisions() {
--- a/crates/standby/src/detector.rs
+++ b/crates/standby/src/detector.rs
@@ -1,11 +1,12 @@
-//! Failure detection by phi accrual: the leader is suspected when its silence is improbable, given how its heartbeats
-//! came before.
+//! Phi accrual failure detector for the leader. The leader is suspected when the time since its last heartbeat, its
+//! silence, is improbable given the intervals between its previous heartbeats.
 //!
-//! What it says is a hint: it starts a [`crate::failover`], and proves nothing about the leader.
+//! A suspicion is a hint: it may start a [`crate::failover`], but is no proof that the leader is down.
 //!
-//! After Hayashibara, Défago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004). A fixed time-out is
-//! either too short for a loaded site or slow on a quiet one; phi follows the distribution of the intervals that this
-//! controller saw, and two bounds keep a young or odd distribution from doing harm.
+//! The algorithm is by Hayashibara, Défago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004). A fixed
+//! time-out is either too short for a loaded site or too long for an idle one. Phi adapts to the intervals that
+//! this controller observes. A lower and an upper bound on the silence limit the effect of a distribution with few or
+//! unusual samples.
 
 use std::collections::VecDeque;
 
@@ -14,86 +15,90 @@
 
 use crate::settings::StandbySettings;
 
-/// Lower bound of the standard deviation of the intervals in milliseconds: timers fire in steps, and a distribution
-/// without any spread would suspect the first late packet.
+/// Lower bound of the standard deviation of the intervals, in milliseconds. Timers have a coarse resolution, and with a
+/// deviation of nearly 0 the first late packet would raise a suspicion.
 const MIN_DEVIATION_MS: f64 = 60.0;
-/// Intervals that have to be known before phi is computed from them.
+/// Number of intervals that are needed to compute phi.
 pub(crate) const MIN_SAMPLES: usize = 10;
-/// This process was stopped or starved if its own timer came that much late, in milliseconds. Its silence then says
-/// nothing about the leader.
+/// Time between two ticks, in milliseconds, above which this process counts as having been stopped or starved. The
+/// silence in that time is no evidence about the leader.
 const LOCAL_PAUSE_MS: u64 = 400;
 
-/// Suspects the leader by the distribution of its heartbeats.
+/// Suspects the leader by the distribution of the intervals between its heartbeats.
 #[derive(Clone, Debug)]
 pub struct HeartbeatDetector {
-    /// A shorter silence is never suspicious, in milliseconds.
-    min_ms: u64,
-    /// From this silence on the leader is always suspected, in milliseconds.
-    max_ms: u64,
-    /// In between, it is suspected from this phi on.
-    threshold: f64,
-    /// Most intervals that are remembered.
-    capacity: usize,
-    /// The last intervals between heartbeats, oldest first, in milliseconds.
+    /// The leader is never suspected before this silence, in milliseconds.
+    suspect_after_min_ms: u64,
+    /// The leader is always suspected from this silence on, in milliseconds.
+    suspect_after_max_ms: u64,
+    /// Between the two bounds, the leader is suspected from this value of phi on.
+    phi_threshold: f64,
+    /// The maximum number of intervals that are kept.
+    max_intervals: usize,
+    /// The latest intervals between heartbeats in milliseconds, oldest first.
     intervals: VecDeque<u64>,
-    /// From when the silence counts: when the last request was sent that the leader responded to, or since then the
-    /// watch was restarted or this process was paused. `None` before the first heartbeat.
-    last_heartbeat: Option<MonotonicTime>,
-    /// When this process last ran [`HeartbeatDetector::tick`].
+    /// The start of the current silence: the sending time of the last request that the leader responded to or, if later,
+    /// the time at which the watch was restarted or this process resumed after a pause. `None` before the first heartbeat
+    /// or restart.
+    silent_since: Option<MonotonicTime>,
+    /// The time of the last call of [`HeartbeatDetector::tick`].
     last_tick: Option<MonotonicTime>,
 }
 
 impl HeartbeatDetector {
-    /// A detector that has received no heartbeat yet.
+    /// Creates a detector that has received no heartbeat yet.
     pub fn new(settings: &StandbySettings) -> Self {
         HeartbeatDetector {
-            min_ms: settings.suspect_after_min_ms,
-            max_ms: settings.suspect_after_max_ms,
-            threshold: settings.phi,
-            capacity: settings.samples,
+            suspect_after_min_ms: settings.suspect_after_min_ms,
+            suspect_after_max_ms: settings.suspect_after_max_ms,
+            phi_threshold: settings.phi,
+            max_intervals: settings.samples,
             intervals: VecDeque::new(),
-            last_heartbeat: None,
+            silent_since: None,
             last_tick: None,
         }
     }
 
-    /// The leader responded to a request that was sent at `sent`. The time of sending counts, as the leader was alive
-    /// at some time after it; responses that come out of order count once.
+    /// Records that the leader responded to a request that was sent at `sent`. The heartbeat is dated by the sending
+    /// time, as the leader was certainly alive at some time after it. Ignored if `sent` is not after the start of the
+    /// current silence, as for responses out of order.
     pub fn record_heartbeat(&mut self, sent: MonotonicTime) {
-        if let Some(last_heartbeat) = self.last_heartbeat {
-            if sent <= last_heartbeat {
+        if let Some(silent_since) = self.silent_since {
+            if sent <= silent_since {
                 return;
             }
-            self.intervals.push_back(sent.since(last_heartbeat));
-            if self.intervals.len() > self.capacity {
+            self.intervals.push_back(sent.since(silent_since));
+            if self.intervals.len() > self.max_intervals {
                 self.intervals.pop_front();
             }
         }
-        self.last_heartbeat = Some(sent);
+        self.silent_since = Some(sent);
     }
 
-    /// Another leader is to be watched from now on. It gets a whole silence before it can be suspected; the
-    /// intervals stay, as the network in between is much the same.
+    /// Starts watching another leader. Its silence starts at `now`, so that it is not suspected for its predecessor's.
+    /// The intervals are kept, as the network conditions are assumed to be similar.
     pub fn restart_watch(&mut self, now: MonotonicTime) {
-        self.last_heartbeat = Some(now);
+        self.silent_since = Some(now);
     }
 
-    /// Has to be called every 100 ms or so. After a pause of this process the silence starts again from 0.
+    /// Detects pauses of this process, and restarts the silence at 0 after a pause. The caller has to call it about
+    /// every 100 ms.
     pub fn tick(&mut self, now: MonotonicTime) {
-        let was_paused = self.last_tick.is_some_and(|before| now.since(before) > LOCAL_PAUSE_MS);
-        if was_paused && self.last_heartbeat.is_some() {
-            self.last_heartbeat = Some(now);
+        let was_paused =
+            self.last_tick.is_some_and(|last_tick| now.since(last_tick) > LOCAL_PAUSE_MS);
+        if was_paused && self.silent_since.is_some() {
+            self.silent_since = Some(now);
         }
         self.last_tick = Some(now);
     }
 
-    /// Milliseconds since the last heartbeat; `None` if there was none.
+    /// Length of the current silence in milliseconds; `None` if no leader has been watched yet.
     pub fn silence_ms(&self, now: MonotonicTime) -> Option<u64> {
-        self.last_heartbeat.map(|last_heartbeat| now.since(last_heartbeat))
+        self.silent_since.map(|since| now.since(since))
     }
 
-    /// How improbable the present silence is, as the negative logarithm of its probability; 0 while too little is
-    /// known.
+    /// The suspicion level: the negative decimal logarithm of the probability that an interval between heartbeats is
+    /// longer than the current silence. 0 while fewer than 10 intervals are known.
     pub fn phi(&self, now: MonotonicTime) -> f64 {
         let Some(silence) = self.silence_ms(now) else { return 0.0 };
         if self.intervals.len() < MIN_SAMPLES {
@@ -101,25 +106,25 @@
         }
         let (mean, deviation) = self.mean_and_deviation();
         let Ok(normal) = Normal::new(mean, deviation) else { return 0.0 };
-        let longer = normal.sf(silence as f64);
-        if longer <= f64::MIN_POSITIVE { f64::MAX } else { -longer.log10() }
+        let probability = normal.sf(silence as f64);
+        if probability <= f64::MIN_POSITIVE { f64::MAX } else { -probability.log10() }
     }
 
     fn mean_and_deviation(&self) -> (f64, f64) {
         let count = self.intervals.len() as f64;
         let mean = self.intervals.iter().map(|interval| *interval as f64).sum::<f64>() / count;
-        let squares =
+        let squared_deviations =
             self.intervals.iter().map(|interval| (*interval as f64 - mean).powi(2)).sum::<f64>();
-        (mean, (squares / count).sqrt().max(MIN_DEVIATION_MS))
+        (mean, (squared_deviations / count).sqrt().max(MIN_DEVIATION_MS))
     }
 
-    /// Whether the leader is suspected.
+    /// Whether the leader is suspected at this time.
     pub fn suspects(&self, now: MonotonicTime) -> bool {
         match self.silence_ms(now) {
             None => false,
-            Some(silence) if silence < self.min_ms => false,
-            Some(silence) if silence >= self.max_ms => true,
-            Some(_) => self.phi(now) >= self.threshold,
+            Some(silence) if silence < self.suspect_after_min_ms => false,
+            Some(silence) if silence >= self.suspect_after_max_ms => true,
+            Some(_) => self.phi(now) >= self.phi_threshold,
         }
     }
 }
--- a/crates/standby/src/failover/command.rs
+++ b/crates/standby/src/failover/command.rs
@@ -1,17 +1,19 @@
-//! What the failover's state machine asks its caller to do.
+//! The commands that the failover state machine issues.
 
 use willowshore_model::Term;
 
-/// An action for the caller. Its outcome comes back as a [`super::FailoverEvent`].
+/// An action for the caller to carry out. Its outcome is reported back as a [`super::FailoverEvent`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverCommand {
-    /// Probe the leader of this term: [`super::FailoverEvent::ProbeCompleted`].
+    /// Probe the leader of this term; reported as [`super::FailoverEvent::ProbeCompleted`].
     ProbeLeader(Term),
-    /// Query the other controllers when they last received from the leader of this term:
-    /// [`super::FailoverEvent::PeerObserved`] for each that responds.
+    /// Ask the other controllers how long they have received nothing from the leader of this term; each response is
+    /// reported as [`super::FailoverEvent::PeerObserved`].
     QueryPeers(Term),
-    /// Take the term after this one by the guarded transaction: [`super::FailoverEvent::FenceCompleted`].
+    /// Take the term after this one by the conditional transaction; reported as
+    /// [`super::FailoverEvent::FenceCompleted`].
     Fence(Term),
-    /// Compare the mirrored decisions with the replica, which shows this term: [`super::FailoverEvent::Verified`].
+    /// Compare the mirrored decisions with the replica, which shows this term; reported as
+    /// [`super::FailoverEvent::Verified`].
     Verify(Term),
 }
--- a/crates/standby/src/failover/outcome.rs
+++ b/crates/standby/src/failover/outcome.rs
@@ -1,25 +1,26 @@
-//! How a failover ended: completed, or stood down from.
+//! The outcome of a failover: completed, or abandoned for a reason.
 
 use std::fmt;
 
 use willowshore_model::{MonotonicTime, NodeId, Term};
 
-/// Why a controller went back to following.
+/// Why a controller returned to [`super::Phase::Following`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StandDownReason {
-    /// The leader responded again.
+    /// The leader responded to the probe, or sends heartbeats again.
     LeaderResponds,
-    /// Another controller receives the leader's messages.
-    HeardByOther(NodeId),
-    /// Too few controllers responded; the leader's lease decides.
+    /// This other controller still receives messages from the leader.
+    PeerReceivesFromLeader(NodeId),
+    /// No majority of the controllers confirmed the suspicion in time. The leader's lease decides.
     NoMajority,
-    /// Another controller took the next term.
-    TermTakenByOther(Term),
-    /// The transaction's conditions failed, as the leader's key had changed.
-    Conflict,
-    /// The state service did not respond, or refused, in time.
+    /// Another controller took this term.
+    TermTakenByPeer(Term),
+    /// The conditions of the fencing transaction failed, as the leader's key had changed.
+    ConditionsFailed,
+    /// The state service refused or did not respond to the fencing transaction, or its outcome did not reach the
+    /// replica in time.
     StoreUnavailable,
-    /// It was replaced as leader.
+    /// This controller led and was replaced by the leader of this term.
     Replaced(Term),
 }
 
@@ -27,14 +28,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StandDownReason::LeaderResponds => write!(f, "the leader answers again"),
-            StandDownReason::HeardByOther(node) => {
+            StandDownReason::PeerReceivesFromLeader(node) => {
                 write!(f, "controller {} hears the leader", node.0)
             }
             StandDownReason::NoMajority => write!(f, "no majority of the controllers answered"),
-            StandDownReason::TermTakenByOther(term) => {
+            StandDownReason::TermTakenByPeer(term) => {
                 write!(f, "another controller took term {term}")
             }
-            StandDownReason::Conflict => write!(f, "the leader's key had changed"),
+            StandDownReason::ConditionsFailed => write!(f, "the leader's key had changed"),
             StandDownReason::StoreUnavailable => write!(f, "the state service did not answer"),
             StandDownReason::Replaced(term) => write!(f, "replaced by the leader of term {term}"),
         }
@@ -44,7 +45,7 @@
 /// What started a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverCause {
-    /// A majority of the controllers received nothing from the leader.
+    /// The leader's probe failed and a majority of the controllers received nothing from the leader.
     Suspicion,
     /// The leader's key had expired with its lease.
     LeaseExpired,
@@ -59,23 +60,24 @@
     }
 }
 
-/// When the phases of a failover were over, by this controller's monotonic clock.
+/// The times at which the phases of a failover began and ended, by this controller's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailoverTimeline {
-    /// The leader was suspected, or its lease was found expired.
+    /// When the leader was suspected, or its lease was found expired.
     pub suspected: MonotonicTime,
-    /// The transaction was sent.
+    /// When the fencing transaction was sent.
     pub fencing: MonotonicTime,
-    /// Its response came, or the replica showed the term before that.
+    /// When the response to the fencing transaction was received, or the replica showed the term, whichever was
+    /// first.
     pub fenced: MonotonicTime,
-    /// The replica showed the term.
+    /// When the replica showed the term.
     pub caught_up: MonotonicTime,
-    /// The mirrored decisions had been compared.
+    /// When the mirrored decisions had been compared with the replica.
     pub verified: MonotonicTime,
 }
 
 impl FailoverTimeline {
-    /// The timeline of a failover that begins now.
+    /// Creates the timeline of a failover that begins now.
     pub(super) fn starting_at(now: MonotonicTime) -> Self {
         FailoverTimeline { suspected: now, ..FailoverTimeline::default() }
     }
@@ -84,10 +86,10 @@
 /// A failover that this controller completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failover {
-    /// The term that was taken.
+    /// The term that this controller took.
     pub term: Term,
-    /// What started it.
+    /// What started the failover.
     pub cause: FailoverCause,
-    /// How long its phases took.
+    /// When its phases began and ended.
     pub timeline: FailoverTimeline,
 }
--- a/crates/standby/src/failover/phase.rs
+++ b/crates/standby/src/failover/phase.rs
@@ -2,20 +2,20 @@
 
 use std::fmt;
 
-/// The phase that a controller is in.
+/// The phase of a controller's failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It follows the leader's decisions, or waits for a leader.
+    /// The controller follows the leader's decisions, or waits for a leader.
     Following,
-    /// It receives nothing from the leader, probes it and queries the other controllers.
+    /// The failure detector suspects the leader; the leader is probed and the other controllers are queried.
     Suspecting,
-    /// The transaction that takes the next term is under way.
+    /// The fencing transaction, which takes the next term, is in flight.
     Fencing,
-    /// The term is on record; the replica does not show it yet.
+    /// The fencing transaction is committed; the replica does not show the new term yet.
     CatchingUp,
-    /// The mirrored decisions are compared with the replica.
+    /// The mirrored decisions are being compared with the replica.
     Verifying,
-    /// It leads.
+    /// The controller leads.
     Active,
 }
 
--- a/crates/standby/src/failover/machine.rs
+++ b/crates/standby/src/failover/state_machine.rs
@@ -1,5 +1,5 @@
-//! The state machine itself: one method for each phase, and one for what the replica shows, which counts in all of
-//! them.
+//! The failover state machine: one method for each phase, and one for [`FailoverEvent::TermRecorded`], which is
+//! handled in every phase.
 
 use std::collections::BTreeMap;
 
@@ -10,55 +10,58 @@
     PeerObservation, Phase, ProbeOutcome, StandDownReason,
 };
 
-/// Time between two queries of the other controllers, in milliseconds: a lost message is soon made up for, and three
-/// controllers cause some ten messages a second while one suspects the leader.
+/// Time between two queries of the other controllers, in milliseconds. A lost message is soon compensated by the next
+/// query, and a site of three controllers sends about ten messages per second while one of them suspects the leader.
 const PEER_QUERY_PERIOD_MS: u64 = 200;
-/// Longest time for which the others are queried, in milliseconds, before the suspicion is dropped and comes up again.
-const PEER_QUERY_TIMEOUT_MS: u64 = 2_500;
-/// How long an observation of another controller is valid, in milliseconds: a few query periods, as observations from
-/// long ago must not add up to a majority.
+/// Longest duration of a suspicion without a confirming majority, in milliseconds. The suspicion is then dropped; a new
+/// one may begin after [`SUSPICION_BACKOFF_MS`].
+const SUSPICION_TIMEOUT_MS: u64 = 2_500;
+/// How long another controller's observation is valid, in milliseconds: a few query periods, as old observations must
+/// not add up to a majority.
 const OBSERVATION_VALID_MS: u64 = 600;
-/// How long the next suspicion waits after one that the leader or others refuted, in milliseconds.
+/// Pause before the next suspicion after one that was refuted or not confirmed, in milliseconds.
 const SUSPICION_BACKOFF_MS: u64 = 1_000;
-/// How long the outcome of fencing, and then the replica, is waited for, in milliseconds. Beyond it the replica alone
-/// says whether the term was taken.
-const STEP_TIMEOUT_MS: u64 = 10_000;
+/// Longest time in [`Phase::Fencing`], and again in [`Phase::CatchingUp`], in milliseconds. After it only the replica
+/// shows whether the term was taken.
+const FENCING_TIMEOUT_MS: u64 = 10_000;
 
-/// Decides when a controller replaces the leader, and follows the failover through its phases.
+/// Decides when a controller replaces the leader, and tracks the phases of the failover.
 #[derive(Clone, Debug)]
-pub struct FailoverMachine {
-    /// Controllers of the site, of which a majority has to agree.
+pub struct FailoverStateMachine {
+    /// The number of controllers of the site, a majority of which has to receive nothing from the leader.
     controllers: usize,
-    /// From this silence on, in milliseconds, another controller counts as receiving nothing from the
-    /// leader.
+    /// Silence in milliseconds, as reported by another controller, from which that controller counts as receiving
+    /// nothing from the leader.
     min_silence_ms: u64,
-    /// How much longer each further rank waits before it queries the others, in milliseconds.
+    /// How much longer each rank waits than the one before it until it queries the other controllers, in
+    /// milliseconds.
     rank_delay_ms: u64,
     phase: Phase,
     phase_entered_at: MonotonicTime,
     /// The newest term that the replica showed.
     term: Term,
-    /// What started the present or last failover.
+    /// What started the current or last failover.
     cause: FailoverCause,
-    /// The present or last failover's timeline.
+    /// The timeline of the current or last failover.
     timeline: FailoverTimeline,
-    /// When the others were last queried in this suspicion.
+    /// When the other controllers were last queried during the current suspicion.
     peers_queried_at: Option<MonotonicTime>,
-    /// The others that receive nothing from the leader, and when each of them last said so.
+    /// The other controllers that receive nothing from the leader, each with the time of its latest observation.
     silent_peers: BTreeMap<NodeId, MonotonicTime>,
-    /// Whether the leader itself was probed in this suspicion and did not respond.
+    /// Whether the leader was probed during the current suspicion and did not respond.
     probe_failed: bool,
-    /// No suspicion begins before this time.
+    /// The earliest time at which the next suspicion may begin.
     suspicion_paused_until: MonotonicTime,
     last_stand_down: Option<StandDownReason>,
     last_failover: Option<Failover>,
 }
 
-impl FailoverMachine {
-    /// A machine for a site of so many controllers. Others count as receiving nothing from the leader from
-    /// `min_silence_ms` on; each rank waits `rank_delay_ms` longer than the one before it.
+impl FailoverStateMachine {
+    /// Creates the state machine of one controller, in a site with this number of controllers. Other controllers count
+    /// as receiving nothing from the leader from `min_silence_ms` of silence on. Each rank waits `rank_delay_ms` longer
+    /// than the one before it until it queries them.
     pub fn new(controllers: usize, min_silence_ms: u64, rank_delay_ms: u64) -> Self {
-        FailoverMachine {
+        FailoverStateMachine {
             controllers,
             min_silence_ms,
             rank_delay_ms,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -86,7 +89,7 @@
         self.term
     }
 
-    /// Why it last went back to following.
+    /// Why this controller last returned to [`Phase::Following`].
     pub fn last_stand_down(&self) -> Option<StandDownReason> {
         self.last_stand_down
     }
@@ -96,32 +99,33 @@
         self.last_failover
     }
 
-    /// Applies an event and returns what is to be done. Events that the phase does not wait for change nothing.
+    /// Applies an event and returns the command to carry out, if any. An event that the current phase does not handle is
+    /// ignored.
     pub fn step(&mut self, now: MonotonicTime, event: FailoverEvent) -> Option<FailoverCommand> {
-        if let FailoverEvent::ReplicaShows { term, mine } = event {
-            return self.on_replica_shows(now, term, mine);
+        if let FailoverEvent::TermRecorded { term, is_own } = event {
+            return self.on_term_recorded(now, term, is_own);
         }
         match self.phase {
-            Phase::Following => self.while_following(now, event),
-            Phase::Suspecting => self.while_suspecting(now, event),
+            Phase::Following => self.step_following(now, event),
+            Phase::Suspecting => self.step_suspecting(now, event),
             Phase::Fencing => {
-                self.while_fencing(now, event);
+                self.step_fencing(now, event);
                 None
             }
             Phase::CatchingUp => {
-                self.while_catching_up(now, event);
+                self.step_catching_up(now, event);
                 None
             }
             Phase::Verifying => {
-                self.while_verifying(now, event);
+                self.step_verifying(now, event);
                 None
             }
-            // Only the replica ends a leadership.
+            // A term ends only when the replica shows another leader.
             Phase::Active => None,
         }
     }
 
-    fn while_following(
+    fn step_following(
         &mut self,
         now: MonotonicTime,
         event: FailoverEvent,
@@ -143,7 +147,7 @@
         }
     }
 
-    fn while_suspecting(
+    fn step_suspecting(
         &mut self,
         now: MonotonicTime,
         event: FailoverEvent,
@@ -153,17 +157,17 @@
                 self.stand_down(now, StandDownReason::LeaderResponds);
                 None
             }
-            FailoverEvent::Tick { .. } if self.time_in_phase(now) >= PEER_QUERY_TIMEOUT_MS => {
+            FailoverEvent::Tick { .. } if self.time_in_phase(now) >= SUSPICION_TIMEOUT_MS => {
                 self.drop_suspicion(now, StandDownReason::NoMajority);
                 None
             }
-            FailoverEvent::Tick { rank, .. } => self.query_peers_when_due(now, rank),
+            FailoverEvent::Tick { rank, .. } => self.query_peers_if_due(now, rank),
             FailoverEvent::PeerObserved(observation) => self.on_peer_observation(now, observation),
-            FailoverEvent::ProbeCompleted(ProbeOutcome::Answered) => {
+            FailoverEvent::ProbeCompleted(ProbeOutcome::Responded) => {
                 self.drop_suspicion(now, StandDownReason::LeaderResponds);
                 None
             }
-            FailoverEvent::ProbeCompleted(ProbeOutcome::Refused | ProbeOutcome::Silent) => {
+            FailoverEvent::ProbeCompleted(ProbeOutcome::Refused | ProbeOutcome::NoResponse) => {
                 self.probe_failed = true;
                 self.fence_if_agreed(now)
             }
@@ -172,18 +176,18 @@
         }
     }
 
-    fn while_fencing(&mut self, now: MonotonicTime, event: FailoverEvent) {
+    fn step_fencing(&mut self, now: MonotonicTime, event: FailoverEvent) {
         match event {
             FailoverEvent::Tick { .. } => self.stand_down_after_timeout(now),
-            FailoverEvent::FenceCompleted(FenceOutcome::Done(_)) => {
+            FailoverEvent::FenceCompleted(FenceOutcome::Committed(_)) => {
                 self.timeline.fenced = now;
                 self.enter(now, Phase::CatchingUp);
             }
-            FailoverEvent::FenceCompleted(FenceOutcome::Conflict) => {
-                self.stand_down(now, StandDownReason::Conflict);
+            FailoverEvent::FenceCompleted(FenceOutcome::ConditionsFailed) => {
+                self.stand_down(now, StandDownReason::ConditionsFailed);
             }
-            // The replica will show whether it was committed. It may also be committed much later, and fails then if
-            // another leader's transaction came between.
+            // The replica will show whether the transaction was committed. A delayed transaction may still be committed
+            // much later; its conditions fail if another leader's transaction was committed in between.
             FailoverEvent::FenceCompleted(FenceOutcome::Unknown) => {
                 self.stand_down(now, StandDownReason::StoreUnavailable);
             }
@@ -191,13 +195,13 @@
         }
     }
 
-    fn while_catching_up(&mut self, now: MonotonicTime, event: FailoverEvent) {
+    fn step_catching_up(&mut self, now: MonotonicTime, event: FailoverEvent) {
         if let FailoverEvent::Tick { .. } = event {
             self.stand_down_after_timeout(now);
         }
     }
 
-    fn while_verifying(&mut self, now: MonotonicTime, event: FailoverEvent) {
+    fn step_verifying(&mut self, now: MonotonicTime, event: FailoverEvent) {
         if event == FailoverEvent::Verified {
             self.timeline.verified = now;
             self.enter(now, Phase::Active);
@@ -206,29 +210,30 @@
         }
     }
 
-    /// The replica shows a leader. Old terms say nothing, and neither does a known term of another leader, unless this
-    /// controller received the outcome that it had taken that very term.
-    fn on_replica_shows(
+    /// Handles a leader's record in the replica. Records of old terms are ignored. So are repeated records of the
+    /// newest term with another leader, except in [`Phase::CatchingUp`], in which this controller's transaction that
+    /// takes the next term has been committed.
+    fn on_term_recorded(
         &mut self,
         now: MonotonicTime,
         term: Term,
-        mine: bool,
+        is_own: bool,
     ) -> Option<FailoverCommand> {
         let is_known = term == self.term;
-        if term < self.term || (is_known && !mine && self.phase != Phase::CatchingUp) {
+        if term < self.term || (is_known && !is_own && self.phase != Phase::CatchingUp) {
             return None;
         }
         self.term = term;
-        if !mine {
+        if !is_own {
             match self.phase {
                 Phase::Following => {}
                 Phase::Active => self.stand_down(now, StandDownReason::Replaced(term)),
-                _ => self.stand_down(now, StandDownReason::TermTakenByOther(term)),
+                _ => self.stand_down(now, StandDownReason::TermTakenByPeer(term)),
             }
             return None;
         }
         match self.phase {
-            // The same leader's next term: nothing was mirrored for it.
+            // This leader takes a further term. Nothing was mirrored that would have to be verified.
             Phase::Active => None,
             Phase::Verifying if is_known => None,
             _ => Some(self.verify(now, term)),
@@ -236,7 +241,7 @@
     }
 
     fn verify(&mut self, now: MonotonicTime, term: Term) -> FailoverCommand {
-        // The term may also show before the response of its transaction, or without any.
+        // The replica may show the term before the transaction's response is received, or without a response.
         if self.timeline.fenced < self.timeline.fencing {
             self.timeline.fenced = now;
         }
@@ -245,15 +250,15 @@
         FailoverCommand::Verify(term)
     }
 
-    fn query_peers_when_due(
+    fn query_peers_if_due(
         &mut self,
         now: MonotonicTime,
         rank: Option<u64>,
     ) -> Option<FailoverCommand> {
-        let own_delay_ms = rank? * self.rank_delay_ms;
-        let queried_lately =
+        let rank_offset_ms = rank? * self.rank_delay_ms;
+        let queried_recently =
             self.peers_queried_at.is_some_and(|at| now.since(at) < PEER_QUERY_PERIOD_MS);
-        if self.time_in_phase(now) < own_delay_ms || queried_lately {
+        if self.time_in_phase(now) < rank_offset_ms || queried_recently {
             return None;
         }
         self.peers_queried_at = Some(now);
@@ -265,13 +270,14 @@
         now: MonotonicTime,
         observation: PeerObservation,
     ) -> Option<FailoverCommand> {
-        // A controller that never received from the leader is no witness: it may have been partitioned all the time.
+        // A controller that never received anything from the leader is ignored: it may always have been partitioned.
         let silence_ms = observation.silence_ms?;
         if silence_ms < self.min_silence_ms {
-            // It may just have received the leader's last messages, so it is queried again before that counts.
+            // A short silence may only mean that the peer received the leader's last messages before the leader stopped,
+            // so it refutes the suspicion only once the suspicion is older than `min_silence_ms`.
             self.silent_peers.remove(&observation.node);
             if self.time_in_phase(now) >= self.min_silence_ms {
-                self.drop_suspicion(now, StandDownReason::HeardByOther(observation.node));
+                self.drop_suspicion(now, StandDownReason::PeerReceivesFromLeader(observation.node));
             }
             return None;
         }
@@ -280,11 +286,12 @@
     }
 
     /// Fences the leader if its probe failed and a majority of the controllers, this one included, receives nothing
-    /// from it.
+    /// from the leader.
     fn fence_if_agreed(&mut self, now: MonotonicTime) -> Option<FailoverCommand> {
-        let is_valid = |observed: &&MonotonicTime| now.since(**observed) <= OBSERVATION_VALID_MS;
-        let agreeing = 1 + self.silent_peers.values().filter(is_valid).count();
-        let is_majority = agreeing * 2 > self.controllers;
+        let is_valid =
+            |observed_at: &&MonotonicTime| now.since(**observed_at) <= OBSERVATION_VALID_MS;
+        let silent_controllers = 1 + self.silent_peers.values().filter(is_valid).count();
+        let is_majority = silent_controllers * 2 > self.controllers;
         (self.probe_failed && is_majority).then(|| self.fence(now, FailoverCause::Suspicion))
     }
 
@@ -297,12 +304,12 @@
     }
 
     fn stand_down_after_timeout(&mut self, now: MonotonicTime) {
-        if self.time_in_phase(now) >= STEP_TIMEOUT_MS {
+        if self.time_in_phase(now) >= FENCING_TIMEOUT_MS {
             self.stand_down(now, StandDownReason::StoreUnavailable);
         }
     }
 
-    /// Stands down from a suspicion that was not shared; the next one waits a while.
+    /// Drops a suspicion that was refuted or not confirmed, and pauses before the next one.
     fn drop_suspicion(&mut self, now: MonotonicTime, reason: StandDownReason) {
         self.suspicion_paused_until = now.plus(SUSPICION_BACKOFF_MS);
         self.stand_down(now, reason);
--- a/crates/standby/src/failover_order.rs
+++ b/crates/standby/src/failover_order.rs
@@ -1,32 +1,33 @@
-//! The order in which controllers replace a leader.
+//! Ranking of the controllers that may replace the leader.
 //!
-//! Each computes it from the replica and the settings, so all get the same ranks once their replicas agree. While they
-//! don't, two may try at the same time, and the transaction's conditions let one of them through.
+//! Each controller computes the ranking from its replica and the settings, so all controllers compute the same one once
+//! their replicas agree. Until then two controllers may try to replace the leader at the same time; the conditions of
+//! the fencing transaction let only one of them succeed.
 
 use willowshore_model::NodeId;
 
-/// A controller of the site.
+/// A controller of the site, as a candidate for replacing the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The controller.
+    /// The controller's node id.
     pub node: NodeId,
-    /// Its zone.
+    /// The controller's zone.
     pub zone: String,
-    /// Whether it is a member, as the replica shows, and may replace the leader, as the settings say.
+    /// Whether the replica lists the controller as a member and the settings allow it to replace the leader.
     pub eligible: bool,
 }
 
-/// The rank of a controller among those that may replace the leader, from 0; `None` if it may not. Controllers in
-/// another zone than the leader's come first: what stopped the leader may have stopped its zone.
+/// The rank of a controller among the eligible candidates, from 0; `None` if it is not eligible or is the leader.
+/// Controllers outside the leader's zone rank first, as the fault that stopped the leader may affect its whole zone.
 pub fn rank_of(node: NodeId, leader: NodeId, candidates: &[Candidate]) -> Option<u64> {
-    let leaders_zone = candidates
+    let leader_zone = candidates
         .iter()
         .find(|candidate| candidate.node == leader)
         .map(|candidate| candidate.zone.as_str());
     let mut order: Vec<(bool, NodeId)> = candidates
         .iter()
         .filter(|candidate| candidate.eligible && candidate.node != leader)
-        .map(|candidate| (Some(candidate.zone.as_str()) == leaders_zone, candidate.node))
+        .map(|candidate| (Some(candidate.zone.as_str()) == leader_zone, candidate.node))
         .collect();
     order.sort_unstable();
     order.iter().position(|(_, ranked)| *ranked == node).map(|rank| rank as u64)
--- a/crates/standby/src/failover_order/tests.rs
+++ b/crates/standby/src/failover_order/tests.rs
@@ -1,9 +1,9 @@
-//! Who replaces the leader, in which order.
+//! Tests of the ranking of the controllers that may replace the leader.
 
 use super::*;
 
 #[test]
-fn another_zone_than_the_leaders_comes_first() {
+fn controllers_outside_the_leaders_zone_rank_first() {
     let candidate =
         |node, zone: &str, eligible| Candidate { node: NodeId(node), zone: zone.into(), eligible };
     let site = [
@@ -13,7 +13,7 @@
         candidate(3, "b", false),
         candidate(4, "b", true),
     ];
-    // (leader, ranks of 0 to 4)
+    // (leader, ranks of the controllers 0 to 4)
     let cases = [
         (0, [None, Some(0), Some(2), None, Some(1)]),
         (1, [Some(0), None, Some(1), None, Some(2)]),
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,24 +1,25 @@
-//! Warm standby: a controller that follows the decisions of the leader and replaces it within seconds.
+//! Warm standby: a controller that follows the leader's decisions and replaces the leader within seconds if it fails.
 //!
-//! The package holds state machines without I/O: each takes events and the time, and returns commands. The
-//! controller's loops carry messages and transactions for them (`willowshore::standby`).
+//! The crate consists of state machines without I/O: they take events and the time, and return commands. The
+//! controller's loops send the messages and the transactions (`willowshore::standby`).
 //!
-//! - [`detector`]: suspects the leader by the distribution of its heartbeats (phi accrual).
-//! - [`failover_order`]: ranks the controllers that may replace it.
-//! - [`failover`]: from following to leading, by a majority of controllers that receive nothing from the leader.
-//! - [`decisions`]: the leader's decisions as typed records, and the state that they add up to.
-//! - [`decision_log`]: the leader's numbered log of them, bounded, with compressed snapshots.
-//! - [`payload`]: how decisions are encoded and compressed on their way.
-//! - [`mirror`]: the standby's copy, checked against the leader's digests.
-//! - [`settings`]: the file that enables all of it.
-//! - [`status`]: what operators are shown.
+//! - [`detector`]: suspects the leader by the intervals between its heartbeats (phi accrual).
+//! - [`failover_order`]: ranks the controllers that may replace the leader.
+//! - [`failover`]: takes a controller from following to leading, once a majority of the controllers receives nothing
+//!   from the leader.
+//! - [`decisions`]: the leader's decisions as typed records, and the state that results from them.
+//! - [`decision_log`]: the leader's bounded log of numbered decisions, with compressed snapshots.
+//! - [`payload`]: encoding and compression of decisions for sending.
+//! - [`mirror`]: the standby's copy of the decisions, checked against the leader's digests.
+//! - [`settings`]: the settings of the standby and their checks.
+//! - [`status`]: the status for operators.
 //!
 //! # Hints and proofs
 //!
-//! Nothing here proves anything. Suspicions, probes and observations of peers decide only whether a failover is tried;
-//! a standby leads by the same guarded transaction as any other controller, once its replica shows the term. Mirrored
-//! decisions are hints that the new leader confirms by its replica or drops. The argument is in `docs/safety.md`,
-//! "Replacing a leader that is not heard".
+//! Nothing in this crate proves who leads. Suspicions, probes and observations of peers only decide whether a failover
+//! is attempted. A standby becomes leader by the same conditional transaction as any other controller, once its replica
+//! shows the term. Mirrored decisions are hints that the new leader confirms by its replica or drops. The argument is in
+//! `docs/safety.md`, "Replacing a leader that is not heard".
 
 pub mod decision_log;
 pub mod decisions;
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -1,11 +1,14 @@
 //! The standby's copy of the leader's decisions.
 //!
-//! Invariant: a copy that does not match the leader's is never used silently. Gaps and malformed batches are counted
-//! and lead to a fresh start from a snapshot; batches of another term are counted and ignored. A digest that does not
-//! match is counted as a divergence, a snapshot is requested, and once it has been applied, the differences are
-//! returned for the log.
+//! Invariant: a copy that does not match the leader's state is never used unnoticed.
+//! - After a gap or a malformed batch, a snapshot is requested.
+//! - A batch of another term is ignored.
+//! - A digest that does not match is a divergence: a snapshot is requested, and once it has been applied, the differences
+//!   are returned to the caller for its log.
 //!
-//! The copy is a hint: a new leader confirms each of its records by the replica, or drops it (`docs/safety.md`,
+//! Each of these cases is counted.
+//!
+//! The copy is a hint: a new leader confirms each of its records by the replica or drops the record (`docs/safety.md`,
 //! "Replacing a leader that is not heard").
 
 use thiserror::Error;
@@ -15,25 +18,27 @@
 use crate::decisions::{Decision, DecisionState};
 use crate::payload::{PayloadError, unpack};
 
-/// Most differences that are reported of one divergence: some are enough to find its cause, and they go into a log
-/// line.
+/// Maximum number of differences that are reported for a divergence. A few are enough to find the cause, and they are
+/// written to a single log line.
 const MAX_REPORTED_DIFFERENCES: usize = 8;
 
-/// What is wrong with a malformed batch.
+/// Why a batch is malformed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MalformedBatch {
-    /// Its positions contradict each other: it ends before it begins, or after the leader's newest decision.
-    #[error("positions out of order")]
+    /// It ends before it begins, or after the leader's newest decision.
+    #[error("the positions of the batch are out of order")]
     Positions,
-    /// Its positions and its payload differ in the number of decisions.
-    #[error("{expected} decisions by its positions, {found} in its payload")]
+    /// The number of decisions in its payload differs from that between its positions.
+    #[error(
+        "expected {expected} decisions between the positions of the batch, found {found} in its payload"
+    )]
     Count {
-        /// Decisions between its positions.
+        /// The number of decisions between the batch's positions.
         expected: u64,
-        /// Decisions in its payload.
+        /// The number of decisions in the batch's payload.
         found: u64,
     },
-    /// Its payload cannot be read.
+    /// Its payload cannot be decoded.
     #[error(transparent)]
     Payload(#[from] PayloadError),
 }
@@ -41,17 +46,18 @@
 /// Why a batch was not applied.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BatchRejected {
-    /// It is of an earlier term, or of a later one than this copy follows.
-    #[error("decisions of term {0} while another one is followed")]
+    /// It is of this term, which is not the followed one.
+    #[error("the batch is of term {0}, which is not the followed term")]
     WrongTerm(Term),
-    /// Decisions between the copy and the batch are missing, after this index; in a snapshot, after so many entries.
-    #[error("decisions are missing after {0}")]
+    /// Decisions between the copy and the batch are missing after this index, or in a snapshot after this number of
+    /// decisions.
+    #[error("decisions after {0} are missing")]
     Gap(u64),
-    /// It cannot be read, or its numbers contradict each other.
-    #[error("malformed decisions: {0}")]
+    /// It is malformed.
+    #[error("malformed batch: {0}")]
     Malformed(#[from] MalformedBatch),
-    /// The copy would not be what the leader has.
-    #[error("the copy does not match the leader's digest")]
+    /// The digest of the copy does not match the digest of the leader's state.
+    #[error("the digest of the copy does not match the leader's digest")]
     Divergence,
 }
 
@@ -61,20 +67,20 @@
     }
 }
 
-/// What happened to batches since the controller started.
+/// Counts of decisions and batches by their outcome, since the controller started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MirrorCounters {
-    /// Decisions that were applied.
+    /// Decisions that were applied from records.
     pub applied: u64,
-    /// Decisions that were received again.
+    /// Decisions that had been applied already when they were received.
     pub repeated: u64,
-    /// Batches after a gap.
+    /// Batches that were rejected because decisions before them were missing.
     pub gaps: u64,
-    /// Batches of a wrong term.
+    /// Batches that were rejected because they were not of the followed term.
     pub wrong_terms: u64,
-    /// Malformed batches.
+    /// Batches that were rejected as malformed.
     pub malformed: u64,
-    /// Copies that did not match.
+    /// Batches after which the digest of the copy did not match the leader's.
     pub divergences: u64,
     /// Snapshots that were applied.
     pub snapshots: u64,
@@ -91,46 +97,46 @@
     }
 }
 
-/// A difference between a copy and the leader's state: what the leader has and the copy lacked.
+/// A difference between a copy and the leader's state: the decision that corrects the copy.
 pub type Difference = Decision;
 
-/// The copy.
+/// A standby's copy of the leader's decisions.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
-    /// The last decision that was applied.
+    /// The position up to which all decisions have been applied.
     applied: LogPosition,
-    /// The leader's newest decision, as far as this copy knows.
+    /// The leader's newest known position.
     newest: LogPosition,
-    /// When the last applied decision was made, by the leader's time of day.
-    newest_decision_at: WallTime,
-    /// What the applied decisions add up to.
+    /// When the last applied decision was recorded, by the leader's wall clock.
+    applied_decision_at: WallTime,
+    /// The state that results from the applied decisions.
     state: DecisionState,
-    /// Whether the copy can only go on from a snapshot.
+    /// Whether the copy has to be replaced by a snapshot.
     needs_snapshot: bool,
-    /// The entries of a snapshot of which more follow.
+    /// The decisions of the chunks received so far of an incomplete snapshot.
     partial_snapshot: Vec<Decision>,
-    /// The state that did not match, until a snapshot shows in what.
+    /// A state that did not match the leader's, kept until it has been compared with a snapshot.
     diverged_state: Option<DecisionState>,
     counters: MirrorCounters,
 }
 
 impl Mirror {
-    /// The position up to which it holds everything.
+    /// The position up to which all decisions have been applied.
     pub fn applied(&self) -> LogPosition {
         self.applied
     }
 
-    /// What the applied decisions add up to.
+    /// The state that results from the applied decisions.
     pub fn state(&self) -> &DecisionState {
         &self.state
     }
 
-    /// What happened to batches so far.
+    /// The counts of decisions and batches by their outcome.
     pub fn counters(&self) -> MirrorCounters {
         self.counters
     }
 
-    /// Decisions that the leader had made and this copy lacked when the leader's last message came.
+    /// The number of decisions that the leader had made and this copy lacked as of the leader's last message.
     pub fn lag_records(&self) -> u64 {
         if self.newest.term != self.applied.term {
             return self.newest.index;
@@ -138,18 +144,17 @@
         self.newest.index.saturating_sub(self.applied.index)
     }
 
-    /// Age of the newest decision that is applied, in milliseconds; 0 if nothing is missing.
+    /// Age of the newest applied decision in milliseconds; 0 if no decision is missing.
     pub fn lag_ms(&self, now: WallTime) -> u64 {
-        if self.lag_records() == 0 { 0 } else { now.0.saturating_sub(self.newest_decision_at.0) }
+        if self.lag_records() == 0 { 0 } else { now.0.saturating_sub(self.applied_decision_at.0) }
     }
 
-    /// Whether it holds all decisions that the leader of that term was known to have made, and nothing is known to be
-    /// wrong with it.
+    /// Whether the copy holds all known decisions of the leader of this term and no snapshot is needed.
     pub fn is_complete(&self, term: Term) -> bool {
         self.applied.term == term && !self.needs_snapshot && self.lag_records() == 0
     }
 
-    /// Follows the leader of a term from its beginning. Nothing changes if that term, or a later one, is followed
+    /// Starts to follow the leader of a term with an empty state. Does nothing if this term or a later one is followed
     /// already.
     pub fn begin_term(&mut self, term: Term) {
         if term <= self.applied.term {
@@ -163,7 +168,7 @@
         self.diverged_state = None;
     }
 
-    /// The request that goes to the leader next.
+    /// The next request to the leader.
     pub fn request(&self) -> FollowRequest {
         FollowRequest {
             applied: self.applied,
@@ -172,32 +177,35 @@
         }
     }
 
-    /// The leader has nothing that this copy lacks.
+    /// Records that the leader has no decisions that this copy lacks.
     pub fn confirm_up_to_date(&mut self) {
         self.newest = self.applied;
     }
 
-    /// Applies a batch, or counts why not. The differences returned are those of a diverged copy that a snapshot has
-    /// just replaced.
+    /// Applies a batch, or counts its rejection. If the batch completes a snapshot that replaces a diverged copy, returns
+    /// the differences.
     ///
     /// # Errors
     ///
-    /// See [`BatchRejected`]. After any of them but [`BatchRejected::WrongTerm`], the next request is for a snapshot.
+    /// Returns the reason if the batch is rejected. The next request is for a snapshot then, except after
+    /// [`BatchRejected::WrongTerm`].
     pub fn accept(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
-        let applied = self.apply(batch);
-        if let Err(rejected) = applied {
+        let result = self.apply(batch);
+        if let Err(rejected) = result {
             self.counters.record_rejection(rejected);
             if !matches!(rejected, BatchRejected::WrongTerm(_)) {
                 self.needs_snapshot = true;
                 self.partial_snapshot.clear();
             }
         }
-        applied
+        result
     }
 
     fn apply(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
-        let followed = self.applied.term;
-        if [batch.from.term, batch.to.term, batch.newest.term].iter().any(|term| *term != followed)
+        let followed_term = self.applied.term;
+        if [batch.from.term, batch.to.term, batch.newest.term]
+            .iter()
+            .any(|term| *term != followed_term)
         {
             return Err(BatchRejected::WrongTerm(batch.to.term));
         }
@@ -242,7 +250,7 @@
             self.counters.applied += 1;
         }
         self.applied = batch.to;
-        self.newest_decision_at = batch.made;
+        self.applied_decision_at = batch.made;
         if self.state.digest() != batch.digest {
             self.diverged_state = Some(self.state.clone());
             return Err(BatchRejected::Divergence);
@@ -250,7 +258,7 @@
         Ok(())
     }
 
-    /// Collects a chunk of a snapshot.
+    /// Collects the decisions of a snapshot's chunk.
     fn collect_snapshot(
         &mut self,
         decisions: Vec<Decision>,
@@ -264,7 +272,7 @@
         Ok(())
     }
 
-    /// Replaces the copy by the collected snapshot, whose last chunk this batch was. The digest fails if the leader's
+    /// Replaces the copy by the collected snapshot; `batch` holds its last chunk. The digest does not match if the leader's
     /// state changed between two chunks.
     fn apply_snapshot(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
         let mut state = DecisionState::default();
@@ -280,7 +288,7 @@
         differences.truncate(MAX_REPORTED_DIFFERENCES);
         self.state = state;
         self.applied = batch.to;
-        self.newest_decision_at = batch.made;
+        self.applied_decision_at = batch.made;
         self.needs_snapshot = false;
         self.counters.snapshots += 1;
         Ok(differences)
--- a/crates/standby/src/payload.rs
+++ b/crates/standby/src/payload.rs
@@ -1,4 +1,4 @@
-//! The payload of a batch: decisions, encoded as MessagePack and compressed with LZ4.
+//! The payload of a batch: decisions encoded as MessagePack and compressed with LZ4.
 
 use serde::Serialize;
 use serde_bytes::ByteBuf;
@@ -6,28 +6,29 @@
 
 use crate::decisions::Decision;
 
-/// Most bytes of a payload's decisions before they are compressed; a larger snapshot goes out in chunks. Even
-/// uncompressed it leaves room for the plan in a response between controllers, which may have 4 MiB.
+/// Maximum encoded size of a snapshot chunk's decisions, in bytes before compression; a larger snapshot is sent in
+/// several chunks. Even an incompressible chunk leaves room for the plan in the same response between controllers, whose
+/// limit is 4 MiB.
 pub(crate) const MAX_CHUNK_BYTES: usize = 512 * 1024;
 
-/// Most bytes that a received payload may have once it is decompressed. Batches of records are bounded by their number
-/// instead of their size, so this leaves room over [`MAX_CHUNK_BYTES`].
+/// Maximum decompressed size of a received payload, in bytes. Batches of records are limited by the number of records
+/// and not by size, so the maximum leaves room above [`MAX_CHUNK_BYTES`].
 const MAX_DECOMPRESSED_BYTES: usize = 4 * MAX_CHUNK_BYTES;
 
 /// Why a payload cannot be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PayloadError {
-    /// It is too short for the size that it begins with.
-    #[error("the payload has no size")]
+    /// It is too short for the size header.
+    #[error("the payload is too short for its size header")]
     MissingSize,
-    /// It claims to be larger than any payload may be.
-    #[error("the payload claims {0} bytes, more than {MAX_DECOMPRESSED_BYTES}")]
+    /// Its size header, in bytes, exceeds the limit.
+    #[error("the payload's size of {0} bytes exceeds the limit of {MAX_DECOMPRESSED_BYTES}")]
     TooLarge(usize),
-    /// It cannot be decompressed to the size that it claims.
-    #[error("the payload cannot be decompressed")]
+    /// It cannot be decompressed to the size in its header.
+    #[error("the payload is not valid LZ4, or does not match its size header")]
     Compression,
-    /// What was compressed is no list of decisions.
-    #[error("the payload holds no decisions")]
+    /// The decompressed bytes are not an encoded list of decisions.
+    #[error("the payload is not a MessagePack list of decisions")]
     Encoding,
 }
 
@@ -41,21 +42,21 @@
     encode(decision).len()
 }
 
-/// Encodes decisions, or parts of one.
+/// Encodes decisions, or parts of a decision, as MessagePack.
 ///
-/// This cannot fail: writing to memory does not, and MessagePack expresses all that decisions are made of (numbers,
-/// strings, options, and enums and lists of known length). A type that broke this would fail the debug assertion in the
-/// tests; a release build would send an empty payload, which every reader refuses.
+/// The encoding cannot fail: writing to memory does not fail, and MessagePack represents every type that decisions
+/// consist of (numbers, strings, options, enums, and lists of known length). A type that violated this would fail the
+/// debug assertion in the tests. A release build would send an empty payload, which receivers reject.
 pub(crate) fn encode<T: Serialize + ?Sized>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec(value).unwrap_or_else(|error| {
-        debug_assert!(false, "a decision that MessagePack cannot express: {error}");
+        debug_assert!(false, "a decision could not be encoded as MessagePack: {error}");
         Vec::new()
     })
 }
 
-/// The decisions of a payload.
+/// Decompresses and decodes the decisions of a payload.
 pub(crate) fn unpack(payload: &[u8]) -> Result<Vec<Decision>, PayloadError> {
-    // The size comes from the sender; it is checked before any memory is allocated for it.
+    // The size header is set by the sender, so it is checked before memory is allocated.
     let (size, _) =
         lz4_flex::block::uncompressed_size(payload).map_err(|_| PayloadError::MissingSize)?;
     if size > MAX_DECOMPRESSED_BYTES {
--- a/crates/standby/src/settings.rs
+++ b/crates/standby/src/settings.rs
@@ -1,45 +1,47 @@
-//! The settings of the standby (`deploy/standby.toml`), and whether they fit the site.
+//! The settings of the standby (`deploy/standby.toml`), and their checks against the site.
 
 use serde::Deserialize;
 use thiserror::Error;
 
 use crate::detector::MIN_SAMPLES;
 
-/// Heartbeats that may be lost before the leader can be suspected.
-const MIN_HEARTBEATS: u64 = 3;
-/// Lower bound of the window, in records, from which a standby catches up without a snapshot.
-const MIN_WINDOW: usize = 64;
+/// Minimum number of usual heartbeat intervals before the leader can be suspected, so that single lost heartbeats do not
+/// raise a suspicion.
+const MIN_HEARTBEAT_INTERVALS: u64 = 3;
+/// Lower bound of `window_records`: a standby that is up to this many records behind never needs a snapshot.
+const MIN_WINDOW_RECORDS: usize = 64;
 
-/// Why the settings of the standby cannot be used.
+/// A setting of the standby that is not valid for the site.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The field, with its path in the file.
+    /// The path of the field in the settings file.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why the value is not valid.
     pub reason: String,
 }
 
-/// The settings of the standby. A field that is not known is an error, as a misspelt bound would go unnoticed.
+/// The settings of the standby. Unknown fields are errors, as the default of a misspelt field would apply unnoticed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StandbySettings {
-    /// Names of the controllers that may replace the leader; all if there are none.
+    /// Names of the controllers that may replace the leader. All controllers may if the list is empty.
     pub controllers: Vec<String>,
-    /// The leader is never suspected before this silence, in milliseconds.
+    /// The leader is never suspected before this time since its last heartbeat, in milliseconds.
     pub suspect_after_min_ms: u64,
-    /// It is always suspected after this silence, in milliseconds.
+    /// The leader is always suspected from this time since its last heartbeat on, in milliseconds.
     pub suspect_after_max_ms: u64,
-    /// In between, it is suspected from this value of phi on: 8 is one false suspicion in 10^8 heartbeats, if
-    /// they come as they did before.
+    /// Between the two bounds, the leader is suspected from this value of phi on. With 8, one of 10^8 heartbeats causes
+    /// a false suspicion, provided that the distribution of the intervals does not change.
     pub phi: f64,
-    /// Heartbeats whose intervals are remembered.
+    /// The number of heartbeat intervals from which phi is computed.
     pub samples: usize,
-    /// How much longer each further rank waits before it queries the others, in milliseconds.
+    /// How much longer each rank waits than the one before it until it queries the other controllers, in
+    /// milliseconds.
     pub rank_delay_ms: u64,
-    /// Decisions that the leader retains for standbys that are behind.
+    /// The number of decisions that the leader retains for standbys that are behind.
     pub window_records: usize,
-    /// Most decisions in one batch.
+    /// The maximum number of decisions in a batch.
     pub batch_records: usize,
 }
 
@@ -58,24 +60,24 @@
     }
 }
 
-/// The site that the settings have to fit.
+/// The properties of the site against which the settings are checked.
 #[derive(Clone, Debug)]
 pub struct Site<'a> {
-    /// Names of all controllers of the site.
+    /// The names of all controllers of the site.
     pub controllers: Vec<&'a str>,
-    /// The leader's lease in the state service, in milliseconds: without a standby the leader is replaced once it
-    /// expires.
+    /// The duration of the leader's lease in the state service, in milliseconds. Without a standby, the leader is replaced
+    /// once the lease expires.
     pub leader_lease_ms: u64,
-    /// Longest usual time between two heartbeats, in milliseconds.
+    /// The longest usual interval between two heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
 impl StandbySettings {
-    /// Checks the settings against the site.
+    /// Checks the settings against the properties of the site.
     ///
     /// # Errors
     ///
-    /// The first field that does not fit, and why.
+    /// Returns the first field that is not valid, and the reason.
     pub fn check(&self, site: &Site<'_>) -> Result<(), SettingsError> {
         self.check_controllers(site)?;
         self.check_bounds(site)?;
@@ -83,18 +85,22 @@
     }
 
     fn check_controllers(&self, site: &Site<'_>) -> Result<(), SettingsError> {
-        let foreign =
+        let unknown =
             self.controllers.iter().find(|name| !site.controllers.contains(&name.as_str()));
-        if let Some(name) = foreign {
-            return error("standby.controllers", format!("{name} is no controller of this site"));
+        if let Some(name) = unknown {
+            return error(
+                "standby.controllers",
+                format!("{name} is not a controller of this site"),
+            );
         }
         Ok(())
     }
 
     fn check_bounds(&self, site: &Site<'_>) -> Result<(), SettingsError> {
-        let min_ms = site.heartbeat_ms * MIN_HEARTBEATS;
+        let min_ms = site.heartbeat_ms * MIN_HEARTBEAT_INTERVALS;
         if self.suspect_after_min_ms < min_ms {
-            let reason = format!("must be {min_ms} or more, {MIN_HEARTBEATS} heartbeats");
+            let reason =
+                format!("must be {min_ms} or more ({MIN_HEARTBEAT_INTERVALS} heartbeat intervals)");
             return error("standby.suspect_after_min_ms", reason);
         }
         if self.suspect_after_max_ms < self.suspect_after_min_ms {
@@ -105,27 +111,30 @@
         }
         if self.suspect_after_max_ms >= site.leader_lease_ms {
             let reason = format!(
-                "must be below {}, the leader's lease, after which it is replaced in any case",
+                "must be below {}, the leader's lease in ms, after which the leader is replaced in any case",
                 site.leader_lease_ms
             );
             return error("standby.suspect_after_max_ms", reason);
         }
         if !(self.phi.is_finite() && self.phi >= 1.0) {
-            return error("standby.phi", "must be a number of 1 or more".into());
+            return error("standby.phi", "must be a finite number of 1 or more".into());
         }
         if self.samples < MIN_SAMPLES {
             return error("standby.samples", format!("must be {MIN_SAMPLES} or more"));
         }
         if self.rank_delay_ms < site.heartbeat_ms {
-            let reason = format!("must be {} or more, a heartbeat", site.heartbeat_ms);
+            let reason = format!("must be {} or more (1 heartbeat interval)", site.heartbeat_ms);
             return error("standby.rank_delay_ms", reason);
         }
         Ok(())
     }
 
     fn check_log(&self) -> Result<(), SettingsError> {
-        if self.window_records < MIN_WINDOW {
-            return error("standby.window_records", format!("must be {MIN_WINDOW} or more"));
+        if self.window_records < MIN_WINDOW_RECORDS {
+            return error(
+                "standby.window_records",
+                format!("must be {MIN_WINDOW_RECORDS} or more"),
+            );
         }
         if self.batch_records == 0 || self.batch_records > self.window_records {
             return error("standby.batch_records", "must be between 1 and window_records".into());
@@ -133,7 +142,7 @@
         Ok(())
     }
 
-    /// Whether the controller of that name may replace the leader.
+    /// Whether the controller with this name may replace the leader.
     pub fn allows(&self, controller: &str) -> bool {
         self.controllers.is_empty() || self.controllers.iter().any(|name| name == controller)
     }
--- a/crates/standby/src/settings/tests.rs
+++ b/crates/standby/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Settings that are refused, with the field and the reason.
+//! Tests of the checks of the settings.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn settings_that_do_not_fit_the_site_are_refused_by_field() {
+fn settings_that_are_not_valid_for_the_site_are_rejected_by_field() {
     let cases = [
         ("", None),
         ("controllers = [\"host-1\"]", None),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn unknown_fields_and_wrong_types_are_refused() {
+fn unknown_fields_and_wrong_types_are_rejected() {
     for text in
         ["suspect_after_ms = 900", "phi = \"8\"", "samples = -1", "controllers = \"host-0\""]
     {
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -1,40 +1,40 @@
-//! The status of a controller's warm standby, for operators: JSON, and the lines that the command line prints
-//! (`docs/standby.md`). Names in the JSON and the texts of the lines are an interface and stay.
+//! The status of a controller's warm standby for operators: JSON, and the lines that the command line prints
+//! (`docs/standby.md`). The JSON field names and the texts of the lines are a stable interface.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use crate::failover::Failover;
 
-/// Longest duration that a histogram distinguishes, in milliseconds; longer ones count as this.
+/// The longest duration that a histogram records, in milliseconds. Longer durations are recorded as this value.
 const MAX_RECORDABLE_MS: u64 = 600_000;
 
-/// A controller's role.
+/// A controller's role in the warm standby.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It leads.
+    /// The controller leads.
     Leader,
-    /// It follows the leader's decisions and may replace it.
+    /// The controller follows the leader's decisions and may replace the leader.
     Standby,
-    /// It follows, but may not replace the leader.
+    /// The controller follows the leader's decisions, but the settings do not allow it to replace the leader.
     Observer,
 }
 
-/// A completed failover and how long its phases took.
+/// A completed failover and the duration of each phase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverStatus {
-    /// The term that was taken.
+    /// The term that this controller took.
     pub term: u64,
-    /// What started it.
+    /// What started the failover.
     pub cause: String,
-    /// Milliseconds from the suspicion until the transaction was sent.
+    /// Milliseconds from the suspicion until the fencing transaction was sent.
     pub agreeing_ms: u64,
-    /// Milliseconds from there until its response.
+    /// Milliseconds from sending the fencing transaction until its response.
     pub fencing_ms: u64,
-    /// Milliseconds from there until the replica showed the term.
+    /// Milliseconds from the response until the replica showed the term.
     pub catching_up_ms: u64,
-    /// Milliseconds from there until the mirrored decisions had been compared.
+    /// Milliseconds from then until the mirrored decisions had been compared with the replica.
     pub verifying_ms: u64,
 }
 
@@ -52,58 +52,58 @@
     }
 }
 
-/// Mirrored records compared with the replica at a failover.
+/// Results of comparing the mirrored records with the replica in a failover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerificationCounts {
-    /// Records that the replica confirms.
+    /// Records that the replica confirmed.
     pub confirmed: u64,
-    /// Records that it does not confirm, which were dropped.
+    /// Records that the replica did not confirm; they were dropped.
     pub dropped: u64,
-    /// Records about which it says nothing, used as hints only.
+    /// Records that the replica can neither confirm nor refute; they are used as hints only.
     pub hints: u64,
 }
 
-/// The status.
+/// The status of a controller's warm standby.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The controller's name.
     pub controller: String,
-    /// Its role.
+    /// The controller's role.
     pub role: Role,
-    /// The phase of its failover.
+    /// The phase of the controller's failover.
     pub phase: String,
-    /// The newest term that it knows.
+    /// The newest term that the controller knows.
     pub term: u64,
-    /// The leader's name; `None` if it knows no leader.
+    /// The leader's name; `None` if the controller knows no leader.
     pub leader: Option<String>,
-    /// Milliseconds since the leader's last heartbeat; `None` while this controller leads, or before the first one.
+    /// Milliseconds since the leader's last heartbeat; `None` while this controller leads or follows no leader.
     pub leader_silent_ms: Option<u64>,
-    /// How improbable that silence is, see [`crate::detector`].
+    /// The suspicion level of the failure detector, see [`crate::detector`]; 0 while this controller leads.
     pub phi: f64,
-    /// Decisions that the copy lacks.
+    /// The number of the leader's known decisions that the copy lacks.
     pub lag_records: u64,
-    /// Age of the newest decision in the copy, in seconds; 0 if it lacks none.
+    /// Age of the newest decision in the copy, in seconds; 0 if the copy lacks none.
     pub lag_s: f64,
-    /// Entries of the copy, or of the leader's own log.
+    /// The number of entries of the copy or, on the leader, of the state of its decision log.
     pub entries: usize,
-    /// Copies that did not match the leader's state.
+    /// How often the copy did not match the leader's state.
     pub divergences: u64,
-    /// Malformed batches.
+    /// The number of malformed batches.
     pub malformed: u64,
-    /// Why it last went back to following.
+    /// Why the controller last returned to following.
     #[serde(rename = "last_back")]
     pub last_stand_down: Option<String>,
     /// The last failover that this controller completed.
     #[serde(rename = "last_takeover")]
     pub last_failover: Option<FailoverStatus>,
-    /// What the last failover found of the mirrored records.
+    /// The results of comparing the mirrored records with the replica in the last failover.
     pub verification: VerificationCounts,
-    /// Actions that this controller gave up because it no longer led.
+    /// The number of actions that this controller abandoned because it no longer led.
     pub refused_actions: u64,
 }
 
 impl Status {
-    /// The lines that operators read.
+    /// The status as lines of text.
     pub fn lines(&self) -> Vec<String> {
         let role = match self.role {
             Role::Leader => "leader",
@@ -126,7 +126,7 @@
             lines.push(format!("back to following: {reason}"));
         }
         if let Some(failover) = &self.last_failover {
-            let found = self.verification;
+            let counts = self.verification;
             lines.push(format!(
                 "last takeover: term {}, {}; agreeing {} ms, fencing {} ms, catching up {} ms, verifying {} ms",
                 failover.term,
@@ -138,20 +138,20 @@
             ));
             lines.push(format!(
                 "mirrored records: {} confirmed, {} dropped, {} hints",
-                found.confirmed, found.dropped, found.hints
+                counts.confirmed, counts.dropped, counts.hints
             ));
         }
         lines
     }
 }
 
-/// The distribution of many durations.
+/// A histogram of durations in milliseconds.
 #[derive(Clone, Debug)]
 pub struct DurationHistogram(Histogram<u64>);
 
 impl Default for DurationHistogram {
     fn default() -> Self {
-        // These bounds and three digits are always valid; without them the histogram would resize itself.
+        // This bound with 3 significant digits is always valid. Without a bound, the histogram would be resizable.
         DurationHistogram(
             Histogram::new_with_max(MAX_RECORDABLE_MS, 3).unwrap_or_else(|_| unreachable!()),
         )
@@ -164,17 +164,17 @@
         self.0.saturating_record(ms);
     }
 
-    /// How many were recorded.
+    /// The number of recorded durations.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The duration in milliseconds that so many percent of them do not exceed.
+    /// The duration in milliseconds that `percent` percent of the recorded durations do not exceed.
     pub fn percentile(&self, percent: f64) -> u64 {
         self.0.value_at_percentile(percent)
     }
 
-    /// The longest one in milliseconds.
+    /// The longest recorded duration in milliseconds.
     pub fn max(&self) -> u64 {
         self.0.max()
     }
--- a/crates/standby/src/status/tests.rs
+++ b/crates/standby/src/status/tests.rs
@@ -1,4 +1,4 @@
-//! What operators read.
+//! Tests of the status for operators.
 
 use willowshore_model::{MonotonicTime, Term};
 
@@ -6,7 +6,7 @@
 use crate::failover::{FailoverCause, FailoverTimeline};
 
 #[test]
-fn a_failover_is_shown_by_its_phases() {
+fn a_failover_is_reported_by_the_durations_of_its_phases() {
     let timeline = FailoverTimeline {
         suspected: MonotonicTime(1_000),
         fencing: MonotonicTime(1_030),
@@ -14,10 +14,11 @@
         caught_up: MonotonicTime(1_120),
         verified: MonotonicTime(1_121),
     };
-    let shown =
+    let status =
         FailoverStatus::from(Failover { term: Term(8), cause: FailoverCause::Suspicion, timeline });
-    let times = [shown.agreeing_ms, shown.fencing_ms, shown.catching_up_ms, shown.verifying_ms];
-    assert_eq!((shown.term, times), (8, [30, 20, 70, 1]));
+    let durations =
+        [status.agreeing_ms, status.fencing_ms, status.catching_up_ms, status.verifying_ms];
+    assert_eq!((status.term, durations), (8, [30, 20, 70, 1]));
 }
 
 #[test]
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -135,8 +135,8 @@
     /// The transaction that takes the next term has an outcome; `None` if it is not known.
     pub fn on_fence_completed(&mut self, now: MonotonicTime, outcome: Option<&TxnOutcome>) {
         let outcome = match outcome {
-            Some(TxnOutcome::Committed(revision)) => FenceOutcome::Done(*revision),
-            Some(TxnOutcome::ConditionsFailed(_)) => FenceOutcome::Conflict,
+            Some(TxnOutcome::Committed(revision)) => FenceOutcome::Committed(*revision),
+            Some(TxnOutcome::ConditionsFailed(_)) => FenceOutcome::ConditionsFailed,
             None => FenceOutcome::Unknown,
         };
         if let Some(standby) = &mut self.standby {
@@ -167,8 +167,8 @@
     /// new leader those that hold as hints, and names the previous leader if it was replaced on suspicion.
     pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
-        let followed = standby.followed();
-        let shows = FailoverEvent::ReplicaShows { term, mine: true };
+        let followed = standby.followed_leader();
+        let shows = FailoverEvent::TermRecorded { term, is_own: true };
         let is_failover = standby.step(now.steady, shows) == Some(FailoverCommand::Verify(term));
         let counts = is_failover.then(|| {
             let state = standby.mirror().state();
@@ -189,11 +189,11 @@
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
-            let known = standby.log().map(|log| log.state().clone()).unwrap_or_default();
+            let known = standby.decision_log().map(|log| log.state().clone()).unwrap_or_default();
             let target =
                 self.with_leader(now, |leader, cluster| leader.decision_target(cluster, &known));
             if let Some(target) = target {
-                standby.record(now, &target);
+                standby.record_decisions(now, &target);
             }
         }
         self.standby = Some(standby);
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -66,9 +66,9 @@
                     // Another process than the leader's responds at its address.
                     Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
                     // Whatever the response is: a version that does not know the request is alive as well.
-                    Ok(_) => ProbeOutcome::Answered,
+                    Ok(_) => ProbeOutcome::Responded,
                     Err(CallError::Connect) => ProbeOutcome::Refused,
-                    Err(_) => ProbeOutcome::Silent,
+                    Err(_) => ProbeOutcome::NoResponse,
                 };
             let command =
                 service.controller.borrow_mut().on_probe_completed(service.now(), outcome);
--- a/src/standby_command.rs
+++ b/src/standby_command.rs
@@ -1,4 +1,4 @@
-//! The operators' command: `willowshore standby status`. It ends with 0 or, after any error, with 2.
+//! The command `willowshore standby status` for operators. Its exit code is 0, or 2 after an error.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,10 +12,10 @@
 
 use super::StartError;
 
-/// Most bytes of an answer.
-const ANSWER_LIMIT: usize = 64 * 1024;
-/// How long the controller has to answer.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Maximum size of the controller's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// How long the command waits for the controller's response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Arguments of `standby`.
 #[derive(Args)]
@@ -26,9 +26,9 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Show a controller's part in the warm standby.
+    /// Show the status of a controller's warm standby.
     Status {
-        /// The controller's address for the other controllers (`back` in its settings).
+        /// The controller's address for the other controllers (`back` in the settings).
         #[arg(long, value_name = "IP:PORT")]
         addr: SocketAddr,
         /// Print JSON.
@@ -37,34 +37,34 @@
     },
 }
 
-/// Why there is no status to show.
+/// Why the status could not be fetched.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// That controller does not have the standby enabled.
-    #[error("{0}: the warm standby is not enabled there")]
+    /// The warm standby is not enabled on the controller at this address.
+    #[error("{0}: the warm standby is not enabled on this controller")]
     NotEnabled(SocketAddr),
-    /// The controller refused.
-    #[error("{addr}: status {status}")]
-    Refused {
+    /// The controller responded with an unexpected status code.
+    #[error("{addr}: expected HTTP status 200, got {status}")]
+    UnexpectedStatus {
         /// The controller's address.
         addr: SocketAddr,
-        /// The status that it answered.
+        /// The HTTP status code of the response.
         status: u16,
     },
-    /// No answer came.
+    /// No response was received.
     #[error("{addr}: {source}")]
-    NoAnswer {
+    NoResponse {
         /// The controller's address.
         addr: SocketAddr,
-        /// What became of the call.
+        /// Why the call failed.
         source: CallError,
     },
-    /// The answer is no status.
-    #[error("{addr}: an answer that cannot be read: {source}")]
-    Unreadable {
+    /// The response is not a valid status.
+    #[error("{addr}: malformed status in the response: {source}")]
+    MalformedResponse {
         /// The controller's address.
         addr: SocketAddr,
-        /// What the decoder says.
+        /// The decoding error.
         source: serde_json::Error,
     },
 }
@@ -73,8 +73,8 @@
 pub fn run(arguments: Arguments) -> Result<ExitCode, StartError> {
     let Action::Status { addr, json } = arguments.action;
     let body = super::runtime()?.block_on(fetch(addr))?;
-    let status: Status =
-        serde_json::from_slice(&body).map_err(|source| StatusError::Unreadable { addr, source })?;
+    let status: Status = serde_json::from_slice(&body)
+        .map_err(|source| StatusError::MalformedResponse { addr, source })?;
     if json {
         println!("{}", String::from_utf8_lossy(&body));
     } else {
@@ -83,15 +83,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Asks a controller for its status, and gives the JSON that it answers.
+/// Fetches a controller's status as JSON.
 async fn fetch(addr: SocketAddr) -> Result<Vec<u8>, StatusError> {
-    let answer = Client::new(addr, ANSWER_LIMIT)
-        .call("GET", STATUS_PATH, &[], LIMIT)
+    let response = Client::new(addr, MAX_RESPONSE_BYTES)
+        .call("GET", STATUS_PATH, &[], REQUEST_TIMEOUT)
         .await
-        .map_err(|source| StatusError::NoAnswer { addr, source })?;
-    match answer.status {
-        200 => Ok(answer.body),
+        .map_err(|source| StatusError::NoResponse { addr, source })?;
+    match response.status {
+        200 => Ok(response.body),
         404 => Err(StatusError::NotEnabled(addr)),
-        status => Err(StatusError::Refused { addr, status }),
+        status => Err(StatusError::UnexpectedStatus { addr, status }),
     }
 }
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -55,13 +55,13 @@
         let reached = arrivals.iter().all(|at| at.is_some_and(|at| at < now + PROBE_MS));
         let outcome = match (&self.nodes[leader], reached) {
             (Ok(node), true) if node.frozen.is_none() => match node.controller.leader {
-                Some(_) => ProbeOutcome::Answered,
+                Some(_) => ProbeOutcome::Responded,
                 None => ProbeOutcome::Refused,
             },
             (Err(_), true) => ProbeOutcome::Refused,
-            _ => ProbeOutcome::Silent,
+            _ => ProbeOutcome::NoResponse,
         };
-        let takes_ms = if outcome == ProbeOutcome::Silent { PROBE_MS } else { 20 };
+        let takes_ms = if outcome == ProbeOutcome::NoResponse { PROBE_MS } else { 20 };
         self.sent += 1;
         self.messages.insert((now + takes_ms, self.sent), Message::Probed(n, outcome));
     }
@@ -150,7 +150,7 @@
     /// What the leader's decision log costs; nothing if there is none.
     pub fn log_of_leader(&self) -> DecisionLogCost {
         let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
-        let log = node.and_then(|node| node.controller.standby.as_ref()?.log());
+        let log = node.and_then(|node| node.controller.standby.as_ref()?.decision_log());
         log.map_or_else(DecisionLogCost::default, |log| DecisionLogCost {
             bytes: log.bytes_sent(),
             records: log.retained(),
