--- a/src/standby.rs
+++ b/src/standby.rs
@@ -161,20 +161,17 @@
 
     /// Passes an event to the failover state machine and logs a change of phase.
     pub fn step(&mut self, now: MonotonicTime, event: FailoverEvent) -> Option<FailoverCommand> {
-        let phase_before = self.failover.phase();
+        let before = self.failover.phase();
         let command = self.failover.step(now, event);
-        let phase_after = self.failover.phase();
-        if phase_before != phase_after {
+        let after = self.failover.phase();
+        if before != after {
             let term = self.failover.term();
-            let stand_down =
-                self.failover.last_stand_down().filter(|_| phase_after == Phase::Following);
+            let stand_down = self.failover.last_stand_down().filter(|_| after == Phase::Following);
             match stand_down {
                 Some(reason) => {
-                    info!(%term, from = %phase_before, %reason, "standby: returned to following")
-                }
-                None => {
-                    info!(%term, from = %phase_before, to = %phase_after, "standby: changed phase")
+                    info!(%term, from = %before, %reason, "standby: returned to following")
                 }
+                None => info!(%term, from = %before, to = %after, "standby: changed phase"),
             }
         }
         command
