--- a/src/standby.rs
+++ b/src/standby.rs
@@ -168,9 +168,7 @@
             let term = self.failover.term();
             let stand_down = self.failover.last_stand_down().filter(|_| after == Phase::Following);
             match stand_down {
-                Some(reason) => {
-                    info!(%term, from = %before, %reason, "standby: returned to following")
-                }
+                Some(reason) => info!(%term, from = %before, %reason, "standby: resumed following"),
                 None => info!(%term, from = %before, to = %after, "standby: changed phase"),
             }
         }
