--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -175,7 +175,7 @@
     /// Returns how many more tasks of a job could be granted now.
     fn additional_tasks(&self, job: &Job, counts: TaskCounts, failing: bool) -> u32 {
         if job.spec.kind == JobKind::Gang {
-            return self.gang_tries(job, counts);
+            return self.grantable_gang_tasks(job, counts);
         }
         let runnable = job.remaining().saturating_sub(counts.held + counts.unresolved);
         // A job that fails wherever it is tried keeps its weight, but only one of its tasks is tried.
