--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -144,8 +144,8 @@
     /// unknown.
     pub fn on_fence_completed(&mut self, now: MonotonicTime, outcome: Option<&TxnOutcome>) {
         let outcome = match outcome {
-            Some(TxnOutcome::Committed(revision)) => FenceOutcome::Done(*revision),
-            Some(TxnOutcome::ConditionsFailed(_)) => FenceOutcome::Conflict,
+            Some(TxnOutcome::Committed(revision)) => FenceOutcome::Committed(*revision),
+            Some(TxnOutcome::ConditionsFailed(_)) => FenceOutcome::ConditionsFailed,
             None => FenceOutcome::Unknown,
         };
         if let Some(standby) = &mut self.standby {
@@ -177,8 +177,8 @@
     /// tells it which leader was replaced on suspicion.
     pub(super) fn begin_failover(&mut self, now: ClockReading, term: Term) {
         let Some(mut standby) = self.standby.take() else { return };
-        let followed = standby.followed();
-        let event = FailoverEvent::ReplicaShows { term, mine: true };
+        let followed = standby.followed_leader();
+        let event = FailoverEvent::TermRecorded { term, is_own: true };
         let is_failover = standby.step(now.steady, event) == Some(FailoverCommand::Verify(term));
         let counts = is_failover.then(|| {
             let state = standby.mirror().state();
@@ -199,11 +199,11 @@
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
-            let known = standby.log().map(|log| log.state().clone()).unwrap_or_default();
+            let known = standby.decision_log().map(|log| log.state().clone()).unwrap_or_default();
             let target =
                 self.with_leader(now, |leader, cluster| leader.decision_target(cluster, &known));
             if let Some(target) = target {
-                standby.record(now, &target);
+                standby.record_decisions(now, &target);
             }
         }
         self.standby = Some(standby);
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -192,7 +192,7 @@
         parts.is_full |= !is_incremental;
         parts.views.extend(summary.machines);
         for (id, age_ms) in summary.answered {
-            let at = now.less(age_ms);
+            let at = now.saturating_sub(age_ms);
             let last_answer = self.last_answers.entry(id.clone()).or_default();
             *last_answer = (*last_answer).max(at);
             parts.answered.push((id, at));
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -91,8 +91,8 @@
                     known_until = known_until.min(MonotonicTime(state.echoed_clock_ms));
                     // The previous incarnation of the controller ended before this process started.
                     unknown_before = unknown_before
-                        .max(state.received_at.less(state.uptime_ms))
-                        .max(state.first_received_at.less(answer_memory_ms));
+                        .max(state.received_at.saturating_sub(state.uptime_ms))
+                        .max(state.first_received_at.saturating_sub(answer_memory_ms));
                 }
                 _ => {
                     let absent = self.absent.get(&id)?;
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -43,7 +43,7 @@
 /// All cores of a machine, free or not; 0 if its type is not in the catalog.
 fn offered_cores(cluster: &ClusterView<'_>, target: &PlacementTarget) -> Cores {
     let machine_type = cluster.catalog.get(&*target.machine_type);
-    machine_type.map_or(Cores(0), |offered| Cores::offer(offered.vcpus))
+    machine_type.map_or(Cores(0), |offered| Cores::round_down(offered.vcpus))
 }
 
 impl<'a> GangUse<'a> {
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -193,8 +193,8 @@
         }
         // Recording tasks that were never granted is safe, and the ranges of a job whose tasks lie
         // far apart have to fit into a key.
-        for ranges in extended.values_mut().filter(|r| r.spans().len() > MAX_RANGES_PER_JOB) {
-            *ranges = ranges.coarse(MAX_RANGES_PER_JOB);
+        for ranges in extended.values_mut().filter(|r| r.ranges().len() > MAX_RANGES_PER_JOB) {
+            *ranges = ranges.merged_to(MAX_RANGES_PER_JOB);
         }
         extended
     }
@@ -219,5 +219,5 @@
 
 /// Estimated bytes that a job with these ranges takes, at most.
 fn ranges_bytes(ranges: &TaskRanges) -> usize {
-    JOB_OVERHEAD_BYTES + ranges.spans().len() * RANGE_BYTES
+    JOB_OVERHEAD_BYTES + ranges.ranges().len() * RANGE_BYTES
 }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -97,7 +97,7 @@
         .teams
         .iter()
         .filter(|team| team.guaranteed_vcpus > 0.0)
-        .map(|team| (team.name.as_str(), Cores::offer(team.guaranteed_vcpus)))
+        .map(|team| (team.name.as_str(), Cores::round_down(team.guaranteed_vcpus)))
         .collect();
     let mut jobs: Vec<&Job> = cluster.replica.jobs.values().collect();
     jobs.sort_by_key(|job| (job.at, job.spec.id));
@@ -111,7 +111,7 @@
         if let Some(left) = headroom.get_mut(job.spec.team.as_str())
             && need <= *left
         {
-            *left = left.less(need);
+            *left = left.saturating_sub(need);
             guaranteed.insert(job.spec.id);
         }
     }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -144,7 +144,7 @@
 /// lease earlier at the latest, and its right to answer lasted `keep_alive_ms` milliseconds from
 /// the renewal.
 pub fn last_possible_answer(absent_since: MonotonicTime, keep_alive_ms: u64) -> MonotonicTime {
-    absent_since.less(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
+    absent_since.saturating_sub(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
 }
 
 #[cfg(test)]
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -72,9 +72,9 @@
                     Ok(Ok(PeerResponse::LeaderSilence(None))) => ProbeOutcome::Refused,
                     // Any other response counts, even an error: a version that does not know this
                     // request is alive as well.
-                    Ok(_) => ProbeOutcome::Answered,
+                    Ok(_) => ProbeOutcome::Responded,
                     Err(CallError::Connect) => ProbeOutcome::Refused,
-                    Err(_) => ProbeOutcome::Silent,
+                    Err(_) => ProbeOutcome::NoResponse,
                 };
             let command =
                 service.controller.borrow_mut().on_probe_completed(service.now(), outcome);
--- a/src/shard/term_announcement.rs
+++ b/src/shard/term_announcement.rs
@@ -36,6 +36,6 @@
 
     /// Makes the next announcement due at once.
     pub(super) fn expedite(&mut self) {
-        self.last_at = self.last_at.less(ANNOUNCEMENT_BACKOFF_MS << ANNOUNCEMENTS_MAX);
+        self.last_at = self.last_at.saturating_sub(ANNOUNCEMENT_BACKOFF_MS << ANNOUNCEMENTS_MAX);
     }
 }
