--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -4,10 +4,11 @@
 //! summaries (`controller_state`), the leader's own record of each machine (`machine_records`), and
 //! the proofs that a machine, or the tasks on it, are gone (`lease_expiry`, `reconciliation`).
 //!
-//! Invariants, argued in `docs/safety.md`: only the owner of a machine that has applied a plan of
-//! the current term is authoritative for the machine; a machine is removed from `unreconciled` only
-//! when it showed the current term's fencing token, its lease expired at every controller, or the
-//! cloud confirmed its termination.
+//! Invariants, argued in `docs/safety.md`:
+//! - A controller is authoritative for a machine only if it owns the machine and has applied a plan
+//!   of the current term that says so.
+//! - A machine is removed from `unreconciled` only when it showed the current term's fencing token,
+//!   its worker's lease expired at every controller, or the cloud confirmed its termination.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -35,8 +36,8 @@
 /// Milliseconds without a response from the state service after which a controller's machines are
 /// reassigned. From half of this time on, the controller's machines get no new tasks.
 const STORE_SILENCE_HANDOVER_MS: u64 = 5_000;
-/// Minimum number of machines whose simultaneous silence indicates a network partition rather than
-/// machine failures.
+/// Number of machines whose simultaneous silence indicates a network partition rather than machine
+/// failures: at least this many at one controller, or more than this many in the whole fleet.
 const MIN_PARTITIONED_MACHINES: usize = 8;
 /// Milliseconds within which a heartbeat must have arrived for a controller to count as receiving
 /// heartbeats.
@@ -152,6 +153,7 @@
             fleet.reassignments = old.reassignments;
             fleet.reassignments.retain(|_, r| r.until > cluster.now);
             fleet.machines = old.machines;
+            // Draining machines are drained from the first plan of the new term on.
             for machine in fleet.machines.values_mut() {
                 machine.draining = machine.draining.map(|_| PlanSeq(1));
             }
@@ -173,13 +175,13 @@
             && !self.terminated.contains(id)
     }
 
-    /// Machines as shown by their owners' summaries, without machines whose lease has expired
-    /// since.
+    /// Returns the machines as shown by their owners' summaries, without machines whose lease has
+    /// expired since.
     fn owned_machines(&self) -> impl Iterator<Item = OwnedView<'_>> {
         self.controllers.iter().flat_map(|(owner, controller)| self.machines_of(*owner, controller))
     }
 
-    /// Machines of one controller, selected as in [`Self::owned_machines`].
+    /// Returns the machines of one controller, selected as in [`Self::owned_machines`].
     fn machines_of<'a>(
         &'a self,
         owner: NodeId,
@@ -196,21 +198,21 @@
         machines.map(move |machine| OwnedView { machine, owner, controller })
     }
 
-    /// Views of all machines from their owners' last summaries.
+    /// Returns the views of all machines from their owners' last summaries.
     pub fn views(&self) -> impl Iterator<Item = &MachineView> {
         self.owned_machines().map(|owned| &owned.machine.view)
     }
 
-    /// Views of one owner's machines from the owner's last summary.
+    /// Returns the views of one owner's machines from the owner's last summary.
     pub fn views_of(&self, owner: NodeId) -> impl Iterator<Item = &MachineView> {
         let controller = self.controllers.get(&owner).into_iter();
         let machines = controller.flat_map(move |controller| self.machines_of(owner, controller));
         machines.map(|owned| &owned.machine.view)
     }
 
-    /// Locations of tasks on reconciled machines. Only a machine whose heartbeat carried this
-    /// term's fencing token proves a location: tasks known from other machines may have ended and
-    /// been started elsewhere since.
+    /// Returns the locations of tasks on reconciled machines. Only a machine whose heartbeat
+    /// carried this term's fencing token proves a location: tasks known from other machines may
+    /// have ended and been started elsewhere since.
     pub fn on_machines(&self) -> TasksOnMachines<'_> {
         let mut on_machines = TasksOnMachines::default();
         for machine in self.views().filter(|view| view.reconciled) {
@@ -225,7 +227,7 @@
         self.controllers.get(&self.owners.get(id)?.owner)
     }
 
-    /// Time at which the cloud preempts a machine, if it sent a preemption notice.
+    /// Returns the time at which the cloud preempts a machine, if it sent a preemption notice.
     pub fn preempted_at(&self, id: &MachineId) -> Option<MonotonicTime> {
         self.owner_state(id)?.notices.get(id).copied()
     }
@@ -240,7 +242,7 @@
         machine.is_some_and(|machine| now.since(machine.last_heartbeat) < ms)
     }
 
-    /// Machines as placement targets.
+    /// Returns the machines as placement targets.
     pub fn targets(&self, cluster: &ClusterView<'_>) -> Vec<PlacementTarget> {
         let target = |owned: OwnedView<'_>| {
             let view = &owned.machine.view;
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -1,8 +1,8 @@
 //! State of the controllers and of the machines in their shards, as shown by summaries.
 //!
 //! A summary is either full or contains the changes since an earlier summary. A long summary is
-//! sent in several parts, which are applied together once the last part has arrived: a task missing
-//! in between would be taken for one that is on no machine.
+//! sent in several parts, which are applied together once the last part has arrived. Otherwise a
+//! task in a part that has not arrived would be taken for one that is on no machine.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -27,12 +27,13 @@
     pub seq: u64,
     /// Last plan that the controller applied.
     pub applied_plan: PlanSeq,
-    /// Leader clock, in milliseconds, that the controller echoed.
+    /// Reading of the leader's clock, in milliseconds, that the controller echoed; 0 if it has
+    /// echoed none.
     pub echoed_clock_ms: u64,
     /// Uptime of the controller's process in milliseconds at the last summary.
     pub uptime_ms: u64,
-    /// Milliseconds from the state service's last response to the controller until the last
-    /// summary.
+    /// Milliseconds from the controller's last request that the state service confirmed until the
+    /// last summary.
     pub since_store_response_ms: u64,
     /// Milliseconds from the last heartbeat of any worker to the controller until the last summary.
     pub since_heartbeat_ms: u64,
@@ -41,7 +42,8 @@
     /// Time at which the first summary of this term was received. That summary listed every
     /// heartbeat response that the controller remembered.
     pub(super) first_received_at: MonotonicTime,
-    /// Numbers of the jobs that fail on every machine where the controller tries them.
+    /// Numbers of the jobs that the controller considers faulty, as their tasks failed on several
+    /// machines.
     pub failing: Vec<u64>,
     /// Machines outside the controller's shard that send it heartbeats.
     pub(super) foreign_machines: Vec<ForeignMachine>,
@@ -113,7 +115,7 @@
 }
 
 impl ControllerState {
-    /// State before the first summary is applied.
+    /// Creates the state before the first summary is applied.
     fn new(incarnation: Incarnation, now: MonotonicTime) -> Self {
         ControllerState {
             incarnation,
@@ -239,15 +241,15 @@
         }
     }
 
-    /// Controllers that are not lost.
+    /// Returns the controllers that are not lost.
     pub fn live_controllers(&self, now: MonotonicTime) -> Vec<NodeId> {
         let is_live =
             |state: &ControllerState| now.since(state.received_at) < CONTROLLER_LOST_AFTER_MS;
         self.controllers.iter().filter(|(_, state)| is_live(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Controllers that may own machines: live, served by the state service, and reached by
-    /// workers. A controller refused by the state service learns of neither new jobs nor
+    /// Returns the controllers that may own machines: live, served by the state service, and
+    /// reached by workers. A controller refused by the state service learns of neither new jobs nor
     /// cancellations, and its right to answer heartbeats ends soon.
     pub fn eligible_owners(&self, now: MonotonicTime) -> Vec<NodeId> {
         let served = |id: &NodeId| {
@@ -262,8 +264,8 @@
     }
 
     /// Records controllers that receive no heartbeats from their machines while other controllers
-    /// do. All machines of such a controller have to be reassigned at once; if they were detected
-    /// one by one, only a few would be reassigned in each term.
+    /// do. All machines of such a controller have to be reassigned at once: if the machines were
+    /// detected one by one, only a few would be reassigned in each term.
     pub fn record_controllers_without_heartbeats(
         &mut self,
         now: MonotonicTime,
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -49,9 +49,10 @@
 }
 
 impl Fleet {
-    /// Records machines whose lease has certainly expired, so that no task runs on them: every
-    /// controller states, as of a time at least one lease after the last response that any
-    /// controller sent or may have sent, that it sent no later one.
+    /// Records machines whose worker lease has certainly expired, so that no task runs on them. The
+    /// lease counts from the last response that any controller sent or may have sent to the
+    /// machine. It has certainly expired once what is known of all controllers covers a whole lease
+    /// from this response on and shows no later one.
     pub fn expire_leases(&mut self, cluster: &ClusterView<'_>) {
         let Some(bounds) = self.answer_bounds(cluster) else { return };
         let lease_ms = plus_drift(cluster.settings.worker_lease_ms()) + LEASE_EXPIRY_MARGIN_MS;
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Bounds on the heartbeat responses of all controllers; `None` while a controller has neither
-    /// sent a summary that echoes the leader's clock nor is known to be absent.
+    /// Returns the bounds on the heartbeat responses of all controllers; `None` while a controller
+    /// has neither sent a summary that echoes the leader's clock nor is known to be absent.
     fn answer_bounds(&self, cluster: &ClusterView<'_>) -> Option<AnswerBounds> {
         let mut known_until = MonotonicTime(u64::MAX);
         let mut unknown_before = MonotonicTime(0);
@@ -89,7 +90,8 @@
             match self.controllers.get(&id) {
                 Some(state) if state.echoed_clock_ms > 0 => {
                     known_until = known_until.min(MonotonicTime(state.echoed_clock_ms));
-                    // The previous incarnation of the controller ended before this process started.
+                    // The previous incarnation of the controller, whose responses are unknown,
+                    // ended before the present one started.
                     unknown_before = unknown_before
                         .max(state.received_at.less(state.uptime_ms))
                         .max(state.first_received_at.less(answer_memory_ms));
@@ -106,9 +108,10 @@
         Some(AnswerBounds { known_until, unknown_before })
     }
 
-    /// Machines that may be returned now: drained and empty, failed, silent beyond any lease,
-    /// unable to receive this term's responses, or never up. Tasks on a returned machine end with
-    /// it, which the cloud's confirmation proves.
+    /// Returns the machines that may be returned to the cloud now: drained and empty, failed,
+    /// restarted, missing from the cloud's list, repeatedly losing their agent epoch, silent beyond
+    /// any lease, unable to receive this term's responses, or never up. Tasks on a returned machine
+    /// end with it, which the cloud's confirmation proves.
     pub fn machines_to_scale_in(&self, cluster: &ClusterView<'_>) -> Vec<MachineId> {
         let check = ReturnCheck::new(self, cluster);
         self.machines
@@ -153,7 +156,7 @@
     /// send a heartbeat to a controller of this term.
     term_outlasts_lease: bool,
     /// Whether the term is older than a worker lease plus the keep-alive time, so that machines
-    /// kept alive by a controller of an earlier term have had this time, too.
+    /// kept alive by a controller of an earlier term have had time for such a heartbeat, too.
     term_outlasts_keep_alive: bool,
     /// Whether only a few machines delay the proof that all machines are reconciled.
     few_unreconciled: bool,
@@ -205,8 +208,8 @@
         check
     }
 
-    /// Milliseconds since a controller last answered the machine, or since the term started if none
-    /// did.
+    /// Returns the milliseconds since a controller last answered the machine, or since the term
+    /// started if none did.
     fn silent_ms(&self, id: &MachineId) -> u64 {
         let last_answer = self.fleet.last_answers.get(id).copied();
         self.cluster.now.since(last_answer.unwrap_or(self.fleet.started_at))
@@ -275,6 +278,8 @@
         self.cluster.now.since(machine.provisioned_at) > never_up_ms && silent_ms > self.lease_ms
     }
 
+    /// Returns the milliseconds of silence after which a machine is returned despite a suspected
+    /// network partition.
     fn partition_limit_ms(&self) -> u64 {
         self.lease_ms.max(PARTITION_GRACE_MS)
     }
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -1,4 +1,6 @@
 //! Ownership of machines, and the conditions for a new term that changes it.
+//!
+//! A foreign machine is one that sends heartbeats to a controller that does not own it.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -51,7 +53,7 @@
 }
 
 impl NewTermReason {
-    /// Text of the reason in the log.
+    /// Returns the text of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::OwnerLost => "the owner of machines is not heard",
@@ -139,8 +141,8 @@
         needs_term
     }
 
-    /// Live controller that a machine is reassigned to because the machine could not reach its
-    /// owner.
+    /// Returns the live controller that a machine is reassigned to because the machine could not
+    /// reach its owner.
     fn reassigned_to(
         &self,
         now: MonotonicTime,
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Controllers that may be assigned machines. `None` if no controller is eligible, or if
-    /// members are missing and the term is young.
+    /// Returns the controllers that may be assigned machines; `None` if no controller is eligible,
+    /// or if members are missing and the term is young.
     fn assignable_controllers(&self, cluster: &ClusterView<'_>) -> Option<Vec<NodeId>> {
         let mut controllers = self.eligible_owners(cluster.now);
         controllers
@@ -282,8 +284,8 @@
         }
     }
 
-    /// Ownership changes since `applied_plan`, or all owners if the controller missed more removals
-    /// than are kept.
+    /// Returns the ownership changes since `applied_plan`, or all owners if the controller missed
+    /// more removals than are kept.
     pub fn ownership_changes(&self, applied_plan: PlanSeq) -> OwnershipChanges {
         let missed_removals =
             self.removed.first().is_some_and(|oldest| oldest.since > applied_plan)
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Newest plan that changes owners.
+    /// Returns the newest plan that changes owners.
     pub fn newest_ownership_change(&self) -> PlanSeq {
         let assigned = self.owners.values().map(|owned| owned.since);
         let removed = self.removed.iter().map(|removed| removed.since);
@@ -314,7 +316,7 @@
     }
 }
 
-/// Rendezvous (highest-random-weight) hash of a machine and a controller.
+/// Returns the rendezvous (highest-random-weight) hash of a machine and a controller.
 fn rendezvous_hash(id: &MachineId, node: NodeId) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in id.0.bytes().chain([b'#', node.0]) {
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -15,12 +15,14 @@
     machines: usize,
 }
 
-/// Evidence that no machine runs a task that was started in an earlier term and that no machine
-/// shows: every machine that was up has shown the term's fencing token to its owner, or is gone.
-/// See `docs/safety.md`.
+/// Evidence that a task which was started in an earlier term, and which no machine shows, has
+/// ended: every machine that was up has shown the term's fencing token to its owner, has lost its
+/// lease, or is gone. See `docs/safety.md`.
 pub struct ReconciliationEvidence {
     owners: BTreeMap<NodeId, OwnerEvidence>,
+    /// Number of machines whose lease expired.
     expired_leases: usize,
+    /// Number of machines whose termination the cloud confirmed.
     gone: usize,
 }
 
@@ -42,7 +44,7 @@
 }
 
 impl Fleet {
-    /// Evidence that all machines are reconciled.
+    /// Returns the evidence that all machines are reconciled.
     pub fn evidence(&self) -> ReconciliationEvidence {
         let mut owners: BTreeMap<NodeId, OwnerEvidence> = BTreeMap::new();
         for owned in self.owned_machines().filter(|owned| owned.machine.view.reconciled) {
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Tasks shown by more than one reconciled machine; `on_machines` holds the locations of tasks.
+    /// Returns the tasks shown by more than one reconciled machine; `on_machines` holds the
+    /// locations of tasks.
     pub fn duplicated(&self, on_machines: &TasksOnMachines<'_>) -> Vec<DuplicatedTask> {
         let reconciled = || self.views().filter(|view| view.reconciled);
         if reconciled().map(|view| view.tasks.len()).sum::<usize>() == on_machines.len() {
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -84,9 +84,9 @@
     }
 
     /// Whether heartbeats may be answered, which renews the workers' leases. Both proofs are
-    /// required: without current cancellations, a worker must not be kept alive for longer than
-    /// `cancel_s` less its lease, and a leader takes an absent controller's last renewal as the
-    /// start of the controller's last right.
+    /// required. Without current cancellations, a worker must not be kept alive for longer than the
+    /// setting `cancel_s` less its lease. Without renewals, the right must end: a leader counts an
+    /// absent controller's last right from the controller's last renewal.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
         match (self.renewal_sent, self.sync_sent) {
             (Some(renewal_sent), Some(sync_sent)) => {
@@ -112,26 +112,29 @@
             && self.renewal_sent.is_some_and(|renewal_sent| now < renewal_sent.plus(leading_ms))
     }
 
-    /// Time at which the replica was last known to be current; `None` if it never was.
+    /// Returns the time at which the replica was last known to be current; `None` if it never was.
     pub fn synced_at(&self) -> Option<MonotonicTime> {
         self.sync_sent
     }
 
-    /// Milliseconds since the replica was last known to be current; `None` if it never was.
+    /// Returns the milliseconds since the replica was last known to be current; `None` if it never
+    /// was.
     pub fn sync_age(&self, now: MonotonicTime) -> Option<u64> {
         self.sync_sent.map(|sync_sent| now.since(sync_sent))
     }
 
-    /// Milliseconds for which the store has served this controller without a break.
+    /// Returns the milliseconds for which the store has served this controller without a break.
     pub fn served_for(&self, now: MonotonicTime) -> u64 {
         now.since(self.served_since)
     }
 
-    /// Milliseconds since this controller sent the last request that the store confirmed.
+    /// Returns the milliseconds since this controller sent the last request that the store
+    /// confirmed.
     pub fn since_served_ms(&self, now: MonotonicTime) -> u64 {
         now.since(self.sync_sent.max(self.renewal_sent).unwrap_or_default())
     }
 
+    /// Records that the store served a request sent at `sent`.
     fn record_service(&mut self, sent: MonotonicTime) {
         if self.since_served_ms(sent) > STORE_OUTAGE_MS {
             self.served_since = sent;
@@ -139,10 +142,10 @@
     }
 }
 
-/// Latest time, by the leader's clock, at which a controller whose key has been absent since
-/// `absent_since` can have answered a heartbeat. The controller's last renewal was sent a whole
-/// lease earlier at the latest, and its right to answer lasted `keep_alive_ms` milliseconds from
-/// the renewal.
+/// Returns the latest time, by the leader's clock, at which a controller whose key has been absent
+/// since `absent_since` can have answered a heartbeat. The controller's last renewal was sent a
+/// whole lease earlier at the latest, and its right to answer lasted `keep_alive_ms` milliseconds
+/// from the renewal.
 pub fn last_possible_answer(absent_since: MonotonicTime, keep_alive_ms: u64) -> MonotonicTime {
     absent_since.less(minus_drift(CONTROLLER_LEASE_MS)).plus(plus_drift(keep_alive_ms))
 }
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn rights_are_measured_from_the_time_the_confirmed_request_was_sent() {
-    // (renewal sent, sync sent, now, may answer, may lead), in milliseconds, with a keep-alive of
-    // 18 s
+    // (renewal sent, sync sent, now, all in milliseconds, may answer, may lead), with a keep-alive
+    // of 18 s
     let cases = [
         (None, None, 0, false, false),
         (Some(1_000), None, 1_001, false, true),
@@ -46,8 +46,8 @@
 #[test]
 fn starting_tasks_requires_a_more_recent_proof_than_answering_heartbeats() {
     // Guards against an owner refused by the store that starts tasks whose cancellation others had
-    // confirmed, until its right to answer ends. (keep-alive, renewal sent, sync sent, now, may
-    // start, may answer)
+    // confirmed, until its right to answer ends. (keep-alive, renewal sent, sync sent, now, all in
+    // milliseconds, may start, may answer)
     let cases = [
         (18_000, 1_000, 1_000, 4_400, true, true),
         (18_000, 1_000, 1_000, 4_500, false, true),
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -48,7 +48,7 @@
 /// tasks of further jobs are counted in full, see [`Replica::residual_usage_truncated`].
 const MAX_RESIDUAL_USAGE_JOBS: usize = 4_096;
 
-/// Effects of a batch of changes, for notifying those who wait for them.
+/// Effects of a batch of changes, for notifying the parts of the controller that wait for them.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplicaChanges {
     /// Whether jobs were accepted.
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -30,7 +30,7 @@
         self.progress.done.contains(index)
     }
 
-    /// Number of tasks that are not durably done.
+    /// Returns the number of tasks that are not durably done.
     pub fn remaining(&self) -> u32 {
         self.spec.task_count.saturating_sub(self.progress.done.len())
     }
@@ -59,7 +59,7 @@
                 deferred.push(index);
             }
         }
-        // Tasks inserted since may have closed the gap.
+        // Tasks inserted after a task was deferred may have closed its gap to the recorded ranges.
         for index in deferred {
             if fits(&done, index) {
                 changed |= done.insert(index);
@@ -68,8 +68,8 @@
         changed.then(|| self.progress_of(done))
     }
 
-    /// Progress to write once the tasks in `done` are completed. Completing all tasks ends a job,
-    /// unless it is a service.
+    /// Returns the progress to write once the tasks in `done` are completed. Completing all tasks
+    /// ends a job, unless it is a service.
     fn progress_of(&self, done: TaskRanges) -> Progress {
         let ends = done.len() == self.spec.task_count && self.spec.kind != JobKind::Service;
         let is_gang = self.spec.kind == JobKind::Gang;
@@ -95,6 +95,7 @@
             return Ok(());
         }
         let Accepted { spec, at } = decode(value)?;
+        // The job was cancelled, and its end was read before the job.
         if let Some(end) = end {
             self.record_residual_usage(id, ResidualUsage::of(&spec, end.done));
             return Ok(());
@@ -172,6 +173,8 @@
         true
     }
 
+    /// Records the resources that the tasks of an ended job may still use. The oldest record is
+    /// discarded if there are too many.
     fn record_residual_usage(&mut self, id: JobId, residual_usage: ResidualUsage) {
         if self.residual_usage.insert(id, residual_usage).is_none() {
             self.residual_usage_order.push_back(id);
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -46,7 +46,8 @@
     MachineGroup(u32),
     /// `n/<node>`: controller that is up, [`super::MemberRecord`]; bound to the controller's lease.
     Member(NodeId),
-    /// `e/<n>`: task ranges granted by the last epochs, [`super::EpochRecord`].
+    /// `e/<n>`: task ranges granted by the leader's last scheduling rounds (epochs),
+    /// [`super::EpochRecord`].
     Epoch(u32),
     /// `x/<to>/<from>/<n>`: chunk of a message between controllers that cannot reach each other.
     PeerMessage {
@@ -115,38 +116,38 @@
     }
 }
 
-/// Key of an accepted job.
+/// Returns the key of an accepted job.
 pub fn job_key(job: JobId) -> String {
     StoreKey::Job(job).to_string()
 }
 
-/// Key of a job's progress.
+/// Returns the key of a job's progress.
 pub fn progress_key(job: JobId) -> String {
     StoreKey::Progress(job).to_string()
 }
 
-/// Key of a group of machines.
+/// Returns the key of a group of machines.
 pub fn machine_key(group: u32) -> String {
     StoreKey::MachineGroup(group).to_string()
 }
 
-/// Key of a controller that is up.
+/// Returns the key of a controller that is up.
 pub fn member_key(node: NodeId) -> String {
     StoreKey::Member(node).to_string()
 }
 
-/// Key number `n` of the granted task ranges.
+/// Returns the key number `n` of the granted task ranges.
 pub fn epoch_key(n: u32) -> String {
     StoreKey::Epoch(n).to_string()
 }
 
-/// Key of a chunk of a message sent through the state service.
+/// Returns the key of a chunk of a message sent through the state service.
 pub fn peer_message_key(to: NodeId, from: NodeId, chunk: u32) -> String {
     StoreKey::PeerMessage { to, from, chunk }.to_string()
 }
 
-/// Group whose key a machine is first written to. Machine names are numbered in the order of
-/// creation, so machines of one scale-out mostly share a key and are written together.
+/// Returns the group whose key a machine is first written to. Machine names are numbered in the
+/// order of creation, so machines of one scale-out mostly share a key and are written together.
 pub fn machine_group(machine: &MachineId) -> u32 {
     let name = &*machine.0;
     let digits_start = name.len() - name.bytes().rev().take_while(u8::is_ascii_digit).count();
--- a/src/replica/machine_groups.rs
+++ b/src/replica/machine_groups.rs
@@ -45,8 +45,8 @@
         named
     }
 
-    /// Most advanced record of a machine over all groups; `None` if no group names the machine. A
-    /// termination is final: a group without it was written before.
+    /// Returns the most advanced record of a machine over all groups; `None` if no group names the
+    /// machine. A termination is final: a group without it was written before.
     fn merged(&self, id: &MachineId) -> Option<&MachineRecord> {
         let groups = self.of_machine(id).iter().filter_map(|group| self.groups.get(group));
         let records = groups.flat_map(|group| &group.value.machines);
@@ -56,11 +56,12 @@
             .max_by_key(|record| (record.gone.is_some(), record.up))
     }
 
+    /// Returns the groups that name a machine.
     fn of_machine(&self, id: &MachineId) -> &[u32] {
         self.groups_by_machine.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Version of a group's key; `None` if the key does not exist.
+    /// Returns the version of a group's key; `None` if the key does not exist.
     pub(super) fn version(&self, group: u32) -> Option<Revision> {
         self.groups.get(&group).map(|group| group.version)
     }
@@ -82,12 +83,13 @@
         }
     }
 
-    /// Machine records stored under a group's key.
+    /// Returns the machine records stored under a group's key.
     pub fn machines_in_group(&self, group: u32) -> &[(MachineId, MachineRecord)] {
         self.machine_groups.groups.get(&group).map_or(&[], |group| &group.value.machines)
     }
 
-    /// Groups that name a machine, starting with the group that the machine was first written to.
+    /// Returns the groups that name a machine, starting with the group that the machine was first
+    /// written to.
     pub fn groups_of_machine(&self, id: &MachineId) -> &[u32] {
         self.machine_groups.of_machine(id)
     }
--- a/src/replica/machine_types.rs
+++ b/src/replica/machine_types.rs
@@ -28,7 +28,7 @@
 }
 
 impl Replica {
-    /// All stored machine types; `None` if none were written yet.
+    /// Returns all stored machine types; `None` if none were written yet.
     pub fn all_machine_types(&self) -> Option<MachineTypes> {
         let first = &self.catalog.as_ref()?.value;
         let further = self.further_machine_types.values().flat_map(|part| &part.machine_types);
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -64,7 +64,8 @@
         self.ended.contains_key(&task.job) || self.is_done(task)
     }
 
-    /// Tasks that earlier epochs granted and that are not done, so they may be running.
+    /// Returns the tasks that the leader's earlier scheduling rounds (epochs) granted and that are
+    /// not done, so they may be running.
     pub fn unfinished_granted_tasks(&self) -> FxHashSet<TaskId> {
         let mut tasks = FxHashSet::default();
         for (job, ranges) in self.epochs.values().flat_map(|epoch| &epoch.value.granted) {
@@ -84,14 +85,14 @@
         self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
     }
 
-    /// Condition that the known leader record is unchanged; `None` without a leader.
+    /// Returns the condition that the known leader record is unchanged; `None` without a leader.
     pub fn leader_condition(&self) -> Option<Condition> {
         let version = self.leader.as_ref()?.version;
         Some(Condition { key: LEADER_KEY.into(), version })
     }
 
-    /// Condition that a key written by the leader has the version known here. It prevents a
-    /// transaction that is executed late or twice from restoring an older value.
+    /// Returns the condition that a key written by the leader has the version known here. It
+    /// prevents a transaction that is executed late or twice from restoring an older value.
     pub fn unchanged_condition(&self, key: &str) -> Condition {
         let version = match StoreKey::parse(key) {
             Some(StoreKey::Load) => self.load.as_ref().map(|load| load.version),
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -134,7 +134,7 @@
 }
 
 impl ResidualUsage {
-    /// Residual usage of a job with `done` completed tasks.
+    /// Returns the residual usage of a job with `done` completed tasks.
     pub(super) fn of(spec: &JobSpec, done: u32) -> Self {
         ResidualUsage {
             owner: spec.team.clone(),
@@ -151,7 +151,8 @@
     pub term: Term,
 }
 
-/// Task ranges granted by epochs. Each of these tasks that is not done may be running.
+/// Task ranges granted by epochs, the leader's scheduling rounds. Each of these tasks that is not
+/// done may be running.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EpochRecord {
     /// Term of the leader that wrote the record.
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -52,8 +52,9 @@
 use plan_application::JobProgress;
 use term_state::{SentSummary, TermState};
 
-/// Number of machines at which the newest heartbeats of machines without an owner are discarded. Exceeds the
-/// largest simulated fleet, which has 4,000 machines.
+/// Number of recorded machines at which the newest heartbeats of machines without an owner are discarded, and
+/// also the times of restart checks that no longer matter. Exceeds the largest simulated fleet, which has
+/// 4,000 machines.
 const NEWEST_HEARTBEATS_MAX: usize = 8_192;
 
 /// The machines of one controller, as this process observes them, and the instructions of the term's leader.
@@ -122,12 +123,13 @@
         }
     }
 
-    /// The term whose leader this shard follows; 0 before the first.
+    /// Returns the term whose leader this shard follows; 0 before the first term.
     pub fn term(&self) -> Term {
         self.term_state.term
     }
 
-    /// Number of starts refused because they were granted in another term. Each one indicates a defect.
+    /// Returns the number of starts refused because they were granted in another term. Each one indicates a
+    /// defect.
     pub fn refused_starts(&self) -> u64 {
         self.refused_starts
     }
--- a/src/shard/active_plan.rs
+++ b/src/shard/active_plan.rs
@@ -16,8 +16,10 @@
     grants: Vec<Grant>,
     /// Grants that become usable when other tasks release their resources.
     grants_awaiting_release: Vec<Grant>,
+    /// Machines on which tasks run slowly.
     slow: Vec<MachineId>,
-    /// Sorted, for binary search.
+    /// Machines reserved for gangs and for work that may not use spot machines. Sorted by the leader, for
+    /// binary search.
     reserved: Vec<MachineId>,
     stops: Vec<GangStop>,
     drained: HashSet<MachineId>,
@@ -26,7 +28,7 @@
 }
 
 impl ActivePlan {
-    /// The state before the first plan of a term: nothing is granted or stopped.
+    /// Creates the state before the first plan of a term, in which nothing is granted or stopped.
     pub(super) fn empty(term: Term) -> Self {
         ActivePlan {
             term,
@@ -56,12 +58,12 @@
         }
     }
 
-    /// Grants that are usable on free capacity.
+    /// Returns the grants that are usable on free capacity.
     pub(super) fn grants(&self) -> &[Grant] {
         &self.grants
     }
 
-    /// Grants that become usable when other tasks release their resources.
+    /// Returns the grants that become usable when other tasks release their resources.
     pub(super) fn grants_awaiting_release(&self) -> &[Grant] {
         &self.grants_awaiting_release
     }
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -21,7 +21,8 @@
 /// Maximum time between two assignments while tasks wait to be placed or started, in milliseconds.
 const ASSIGNMENT_INTERVAL_MAX_MS: u64 = 700;
 
-/// Minimum time between two assignments that are triggered only by a heartbeat, in milliseconds.
+/// Minimum time since the last assignment before a heartbeat that shows freed capacity triggers another one,
+/// in milliseconds.
 const ASSIGNMENT_INTERVAL_MIN_MS: u64 = 60;
 
 /// Highest priority of the unfinished jobs that may use machines of a kind; `None` if there are none.
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Assigns tasks that are granted ahead of a release, to machines that no job of higher priority may use.
+    /// Assigns tasks that were granted before other tasks release resources for them, to machines that no job
+    /// of higher priority may use. Tasks that fit nowhere yet stay in `starts_awaiting_release`.
     fn place_awaiting_release(
         &mut self,
         replica: &Replica,
@@ -118,8 +120,8 @@
     by_kind
 }
 
-/// Whether no job of higher priority may use machines of the target's kind. Returns false for an unknown
-/// kind.
+/// Whether no unfinished job of higher priority may use machines of the target's kind. Returns false if
+/// `highest_priority` has no priority for this kind.
 pub(super) fn is_highest_priority(
     highest_priority: &PriorityByKind,
     spec: &JobSpec,
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -49,8 +49,8 @@
 
     /// Returns up to `limit` direct messages that are due. Kills come first. If this controller may respond
     /// to workers, restart checks and term announcements follow. Announcements go to machines of this shard
-    /// that have not shown the term's token: nothing starts on such a machine, and tasks of earlier terms
-    /// wait for its proof.
+    /// that have not shown the term's token: nothing starts on such a machine, and the tasks of earlier terms
+    /// that it may run cannot be started elsewhere yet.
     pub fn direct_messages_due(
         &mut self,
         now: MonotonicTime,
--- a/src/shard/foreign_heartbeat.rs
+++ b/src/shard/foreign_heartbeat.rs
@@ -1,6 +1,7 @@
-//! Heartbeats of machines that this controller does not own, and redirects by an isolated controller.
+//! Heartbeats of foreign machines, which this controller does not own, and redirects by an isolated
+//! controller, which has recently reached neither the state store nor another controller.
 //!
-//! A foreign machine gets kills and keeps its lease, but this controller starts nothing on it.
+//! A foreign machine gets kills and its worker keeps its lease, but this controller starts nothing on it.
 
 use super::redirect::{ForeignMachineRecord, RedirectState, Route};
 use super::unconfirmed_token::UnconfirmedToken;
@@ -35,7 +36,8 @@
         true
     }
 
-    /// Whether a machine may get a response: it shows the term's token, or is not presumed to miss its responses.
+    /// Whether a machine may get a response: its heartbeat shows the term's token, or the machine is not
+    /// presumed to miss its responses. Counts responses to a machine that does not show the token.
     pub(super) fn may_get_response(
         &mut self,
         context: &ShardContext<'_>,
@@ -82,7 +84,7 @@
         Route::ToOwner
     }
 
-    /// Records and responds to a foreign machine, which renews its worker's lease.
+    /// Records a foreign machine and responds to its heartbeat, which renews its worker's lease.
     pub(super) fn on_foreign_heartbeat(
         &mut self,
         context: &ShardContext<'_>,
--- a/src/shard/granted_start.rs
+++ b/src/shard/granted_start.rs
@@ -43,6 +43,7 @@
     pub(super) attempt: Option<Attempt>,
     /// Term of the plan that granted the task.
     pub(super) term: Term,
+    /// Sequence number of the plan.
     pub(super) plan: PlanSeq,
     pub(super) kind: GrantKind,
 }
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -40,8 +40,8 @@
         }
         match self.responsibility(&heartbeat.machine) {
             // A controller that still reaches the store may have taken over the machines of this isolated
-            // one, so each worker is redirected once. A worker that returns found no other controller, as in
-            // an outage, and is kept alive here.
+            // one, so each worker is redirected, but not again within `ISOLATION_REDIRECT_INTERVAL_MIN_MS`.
+            // A worker that returns found no other controller, as in an outage, and is kept alive here.
             Responsibility::Own
                 if context.is_isolated
                     && self.allow_isolation_redirect(context.now, &heartbeat.machine) =>
@@ -73,9 +73,9 @@
         self.may_get_response(context, heartbeat)
     }
 
-    /// Returns the shard responsible for a machine. Before the first plan of a term no owner is known: machines of this
-    /// shard are still observed and kept alive, other machines are kept alive, and no machine is redirected
-    /// to an owner of an earlier term.
+    /// Returns the shard responsible for a machine. Before the first plan of a term no owner is known:
+    /// machines of this shard are still observed and kept alive, other machines are kept alive, and no
+    /// machine is redirected to an owner of an earlier term.
     fn responsibility(&self, machine: &MachineId) -> Responsibility {
         match self.term_state.owner(machine) {
             Some(owner) if owner == self.node_id => Responsibility::Own,
--- a/src/shard/job_faults.rs
+++ b/src/shard/job_faults.rs
@@ -1,7 +1,8 @@
 //! Exited tasks: clears them from workers and attributes failures to a machine or a job.
 //!
 //! A failure is usually attributed to the machine, which is quarantined. A job that fails on several machines
-//! is presumed to be faulty itself: the job then backs off, and the machines are not quarantined.
+//! is presumed to be faulty itself: no task of the job starts during a longer backoff, and the machines are
+//! not quarantined.
 
 use std::collections::HashSet;
 
@@ -15,8 +16,8 @@
 /// Backoff of a job after a failure that is attributed to the machine, in milliseconds.
 const RETRY_BACKOFF_MS: u64 = 500;
 
-/// Base backoff of a faulty job in milliseconds. It is doubled once per failure, at most `FAULTY_JOB_DOUBLINGS_MAX`
-/// times and up to `FAULTY_JOB_BACKOFF_MAX_MS`.
+/// Base backoff of a faulty job in milliseconds. It is doubled once per failure, at most
+/// `FAULTY_JOB_DOUBLINGS_MAX` times and up to `FAULTY_JOB_BACKOFF_MAX_MS`.
 const FAULTY_JOB_BACKOFF_MS: u64 = 2_000;
 const FAULTY_JOB_DOUBLINGS_MAX: u32 = 5;
 const FAULTY_JOB_BACKOFF_MAX_MS: u64 = 60_000;
@@ -34,6 +35,7 @@
 pub(super) struct JobFaults {
     /// Machines on which its tasks failed.
     machines: HashSet<MachineId>,
+    /// Number of failures on all machines.
     failures: u32,
     /// End of the backoff, during which no task of the job is started.
     backoff_until: MonotonicTime,
@@ -68,8 +70,8 @@
 }
 
 impl Shard {
-    /// Clears exited tasks whose outcome no longer depends on the worker's memory, and records how they
-    /// ended.
+    /// Adds commands to clear exited tasks from their worker, and records how the tasks ended. Completions
+    /// that the store has not recorded yet are not cleared.
     pub(super) fn clear_exited(
         &mut self,
         context: &ShardContext<'_>,
--- a/src/shard/kills.rs
+++ b/src/shard/kills.rs
@@ -64,6 +64,7 @@
         });
     }
 
+    /// Queues kills for the machines of this shard that satisfy `needs_kills`.
     fn queue_kills(&mut self, needs_kills: impl Fn(&Shard, &Machine) -> bool) {
         let machines: Vec<MachineId> = self
             .machines
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -200,7 +200,8 @@
         TaskChanges { any_changed: true, task_set_changed, removed }
     }
 
-    /// Quarantines the machine if a heartbeat shows none of the pending starts.
+    /// Quarantines the machine if a heartbeat shows none of the pending starts; resets the count of missed
+    /// starts if the heartbeat shows one.
     fn record_pending_starts(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         let is_shown = |task: &TaskId, held: &HeldTask| {
             heartbeat.tasks.iter().any(|s| s.task == *task && s.attempt == held.attempt)
--- a/src/shard/plan_application.rs
+++ b/src/shard/plan_application.rs
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Applies ownership changes and discards the state of machines that other shards now own.
+    /// Applies ownership changes and discards the state of machines that this shard no longer owns. Changes
+    /// with base 0 list all owners, and the redirects of machines whose owner differs are discarded as well.
     fn apply_ownership(&mut self, changes: OwnershipChanges) {
         let term_state = &mut self.term_state;
         if changes.base == PlanSeq(0) {
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -14,11 +14,12 @@
 /// Minimum time between two redirects of a machine to the same owner, in milliseconds.
 const REDIRECT_INTERVAL_MIN_MS: u64 = 1_500;
 
-/// Time in milliseconds for which a redirect is taken into account, in addition to `foreign_machine_ms`.
+/// Time in milliseconds for which a redirect is taken into account, in addition to
+/// [`HeartbeatTiming::foreign_machine_ms`].
 const REDIRECT_RETENTION_MARGIN_MS: u64 = 5_000;
 
 /// Time in milliseconds for which a machine that cannot reach its owner counts as such after its last
-/// heartbeat here, in addition to `foreign_machine_ms`.
+/// heartbeat here, in addition to [`HeartbeatTiming::foreign_machine_ms`].
 const UNREACHABLE_RETENTION_MARGIN_MS: u64 = 2_000;
 
 /// Handling of the heartbeat of a machine that another controller owns.
@@ -37,6 +38,7 @@
 pub(super) struct RedirectState {
     /// Time of the last redirect.
     pub(super) last_at: MonotonicTime,
+    /// Number of redirects.
     pub(super) count: u32,
     /// Whether a heartbeat was received here since the last redirect.
     pub(super) returned: bool,
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -22,8 +22,8 @@
 /// Number of sent summaries whose times are kept for the leader's acknowledgement.
 const SENT_SUMMARIES_MAX: usize = 64;
 
-/// Time in milliseconds, in addition to `foreign_machine_ms`, for which redirects and foreign machines are
-/// kept. It exceeds the margins used for routing heartbeats.
+/// Time in milliseconds, in addition to [`HeartbeatTiming::foreign_machine_ms`], for which redirects and
+/// foreign machines are kept. It exceeds the margins used for routing heartbeats.
 const CONTACT_RETENTION_MARGIN_MS: u64 = 7_000;
 
 /// The machines in a summary.
@@ -66,7 +66,8 @@
 
 impl Shard {
     /// Makes the next summary, of about `byte_budget` bytes. Machines that do not fit are listed in the
-    /// following summary. The leader applies none of them until it has received all of them.
+    /// following summary. The leader applies none of them until it has received all of them. The caller fills
+    /// in `since_store_response_ms` and `follow`, which the shard does not know.
     pub fn summary(
         &mut self,
         now: MonotonicTime,
@@ -169,7 +170,7 @@
             .collect()
     }
 
-    /// Returns the machines that changed since `base`: at least one, and no more than fit.
+    /// Returns the machines that changed since `base`: at least one if any changed, and no more than fit.
     fn machine_views(
         &mut self,
         now: MonotonicTime,
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -50,8 +50,9 @@
         Some(target)
     }
 
-    /// Starts tasks granted ahead of a release on a machine that has free capacity and their images. A task
-    /// whose image the machine would have to fetch is left to the next assignment across all machines.
+    /// Starts tasks that were granted before resources for them were released, if the machine has free
+    /// capacity and their images. A task whose image the machine would have to fetch is left to the next
+    /// assignment across all machines.
     fn start_awaiting_release(
         &mut self,
         context: &ShardContext<'_>,
@@ -80,7 +81,8 @@
     }
 
     /// Starts a granted task on a machine unless the machine lacks capacity or the task is already on a
-    /// machine. Returns true if the grant needs no other machine.
+    /// machine. Returns true if the grant needs no other machine: the task was started, the start was
+    /// refused, or the job has ended.
     ///
     /// Every start passes through here, because the permission to start a task ends with the term that
     /// granted it.
--- a/src/shard/term_announcement.rs
+++ b/src/shard/term_announcement.rs
@@ -13,6 +13,7 @@
 /// The announcements of one term to one machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TermAnnouncement {
+    /// Number of announcements sent.
     pub(super) count: u32,
     /// Time of the last announcement.
     pub(super) last_at: MonotonicTime,
--- a/src/shard/term_state.rs
+++ b/src/shard/term_state.rs
@@ -41,8 +41,8 @@
     pub(super) shown_gang_attempts: HashSet<(TaskId, Attempt)>,
     /// Starts to send to each machine in the response to its next heartbeat.
     pub(super) start_queues: BTreeMap<MachineId, Vec<GrantedStart>>,
-    /// Starts granted ahead of a release and not assigned to a machine. Any machine that gets free capacity
-    /// may take them, in this order.
+    /// Starts that were granted before resources for them were released, and that no machine is assigned to.
+    /// Any machine that gets free capacity may take them, in this order.
     pub(super) starts_awaiting_release: Vec<GrantedStart>,
     /// Highest priority of the unfinished jobs that may use machines of a kind; `None` if there are none.
     pub(super) highest_priority: BTreeMap<MachineKind, Option<Priority>>,
@@ -67,7 +67,7 @@
 }
 
 impl TermState {
-    /// The state at the beginning of a term: nothing is granted, and no owner of a machine is known.
+    /// Creates the state at the beginning of a term: nothing is granted, and no owner of a machine is known.
     pub(super) fn begin(term: Term, node_id: NodeId) -> Self {
         TermState {
             term,
--- a/src/shard/tests/direct_messages.rs
+++ b/src/shard/tests/direct_messages.rs
@@ -35,12 +35,16 @@
             &sent,
             &heartbeat(agent_epoch, sequence, token, Some(Running)),
         );
-        let now = controller.summary(MonotonicTime(6_000), 900_000);
-        let is_reconciled = now.machines.iter().any(|m| m.reconciled && m.tasks.len() == 1);
+        let summary = controller.summary(MonotonicTime(6_000), 900_000);
+        let is_reconciled = summary.machines.iter().any(|m| m.reconciled && m.tasks.len() == 1);
         assert_eq!(is_reconciled, reconciled, "{agent_epoch} {sequence} {token}");
         // Guards against a failure in a benchmark run: a machine whose agent epoch had just begun counted as
         // silent since its scale-out, so its tasks were started a second time.
-        assert_eq!(now.answered.len(), usize::from(reconciled), "{agent_epoch} {sequence} {token}");
+        assert_eq!(
+            summary.answered.len(),
+            usize::from(reconciled),
+            "{agent_epoch} {sequence} {token}"
+        );
     }
     assert_eq!(announcements(&mut controller, 9_000), 0);
     // A later answer may be older than a start in flight, so it must not change the machine's tasks.
--- a/src/shard/tests/heartbeats.rs
+++ b/src/shard/tests/heartbeats.rs
@@ -63,18 +63,18 @@
 #[test]
 fn an_isolated_controller_redirects_its_workers_once() {
     // If the store is down and connections between controllers are refused, all controllers are isolated.
-    // RedirectState workers then return and must not lose their leases.
+    // Redirected workers then return and must not lose their leases.
     let mut controller = controller_with_owner(0);
     assert!(send_heartbeat(&mut controller, 1_000, &heartbeat(1, 1, 3, None)).0);
-    let mut respond =
+    let mut deliver =
         |ms, sequence| controller.on_heartbeat(MonotonicTime(ms), &heartbeat(1, sequence, 3, None));
     assert!(
-        matches!(respond(5_500, 2), HeartbeatOutcome::Respond(_)),
+        matches!(deliver(5_500, 2), HeartbeatOutcome::Respond(_)),
         "isolation threshold not reached"
     );
-    assert!(matches!(respond(7_000, 3), HeartbeatOutcome::Redirect(_)));
+    assert!(matches!(deliver(7_000, 3), HeartbeatOutcome::Redirect(_)));
     assert!(
-        matches!(respond(9_000, 4), HeartbeatOutcome::Respond(_)),
+        matches!(deliver(9_000, 4), HeartbeatOutcome::Respond(_)),
         "returned from the redirect"
     );
 }
--- a/src/shard/tests/terms.rs
+++ b/src/shard/tests/terms.rs
@@ -283,7 +283,7 @@
         ("plan", |now, old| {
             (now.plan, now.owners, now.assignment_stale) = (old.plan, old.owners, true);
         }),
-        ("queue", |now, old| now.start_queues = old.start_queues),
+        ("start_queues", |now, old| now.start_queues = old.start_queues),
         ("starts_awaiting_release", |now, old| {
             (now.starts_awaiting_release, now.highest_priority) =
                 (old.starts_awaiting_release, old.highest_priority)
--- a/src/shard/unconfirmed_token.rs
+++ b/src/shard/unconfirmed_token.rs
@@ -11,8 +11,8 @@
 /// them. A single lost response proves nothing.
 const PROBE_RESPONSES_MIN: u32 = 3;
 
-/// Minimum time in milliseconds over which these responses are sent. Delayed heartbeats arrive in a burst, so
-/// the number of responses alone is not enough.
+/// Minimum time in milliseconds over which the machine must have got the `PROBE_RESPONSES_MIN` responses.
+/// Delayed heartbeats arrive in a burst, so the number of responses alone is not enough.
 const PROBE_DURATION_MIN_MS: u64 = 3_500;
 
 /// Time in milliseconds for which responses are refused in addition to the worker's lease. Covers clock drift
@@ -23,10 +23,10 @@
 ///
 /// - The first heartbeat without the token starts `Probing`.
 /// - `Probing` becomes `Refused` if the token is still missing after `PROBE_RESPONSES_MIN` responses over
-///   more than `PROBE_DURATION_MIN_MS`. It also becomes `Refused` if the agent epoch has risen after a response: the
-///   worker's lease expired despite that response.
-/// - `Refused` becomes `Probing` again at the first heartbeat after its end, as for the first heartbeat
-///   without the token.
+///   more than `PROBE_DURATION_MIN_MS`. It also becomes `Refused` if the agent epoch has risen after a
+///   response: the worker's lease expired despite the response.
+/// - `Refused` becomes `Probing` again at the first heartbeat without the token after its end, with no
+///   response counted.
 /// - A heartbeat with the token removes the state.
 #[derive(Clone, Debug)]
 pub(super) enum UnconfirmedToken {
