--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -103,8 +103,8 @@
         self.call("POST", "/machines/return", &body).await.map(|_| ())
     }
 
-    /// Returns a page of the machine list. The list may be outdated by up to `list_lag_s` of the
-    /// settings.
+    /// Returns a page of the machine list, beginning after the machine `after`. The list may be
+    /// outdated by up to `cloud.list_lag_s` of the settings.
     pub async fn list(&self, after: Option<&MachineId>) -> Result<MachineListPage, CloudError> {
         let path = match after {
             Some(id) => format!("/machines?After={id}&Limit={MACHINES_PER_PAGE}"),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -61,7 +61,7 @@
     pub catalog: MachineCatalog,
     /// Whether the replica holds the whole store. No decisions are made while it does not.
     pub loaded: bool,
-    /// Whether the last request to the store succeeded.
+    /// Whether the last request to the store for changes, or a full read after it, succeeded.
     pub store_ok: bool,
     /// Time at which the last message or response of another controller arrived.
     pub last_peer_contact: MonotonicTime,
@@ -163,7 +163,7 @@
         self.store_ok = true;
     }
 
-    /// Revision after which a watch has to start; `None` before the store has been read in full. A
+    /// Revision after which a watch has to start; `None` unless the replica holds the whole store. A
     /// watch from revision 0 would return the whole store in one response of unbounded size.
     pub fn watch_start_revision(&self) -> Option<Revision> {
         self.loaded.then_some(self.replica.revision)
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,8 +1,8 @@
 //! Group writes of completed tasks.
 //!
-//! A job's end is written at once. The progress of unfinished jobs is batched, so that it takes a
-//! bounded share of the store's budget. A worker keeps a completion until it is recorded, so a
-//! delayed write loses nothing.
+//! The leader writes a job's end at once. The progress of unfinished jobs is batched, so that it
+//! takes a bounded share of the store's budget. A worker keeps a completion until it is recorded,
+//! so a delayed write loses nothing.
 
 use super::Controller;
 use crate::model::{JobId, MonotonicTime, TaskId};
@@ -52,8 +52,9 @@
         (!txn.changes.is_empty()).then_some(txn)
     }
 
-    /// Returns the jobs whose completions are due: all jobs that end, and a limited number of
-    /// unfinished jobs, oldest completions first.
+    /// Returns the jobs whose completions are due, at most as many as fit into one transaction. The
+    /// jobs that end come before a limited number of unfinished jobs. Both groups are ordered by the
+    /// age of their completions, oldest first.
     fn completions_due(&self, now: MonotonicTime) -> Vec<JobId> {
         let leads = self.leader.is_some();
         let completion_batch_ms = self.completion_batch_ms();
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -49,7 +49,7 @@
         }
         self.leader_from_peer = self.leader_from_peer.take().filter(|r| r.term > replica_term);
         if self.leader_from_peer.is_some() {
-            return; // What the replica shows is of an earlier term.
+            return; // The replica's leader is of an earlier term than the peer's.
         }
         let own_record = self.replica.leader.as_ref().map(|leader| &leader.value);
         let own_record =
@@ -100,9 +100,9 @@
         leader.filter(|r| self.loaded && is_current && r.term == self.replica.term).cloned()
     }
 
-    /// Adopts a leader that a peer reported, if its term is later than the known term. Otherwise, a
-    /// controller that the store refuses would keep its workers on an old fencing token until its
-    /// lease expires, and no task could start on them.
+    /// Adopts a leader that a peer reported, if its term is later than the known term. Without
+    /// the peer's report, a controller that the store refuses would keep its workers on an old
+    /// fencing token until its lease expires, and no task could start on them.
     pub fn adopt_leader_from_peer(&mut self, leader: LeaderRecord) {
         if !self.loaded || leader.term <= self.shard.term() || leader.node == self.local_node {
             return;
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -127,9 +127,9 @@
     pub fn on_peer_observation(
         &mut self,
         now: MonotonicTime,
-        answer: PeerObservation,
+        observation: PeerObservation,
     ) -> Option<FailoverCommand> {
-        self.standby.as_mut()?.step(now, FailoverEvent::PeerObserved(answer))
+        self.standby.as_mut()?.step(now, FailoverEvent::PeerObserved(observation))
     }
 
     /// Records that the leader key expired with its lease and that this controller runs for the
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Handles the outcome of the transaction that takes the next term; `None` if the outcome is
+    /// Handles the outcome of the transaction that takes the next term; `outcome` is `None` if it is
     /// unknown.
     pub fn on_fence_completed(&mut self, now: MonotonicTime, outcome: Option<&TxnOutcome>) {
         let outcome = match outcome {
@@ -163,8 +163,8 @@
 
     /// Lets the standby follow the leader in the replica, unless this process is the leader.
     pub(super) fn follow_another_leader(&mut self, now: MonotonicTime) {
-        let known = self.replica.leader.as_ref().map(|leader| &leader.value);
-        let leader = known
+        let recorded = self.replica.leader.as_ref().map(|leader| &leader.value);
+        let leader = recorded
             .filter(|record| record.term == self.replica.term && !self.is_this_process(record));
         let leader = leader.map(|record| FollowedLeader { node: record.node, term: record.term });
         if let (Some(leader), Some(standby)) = (leader, &mut self.standby) {
@@ -199,9 +199,10 @@
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
         if standby.is_record_due(now.steady) {
-            let known = standby.decision_log().map(|log| log.state().clone()).unwrap_or_default();
+            let recorded =
+                standby.decision_log().map(|log| log.state().clone()).unwrap_or_default();
             let target =
-                self.with_leader(now, |leader, cluster| leader.decision_target(cluster, &known));
+                self.with_leader(now, |leader, cluster| leader.decision_target(cluster, &recorded));
             if let Some(target) = target {
                 standby.record_decisions(now, &target);
             }
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -107,8 +107,9 @@
     }
 }
 
-/// Returns the transaction that accepts the jobs that the store does not hold yet. `at` is the time
-/// of acceptance and `bytes` the size of the largest value that the store takes.
+/// Returns the transaction that accepts the jobs of `specs`. It commits only if the store holds none
+/// of them. `at` is the time of acceptance, and `bytes` the maximum size in bytes of a value in the
+/// store.
 pub fn submission_txn<'a>(
     specs: impl Iterator<Item = &'a wire::JobSpec>,
     at: WallTime,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -57,8 +57,8 @@
 #[test]
 fn progress_of_unfinished_jobs_takes_a_bounded_share_of_writes() {
     // Guards against progress writes that starve other writes: in a benchmark, the progress of
-    // about 40 array jobs took 70% of the leader's write budget, and epochs and the ends of jobs
-    // waited for more than a second.
+    // about 40 array jobs took 70% of the leader's writes, and epochs and the ends of jobs waited
+    // for a second and more.
     const JOBS: u64 = 80;
     const SECONDS: u64 = 30;
     let record = LeaderRecord { node: NodeId(0), incarnation: Incarnation(5), term: Term(5) };
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -68,10 +68,10 @@
     /// Calls `act` and records its latency. Returns the result and the latency in microseconds.
     pub fn time_and_measure<T>(&self, operation: Operation, act: impl FnOnce() -> T) -> (T, u64) {
         let began = Instant::now();
-        let done = act();
+        let result = act();
         let took_us = began.elapsed().as_micros() as u64;
         self.record(operation, took_us);
-        (done, took_us)
+        (result, took_us)
     }
 
     /// Calls `act` and records its latency.
--- a/src/peer/lists.rs
+++ b/src/peer/lists.rs
@@ -79,7 +79,7 @@
     pub spot: bool,
     /// Address at which the machine's worker listens.
     pub endpoint: Rc<str>,
-    /// Whether the machine's last heartbeat carried the sender's term. The machine then refuses
+    /// Whether the machine's last heartbeat carried the owner's term. If so, the machine refuses
     /// commands of earlier terms, and its task list is authoritative.
     #[serde(rename = "settled")]
     pub reconciled: bool,
@@ -98,7 +98,8 @@
     pub images: Vec<(Rc<str>, f64)>,
 }
 
-/// Machine that sends heartbeats to a controller that does not own it.
+/// Machine that sends heartbeats to a controller that does not own it, as reported by the
+/// controller that receives the heartbeats.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ForeignMachine {
     /// Machine that is described.
@@ -110,10 +111,10 @@
     pub zone: String,
     /// Whether this is a spot machine.
     pub spot: bool,
-    /// Milliseconds since the sender received the machine's last heartbeat.
+    /// Milliseconds since the reporting controller received the machine's last heartbeat.
     pub silent_ms: u64,
     /// Milliseconds since the machine, unable to reach its owner, began to send heartbeats to the
-    /// sender.
+    /// reporting controller.
     pub since_ms: u64,
 }
 
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -30,10 +30,11 @@
     pub has_more: bool,
     /// Term known to the sender.
     pub term: Term,
-    /// Last plan of this term that the sender applied.
+    /// Sequence number of the last plan of this term that the sender applied.
     #[serde(rename = "followed")]
     pub applied_plan: PlanSeq,
-    /// Leader's clock in `applied_plan`. The summary was made after this time.
+    /// Leader's clock in the latest message that carried the plan `applied_plan`. The summary was
+    /// made after this time.
     #[serde(rename = "echo_ms")]
     pub echoed_clock_ms: u64,
     /// Milliseconds since the sender's process started.
@@ -47,8 +48,8 @@
     pub since_heartbeat_ms: u64,
     /// Machines of the sender's shard that changed since the base summary.
     pub machines: Vec<MachineView>,
-    /// Machines that the sender answered since the base summary, with the milliseconds since the
-    /// last answer.
+    /// Machines whose heartbeats the sender answered since the base summary, with the milliseconds
+    /// since the last answer.
     pub answered: Vec<(MachineId, u64)>,
     /// Machines outside the sender's shard that send it heartbeats.
     #[serde(rename = "strays")]
@@ -93,7 +94,7 @@
 /// Changes of machine owners since an earlier plan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OwnershipChanges {
-    /// Plan that the changes are relative to; 0 if `set` lists all owners.
+    /// Sequence number of the plan that the changes are relative to; 0 if `set` lists all owners.
     pub base: PlanSeq,
     /// New owners of machines.
     pub set: Vec<(MachineId, NodeId)>,
@@ -121,8 +122,8 @@
     pub acknowledged_summary: u64,
     /// Changes of machine owners.
     pub owners: OwnershipChanges,
-    /// Commands and job statuses; `None` if they are the same as in the plan that the receiver
-    /// follows.
+    /// Commands and job statuses; `None` if the receiver's last summary showed that it had applied
+    /// the plan `seq`.
     pub body: Option<PlanBody>,
     /// Decisions of the leader that the receiver requested. Never set in messages through the
     /// store.
@@ -205,8 +206,8 @@
     /// Forwarded cancellation.
     #[serde(rename = "Abort")]
     Cancel(JobId),
-    /// Reports a durable cancellation of a job, with the job's progress record and its revision.
-    /// Only for controllers whose member record lists this capability. Answered like
+    /// Reports a durable cancellation of a job, with the job's progress record and the record's
+    /// revision. Only for controllers whose member record lists this capability. Answered like
     /// `StoreReachable`.
     #[serde(rename = "Ended")]
     JobCancelled(JobId, Progress, Revision),
@@ -229,7 +230,8 @@
     /// Whether the responder can reach the store.
     #[serde(rename = "Reach")]
     StoreReachable(bool),
-    /// Leader, according to a current replica of the responder; `None` if it has none.
+    /// Leader, according to the responder's replica; `None` if the replica is not current or shows
+    /// no leader of its term.
     #[serde(rename = "Lead")]
     Leader(Option<LeaderRecord>),
     /// Answer to a forwarded request: status and CBOR body.
--- a/src/service.rs
+++ b/src/service.rs
@@ -62,8 +62,8 @@
 const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
 /// Maximum size in bytes of a request body from another controller.
 const MAX_PEER_MESSAGE_BYTES: usize = 1 << 20;
-/// Byte budget of a summary in such a request. The remaining quarter covers what the size estimate
-/// leaves out.
+/// Byte budget of a summary that is sent directly to the leader. The remaining quarter of the
+/// request body covers what the size estimate leaves out.
 const MAX_SUMMARY_BYTES: usize = MAX_PEER_MESSAGE_BYTES * 3 / 4;
 /// Size in bytes of a message chunk for each kilobyte that the store allows for a value. The
 /// remainder covers the encoding of the value.
@@ -112,11 +112,11 @@
 
 /// One controller process.
 pub struct Service {
-    /// Settings of the site.
+    /// Settings of this controller and of the cluster.
     pub settings: Rc<Settings>,
-    /// Index of this controller among all controllers of the site.
+    /// Index of this controller among all controllers of the cluster.
     pub node_id: NodeId,
-    /// Number of controllers of the site.
+    /// Number of controllers of the cluster.
     controller_count: usize,
     /// Start of the process, from which [`Service::now`] counts.
     started_at: Instant,
--- a/src/service/completions.rs
+++ b/src/service/completions.rs
@@ -19,7 +19,8 @@
 const MAX_COMMIT_ATTEMPTS: usize = 3;
 
 impl Service {
-    /// Writes completed tasks to the store when a write is due.
+    /// Writes completed tasks to the store when a write is due. Before each check, sets this
+    /// controller's share of the store's write rate, which is larger on the leader.
     pub(super) async fn write_completions(self: Rc<Self>) {
         loop {
             let _ = timeout(CHECK_PERIOD, self.wake_ups.completions.notified()).await;
--- a/src/service/direct_commands.rs
+++ b/src/service/direct_commands.rs
@@ -74,6 +74,7 @@
         });
         let client = Client::new(addr, wire::BODY_LIMIT * RESPONSE_BODY_FACTOR);
         let Ok(reply) = client.call("POST", "/do", &body, RESPONSE_TIMEOUT).await else { return };
+        // A machine that refuses the command with status 409 sends its heartbeat as well.
         if !matches!(reply.status, 200 | 409) {
             return;
         }
--- a/src/service/epochs.rs
+++ b/src/service/epochs.rs
@@ -76,7 +76,7 @@
             controller.leader.as_ref().and_then(|leader| leader.renew_term)
         };
         if let Some(reason) = renewal_reason {
-            // A string value is quoted in the log.
+            // Logged as a string and not with `%`, so that the value is quoted.
             info!(%term, reason = reason.as_str(), "taking a new term");
             if let Err(e) = self.acquire_leadership().await {
                 debug!(error = %e, "taking a new term failed or its outcome is unknown");
--- a/src/service/failover.rs
+++ b/src/service/failover.rs
@@ -82,7 +82,7 @@
         });
     }
 
-    /// Queries all other controllers except the leader when they last received from it. The queries
+    /// Asks all other controllers except the leader when they last received from it. The queries
     /// run concurrently, so that an unavailable controller does not delay the others. Controllers
     /// of versions that do not support this query are left out.
     fn query_peers(self: &Rc<Self>, term: Term) {
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Acquires the term after `term` with the conditional transaction of an election. A majority
-    /// of the controllers receives nothing from the leader of `term`.
+    /// Acquires the term after `term` with the conditional transaction of an election. Called once a
+    /// majority of the controllers receives nothing from the leader of `term`. If the replica shows
+    /// another term already, nothing is sent to the store and failed conditions are reported.
     async fn fence_leader(&self, term: Term) {
         if self.controller.borrow().replica.term != term {
             self.controller
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -23,8 +23,8 @@
 /// Reason why a request to another controller failed.
 #[derive(Debug, Error)]
 pub(crate) enum PeerCallError {
-    /// The site has no controller with this index.
-    #[error("the site has no controller with this index")]
+    /// The cluster has no controller with this index.
+    #[error("the cluster has no controller with this index")]
     UnknownController,
     /// There was no response. The request may have been carried out unless the connection failed.
     #[error(transparent)]
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the client of a controller; `None` if the site has no controller with this index.
+    /// Returns the client of a controller; `None` if the cluster has no controller with this index.
     pub(super) fn client(&self, node: NodeId) -> Option<Rc<Client>> {
         self.clients.get(usize::from(node.0)).cloned()
     }
@@ -68,7 +68,7 @@
 }
 
 impl Service {
-    /// Returns all controllers of the site except this one.
+    /// Returns all controllers of the cluster except this one.
     pub(crate) fn other_nodes(&self) -> impl Iterator<Item = NodeId> + use<> {
         let own_id = self.node_id;
         (0..self.settings.params.nodes as u8).map(NodeId).filter(move |node| *node != own_id)
@@ -140,16 +140,17 @@
         Response::new(200, peer::encode(&response))
     }
 
-    /// Whether `node` is the index of another controller of the site.
+    /// Whether `node` is the index of another controller of the cluster.
     fn is_other_controller(&self, node: NodeId) -> bool {
         usize::from(node.0) < self.controller_count && node != self.node_id
     }
 
     /// Carries out another controller's request. The sender of a summary is already known to be
-    /// another controller of the site.
+    /// another controller of the cluster.
     async fn respond_to_peer(self: &Rc<Self>, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Summary(summary) => {
+                // The sender has a direct connection again and needs no plans through the store.
                 self.store_summary_responses.borrow_mut().remove(&summary.node);
                 self.receive_summary(summary)
             }
--- a/src/service/store_messages.rs
+++ b/src/service/store_messages.rs
@@ -52,8 +52,8 @@
             value: wire::Value::Text(text),
             lease: None,
         });
-        // Chunks beyond the first transaction are written by further ones. The receiver waits while
-        // chunks are missing or belong to another message.
+        // Chunks beyond the first transaction are written by further transactions. The receiver
+        // waits while chunks are missing or belong to another message.
         loop {
             let changes: Vec<Change> = puts.by_ref().take(limits.txn_ops).collect();
             if changes.is_empty() {
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -40,8 +40,9 @@
     /// The store no longer retains the requested changes.
     #[error("the store no longer retains the requested changes")]
     ChangesTooOld,
-    /// The store rejected the request as malformed, or sent a response that cannot be decoded.
-    /// Contains the HTTP status.
+    /// The store rejected the request as malformed, or sent a response that cannot be decoded. A
+    /// rejection is a defect here, unless a write exceeded the store's limits. Contains the HTTP
+    /// status.
     #[error("malformed request or response (HTTP status {0})")]
     Malformed(u16),
 }
@@ -201,7 +202,8 @@
         Self::decode_body(&answer).map(Some)
     }
 
-    /// Reads a page of the keys with a prefix. Also returns the size to request for the next page.
+    /// Reads a page of the keys with a prefix, beginning after the key `after`. Also returns the
+    /// size to request for the next page.
     pub async fn page(
         &self,
         prefix: &str,
--- a/src/store_client/token_bucket.rs
+++ b/src/store_client/token_bucket.rs
@@ -26,11 +26,13 @@
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         TokenBucket { rate, burst: burst.max(1.0), level: burst.max(1.0), refilled_at: now }
     }
+
     /// Sets the refill rate, and the capacity to the tokens of one second.
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate.max(0.1);
         self.burst = self.rate.max(1.0);
     }
+
     /// Takes tokens, going into debt if necessary, and returns the time until the debt is paid. A
     /// caller that cannot wait ignores this time; later callers wait longer instead.
     pub fn take(&mut self, tokens: f64, now: Instant) -> Duration {
