--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,12 +1,14 @@
-//! The leader's part of an epoch: it collects the summaries of the shards, admits jobs, divides shares
-//! and task ranges over the shards, writes the epoch to the state service, and only then publishes plans.
+//! The leader's part of an epoch. It collects the summaries that controllers send of their shards, which are
+//! the machines that they own. It admits jobs, divides the jobs' shares and task ranges over the shards, writes
+//! the epoch to the state service, and only then publishes plans.
 //!
 //! Invariants (argued in `docs/safety.md`):
 //!
 //! - **Grants of earlier terms are unresolved until proven otherwise.** A term begins with nothing
-//!   granted. A task that an earlier term granted and that is not done may be running, until every machine
-//!   that may hold it has shown the new token, and so refuses older commands, or is proven terminated.
-//!   The `task_grants` module enforces this ("When a task is free").
+//!   granted. A task that an earlier term granted and that is not done may be running. It is proven not to
+//!   run once every machine that may hold it is proven terminated, or has sent a heartbeat with the fencing
+//!   token of the new term and so refuses commands of earlier terms. The `task_grants` module enforces this
+//!   ("When a task is free").
 //! - **Durable before said.** An [`Epoch`] takes effect only once its transaction is committed:
 //!   [`Leader::epoch`] computes it, [`Leader::publish`] puts it into effect.
 //! - **Owners are fixed within a term.** If a controller is lost or a machine has to move to another
@@ -69,7 +71,8 @@
     pub txn: Option<Txn>,
     /// Tasks that the epoch grants.
     grants: Vec<NewGrant>,
-    /// Tasks of each job that are on record as granted once the transaction is committed.
+    /// For each job whose record the transaction changes, all of its tasks that are on record as granted once
+    /// the transaction is committed.
     recorded: Vec<(JobId, TaskRanges)>,
     /// Tasks that the transaction adds to the record without granting them.
     recorded_ahead: Vec<TaskId>,
@@ -106,7 +109,7 @@
 pub struct RetainedState {
     /// State of the cloud market and the offered load.
     pub market: MarketState,
-    /// When a new term last began only to balance the shards.
+    /// When a new term was last requested only to balance the shards.
     rebalanced_at: MonotonicTime,
     /// Actual and estimated run times of tasks, by job class.
     class_run_times: HashMap<String, ClassRunTimes>,
@@ -134,14 +137,14 @@
     teams_over_limit: HashSet<String>,
     /// Why jobs wait, as of the last epoch.
     wait_reasons: HashMap<JobId, WaitReason>,
-    /// Number of tasks that the last epoch admitted, by job.
+    /// Number of tasks that the last epoch admitted of each job, including those that it held already.
     shares: BTreeMap<JobId, u32>,
     /// Running tasks, with their machine and the time when each was first seen running there.
     running_since: FxHashMap<TaskId, RunningSince>,
     /// Run times of completed tasks, by open job.
     run_times: FxHashMap<JobId, JobRunTimes>,
-    /// Since when open jobs have had no task on a machine, granted or awaiting the confirmation of a
-    /// revocation.
+    /// Open jobs that hold no task, with the time since when. A held task is on a machine, is granted, or has a
+    /// revocation that is not confirmed.
     idle_since: FxHashMap<JobId, MonotonicTime>,
 }
 
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -21,7 +21,7 @@
 
 /// The resources that an epoch divides, and the grants that it makes of them.
 pub(super) struct EpochAllocation {
-    /// Upper bounds of the teams' usage, by team number.
+    /// Upper bounds of the teams' usage, by the team's index in the settings.
     pub(super) team_usage: Vec<TeamUsage>,
     /// The machines as placement sees them.
     pub(super) targets: Vec<PlacementTarget>,
@@ -39,7 +39,7 @@
     pub(super) job: &'a Job,
     /// Resources that each task needs.
     pub(super) need: Resources,
-    /// Number of the job's team.
+    /// Index of the job's team in the settings.
     pub(super) team: usize,
     /// Tasks that the job holds already.
     pub(super) held: u32,
--- a/src/leader/describe.rs
+++ b/src/leader/describe.rs
@@ -6,7 +6,7 @@
 use crate::resources::Resources;
 use crate::wire::TaskState;
 
-/// The program versions of the controllers that are up, ordered by controller.
+/// Returns the program versions of the controllers that are up, ordered by controller.
 fn versions(cluster: &ClusterView<'_>) -> String {
     let version_of = |m: &replica::MemberRecord| match m.version.as_str() {
         "" => "before 0.2".to_string(),
@@ -18,7 +18,8 @@
 }
 
 impl Leader {
-    /// The leader's state in one line: counts of machines and tasks, and cores by their use.
+    /// Returns the leader's state in one line: counts of machines and tasks, and cores by their
+    /// use.
     pub fn describe(&self, cluster: &ClusterView<'_>) -> String {
         let on_machines = self.fleet.on_machines();
         let (mut running, mut fetching, mut waiting) = (Cores(0), Cores(0), Cores(0));
--- a/src/leader/epoch_transaction.rs
+++ b/src/leader/epoch_transaction.rs
@@ -8,12 +8,12 @@
 use crate::replica;
 use crate::wire::{self, Change, Condition, Txn};
 
-/// Most keys of machines that one epoch writes.
+/// Maximum number of machine keys that one epoch writes.
 const MAX_MACHINE_KEYS_PER_EPOCH: usize = 4;
-/// Least milliseconds between two writes of machines, because the state service limits the rate of
+/// Minimum milliseconds between two writes of machines, because the state service limits the rate of
 /// changes. Epochs with grants ignore it.
 const MACHINE_WRITE_INTERVAL_MS: u64 = 400;
-/// Least milliseconds between two writes of the offered load.
+/// Minimum milliseconds between two writes of the offered load.
 const LOAD_WRITE_INTERVAL_MS: u64 = 8_000;
 
 impl Leader {
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -51,12 +51,12 @@
             && placement::allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    /// Returns the number of cores that are not granted yet to any task.
+    /// Returns the cores that are free for the priority with the most free cores.
     pub(super) fn free_cores(&self) -> Cores {
         self.free_by_priority.iter().map(|free| free.cores).max().unwrap_or_default()
     }
 
-    /// Deducts a task of that priority.
+    /// Deducts a task that needs `need` from the resources free for its priority and for lower ones.
     fn deduct(&mut self, need: &Resources, priority: Priority) {
         for free in &mut self.free_by_priority[priority as usize..] {
             need.take_from(free);
--- a/src/leader/gang_presence.rs
+++ b/src/leader/gang_presence.rs
@@ -1,5 +1,5 @@
-//! Counts of where the tasks of gangs are: on machines, granted and not yet on a machine, or
-//! unaccounted for.
+//! Counts of where the tasks of gangs are: on machines, granted and not yet on a machine, revoked, or
+//! unresolved.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     pub(super) revoked: u32,
     /// Tasks granted by earlier terms that may be running on any unreconciled machine.
     pub(super) unresolved: u32,
-    /// Whether a granted task that a worker had reported is no longer on any machine.
+    /// Whether no reconciled machine reports a granted task that a worker had reported before.
     pub(super) task_lost: bool,
     /// When the cloud preempts the first of the machines; `None` without a notice.
     pub(super) first_preemption: Option<MonotonicTime>,
@@ -29,7 +29,7 @@
 }
 
 impl GangPresence {
-    /// A gang without any task on a machine, granted or unresolved.
+    /// Returns a gang without any task on a machine, granted or unresolved.
     fn absent() -> Self {
         GangPresence {
             on_machines: 0,
@@ -43,19 +43,20 @@
         }
     }
 
-    /// Whether none of the tasks is or may be on a machine.
+    /// Returns whether none of the tasks is or may be on a machine.
     pub(super) fn is_empty(&self) -> bool {
         self.on_machines + self.starting + self.revoked + self.unresolved == 0
     }
 
-    /// Whether all `task_count` tasks are on machines or granted, and none is lost or revoked.
+    /// Returns whether all `task_count` tasks are on machines or granted, and none is lost or
+    /// revoked.
     pub(super) fn is_complete(&self, task_count: u32) -> bool {
         self.on_machines + self.starting == task_count && self.revoked == 0 && !self.task_lost
     }
 }
 
 impl TaskGrants {
-    /// Where the tasks of each open gang are.
+    /// Returns where the tasks of each open gang are.
     pub(super) fn gang_presence(&self, inputs: &EpochInputs<'_>) -> BTreeMap<JobId, GangPresence> {
         let jobs = inputs.cluster.replica.jobs.iter();
         let mut gangs: BTreeMap<JobId, GangPresence> = jobs
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -14,8 +14,9 @@
 use crate::resources::Resources;
 use crate::wire::JobKind;
 
-/// Largest share of the cores of open machines that is reserved for gangs that allow spot machines,
-/// and for gangs that do not. Without a limit, other work would find no machine in a small fleet.
+/// Largest share of the cores of open machines that is reserved for each of two kinds of gangs: those
+/// that may use spot machines and those that may not. Open machines accept new tasks. Without a
+/// limit, other work would find no machine in a small fleet.
 const MAX_RESERVED_SHARE: f64 = 0.25;
 
 /// Milliseconds for which the needs of gangs are remembered after the last gang with them was open:
@@ -24,7 +25,7 @@
 
 /// The resources that gangs use now.
 struct GangUse<'a> {
-    /// Cores of gangs that may not use spot machines, and of gangs that may.
+    /// Cores of tasks of gangs that may not use spot machines, and of gangs that may.
     cores: [Cores; 2],
     /// Machines with tasks of gangs.
     hosts: FxHashSet<&'a MachineId>,
@@ -40,7 +41,7 @@
     cores: f64,
 }
 
-/// All cores of a machine, free or not; 0 if its type is not in the catalog.
+/// Returns all cores of a machine, free or not; 0 if its type is not in the catalog.
 fn offered_cores(cluster: &ClusterView<'_>, target: &PlacementTarget) -> Cores {
     let machine_type = cluster.catalog.get(&*target.machine_type);
     machine_type.map_or(Cores(0), |offered| Cores::offer(offered.vcpus))
@@ -63,7 +64,7 @@
 
 impl Leader {
     /// Marks the machines that are reserved for gangs: as few as hold the wanted free cores,
-    /// preferably in one zone. Tasks that may run elsewhere are not placed on them.
+    /// preferably in one zone. Only gangs and jobs that may not use spot machines are placed on them.
     pub(super) fn reserve_for_gangs(
         &mut self,
         inputs: &EpochInputs<'_>,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The zones in which room is reserved for gangs: the zone with most cores that may be
+    /// Returns the zones in which room is reserved for gangs: the zone with most cores that may be
     /// reserved, or the two largest if gangs have to be spread. The first zone of the last
     /// reservation is kept while it has more than half of the cores of the largest, because its
     /// machines have the images.
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -23,8 +23,9 @@
 /// Milliseconds that a stop may take to reach all controllers and machines, besides one heartbeat
 /// interval.
 const STOP_DELIVERY_MS: u64 = 1_500;
-/// Milliseconds after a stop's grace period after which tasks that are still there are ended at
-/// once. Also how much earlier than necessary a stop before a preemption may begin.
+/// Milliseconds from the end of a stop's grace period until tasks of the gang that still run are
+/// stopped again, without a grace period. Also how much earlier than necessary a stop before a
+/// preemption may begin.
 const STOP_MARGIN_MS: u64 = 3_000;
 
 /// A gang that was granted in this term.
@@ -35,7 +36,7 @@
 }
 
 impl GrantedGang {
-    /// The attempt with which the gang was granted.
+    /// Returns the attempt with which the gang was granted.
     pub(super) fn attempt(&self) -> Attempt {
         self.attempt
     }
@@ -147,8 +148,8 @@
         self.gangs.granted.remove(&id);
     }
 
-    /// How many tasks of a gang may be granted now: all of them, or the missing ones while it
-    /// forms.
+    /// Returns how many tasks of a gang may be granted now: all of them, or the missing ones while
+    /// it forms.
     pub(super) fn grantable_gang_tasks(&self, job: &Job, counts: TaskCounts) -> u32 {
         let id = job.spec.id;
         let TaskCounts { held, unresolved } = counts;
@@ -180,7 +181,7 @@
             return;
         }
         let mut zones = ZoneConstraint::of(&job.spec);
-        let binds = zones.is_constrained();
+        let zone_bound = zones.is_constrained();
         self.count_tasks_by_zone(inputs, id, &mut zones);
         let Some(chosen) = choose_gang_machines(inputs, request, &allocation.targets, &zones)
         else {
@@ -193,7 +194,7 @@
         };
         for (task, i) in free.into_iter().zip(chosen) {
             allocation.targets[i].add(&job.spec, need);
-            let Some(placement) = allocation.placement_on(inputs, i, binds) else { continue };
+            let Some(placement) = allocation.placement_on(inputs, i, zone_bound) else { continue };
             allocation.push_grant(inputs.cluster.now, request, task, placement, Some(attempt));
         }
     }
@@ -206,14 +207,14 @@
         }
     }
 
-    /// The gangs that shards have to stop.
+    /// Returns the gangs that shards have to stop.
     pub(super) fn stops(&self) -> Vec<GangStop> {
         self.gangs.pending_stops.values().map(|pending| pending.stop).collect()
     }
 }
 
-/// The machine of each of a gang's tasks: those on which all tasks can begin first, within the
-/// job's zone rule. `None` if the tasks do not all fit.
+/// Returns the index of the machine for each of a gang's tasks, chosen so that the last task can start
+/// as early as possible within the job's zone constraint. `None` if the tasks do not all fit.
 fn choose_gang_machines(
     inputs: &EpochInputs<'_>,
     request: &GrantRequest<'_>,
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Places all tasks in the allowed zone in which they can begin first.
+    /// Places all tasks in the allowed zone in which the last of them can start earliest.
     fn pack_in_one_zone(
         &self,
         zones: &ZoneConstraint,
@@ -269,8 +270,9 @@
         found.min_by(|a, b| a.last_start_s.total_cmp(&b.last_start_s))
     }
 
-    /// Places as many tasks in one zone as the rule allows, and the rest in another zone. Of all
-    /// pairs of zones in which the tasks fit, takes the first one with the earliest start.
+    /// Places as many tasks in one zone as the zone constraint allows, and the rest in another zone.
+    /// Of all pairs of zones in which the tasks fit, takes the first one in which the last task can
+    /// start earliest.
     fn pack_spread(&self, zones: &ZoneConstraint, zone_names: &[String]) -> Option<GangPlacement> {
         let mut best: Option<GangPlacement> = None;
         for (first, second) in
@@ -284,7 +286,8 @@
         best
     }
 
-    /// Places as many tasks in the first zone as the rule allows, and the rest in the second.
+    /// Places as many tasks in the first zone as the zone constraint allows, and the rest in the
+    /// second.
     fn pack_in_pair(
         &self,
         zones: &ZoneConstraint,
--- a/src/leader/grant_records.rs
+++ b/src/leader/grant_records.rs
@@ -24,7 +24,7 @@
 const JOB_OVERHEAD_BYTES: usize = 24;
 /// Estimated bytes of one range of tasks.
 const RANGE_BYTES: usize = 16;
-/// Most ranges that are recorded of a job.
+/// Maximum number of ranges that are recorded of a job.
 const MAX_RANGES_PER_JOB: usize = 32;
 /// Number of the first key that jobs share. The keys below it have the layout of version 0.1, in
 /// which a job's number determines its key. A leader of version 0.1 rewrites the keys below without
@@ -38,7 +38,7 @@
     cluster: &'a ClusterView<'a>,
     /// Bytes up to which a key is filled: four fifths of the largest value that the store takes.
     max_key_bytes: usize,
-    /// Most keys that may be written, as the transaction has no room for more.
+    /// Maximum number of keys that may be written; the transaction has no room for more.
     max_keys: usize,
     /// Contents of the keys that were looked at so far, by number, without jobs that have ended.
     contents: BTreeMap<u32, BTreeMap<JobId, TaskRanges>>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The content of a key without jobs that have ended.
+    /// Returns the content of a key without jobs that have ended.
     fn content(&mut self, key: u32) -> &mut BTreeMap<JobId, TaskRanges> {
         let replica = self.cluster.replica;
         self.contents.entry(key).or_insert_with(|| {
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Whether a key may be written and has room for a job's ranges.
+    /// Returns whether a key may be written and has room for a job's ranges.
     fn has_room(&mut self, key: u32, job: JobId, ranges: &TaskRanges) -> bool {
         if !self.written.contains(&key) && self.written.len() >= self.max_keys {
             return false;
@@ -84,9 +84,9 @@
         bytes + ranges_bytes(ranges) <= self.max_key_bytes
     }
 
-    /// The number of the key for a job's ranges: the key that holds the job; else a shared key that
-    /// is to be written anyway; else the first shared key with room. `None` if there is none or the
-    /// transaction is full.
+    /// Returns the number of the key for a job's ranges: the key that holds the job; else a shared
+    /// key that is to be written anyway; else the first shared key with room. `None` if there is
+    /// none or the transaction is full.
     fn key_for(&mut self, job: JobId, ranges: &TaskRanges) -> Option<u32> {
         let current_key = self.keys_by_job.get(&job).copied();
         if let Some(key) = current_key.filter(|key| self.has_room(*key, job, ranges)) {
@@ -102,7 +102,8 @@
         (FIRST_SHARED_KEY..KEYS_END).find(|key| self.has_room(*key, job, ranges))
     }
 
-    /// Adds a job's ranges to a key. False if the job has to wait for the next epoch.
+    /// Adds a job's ranges to a key. Returns false if no key takes them and the job has to wait for a
+    /// later epoch.
     fn put(&mut self, job: JobId, ranges: &TaskRanges) -> bool {
         let Some(key) = self.key_for(job, ranges) else { return false };
         self.content(key).insert(job, ranges.clone());
@@ -110,7 +111,7 @@
         true
     }
 
-    /// The changes that write the keys.
+    /// Returns the changes that write the keys.
     fn changes(mut self, term: crate::model::Term) -> Vec<Change> {
         let written = std::mem::take(&mut self.written);
         let change = |key: u32| {
@@ -128,8 +129,8 @@
 
 impl Leader {
     /// Adds the changes that record the epoch's grants, with some tasks of each job recorded ahead
-    /// of time. At most `max_keys` keys are written; grants that do not fit are left to a later
-    /// epoch.
+    /// of time. At most `max_keys` keys are written. Grants that do not fit are removed from the epoch
+    /// and left to a later one.
     pub(super) fn record_grants(
         &self,
         cluster: &ClusterView<'_>,
@@ -143,8 +144,8 @@
         }
         let mut keys = GrantKeys::new(cluster, max_keys);
         let mut deferred: FxHashSet<JobId> = FxHashSet::default();
-        // Jobs that are in a key already go first; new jobs may share the keys that are written for
-        // them.
+        // Jobs that are in a key already go first, because new jobs may share the keys that have to
+        // be written for them.
         let (held, new): (Vec<_>, Vec<_>) =
             extended.iter().partition(|(job, _)| keys.keys_by_job.contains_key(job));
         for (job, ranges) in held.into_iter().chain(new) {
@@ -170,7 +171,8 @@
         }
     }
 
-    /// The ranges to record for each job of which the epoch grants a task that is not on record.
+    /// Returns the ranges to record for each job of which the epoch grants a task that is not on
+    /// record.
     fn extended_ranges(
         &self,
         cluster: &ClusterView<'_>,
@@ -217,7 +219,7 @@
     }
 }
 
-/// Estimated bytes that a job with these ranges takes, at most.
+/// Returns the estimated bytes that a job with these ranges takes, at most.
 fn ranges_bytes(ranges: &TaskRanges) -> usize {
     JOB_OVERHEAD_BYTES + ranges.spans().len() * RANGE_BYTES
 }
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -1,7 +1,9 @@
 //! Admission of jobs, and the grants that follow from their shares.
 //!
-//! Admission uses a waterline that is legal in rank order, with shares that maximize summed importance
-//! (`docs/design.md`). Grants take effect only once the epoch is on record.
+//! Admission ([`admission::admit`]) chooses a waterline, which is a rank: jobs of better ranks are admitted, jobs
+//! of worse ranks wait, and at the waterline itself the most important jobs are admitted while cores last.
+//! Shares maximize the summed importance of the admitted jobs (`docs/design.md`). Grants take effect only once
+//! the epoch is on record.
 
 use std::collections::HashSet;
 
@@ -28,7 +30,7 @@
     fleet.controllers.values().flat_map(|node| node.failing.iter().map(|job| JobId(*job))).collect()
 }
 
-/// Returns whether each team is at its limit, by team number.
+/// Returns whether each team is at its limit, by the team's index in the settings.
 fn teams_at_limit(cluster: &ClusterView<'_>, team_usage: &[TeamUsage]) -> Vec<bool> {
     let teams = cluster.settings.params.teams.iter().zip(team_usage);
     let at_limit =
@@ -36,10 +38,11 @@
     teams.map(|(team, used)| team.core_limit().is_some_and(|limit| at_limit(limit, used))).collect()
 }
 
-/// Returns the bounds that admission divides: the cores held, and the limits of the teams.
+/// Returns the bounds of admission: the cores of open machines, and the limits of the teams.
 fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> Bounds {
-    // Tasks that wait for an expected release count as held by their jobs. Expected releases are therefore
-    // counted twice, so that as many cores again are left for urgent work.
+    // Granted tasks that wait for an expected release count as held by their jobs. The cores of expected
+    // releases are therefore added twice: once for these tasks, and once so that urgent work finds as many
+    // cores beside them.
     let awaited = Cores(allocation.expected_cores.0 * 2);
     let open = allocation.targets.iter().filter(|target| target.open);
     let held = open.fold(awaited, |sum, target| {
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -18,8 +18,8 @@
 use crate::wire::{JobKind, Priority};
 use crate::{admission, wire};
 
-/// Slack up to this share of the deadline does not reduce a job's importance. Slack is the time until the
-/// deadline beyond what the job needs; the deadline counts from acceptance.
+/// Slack up to this share of the deadline does not reduce a job's importance. Slack is the time that is left
+/// until the deadline, less the expected run time of one task. The deadline counts from the job's acceptance.
 const AMPLE_SLACK_SHARE: f64 = 0.5;
 
 /// Share of its importance that a job loses when its slack is as long as its deadline.
@@ -83,7 +83,7 @@
     base * time_factor * if guaranteed { 1.5 } else { 1.0 }
 }
 
-/// Returns the share of its importance that a job keeps with that much slack, given as a share of its deadline.
+/// Returns the share of its importance that a job keeps. `slack` is its slack as a share of its deadline.
 fn slack_factor(slack: f64) -> f64 {
     let beyond = ((slack - AMPLE_SLACK_SHARE) / (1.0 - AMPLE_SLACK_SHARE)).clamp(0.0, 1.0);
     1.0 - MAX_SLACK_DISCOUNT * beyond
@@ -124,14 +124,14 @@
     pub(super) counts: &'a JobTaskCounts,
     /// Jobs that at least one controller reports as failing wherever they are tried.
     pub(super) failing: &'a HashSet<JobId>,
-    /// Whether each team is at its limit, by team number.
+    /// Whether each team is at its limit, by the team's index in the settings.
     pub(super) at_limit: &'a [bool],
 }
 
 /// Properties of a job's demand that depend on its team and on other jobs.
 #[derive(Clone, Copy)]
 struct DemandTerms {
-    /// Number of its team.
+    /// Index of the job's team in the settings.
     team: usize,
     /// Rank of the job; 1 is the most urgent.
     rank: u32,
@@ -141,7 +141,7 @@
 
 impl Leader {
     /// Returns the expected run time of a task in seconds: its team's estimate, corrected by the ratio of
-    /// actual to estimated run times in its class.
+    /// actual to estimated run times in its class. The ratio is limited to between 0.3 and 3.
     pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         let class = self.retained.class_run_times.get(&job.spec.class);
         let ratio = class.map_or(1.0, ClassRunTimes::ratio);
--- a/src/leader/inputs.rs
+++ b/src/leader/inputs.rs
@@ -17,13 +17,13 @@
 }
 
 impl EpochInputs<'_> {
-    /// Returns the controller that owns a machine; `None` if nobody does.
+    /// Returns the controller that owns a machine; `None` if no controller owns it.
     pub(super) fn owner(&self, machine: &MachineId) -> Option<NodeId> {
         self.fleet.owners.get(machine).map(|owned| owned.owner)
     }
 
-    /// Returns whether the owner of a machine supports gangs. An owner that does not would not keep its tasks
-    /// of a gang in step with those on other shards.
+    /// Returns whether the owner of a machine supports gangs. An owner without support would start and stop its
+    /// tasks of a gang regardless of the gang's tasks on other shards.
     pub(super) fn owner_supports_gangs(&self, target: &PlacementTarget) -> bool {
         self.owner(&target.id).is_some_and(|owner| self.cluster.replica.supports_gangs(owner))
     }
--- a/src/leader/machine_records.rs
+++ b/src/leader/machine_records.rs
@@ -28,7 +28,7 @@
 pub(super) struct MachineWrites<'a> {
     cluster: &'a ClusterView<'a>,
     fleet: &'a Fleet,
-    /// Most keys that may be written.
+    /// Maximum number of keys that may be written.
     max_keys: usize,
     /// New contents of overflow keys, which take the machines that do not fit into their group's
     /// own key.
@@ -43,9 +43,9 @@
         MachineWrites { cluster, fleet, max_keys, overflow: BTreeMap::new(), written: Vec::new() }
     }
 
-    /// The changes that bring the record up to date, as far as `max_keys` allows. Overflow keys
-    /// come after the groups' own keys, so that a reader that follows both never misses a machine
-    /// in between.
+    /// Returns the changes that bring the record up to date, as far as `max_keys` allows. Overflow
+    /// keys come after the groups' own keys, so that a reader that follows both never misses a
+    /// machine in between.
     pub(super) fn changes(mut self) -> Vec<Change> {
         for group in self.outdated_groups() {
             if self.key_count() >= self.max_keys || !self.write_group(group) {
@@ -57,36 +57,36 @@
         self.written
     }
 
-    /// Number of keys to be written so far.
+    /// Returns the number of keys to be written so far.
     fn key_count(&self) -> usize {
         self.written.len() + self.overflow.len()
     }
 
-    /// Whether a machine is up but on record neither as up nor as terminated.
+    /// Returns whether a machine is up but on record neither as up nor as terminated.
     fn is_new(&self, id: &MachineId, machine: &FleetMachine) -> bool {
         let known = self.cluster.replica.machines.get(id);
         machine.up && known.is_none_or(|record| !record.up && record.gone.is_none())
     }
 
-    /// Whether a machine is terminated but not on record as terminated.
+    /// Returns whether a machine is terminated but not on record as terminated.
     fn is_newly_terminated(&self, id: &MachineId, record: &MachineRecord) -> bool {
         record.gone.is_none() && self.fleet.terminated.contains(id)
     }
 
-    /// Whether a tombstone has been kept for long enough.
+    /// Returns whether a tombstone has been kept for long enough.
     fn is_expired(&self, record: &MachineRecord) -> bool {
         let wall = self.cluster.wall;
         record.gone.is_some_and(|at| wall.0.saturating_sub(at.0) > TOMBSTONE_RETENTION_MS)
     }
 
-    /// The key that a new machine is written to: the first key that names it, else the own key of
-    /// its group.
+    /// Returns the key that a new machine is written to: the first key that names it, else the own
+    /// key of its group.
     fn key_for(&self, id: &MachineId) -> u32 {
         let named_by = self.cluster.replica.groups_of_machine(id).first().copied();
         named_by.unwrap_or_else(|| replica::machine_group(id))
     }
 
-    /// The keys whose content is out of date.
+    /// Returns the keys whose content is out of date.
     fn outdated_groups(&self) -> BTreeSet<u32> {
         let machines = self.fleet.machines.iter();
         let new = machines.filter(|(id, machine)| self.is_new(id, machine));
@@ -100,7 +100,7 @@
         groups
     }
 
-    /// The content that a key is to have now.
+    /// Returns the content that a key is to have now.
     fn content(&self, group: u32) -> Vec<MachineEntry> {
         let replica = self.cluster.replica;
         let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
@@ -120,8 +120,8 @@
         machines.into_iter().collect()
     }
 
-    /// Adds the change of a key. False if the machines that do not fit into it have no overflow key
-    /// that may be written.
+    /// Adds the change of a key. Returns false if machines do not fit into the key and no further
+    /// overflow key may be written for them.
     fn write_group(&mut self, group: u32) -> bool {
         let mut machines = self.content(group);
         let mut moved = Vec::new();
@@ -144,8 +144,8 @@
         true
     }
 
-    /// Moves a machine from a full key to an overflow key. False if no further overflow key may be
-    /// written.
+    /// Moves a machine from a full key to an overflow key. Returns false if no further overflow key
+    /// may be written.
     fn move_to_overflow(&mut self, group: u32, entry: MachineEntry) -> bool {
         let key = (1..)
             .map(|n| group % OVERFLOW_KEY_STRIDE + n * OVERFLOW_KEY_STRIDE)
@@ -162,7 +162,7 @@
         true
     }
 
-    /// Whether an overflow key has room for a machine.
+    /// Returns whether an overflow key has room for a machine.
     fn has_room(&self, key: u32, entry: &MachineEntry) -> bool {
         let stored = || self.cluster.replica.machines_in_group(key);
         let content = self.overflow.get(&key).map_or_else(stored, Vec::as_slice);
@@ -171,7 +171,7 @@
     }
 }
 
-/// The record of a machine that is up.
+/// Returns the record of a machine that is up.
 fn record_of(machine: &FleetMachine) -> MachineRecord {
     MachineRecord {
         machine_type: machine.offer.machine_type.clone(),
@@ -183,13 +183,13 @@
     }
 }
 
-/// The change that writes a key.
+/// Returns the change that writes a key.
 fn group_change(group: u32, machines: Vec<MachineEntry>) -> Change {
     let value = wire::to_value(&MachineGroup { machines });
     Change::Put { key: replica::machine_key(group), value, lease: None }
 }
 
-/// Estimated bytes that a group takes as a value.
+/// Returns the estimated bytes that a group takes as a value.
 fn group_bytes(machines: &[MachineEntry]) -> usize {
     let each = machines.iter().map(|m| wire::stored_bytes(m) + 1);
     GROUP_OVERHEAD_BYTES + each.sum::<usize>()
--- a/src/leader/plans.rs
+++ b/src/leader/plans.rs
@@ -12,8 +12,8 @@
 use crate::peer::{Grant, JobStatus, Plan, PlanBody, WaitReason};
 use crate::wire::TaskState;
 
-/// Milliseconds after which changed job statuses are published even if no command has changed.
-/// Users see these statuses.
+/// Minimum milliseconds between a plan and a next one that is published only because job statuses have
+/// changed. Users see these statuses. A plan with changed commands is published without this delay.
 const JOB_STATUS_PERIOD_MS: u64 = 1_000;
 
 /// The grants of one controller.
@@ -28,12 +28,12 @@
 /// The tasks of one [`GrantGroup`].
 struct GroupedTasks {
     /// Earliest [`TaskGrant::last_used_at`] of the tasks.
-    first_used_at: MonotonicTime,
+    earliest_last_used_at: MonotonicTime,
     tasks: TaskRanges,
 }
 
 impl Leader {
-    /// Puts an epoch into effect. To be called once its transaction is known to be carried out.
+    /// Puts an epoch into effect. To be called once its transaction is known to be committed.
     pub fn publish(&mut self, cluster: &ClusterView<'_>, epoch: Epoch) {
         self.task_grants.recorded.extend(epoch.recorded);
         self.task_grants.recorded_ahead.extend(epoch.recorded_ahead);
@@ -50,7 +50,7 @@
         let is_unchanged = |id: &NodeId, body: &PlanBody| {
             self.plans.bodies.get(id).is_some_and(|known| known.has_same_commands(body))
         };
-        // A plan without any change would cost messages and tell nothing.
+        // A plan without any change would cost messages and have no effect.
         let status_due = cluster.now.since(self.plans.job_statuses_sent) >= JOB_STATUS_PERIOD_MS;
         let commands_changed = self.plans.seq == PlanSeq(0)
             || self.fleet.newest_ownership_change() > self.plans.seq
@@ -74,7 +74,7 @@
         self.plans.seq = self.plans.next();
     }
 
-    /// What each controller may do now, without the job statuses.
+    /// Returns the body of the next plan for each controller, without the job statuses.
     fn bodies_without_job_statuses(&self) -> BTreeMap<NodeId, PlanBody> {
         let machines = &self.fleet.machines;
         let draining = machines.iter().filter(|(_, m)| m.draining.is_some());
@@ -100,37 +100,37 @@
         self.fleet.controllers.keys().map(body).collect()
     }
 
-    /// The grants of each controller. Grants that await a release are ordered by
-    /// [`GroupedTasks::first_used_at`], because shards use them in that order.
+    /// Returns the grants of each controller. Grants that await a release are ordered by
+    /// [`GroupedTasks::earliest_last_used_at`], because shards use them in that order.
     fn grants_by_node(&self) -> BTreeMap<NodeId, NodeGrants> {
         let mut groups: BTreeMap<GrantGroup<'_>, GroupedTasks> = BTreeMap::new();
         for (task, grant) in &self.task_grants.granted {
             let group = groups.entry(GrantGroup::of(task, grant)).or_insert_with(|| GroupedTasks {
-                first_used_at: grant.last_used_at,
+                earliest_last_used_at: grant.last_used_at,
                 tasks: TaskRanges::default(),
             });
-            group.first_used_at = grant.last_used_at.min(group.first_used_at);
+            group.earliest_last_used_at = grant.last_used_at.min(group.earliest_last_used_at);
             group.tasks.insert(task.index);
         }
         let mut awaiting_release: Vec<(MonotonicTime, NodeId, Grant)> = Vec::new();
         let mut by_node: BTreeMap<NodeId, NodeGrants> = BTreeMap::new();
-        for (group, GroupedTasks { first_used_at, tasks }) in groups {
+        for (group, GroupedTasks { earliest_last_used_at, tasks }) in groups {
             let zone = group.zone.map(str::to_string);
             let grant = Grant { job: group.job.0, tasks, zone, attempt: group.attempt };
             if group.awaits_release {
-                awaiting_release.push((first_used_at, group.node, grant));
+                awaiting_release.push((earliest_last_used_at, group.node, grant));
             } else {
                 by_node.entry(group.node).or_default().with_room.push(grant);
             }
         }
-        awaiting_release.sort_by_key(|(first_used_at, _, _)| *first_used_at);
+        awaiting_release.sort_by_key(|(earliest_last_used_at, _, _)| *earliest_last_used_at);
         for (_, node, grant) in awaiting_release {
             by_node.entry(node).or_default().awaiting_release.push(grant);
         }
         by_node
     }
 
-    /// The status of each open job, for answers to users.
+    /// Returns the status of each open job, for answers to users.
     fn job_statuses(&self, cluster: &ClusterView<'_>) -> Vec<JobStatus> {
         let on_machines = self.fleet.on_machines();
         let mut running: FxHashMap<JobId, u32> = FxHashMap::default();
@@ -152,8 +152,8 @@
             .collect()
     }
 
-    /// The current plan for a controller, without the parts that it follows already. `None` before
-    /// the first publication and for unknown controllers.
+    /// Returns the current plan for a controller, without the parts that the controller has applied
+    /// already. `None` before the first publication and for unknown controllers.
     pub fn plan_for(&self, node: NodeId, now: MonotonicTime) -> Option<Plan> {
         let state = self.fleet.controllers.get(&node).filter(|_| self.plans.seq > PlanSeq(0))?;
         let body = self.plans.bodies.get(&node)?;
@@ -170,7 +170,8 @@
     }
 }
 
-/// How many tasks have completed, by job, for jobs with completed tasks that are not all on record.
+/// Returns the number of completed tasks of each open job that has completions which may not be on
+/// record yet.
 fn completed_counts(cluster: &ClusterView<'_>) -> Vec<(u64, u32)> {
     let completed_tasks = cluster.completed_tasks.iter();
     let counts = completed_tasks.filter_map(|(id, completed_tasks)| {
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -18,9 +18,9 @@
 
 /// Upper bounds of the usage of all teams.
 struct TeamUsageTable<'a> {
-    /// Team numbers by name.
+    /// Index of each team in the settings, by name.
     team_numbers: FxHashMap<&'a str, usize>,
-    /// Usage by team number.
+    /// Usage by the team's index in the settings.
     usage: Vec<TeamUsage>,
 }
 
@@ -56,17 +56,20 @@
         }
     }
 
-    /// Adds everything that machines offer to the usage of every team if they show tasks of unknown jobs.
+    /// Adds everything that machines with tasks of unknown jobs offer to the usage of every team, as the tasks
+    /// may belong to any team.
     fn count_unidentified(&mut self, inputs: &EpochInputs<'_>) {
         for id in machines_with_unknown_tasks(inputs) {
-            let held = max_usage_on_machine(inputs, id);
-            self.usage.iter_mut().for_each(|team| team.unidentified = team.unidentified.plus(held));
+            let max_usage = max_usage_on_machine(inputs, id);
+            self.usage
+                .iter_mut()
+                .for_each(|team| team.unidentified = team.unidentified.plus(max_usage));
         }
     }
 }
 
 impl Leader {
-    /// Returns an upper bound of the usage of each team, by team number.
+    /// Returns an upper bound of the usage of each team, by the team's index in the settings.
     pub(super) fn team_usage(&self, inputs: &EpochInputs<'_>) -> Vec<TeamUsage> {
         let EpochInputs { cluster, on_machines, .. } = inputs;
         let mut used = TeamUsageTable::empty(&cluster.settings.params.teams);
@@ -77,16 +80,16 @@
         used.usage
     }
 
-    /// Adds what may be on machines that have not reported in this term. For each team this is at most what
-    /// these machines offer, and at most what its tasks need that may be there: the unresolved tasks and those
-    /// that may outlast its ended jobs.
+    /// Adds the usage of tasks that may be on unreconciled machines. For each team it is at most what these
+    /// machines offer, and at most what the team's tasks need that may be on them: its unresolved tasks, and
+    /// tasks that may still run after their jobs have ended.
     fn count_unreconciled(&self, inputs: &EpochInputs<'_>, used: &mut TeamUsageTable<'_>) {
         let replica = inputs.cluster.replica;
         let unreconciled = inputs.fleet.unreconciled.iter();
-        let held = unreconciled
+        let max_usage = unreconciled
             .map(|id| max_usage_on_machine(inputs, id))
             .fold(Usage::default(), Usage::plus);
-        if held == Usage::default() {
+        if max_usage == Usage::default() {
             return;
         }
         let mut unresolved_by_job: FxHashMap<JobId, u64> = FxHashMap::default();
@@ -108,7 +111,8 @@
         for team in &mut used.usage {
             // The record of residual usage is incomplete, and the missing part may belong to any team.
             let count_all = replica.residual_usage_truncated;
-            team.unreconciled = if count_all { held } else { team.unreconciled.min(held) };
+            team.unreconciled =
+                if count_all { max_usage } else { team.unreconciled.min(max_usage) };
         }
     }
 
@@ -126,7 +130,8 @@
         self.jobs.teams_over_limit = names.collect::<HashSet<String>>();
     }
 
-    /// Returns how many more tasks with that need the limit of a team allows.
+    /// Returns how many more tasks that need `need` each the limit of a team allows. `team` is the team's index
+    /// in the settings.
     pub(super) fn tasks_within_limit(
         &self,
         cluster: &ClusterView<'_>,
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -37,7 +37,8 @@
     run_s: f64,
     /// Whether `run_s` is short in comparison with the boot time of machines.
     short_running: bool,
-    /// Tasks that its team's limit allows besides the jobs that are more urgent.
+    /// Number of tasks of the job's size that fit within the team's limit beside the team's more
+    /// urgent jobs.
     allowed: u64,
     /// Tasks that are on machines, granted or being granted.
     running: u32,
@@ -49,17 +50,17 @@
     /// and the largest gang while its job is open.
     fn add(&mut self, cluster: &ClusterView<'_>, load: &JobLoad<'_>) {
         let spec = &load.job.spec;
-        let runs_since_arrival =
+        let within_first_run_time =
             (since_accepted_ms(cluster, load.job) as f64) < load.run_s * 1000.0;
         let cores = load.need.cores.0;
         if spec.kind == JobKind::Gang {
             let total_cores = Cores(cores * u64::from(spec.task_count));
             let gangs = &mut self.gangs[usize::from(spec.allows_spot)];
-            if runs_since_arrival {
+            if within_first_run_time {
                 gangs.total.0 += total_cores.0;
             }
             gangs.largest = total_cores.max(gangs.largest);
-        } else if load.short_running && runs_since_arrival {
+        } else if load.short_running && within_first_run_time {
             let total_cores = cores * u64::from(spec.task_count).min(load.allowed);
             self.work.short_running.0 += total_cores;
             self.work.urgent.0 += if spec.priority <= Priority::High { total_cores } else { 0 };
@@ -91,7 +92,7 @@
         market.record_surplus(now, self.scaling.decision.has_surplus);
     }
 
-    /// Number of tasks of each job that are on machines, granted or being granted.
+    /// Returns the number of tasks of each job that are on machines, granted or being granted.
     fn running_tasks(&self, inputs: &EpochInputs<'_>, epoch: &Epoch) -> FxHashMap<JobId, u32> {
         let on_machines = inputs.on_machines;
         let granting: FxHashSet<TaskId> = epoch.grants.iter().map(|new| new.task).collect();
@@ -104,8 +105,8 @@
         running
     }
 
-    /// The open jobs, most urgent first, with the tasks that their teams' limits allow; and the
-    /// load that they offer.
+    /// Returns the open jobs, most urgent first, with the number of their tasks to start that their
+    /// teams' limits allow. Also returns the load that the open jobs offer.
     fn pending_work<'a>(
         &self,
         inputs: &EpochInputs<'a>,
@@ -145,7 +146,7 @@
         (pending, open_load)
     }
 
-    /// The machines and how they are used.
+    /// Returns the machines with their free resources and their states, as the autoscaler needs them.
     fn machine_usage(
         &self,
         inputs: &EpochInputs<'_>,
@@ -191,8 +192,8 @@
         std::mem::take(&mut self.scaling.decision.scale_out)
     }
 
-    /// Discards a scale-out that was decided before the outcome of the last one was known. A new
-    /// decision is due then.
+    /// Discards a scale-out that was decided before the cloud answered the previous request, and makes
+    /// a new decision due.
     pub fn discard_scale_out(&mut self) {
         if !self.scaling.decision.scale_out.is_empty() {
             self.scaling.decision.scale_out.clear();
--- a/src/leader/standby_decisions.rs
+++ b/src/leader/standby_decisions.rs
@@ -17,11 +17,11 @@
 /// Times of day are computed from the monotonic clock each time, and the results differ slightly. A
 /// time that moved by less than these milliseconds counts as unchanged.
 const TIME_TOLERANCE_MS: u64 = 2_000;
-/// Largest ratio of run times that is accepted from another controller.
+/// Largest ratio of actual to expected run times that is accepted from another controller.
 const MAX_RUN_TIME_RATIO: f64 = 100.0;
-/// Largest weight of a class's run times, in estimated seconds, that is accepted from another
-/// controller.
-const MAX_RUN_TIME_WEIGHT: f64 = 1_000.0;
+/// Largest sum of a class's estimated run times, in seconds, that is accepted from another
+/// controller as the weight of the class's ratio.
+const MAX_RUN_TIME_WEIGHT_S: f64 = 1_000.0;
 
 impl From<&MachineOffer> for MachineOfferRecord {
     fn from(offer: &MachineOffer) -> Self {
@@ -43,8 +43,8 @@
     }
 }
 
-/// The recorded time of day if the computed one differs from it only slightly, else the computed
-/// one.
+/// Returns the recorded time of day, `known`, if the computed one differs from it by less than
+/// [`TIME_TOLERANCE_MS`], else the computed one.
 fn stable_time(known: Option<WallTime>, computed: u64) -> WallTime {
     known.filter(|w| w.0.abs_diff(computed) < TIME_TOLERANCE_MS).unwrap_or(WallTime(computed))
 }
@@ -57,8 +57,8 @@
 }
 
 impl Leader {
-    /// The state that this leader's decisions amount to. `known` is the state that was recorded
-    /// last.
+    /// Returns the state that this leader's decisions amount to. `known` is the state that was
+    /// recorded last.
     pub fn decision_target(
         &self,
         cluster: &ClusterView<'_>,
@@ -78,33 +78,33 @@
         }
     }
 
-    /// Admitted tasks of each job.
+    /// Returns the number of admitted tasks of each job.
     fn admissions(&self) -> BTreeMap<JobNumber, Admission> {
         let shares = self.jobs.shares.iter();
         shares.map(|(job, share)| ((*job).into(), Admission { share: *share })).collect()
     }
 
-    /// The controller that each granted task is granted to.
+    /// Returns the controller that each granted task is granted to.
     fn granted_controllers(&self) -> BTreeMap<TaskNumber, NodeId> {
         let granted = self.task_grants.granted.iter();
         granted.map(|(task, grant)| ((*task).into(), grant.node)).collect()
     }
 
-    /// Machines that were requested and are not up yet.
+    /// Returns the machines that were requested and are not up yet.
     fn provisioning_machines(&self) -> BTreeMap<MachineId, MachineOfferRecord> {
         let machines = self.fleet.machines.iter();
         let provisioning = machines.filter(|(_, machine)| !machine.up && !machine.failed);
         provisioning.map(|(id, machine)| (id.clone(), (&machine.offer).into())).collect()
     }
 
-    /// Machines that are being drained for their return to the cloud.
+    /// Returns the machines that are being drained for their return to the cloud.
     fn draining_machines(&self) -> BTreeSet<MachineId> {
         let machines = self.fleet.machines.iter();
         let draining = machines.filter(|(_, machine)| machine.draining.is_some());
         draining.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Run times of each class of jobs, relative to the estimates.
+    /// Returns the run times of each class of jobs, relative to the estimates.
     fn run_time_ratios(&self) -> BTreeMap<String, RunTimeRatio> {
         let classes = self.retained.class_run_times.iter();
         let ratios = classes.map(|(class, times)| {
@@ -114,7 +114,7 @@
         ratios.collect()
     }
 
-    /// Measured speeds of machines.
+    /// Returns the measured speeds of machines.
     fn measured_speeds(&self) -> BTreeMap<MachineId, MachineSpeed> {
         let speeds = self.retained.machine_slowdowns.iter();
         let measured = speeds.map(|(id, speed)| {
@@ -124,7 +124,8 @@
         measured.collect()
     }
 
-    /// Offers that the cloud refused, and the time of day until which they are not requested.
+    /// Returns the offers that the cloud refused, with the time of day until which they are not
+    /// requested.
     fn refusal_times(
         &self,
         cluster: &ClusterView<'_>,
@@ -140,7 +141,8 @@
         times.collect()
     }
 
-    /// Jobs without a task on a machine or on its way there, and since which time of day.
+    /// Returns the open jobs that hold no task, neither on a machine nor granted, with the time of day
+    /// since when.
     fn waiting_times(
         &self,
         cluster: &ClusterView<'_>,
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Takes over since when open jobs have had no task on a machine or on its way there.
+    /// Takes over since when open jobs have held no task, neither on a machine nor granted.
     fn apply_waiting_times(
         &mut self,
         cluster: &ClusterView<'_>,
@@ -226,8 +228,8 @@
     fn apply_unrecorded(&mut self, cluster: &ClusterView<'_>, state: &DecisionState) -> u64 {
         let mut hints = 0;
         for (class, ratio) in state.run_times.entries() {
-            let in_bounds = (0.0..=MAX_RUN_TIME_WEIGHT).contains(&ratio.weight)
-                && (0.0..=MAX_RUN_TIME_RATIO * MAX_RUN_TIME_WEIGHT).contains(&ratio.sum);
+            let in_bounds = (0.0..=MAX_RUN_TIME_WEIGHT_S).contains(&ratio.weight)
+                && (0.0..=MAX_RUN_TIME_RATIO * MAX_RUN_TIME_WEIGHT_S).contains(&ratio.sum);
             if in_bounds {
                 let times = ClassRunTimes { actual_s: ratio.sum, estimated_s: ratio.weight };
                 self.retained.class_run_times.insert(class.clone(), times);
@@ -259,7 +261,7 @@
         hints
     }
 
-    /// Gangs that are granted or being stopped.
+    /// Returns the gangs that are granted or being stopped.
     fn gang_steps(&self) -> BTreeMap<JobNumber, GangStep> {
         let granted = self
             .gangs
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -48,8 +48,8 @@
     cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
 }
 
-/// Closes machines to other jobs for a gang that fits nowhere, in the zone where it can begin first. These
-/// machines hold the gang once they are empty.
+/// Closes machines to new tasks for a gang that fits nowhere. These machines hold the gang once they are empty;
+/// they are all in one zone if the gang has to be.
 fn hold_back_for_gang(
     cluster: &ClusterView<'_>,
     job: &Job,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Machines of a zone that hold a gang once they are empty.
+/// Machines that hold a gang once they are empty.
 #[derive(Default)]
 struct GangCapacity {
     /// Indices of the machines within the targets.
@@ -95,7 +95,8 @@
     free_slots: usize,
 }
 
-/// Selects machines of a zone for a gang, those with most free cores first, until it fits on them when empty.
+/// Selects machines for a gang, those with most free cores first, until it fits on them when empty. All are in
+/// `zone` if it is set.
 fn gang_capacity(
     cluster: &ClusterView<'_>,
     job: &Job,
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -4,9 +4,11 @@
 //! ([`TaskGrants::is_free`]). A term begins with no grants, and every task that an earlier term
 //! granted and that is not done is *unresolved*. An unresolved task becomes resolved when a
 //! reconciled machine reports it, when it is done, or when every machine that may hold it is
-//! reconciled or proven terminated. Within a term a task has at most one grant. A revoked grant
-//! blocks the task until the shard that held it follows a plan without it. The argument is in
-//! `docs/safety.md`, "When a task is free".
+//! reconciled or proven terminated. A machine is reconciled once one of its heartbeats has carried
+//! the fencing token of the current term, because it refuses commands of earlier terms from then
+//! on. Within a term a task has at most one grant. A revoked grant blocks the task until the shard
+//! that held it follows a plan without it. The argument is in `docs/safety.md`, "When a task is
+//! free".
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -154,7 +156,7 @@
         task_grants
     }
 
-    /// Whether a task may be granted: it is not done and proven to be on no machine.
+    /// Returns whether a task may be granted: it is not done and proven to be on no machine.
     fn is_free(&self, inputs: &EpochInputs<'_>, task: TaskId) -> bool {
         let completed = inputs.cluster.completed_tasks.get(&task.job);
         inputs.cluster.replica.may_run(task)
@@ -165,7 +167,7 @@
             && !self.unresolved.contains(&task)
     }
 
-    /// The job's tasks that may be granted, in ascending order.
+    /// Returns the job's tasks that may be granted, in ascending order.
     pub(super) fn free_tasks(
         &self,
         inputs: &EpochInputs<'_>,
@@ -177,14 +179,14 @@
             .filter(move |task| self.is_free(inputs, *task))
     }
 
-    /// Tasks granted or revoked in this term that no reconciled machine reports.
+    /// Returns the tasks granted or revoked in this term that no reconciled machine reports.
     fn not_on_machines(&self, on_machines: &TasksOnMachines<'_>) -> impl Iterator<Item = &TaskId> {
         let held = self.granted.keys().chain(self.revoked.keys());
         held.filter(|task| !on_machines.contains_key(task))
     }
 
-    /// Adds the resources of tasks granted or revoked in this term that no reconciled machine
-    /// reports to the use of their teams. `teams` is indexed like the settings.
+    /// Adds tasks granted or revoked in this term that no reconciled machine reports to the usage of
+    /// their teams. `teams` has the order of the teams in the settings.
     pub(super) fn count_not_on_machines(
         &self,
         on_machines: &TasksOnMachines<'_>,
--- a/src/leader/team_usage.rs
+++ b/src/leader/team_usage.rs
@@ -1,5 +1,5 @@
-//! Upper bound of a team's usage, in parts that are each released by their own evidence (`docs/safety.md`,
-//! "Limits, zones, kinds").
+//! Upper bound of a team's usage. It consists of parts, each of which shrinks only on evidence of its own
+//! (`docs/safety.md`, "Limits, zones, kinds").
 
 use std::fmt;
 
@@ -60,9 +60,9 @@
 pub(super) struct TeamUsage {
     /// Tasks on reconciled machines, including those that were started and that no heartbeat has shown yet.
     pub(super) on_machines: Usage,
-    /// Granted tasks that no machine shows.
+    /// Granted tasks that no reconciled machine reports.
     pub(super) granted: Usage,
-    /// Tasks of revoked grants that no machine shows, until their shard confirms the revocation.
+    /// Tasks of revoked grants that no reconciled machine reports, until their shard confirms the revocation.
     pub(super) revoked: Usage,
     /// Everything that machines with tasks of unknown jobs offer.
     pub(super) unidentified: Usage,
--- a/src/leader/term_start.rs
+++ b/src/leader/term_start.rs
@@ -11,12 +11,13 @@
 use crate::replica::Replica;
 
 impl Leader {
-    /// Begins a term. `previous` is this leader's state in its last term, if it led before:
-    /// machines and the market are kept, grants become unresolved tasks.
+    /// Begins a term. `previous` is this leader's state in its last term, if it led before. Its
+    /// machines and its [`RetainedState`] are kept, and its grants become unresolved tasks.
     pub fn begin(cluster: &ClusterView<'_>, term: Term, previous: Option<Leader>) -> Self {
         let (mut fleet, mut task_grants, mut retained) = (None, None, None);
         if let Some(previous) = previous {
-            // Only a starting point: another leader may have scaled machines in or out since.
+            // These machines are only a starting point, which `Fleet::begin` updates: another leader
+            // may have scaled machines in or out since.
             fleet = Some(previous.fleet);
             task_grants = Some((previous.term, previous.task_grants));
             retained = Some(previous.retained);
@@ -38,7 +39,7 @@
 }
 
 impl RetainedState {
-    /// The state of a leader that has not led before: the offered load that the last leader
+    /// Returns the state of a leader that has not led before: the offered load that the last leader
     /// recorded.
     fn from_store(replica: &Replica) -> Self {
         let mut retained = RetainedState::default();
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -25,17 +25,17 @@
 /// The incarnation of the tested controller.
 const INCARNATION: Incarnation = Incarnation(5);
 
-/// Clock readings `ms` milliseconds after the controller started.
+/// Returns clock readings `ms` milliseconds after the controller started.
 fn at(ms: u64) -> ClockReading {
     ClockReading { steady: MonotonicTime(ms), wall: WallTime(1_000_000 + ms) }
 }
 
-/// A leader of term 3 with two machines and a job of one task that term 2 granted.
+/// Creates a leader of term 3 with two machines and a job of one task that term 2 granted.
 fn leader() -> Controller {
     leader_with(EXAMPLE)
 }
 
-/// The same leader with other settings.
+/// Creates the same leader with other settings.
 fn leader_with(settings: &str) -> Controller {
     let settings = Settings::parse(settings).unwrap();
     let mut controller = Controller::new(Rc::new(settings), INCARNATION);
@@ -64,7 +64,7 @@
     controller
 }
 
-/// A machine as its owner reports it, running these tasks of job 1.
+/// Creates a machine as its owner reports it, running these tasks of job 1.
 fn view(id: &str, reconciled: bool, tasks: &[u32]) -> MachineView {
     MachineView {
         id: MachineId::new(id),
@@ -87,8 +87,8 @@
     }
 }
 
-/// A summary of controller 1 that covers machine `n-1` without tasks. `base_seq` is 0 for a full
-/// one.
+/// Creates a summary of controller 1 that covers machine `n-1` without tasks. `base_seq` is 0 for a
+/// full one.
 fn summary(seq: u64, base_seq: u64, incarnation: Incarnation) -> Summary {
     Summary {
         node: NodeId(1),
--- a/src/leader/tests/gangs.rs
+++ b/src/leader/tests/gangs.rs
@@ -5,8 +5,8 @@
 use crate::offered_load::GangSample;
 use crate::wire::JobKind;
 
-/// A leader with two machines, each with room for two tasks, and a gang (job 7) besides job 1.
-/// `capabilities` are those of its controller.
+/// Creates a leader with two machines, each with room for two tasks, and with job 1 and a gang
+/// (job 7). `capabilities` are the capabilities of its controller.
 fn leader_with_gang(tasks: u32, edit: fn(&mut wire::JobSpec), capabilities: u32) -> Controller {
     let mut controller = leader();
     let mut gang = wire::JobSpec { kind: JobKind::Gang, one_zone: true, ..spec(7, tasks) };
@@ -25,25 +25,25 @@
     controller
 }
 
-/// A machine that reports these tasks of the gang.
+/// Creates a machine that reports these tasks of the gang.
 fn gang_view(id: &str, tasks: &[(u32, TaskState)]) -> MachineView {
     let task = |index| TaskId { job: JobId(7), index };
     let tasks = tasks.iter().map(|(i, state)| TaskView { task: task(*i), state: *state });
     MachineView { tasks: tasks.collect(), ..view(id, true, &[]) }
 }
 
-/// How many tasks of the gang are granted, and their attempt.
+/// Returns how many tasks of the gang are granted, and their attempt.
 fn granted_of(controller: &Controller) -> (usize, Option<Attempt>) {
     let leader = controller.leader.as_ref().unwrap();
-    let of: Vec<&TaskGrant> = leader
+    let grants: Vec<&TaskGrant> = leader
         .task_grants
         .granted
         .iter()
         .filter(|(t, _)| t.job == JobId(7))
         .map(|(_, g)| g)
         .collect();
-    assert!(of.iter().all(|g| g.attempt == of[0].attempt), "one attempt for all");
-    (of.len(), of.first().and_then(|g| g.attempt))
+    assert!(grants.iter().all(|g| g.attempt == grants[0].attempt), "one attempt for all");
+    (grants.len(), grants.first().and_then(|g| g.attempt))
 }
 
 #[test]
@@ -65,14 +65,14 @@
         ("beyond the team's limit", 4, |s| s.vcpus = 8.5, 1, 0),
         ("the controller does not support gangs", 3, |_| {}, 0, 0),
     ];
-    for (what, tasks, edit, capabilities, want) in cases {
+    for (case, tasks, edit, capabilities, want) in cases {
         let mut controller = leader_with_gang(tasks, edit, capabilities);
         let idle = || vec![view("n-1", true, &[]), view("n-2", true, &[])];
         run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.replica.jobs.remove(&JobId(1));
         run_epoch(&mut controller, 1_300, 1, idle());
         run_epoch(&mut controller, 1_500, 1, idle());
-        assert_eq!(granted_of(&controller).0, want, "{what}");
+        assert_eq!(granted_of(&controller).0, want, "{case}");
     }
 }
 
@@ -98,7 +98,7 @@
         ),
         ("one ended while others run", &[(0, Running), (1, Running)], &[], true),
     ];
-    for (what, first, second, stopped) in cases {
+    for (case, first, second, stopped) in cases {
         let mut controller = leader_with_gang(3, |_| {}, 1);
         run_epoch(&mut controller, 1_100, 0, vec![]);
         controller.replica.jobs.remove(&JobId(1));
@@ -117,7 +117,7 @@
         }
         run_epoch(&mut controller, 2_000, 2, now());
         let stops = controller.leader.as_ref().unwrap().stops();
-        assert_eq!(!stops.is_empty(), stopped, "{what}");
+        assert_eq!(!stops.is_empty(), stopped, "{case}");
         if !stopped {
             continue;
         }
@@ -133,7 +133,7 @@
                 9,
                 vec![gang_view("n-1", &[(0, Running)]), gang_view("n-2", &[])]
             ));
-            assert_eq!(granted_of(&controller).0, 0, "{what}");
+            assert_eq!(granted_of(&controller).0, 0, "{case}");
         }
         run_epoch(&mut controller, 3_000, 9, idle());
         run_epoch(&mut controller, 3_200, 9, idle());
--- a/src/leader/tests/limits.rs
+++ b/src/leader/tests/limits.rs
@@ -67,7 +67,7 @@
     (controller, items)
 }
 
-/// Views of machines with these numbers, which are reconciled and have no tasks.
+/// Returns views of the machines with these numbers, which are reconciled and have no tasks.
 fn free_machines(ids: std::ops::Range<u32>) -> Vec<MachineView> {
     let view = |n| MachineView {
         endpoint: "10.255.255.255:65535".into(),
--- a/src/leader/tests/summaries.rs
+++ b/src/leader/tests/summaries.rs
@@ -49,7 +49,7 @@
         ("node 2 may have answered before it was restarted", 9_000, None, false),
         ("node 2 has been up for longer than a lease", 12_000, None, true),
     ];
-    for (what, uptime_ms, answered, over) in cases {
+    for (case, uptime_ms, answered, lease_expired) in cases {
         let mut controller = leader();
         let now = MonotonicTime(300_000);
         controller.rights.confirm_renewal(now);
@@ -69,12 +69,12 @@
             assert_eq!(
                 leader.fleet.unreconciled.len(),
                 2,
-                "{what}: proven before every node sent a summary"
+                "{case}: proven before every node sent a summary"
             );
         }
         controller.epoch(at(now.0)).unwrap();
         let unreconciled = &controller.leader.as_ref().unwrap().fleet.unreconciled;
-        assert_eq!(unreconciled.contains(&MachineId::new("n-1")), !over, "{what}");
+        assert_eq!(unreconciled.contains(&MachineId::new("n-1")), !lease_expired, "{case}");
     }
 }
 
