--- a/src/leader.rs
+++ b/src/leader.rs
@@ -223,7 +223,7 @@
     pub fn epoch(&mut self, cluster: &ClusterView<'_>) -> Epoch {
         self.update_fleet(cluster);
         // `on_machines` borrows the fleet, so the fleet is moved out of `self` while the steps below run.
-        // None of them changes it.
+        // None of the steps changes the fleet.
         let fleet = std::mem::replace(&mut self.fleet, Fleet::begin(cluster, None));
         let on_machines = fleet.on_machines();
         let inputs = EpochInputs { cluster, fleet: &fleet, on_machines: &on_machines };
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -19,8 +19,8 @@
 /// limit, other work would find no machine in a small fleet.
 const MAX_RESERVED_SHARE: f64 = 0.25;
 
-/// Milliseconds for which the needs of gangs are remembered after the last gang with them was open:
-/// their images, and whether they have to be spread over zones.
+/// Milliseconds for which the needs of gangs are remembered after the last gang with such needs was
+/// open. Needs are the gangs' images, and whether the gangs have to be spread over zones.
 const GANG_NEEDS_RETENTION_MS: u64 = 300_000;
 
 /// The resources that gangs use now.
--- a/src/leader/quotas.rs
+++ b/src/leader/quotas.rs
@@ -32,7 +32,7 @@
         TeamUsageTable { team_numbers, usage: vec![TeamUsage::default(); teams.len()] }
     }
 
-    /// Returns the usage of the team with that name; `None` if there is no such team.
+    /// Returns the usage of the team called `name`; `None` if the settings have no such team.
     fn team(&mut self, name: &str) -> Option<&mut TeamUsage> {
         self.usage.get_mut(*self.team_numbers.get(name)?)
     }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -1,5 +1,5 @@
-//! Bound on waiting: jobs that have had no task anywhere for long take precedence, and machines are held back
-//! for those that fit nowhere.
+//! Bound on waiting: jobs that have held no task for long take precedence, and machines are held back for jobs
+//! that fit on no machine.
 
 use super::allocation::EpochAllocation;
 use super::task_grants::JobTaskCounts;
--- a/src/leader/tests/machines.rs
+++ b/src/leader/tests/machines.rs
@@ -74,8 +74,7 @@
 #[test]
 fn a_recorded_machine_without_heartbeats_is_scaled_in() {
     // Guards against counting on machines that no longer exist: in a benchmark, a leader returned machines and
-    // could no longer record that. The next leader took them for booting and counted on them
-    // for minutes.
+    // could no longer record that. The next leader took them for booting and counted on them for minutes.
     let mut controller = leader();
     let alive = || vec![view("n-2", true, &[])];
     let scaled_in = |controller: &mut Controller, ms| {
--- a/src/leader/tests/precedence.rs
+++ b/src/leader/tests/precedence.rs
@@ -184,7 +184,7 @@
         // With less slack left, little work goes first again.
         (large(10.0), small(60.0)),
         (large(0.0), small(120.0)),
-        // A job that is late already has less weight.
+        // A job that can no longer meet its deadline has less weight.
         (large(70.0), small(100.0)),
         (small(190.0), large(40.0)),
     ];
--- a/src/leader/tests/quotas.rs
+++ b/src/leader/tests/quotas.rs
@@ -119,7 +119,10 @@
             )?;
         }
     }
-    ensure(epoch(revoking_plan, None).0, "the task counts although it is proven to be nowhere")
+    ensure(
+        epoch(revoking_plan, None).0,
+        "the task counts although it is proven to be on no machine",
+    )
 }
 
 fn ensure(condition: bool, failure: &'static str) -> Result<(), &'static str> {
