--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -185,7 +185,7 @@
         self.count_tasks_by_zone(inputs, id, &mut zones);
         let Some(chosen) = choose_gang_machines(inputs, request, &allocation.targets, &zones)
         else {
-            self.jobs.wait_reasons.entry(id).or_insert(WaitReason::ForMachines);
+            self.jobs.wait_reasons.entry(id).or_insert(WaitReason::NoFreeMachines);
             return;
         };
         let attempt = match self.gangs.granted.get(&id).filter(|_| held > 0) {
