--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The settings file that the platform hands over, checked once at the start: its [`settings`] types, the
-//! checks, and the [`timing`] that follows from it. Errors name fields as the file does.
+//! The settings file that the platform provides, which is checked once at startup. [`settings`] defines its types, and
+//! [`timing`] the times derived from it. Errors give the path of the field in the file.
 
 mod checks;
 pub mod settings;
@@ -18,38 +18,38 @@
 };
 pub use timing::HeartbeatTiming;
 
-/// Why the settings cannot be used.
+/// Why the settings are invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// The file's path.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a field is missing or of the wrong type.
+    /// The file is not valid TOML, or a field is missing or has the wrong type.
     #[error("{0}")]
     Parse(String),
-    /// A field's value makes no sense.
-    #[error("{field}: {why}")]
+    /// A field has an invalid value.
+    #[error("{field}: {reason}")]
     Field {
-        /// The field, with its path in the file.
+        /// Path of the field in the file.
         field: String,
-        /// What is wrong with it.
-        why: String,
+        /// What is wrong with the value.
+        reason: String,
     },
 }
 
-/// A controller as all of them number it.
+/// A controller of the deployment. Its [`NodeId`] is its index in [`Settings::all_nodes`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeInfo {
-    /// Its name.
+    /// Name of the controller.
     pub name: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Where the other controllers reach it.
+    /// Address for the other controllers.
     pub peer_addr: SocketAddr,
 }
 
@@ -57,7 +57,7 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Says whether the file cannot be read, is not of the right form, or which field is wrong.
+    /// Returns an error if the file cannot be read or parsed, or has a field with an invalid value.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.display().to_string(), source })?;
@@ -67,16 +67,16 @@
     /// Parses and checks the text of a settings file.
     ///
     /// # Errors
-    /// As for [`load`](Self::load).
+    /// Returns an error if the text cannot be parsed or has a field with an invalid value.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut settings: Settings = toml::from_str(text)
             .map_err(|error| ConfigError::Parse(error.to_string().trim().replace('\n', " ")))?;
         settings.check()?;
-        settings.params.store.apply_stricter();
+        settings.params.store.apply_next_limits();
         Ok(settings)
     }
 
-    /// All controllers in the order that all of them use, by name, and this one's place among them.
+    /// Returns all controllers ordered by name, which is the same order on each of them, and the index of this one.
     pub fn all_nodes(&self) -> (Vec<NodeInfo>, NodeId) {
         let mut nodes: Vec<NodeInfo> = self
             .peers
@@ -97,28 +97,28 @@
         (nodes, NodeId(me as u8))
     }
 
-    /// The team of that name.
+    /// Returns the team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.params.teams.iter().find(|team| team.name == name)
     }
 
-    /// How long a node may keep workers alive after its last proof of being current, in
-    /// milliseconds: what remains of `cancel_s` after a whole worker lease and a margin.
-    /// `docs/safety.md` says why a lost controller's tasks have ended by then.
+    /// Time in milliseconds for which a controller may renew leases of workers after its own lease was last renewed or
+    /// its replica was last known to be current, whichever was earlier. It is `cancel_s` minus a whole worker lease and
+    /// a margin. `docs/safety.md` explains why the tasks of a lost controller have ended by then.
     pub fn keep_alive_ms(&self) -> u64 {
         let workers = &self.params.workers;
-        let margin = 2.0 + workers.cancel_s * 0.001;
-        ((workers.cancel_s - workers.lease_s - margin).max(1.0) * 1000.0) as u64
+        let margin_s = 2.0 + workers.cancel_s * 0.001;
+        ((workers.cancel_s - workers.lease_s - margin_s).max(1.0) * 1000.0) as u64
     }
 
-    /// A worker's lease in milliseconds.
+    /// Duration of a worker's lease in milliseconds.
     pub fn worker_lease_ms(&self) -> u64 {
         (self.params.workers.lease_s * 1000.0) as u64
     }
 
-    /// Times that follow from the interval of heartbeats.
+    /// Returns the times derived from the heartbeat interval.
     pub fn timing(&self) -> HeartbeatTiming {
-        HeartbeatTiming::of(&self.params.workers)
+        HeartbeatTiming::new(&self.params.workers)
     }
 }
 
--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -1,24 +1,27 @@
-//! The checks of the settings, once at the start. Each names the field that is wrong by its path in the file.
+//! Validation of the settings at startup. Errors give the path of the invalid field in the file.
 
 use super::{ConfigError, NextLimits, Params, Settings};
 
-/// Most controllers that are supported.
+/// Maximum supported number of controllers.
 const MAX_CONTROLLERS: u32 = 32;
-/// Least seconds by which `cancel_s` exceeds `lease_s`: for the right to keep workers alive, and a margin.
+/// Minimum time in seconds by which `cancel_s` exceeds `lease_s`. It leaves time to renew leases of workers
+/// ([`Settings::keep_alive_ms`]) and a margin.
 const CANCEL_MARGIN_S: f64 = 4.0;
-/// Fewest changes in a transaction: an election writes the leader's record and the term's at once.
+/// Minimum number of changes per transaction. An election writes the records of the leader and of the term in one
+/// transaction.
 const MIN_TXN_OPS: usize = 2;
-/// Least KiB per value: the largest job description has to fit.
+/// Minimum size limit of a value in KiB. The largest job description has to fit.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Fewest open sockets that leave room for workers, users and peers.
+/// Minimum number of sockets that suffices for workers, users and peers.
 const MIN_SOCKETS: usize = 64;
 
-fn wrong<T>(field: &str, why: &str) -> Result<T, ConfigError> {
-    Err(ConfigError::Field { field: field.to_string(), why: why.to_string() })
+/// Returns the error for an invalid field.
+fn invalid<T>(field: &str, reason: &str) -> Result<T, ConfigError> {
+    Err(ConfigError::Field { field: field.to_string(), reason: reason.to_string() })
 }
 
 impl Settings {
-    /// Checks the settings, and gives the first field that is wrong.
+    /// Checks the settings and returns an error for the first invalid field.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         self.check_controllers()?;
         let params = &self.params;
@@ -27,26 +30,26 @@
         params.check_store(&next)?;
         params.check_teams()?;
         if params.limits.sockets < MIN_SOCKETS {
-            return wrong("params.limits.sockets", "must be 64 or more");
+            return invalid("params.limits.sockets", "must be 64 or more");
         }
         Ok(())
     }
 
     fn check_controllers(&self) -> Result<(), ConfigError> {
         if self.node_name.is_empty() {
-            return wrong("node_name", "is empty");
+            return invalid("node_name", "must not be empty");
         }
         if self.params.nodes as usize != self.peers.len() + 1 {
-            return wrong("params.nodes", "does not match the controllers listed in known");
+            return invalid("params.nodes", "must be the number of controllers in known plus 1");
         }
         if self.params.nodes > MAX_CONTROLLERS {
-            return wrong("params.nodes", "more than 32 controllers are not supported");
+            return invalid("params.nodes", "must be 32 or less");
         }
         let mut names: Vec<&str> = self.peers.iter().map(|peer| peer.node_name.as_str()).collect();
         names.push(&self.node_name);
         names.sort_unstable();
         if names.windows(2).any(|pair| pair[0] == pair[1]) {
-            return wrong("known", "two controllers have the same name");
+            return invalid("known", "controllers must have different names");
         }
         Ok(())
     }
@@ -70,13 +73,13 @@
         ];
         for (field, value) in positive {
             if value.is_some_and(|value| !(value.is_finite() && value > 0.0)) {
-                return wrong(field, "must be a number above 0");
+                return invalid(field, "must be a number above 0");
             }
         }
         if self.workers.cancel_s < self.workers.lease_s + CANCEL_MARGIN_S {
-            return wrong(
+            return invalid(
                 "params.workers.cancel_s",
-                "must exceed lease_s by 4 s or more, or cancelled tasks can't be proven gone in time",
+                "must exceed lease_s by 4 s or more, so that cancelled tasks are known to have ended in time",
             );
         }
         Ok(())
@@ -88,7 +91,7 @@
             ("params.state.next.txn_ops", next.txn_ops),
         ] {
             if ops.is_some_and(|ops| ops < MIN_TXN_OPS) {
-                return wrong(field, "must be 2 or more");
+                return invalid(field, "must be 2 or more");
             }
         }
         for (field, kb) in [
@@ -96,7 +99,7 @@
             ("params.state.next.value_kb", next.value_kb),
         ] {
             if kb.is_some_and(|kb| kb < MIN_VALUE_KB) {
-                return wrong(field, "must be 1 or more, or an accepted job may not fit");
+                return invalid(field, "must be 1 or more, so that every accepted job fits");
             }
         }
         Ok(())
@@ -111,7 +114,7 @@
                 team.max_accelerators,
             ];
             if amounts.iter().any(|amount| !amount.is_finite() || *amount < 0.0) {
-                return wrong(
+                return invalid(
                     "params.teams",
                     &format!("amounts of {} must not be negative", team.name),
                 );
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The types of the settings file. Fields have the field's names in the code, and the file's by serde.
+//! The types of the settings file. Serde attributes map field names that differ from the keys of the file.
 
 use std::net::SocketAddr;
 
@@ -6,49 +6,49 @@
 
 use crate::model::Cores;
 
-/// The settings. Fields that are not known are ignored.
+/// The settings of one controller and its deployment. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of this controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Where users, workers and health checks reach it.
+    /// Public address, for users, workers and health checks.
     pub api_addr: SocketAddr,
-    /// Where the other controllers reach it.
+    /// Address for the other controllers.
     #[serde(rename = "back")]
     pub peer_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     #[serde(rename = "known")]
     pub peers: Vec<Peer>,
-    /// The outside services.
+    /// Addresses of the external services.
     #[serde(rename = "outside")]
     pub external: ExternalServices,
-    /// What the deployment is like.
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Where the other controllers reach it, its `back`.
+    /// Its address for the other controllers, which is `back` in its own settings.
     #[serde(rename = "address")]
     pub peer_addr: SocketAddr,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ExternalServices {
-    /// The cloud's interface.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state store.
+    /// Address of the state store.
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
@@ -56,7 +56,7 @@
 /// Parameters of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
-    /// How many controllers there are.
+    /// Number of controllers.
     pub nodes: u32,
     /// The zones.
     #[serde(default)]
@@ -64,46 +64,46 @@
     /// The teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What is expected per class of jobs.
+    /// Objectives for the start and completion of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers' heartbeats and leases.
+    /// Times of workers.
     pub workers: WorkerSettings,
-    /// Budgets of the state store.
+    /// Limits of the state store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
-    /// Budgets of the cloud.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Resources of the controller process.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// A team with its guaranteed resources and its limits; 0 means none.
+/// A team with its guaranteed resources and its limits. 0 stands for no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed vCPUs.
     #[serde(default, rename = "cpus")]
     pub guaranteed_vcpus: f64,
-    /// Most vCPUs at any time.
+    /// Maximum number of vCPUs in use; 0 for no limit.
     #[serde(default, rename = "cpus_max")]
     pub max_vcpus: f64,
     /// Guaranteed accelerators.
     #[serde(default, rename = "gpus")]
     pub guaranteed_accelerators: f64,
-    /// Most accelerators at any time.
+    /// Maximum number of accelerators in use; 0 for no limit.
     #[serde(default, rename = "gpus_max")]
     pub max_accelerators: f64,
 }
 
 impl Team {
-    /// The limit on vCPUs, if there is one.
+    /// Returns the limit on vCPUs, if there is one.
     pub fn core_limit(&self) -> Option<Cores> {
         (self.max_vcpus > 0.0).then(|| Cores::offer(self.max_vcpus))
     }
-    /// The limit on accelerators, if there is one.
+    /// Returns the limit on accelerators, if there is one.
     pub fn accelerator_limit(&self) -> Option<Cores> {
         (self.max_accelerators > 0.0).then(|| Cores::offer(self.max_accelerators))
     }
@@ -112,30 +112,29 @@
 /// An objective for the start or the completion of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What it states.
+    /// Kind of the objective.
     pub kind: ObjectiveKind,
-    /// The class of jobs, if it is about one.
+    /// Class of the jobs to which the objective applies, if it is limited to one.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time that counts, if it has one.
+    /// Time limit in seconds, if the objective has one.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// What an objective states. A string in the file; any is accepted, as platforms may know kinds that this version
-/// does not.
+/// The kind of an objective. Any string is accepted in the file, as platforms may use kinds unknown to this version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// Jobs of a class are done within a time after their acceptance, `finished`.
+    /// `finished`: jobs of a class complete within a time after they were accepted.
     Finished,
-    /// Jobs are done by their own deadlines, `deadline`.
+    /// `deadline`: jobs complete by their own deadlines.
     Deadline,
-    /// Tasks of a class start within a time, `wait`.
+    /// `wait`: tasks of a class start within a time.
     Wait,
-    /// Work within a team's guarantee starts within a time, `guarantee`.
+    /// `guarantee`: work within a team's guarantee starts within a time.
     Guarantee,
-    /// Any other kind, which is passed over.
+    /// Any other kind. Objectives of this kind are ignored.
     Other,
 }
 
@@ -151,68 +150,68 @@
     }
 }
 
-/// Workers' heartbeats and leases, in seconds.
+/// Times of workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Time between two heartbeats.
+    /// Interval between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// A worker's lease: without an answer for that long, it ends all its tasks.
+    /// Duration of a worker's lease. A worker that gets no response for this time ends all its tasks.
     pub lease_s: f64,
-    /// The time within which a cancelled job's tasks have to end.
+    /// Time within which the tasks of a cancelled job have to end.
     pub cancel_s: f64,
-    /// How long a gang's task waits for the others to start.
-    #[serde(default = "gang_wait_s")]
+    /// Time for which a task of a gang waits for the other tasks to start.
+    #[serde(default = "default_gang_wait_s")]
     pub gang_wait_s: f64,
-    /// The time within which a gang's tasks notice that one was lost, and all must have been stopped.
-    #[serde(default = "gang_peer_s")]
+    /// Time within which the tasks of a gang notice that one of them was lost, and within which all have to be stopped.
+    #[serde(default = "default_gang_peer_s")]
     pub gang_peer_s: f64,
 }
 
-/// The value where the settings give none, as they did before gangs.
-fn gang_wait_s() -> f64 {
+/// Default of `gang_wait_s`, for settings files written before gangs were supported.
+fn default_gang_wait_s() -> f64 {
     30.0
 }
 
-/// The value where the settings give none, as they did before gangs.
-fn gang_peer_s() -> f64 {
+/// Default of `gang_peer_s`, for settings files written before gangs were supported.
+fn default_gang_peer_s() -> f64 {
     5.0
 }
 
-/// Budgets of the state store.
+/// Limits of the state store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second, all controllers together.
+    /// Maximum requests per second of all controllers together.
     pub rps: f64,
-    /// Changes a second, all controllers together.
+    /// Maximum changes per second of all controllers together.
     pub write_rps: f64,
-    /// KiB per value.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Changes per transaction.
+    /// Maximum number of changes per transaction.
     pub txn_ops: usize,
-    /// The limits that the store will have from some moment on, without notice.
+    /// Limits that the store will switch to at an unknown time, without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits of the state store to come; what is missing stays.
+/// Future limits of the state store. A missing limit stays as it is.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct NextLimits {
-    /// Requests a second, all controllers together.
+    /// Maximum requests per second of all controllers together.
     pub rps: Option<f64>,
-    /// Changes a second, all controllers together.
+    /// Maximum changes per second of all controllers together.
     pub write_rps: Option<f64>,
-    /// KiB per value.
+    /// Maximum size of a value in KiB.
     pub value_kb: Option<f64>,
-    /// Changes per transaction.
+    /// Maximum number of changes per transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// Applies the lower of both sets of limits. When the next ones begin to hold is not known, so
-    /// what is written keeps both from the start.
-    pub(super) fn apply_stricter(&mut self) {
+    /// Lowers each limit to the future limit if that is lower. The time at which the future limits take effect is not
+    /// known, so writes comply with both sets of limits from the start.
+    pub(super) fn apply_next_limits(&mut self) {
         let Some(next) = self.next.clone() else { return };
         self.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
         self.write_rps = next.write_rps.map_or(self.write_rps, |rps| rps.min(self.write_rps));
@@ -220,30 +219,30 @@
         self.txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops));
     }
 
-    /// Bytes that a value may have.
+    /// Maximum size of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0) as usize
     }
 }
 
-/// Budgets of the cloud.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Seconds by which its list of machines lags behind.
+    /// Time in seconds by which the cloud's list of machines lags behind the actual state.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Resources that the controller process may use.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Share of a core.
+    /// CPU cores, as a fraction.
     pub cores: f64,
     /// Memory in MB.
     pub ram_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,13 +1,13 @@
-//! Tables of cases for `config`.
+//! Tests for the validation of settings and for the times derived from them.
 
 use super::*;
 use crate::model::Cores;
 
 #[test]
 fn timing_follows_the_heartbeat_interval() {
-    // Heartbeat intervals of the deployments, then odd ones: (interval, lease, unavailable after, unused grant,
-    // foreign machine, presumed stopped). With fixed times of 4 s, machines with a heartbeat every 5 s got nothing for
-    // most of the time.
+    // (heartbeat interval, lease, unavailable after, unused grant, foreign machine, presumed stopped), first for the
+    // intervals of the deployments, then for extreme ones. With fixed times of 4 s, machines with a heartbeat every 5 s
+    // got no tasks for most of the time.
     let cases = [
         (1.0, 11.0, 4_000, 4_500, 3_000, 5_000),
         (1.5, 10.0, 4_000, 4_500, 3_000, 6_000),
@@ -17,7 +17,7 @@
         (10.0, 30.0, 14_500, 15_000, 13_500, 30_000),
     ];
     for (heartbeat_s, lease_s, unavailable, unused_grant, foreign, stopped) in cases {
-        let timing = HeartbeatTiming::of(&WorkerSettings {
+        let timing = HeartbeatTiming::new(&WorkerSettings {
             heartbeat_s,
             lease_s,
             cancel_s: 99.0,
@@ -26,20 +26,20 @@
         });
         let got = (
             timing.unavailable_after_ms,
-            timing.unused_grant_ms,
-            timing.foreign_machine_ms,
-            timing.presumed_stopped_ms,
+            timing.unused_grant_timeout_ms,
+            timing.foreign_machine_ttl_ms,
+            timing.presumed_stopped_after_ms,
         );
         assert_eq!(got, (unavailable, unused_grant, foreign, stopped), "{heartbeat_s} {lease_s}");
         assert!(
-            timing.max_interval_ms + 1_000 <= timing.foreign_machine_ms
+            timing.max_interval_ms + 1_000 <= timing.foreign_machine_ttl_ms
                 && timing.max_interval_ms < timing.unavailable_after_ms
         );
-        assert!(timing.answer_memory_ms as f64 >= 2_000.0 * lease_s);
+        assert!(timing.response_retention_ms as f64 >= 2_000.0 * lease_s);
     }
 }
 
-/// A settings file like those that the platform hands over.
+/// A settings file like those that the platform provides.
 pub(crate) const EXAMPLE: &str = include_str!("../../tests/settings.toml");
 
 #[test]
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn all_controllers_are_numbered_alike() {
+fn controllers_are_numbered_by_name() {
     let s = Settings::parse(EXAMPLE).unwrap();
     let (nodes, me) = s.all_nodes();
     assert_eq!(me, NodeId(0));
@@ -79,7 +79,7 @@
     assert_eq!(names, ["host-0", "host-1", "host-2"]);
     assert_eq!(s.team("blue").unwrap().core_limit(), None);
     assert_eq!(s.team("red").unwrap().core_limit(), Some(Cores(32_000)));
-    // A right to keep alive plus a whole lease has to end before `cancel_s` does.
+    // A worker whose lease is renewed at the last permitted time must have ended its tasks within `cancel_s` (30 s).
     assert!(s.keep_alive_ms() + s.worker_lease_ms() < 30_000);
 }
 
@@ -93,7 +93,7 @@
         ("\"throughput\"", Some(ObjectiveKind::Other)),
         ("\"Finished\"", Some(ObjectiveKind::Other)),
         ("\"\"", Some(ObjectiveKind::Other)),
-        // Only strings are kinds, as ever.
+        // Kinds other than strings are rejected.
         ("7", None),
         ("{ finished = {} }", None),
     ];
--- a/src/feature_flags/tests.rs
+++ b/src/feature_flags/tests.rs
@@ -1,4 +1,4 @@
-//! Files that enable something, and what is refused of them.
+//! Tests for files that enable features, and for the errors in them.
 
 use super::*;
 use crate::config::tests::EXAMPLE;
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn nothing_is_enabled_twice_or_by_an_empty_file() {
-    let mut all = FeatureFlags::default();
-    assert!(all.add(FeatureFlags::default()).is_err());
+fn duplicate_and_empty_feature_files_are_rejected() {
+    let mut merged = FeatureFlags::default();
+    assert!(merged.merge(FeatureFlags::default()).is_err());
     let standby = || FeatureFlags { standby: Some(StandbySettings::default()) };
-    assert!(all.add(standby()).is_ok());
-    assert!(all.add(standby()).is_err());
+    assert!(merged.merge(standby()).is_ok());
+    assert!(merged.merge(standby()).is_err());
 }
--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -256,7 +256,7 @@
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) {
-        let limit = timing.foreign_machine_ms + 1_000;
+        let limit = timing.foreign_machine_ttl_ms + 1_000;
         if now.since(self.began) < limit + NODE_LOST_MS {
             return;
         }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -74,7 +74,7 @@
     fn answer_bounds(&self, cluster: &ClusterView<'_>) -> Option<AnswerBounds> {
         let mut known_until = MonotonicTime(u64::MAX);
         let mut last_unknown = MonotonicTime(0);
-        let remembered_ms = cluster.settings.timing().answer_memory_ms;
+        let remembered_ms = cluster.settings.timing().response_retention_ms;
         for index in 0..cluster.nodes.len() {
             let id = NodeId(index as u8);
             match self.controllers.get(&id) {
@@ -162,7 +162,7 @@
             owned: fleet.owned_machines().map(|owned| (&owned.machine.view.id, owned)).collect(),
             restarted: fleet.controllers.values().flat_map(|state| &state.restarted).collect(),
             foreign: foreign
-                .filter(|machine| machine.silent_ms < timing.foreign_machine_ms)
+                .filter(|machine| machine.silent_ms < timing.foreign_machine_ttl_ms)
                 .map(|machine| &machine.id)
                 .collect(),
             receiving_well: fleet
@@ -183,7 +183,7 @@
         };
         // Many that fall silent at once are cut off: what they ran is proven over by their
         // leases, and they will be wanted when they are back, with their images.
-        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.presumed_stopped_ms;
+        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.presumed_stopped_after_ms;
         let machines = fleet.machines.iter();
         let silent = machines.filter(|(id, machine)| machine.up && is_silent(id)).count();
         check.cut_off = silent > (up / CUT_OFF_DIVISOR).max(MANY_LEAST);
@@ -231,7 +231,7 @@
             && !self.fleet.unreconciled.contains(id);
         let limit_ms = match self.receiving_well.contains(&owned.owner) {
             _ if self.cut_off => self.cut_off_lease_ms(),
-            true => self.cluster.settings.timing().presumed_stopped_ms,
+            true => self.cluster.settings.timing().presumed_stopped_after_ms,
             false => self.lease_ms,
         };
         let silent_ms = self.silent_ms(id);
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -111,7 +111,7 @@
             let Some(state) = self.controllers.get(node) else { continue };
             for foreign in &state.foreign_machines {
                 if foreign.since_ms > OUT_OF_REACH_MS
-                    && foreign.silent_ms < timing.foreign_machine_ms
+                    && foreign.silent_ms < timing.foreign_machine_ttl_ms
                     && self.owners.get(&foreign.id).is_some_and(|owned| owned.owner != *node)
                     && !self.reaches_owner(now, &foreign.id, foreign.silent_ms)
                     && !restarted.contains(&&foreign.id)
@@ -219,7 +219,7 @@
         cluster: &ClusterView<'_>,
         live_controllers: &[NodeId],
     ) -> HashMap<MachineId, NodeId> {
-        let limit_ms = cluster.settings.timing().foreign_machine_ms + FOREIGN_MARGIN_MS;
+        let limit_ms = cluster.settings.timing().foreign_machine_ttl_ms + FOREIGN_MARGIN_MS;
         let mut out_of_reach: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
         let live = self.controllers.iter().filter(|(id, _)| live_controllers.contains(id));
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -70,7 +70,7 @@
     /// Revokes grants whose task has not been on a machine for too long.
     fn revoke_unused(&mut self, inputs: &EpochInputs<'_>, next_plan: PlanSeq) {
         let now = inputs.cluster.now;
-        let unused_ms = inputs.cluster.settings.timing().unused_grant_ms;
+        let unused_ms = inputs.cluster.settings.timing().unused_grant_timeout_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (task, grant) in &mut self.granted {
             if let Some(seen) = inputs.on_machines.get(task) {
--- a/src/service/summaries.rs
+++ b/src/service/summaries.rs
@@ -12,7 +12,7 @@
 use crate::peer::{PeerRequest, PeerResponse, Summary};
 
 /// Longest wait between two summaries; changes in the shard bring them forward. Summaries are what the leader's silence
-/// is measured by, so `feature_flags::HEARTBEAT_MS` counts on this period and on [`MIN_PAUSE`].
+/// is measured by, so `feature_flags::SUMMARY_INTERVAL_MAX_MS` counts on this period and on [`MIN_PAUSE`].
 const MAX_WAIT: Duration = Duration::from_millis(200);
 /// Shortest pause between two summaries, so that many changes share one.
 const MIN_PAUSE: Duration = Duration::from_millis(60);
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -245,7 +245,9 @@
             target.reserved = plan.is_reserved(id);
             target.delay_s = match id == reporting_machine {
                 true => 0.0,
-                false => context.timing.delay_s(context.now.since(machine.last_heartbeat_at)),
+                false => context
+                    .timing
+                    .expected_heartbeat_delay_s(context.now.since(machine.last_heartbeat_at)),
             };
             Some(target).filter(|target| target.open)
         };
--- a/src/shard/redirect.rs
+++ b/src/shard/redirect.rs
@@ -14,11 +14,11 @@
 /// Minimum time between two redirects of a machine to the same owner, in milliseconds.
 const REDIRECT_INTERVAL_MIN_MS: u64 = 1_500;
 
-/// Time in milliseconds for which a redirect is taken into account, in addition to `foreign_machine_ms`.
+/// Time in milliseconds for which a redirect is taken into account, in addition to `foreign_machine_ttl_ms`.
 const REDIRECT_RETENTION_MARGIN_MS: u64 = 5_000;
 
 /// Time in milliseconds for which a machine that cannot reach its owner counts as such after its last
-/// heartbeat here, in addition to `foreign_machine_ms`.
+/// heartbeat here, in addition to `foreign_machine_ttl_ms`.
 const UNREACHABLE_RETENTION_MARGIN_MS: u64 = 2_000;
 
 /// Handling of the heartbeat of a machine that another controller owns.
@@ -50,7 +50,7 @@
 
     /// Whether the last redirect is recent enough to be taken into account.
     pub(super) fn is_current(&self, now: MonotonicTime, timing: &HeartbeatTiming) -> bool {
-        now.since(self.last_at) < timing.foreign_machine_ms + REDIRECT_RETENTION_MARGIN_MS
+        now.since(self.last_at) < timing.foreign_machine_ttl_ms + REDIRECT_RETENTION_MARGIN_MS
     }
 
     /// Chooses how to handle a heartbeat that was received here despite the redirect.
@@ -94,6 +94,6 @@
     ) -> bool {
         self.unreachable_since.is_some()
             && now.since(self.last_heartbeat_at)
-                < timing.foreign_machine_ms + UNREACHABLE_RETENTION_MARGIN_MS
+                < timing.foreign_machine_ttl_ms + UNREACHABLE_RETENTION_MARGIN_MS
     }
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -22,7 +22,7 @@
 /// Number of sent summaries whose times are kept for the leader's acknowledgement.
 const SENT_SUMMARIES_MAX: usize = 64;
 
-/// Time in milliseconds, in addition to `foreign_machine_ms`, for which redirects and foreign machines are
+/// Time in milliseconds, in addition to `foreign_machine_ttl_ms`, for which redirects and foreign machines are
 /// kept. It exceeds the margins used for routing heartbeats.
 const CONTACT_RETENTION_MARGIN_MS: u64 = 7_000;
 
@@ -102,7 +102,7 @@
 
     /// Removes records of contacts with workers that no longer affect any decision.
     fn prune_contacts(&mut self, now: MonotonicTime, timing: &HeartbeatTiming) {
-        let retention_ms = timing.foreign_machine_ms + CONTACT_RETENTION_MARGIN_MS;
+        let retention_ms = timing.foreign_machine_ttl_ms + CONTACT_RETENTION_MARGIN_MS;
         let term_state = &mut self.term_state;
         term_state
             .foreign_machines
@@ -110,7 +110,7 @@
         term_state.redirects.retain(|_, redirect| now.since(redirect.last_at) < retention_ms);
         self.isolation_redirected_at
             .retain(|_, at| now.since(*at) < ISOLATION_REDIRECT_INTERVAL_MIN_MS);
-        self.responded_at.retain(|_, at| now.since(*at) < timing.answer_memory_ms);
+        self.responded_at.retain(|_, at| now.since(*at) < timing.response_retention_ms);
     }
 
     /// Allocates the sequence number of the summary being made, and keeps its time for the leader's
