--- a/src/leader.rs
+++ b/src/leader.rs
@@ -149,7 +149,7 @@
 #[derive(Default)]
 struct GangStates {
     /// Gangs granted in this term.
-    granted: FxHashMap<JobId, gang_scheduling::Gang>,
+    granted: FxHashMap<JobId, gang_scheduling::GrantedGang>,
     /// Gangs that are being stopped.
     pending_stops: BTreeMap<JobId, gang_scheduling::PendingStop>,
     /// Machines that are reserved for gangs, sorted by id.
@@ -201,7 +201,7 @@
                 self.renew_term.get_or_insert(NewTermReason::ControllerRestarted);
                 (PeerResponse::NotLeading(self.term), true)
             }
-            SummaryOutcome::Late => (PeerResponse::NotLeading(self.term), false),
+            SummaryOutcome::Stale => (PeerResponse::NotLeading(self.term), false),
             SummaryOutcome::MissingBase => (PeerResponse::SendWhole, false),
             SummaryOutcome::Applied { changed } => {
                 if !self.task_grants.revoked.is_empty() {
@@ -245,13 +245,13 @@
         if due {
             self.drain_for_scale_in();
         }
-        self.compose(cluster, &mut epoch);
+        self.prepare_transaction(cluster, &mut epoch);
         epoch
     }
 
     /// Updates the machines, their owners and their leases to the current time.
     fn update_fleet(&mut self, cluster: &ClusterView<'_>) {
-        self.fleet.follow_members(cluster);
+        self.fleet.update_absent_controllers(cluster);
         self.fleet.record_controllers_without_heartbeats(cluster.now, &cluster.settings.timing());
         self.check_for_new_term(cluster);
         self.fleet.assign(cluster, self.plans.next());
@@ -285,7 +285,7 @@
             return;
         }
         self.renew_term =
-            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
+            self.fleet.new_term_reason(now, cluster.served_for, &cluster.settings.timing());
         let rebalance_due =
             now.since(self.retained.rebalanced_at.max(self.began_at)) > MIN_REBALANCE_INTERVAL_MS;
         if self.renew_term.is_none() && rebalance_due && self.fleet.unreconciled.is_empty() {
