--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -64,7 +64,7 @@
 /// Why a grant is revoked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RevocationReason {
-    /// The task has been on no machine for longer than `unused_grant_ms`.
+    /// The task has been on no machine for longer than `unused_grant_timeout_ms`.
     Unused,
     /// The task must no longer start: its job has ended, or the task is done.
     Ended,
--- a/src/service/direct_commands.rs
+++ b/src/service/direct_commands.rs
@@ -72,7 +72,7 @@
             agent_epoch: message.agent_epoch,
             commands: message.commands.clone(),
         });
-        let client = Client::new(addr, wire::BODY_LIMIT * RESPONSE_BODY_FACTOR);
+        let client = Client::new(addr, wire::MAX_BODY_BYTES * RESPONSE_BODY_FACTOR);
         let Ok(reply) = client.call("POST", "/do", &body, RESPONSE_TIMEOUT).await else { return };
         if !matches!(reply.status, 200 | 409) {
             return;
