--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use crate::http::{Answer, CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::model::MachineId;
 use crate::store_client::TokenBucket;
 use crate::wire::{self, MachineListPage, MachineNames, MachineTypes, ScaleOutRequest};
@@ -59,13 +59,18 @@
         }
     }
 
-    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, CloudError> {
+    async fn call(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<ClientResponse, CloudError> {
         let wait = self.call_bucket.borrow_mut().take(1.0, Instant::now());
         tokio::time::sleep(wait).await;
         Self::map_errors(self.http.call(method, path, body, REQUEST_TIMEOUT).await)
     }
 
-    fn map_errors(answer: Result<Answer, CallError>) -> Result<Answer, CloudError> {
+    fn map_errors(answer: Result<ClientResponse, CallError>) -> Result<ClientResponse, CloudError> {
         match answer {
             Ok(answer) if answer.status == 200 => Ok(answer),
             Ok(answer) if answer.status == 503 && says_no_capacity(&answer.body) => {
@@ -77,7 +82,9 @@
         }
     }
 
-    fn decode_body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, CloudError> {
+    fn decode_body<T: serde::de::DeserializeOwned>(
+        answer: &ClientResponse,
+    ) -> Result<T, CloudError> {
         wire::decode(&answer.body).map_err(|_| CloudError::Unknown)
     }
 
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -84,7 +84,7 @@
     fn answer_bounds(&self, cluster: &ClusterView<'_>) -> Option<AnswerBounds> {
         let mut known_until = MonotonicTime(u64::MAX);
         let mut unknown_before = MonotonicTime(0);
-        let answer_memory_ms = cluster.settings.timing().answer_memory_ms;
+        let response_retention_ms = cluster.settings.timing().response_retention_ms;
         for index in 0..cluster.nodes.len() {
             let id = NodeId(index as u8);
             match self.controllers.get(&id) {
@@ -94,7 +94,7 @@
                     // ended before the present one started.
                     unknown_before = unknown_before
                         .max(state.received_at.saturating_sub(state.uptime_ms))
-                        .max(state.first_received_at.saturating_sub(answer_memory_ms));
+                        .max(state.first_received_at.saturating_sub(response_retention_ms));
                 }
                 _ => {
                     let absent = self.absent.get(&id)?;
@@ -179,7 +179,7 @@
             owned: fleet.owned_machines().map(|owned| (&owned.machine.view.id, owned)).collect(),
             restarted: fleet.controllers.values().flat_map(|state| &state.restarted).collect(),
             foreign: foreign
-                .filter(|machine| machine.silent_ms < timing.foreign_machine_ms)
+                .filter(|machine| machine.silent_ms < timing.foreign_machine_ttl_ms)
                 .map(|machine| &machine.id)
                 .collect(),
             conclusive_owners: fleet
@@ -201,7 +201,7 @@
         // Many machines that fall silent at once are probably cut off by a network partition. The
         // expiry of their leases proves that their tasks ended, and the machines are needed with
         // their cached images once they are reachable again.
-        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.presumed_stopped_ms;
+        let is_silent = |id: &MachineId| check.silent_ms(id) > timing.presumed_stopped_after_ms;
         let machines = fleet.machines.iter();
         let silent = machines.filter(|(id, machine)| machine.up && is_silent(id)).count();
         check.is_partitioned = silent > (up / PARTITION_DIVISOR).max(MIN_PARTITIONED_MACHINES);
@@ -253,7 +253,7 @@
             && !self.fleet.unreconciled.contains(id);
         let limit_ms = match self.conclusive_owners.contains(&owned.owner) {
             _ if self.is_partitioned => self.partition_limit_ms(),
-            true => self.cluster.settings.timing().presumed_stopped_ms,
+            true => self.cluster.settings.timing().presumed_stopped_after_ms,
             false => self.lease_ms,
         };
         let silent_ms = self.silent_ms(id);
--- a/src/leader/reconciliation.rs
+++ b/src/leader/reconciliation.rs
@@ -71,10 +71,10 @@
         self.recorded_ahead.retain(|task| replica.may_run(*task));
     }
 
-    /// Revokes grants whose tasks no machine has reported for longer than `unused_grant_ms`.
+    /// Revokes grants whose tasks no machine has reported for longer than `unused_grant_timeout_ms`.
     fn revoke_unused(&mut self, inputs: &EpochInputs<'_>, next_plan: PlanSeq) {
         let now = inputs.cluster.now;
-        let unused_ms = inputs.cluster.settings.timing().unused_grant_ms;
+        let unused_ms = inputs.cluster.settings.timing().unused_grant_timeout_ms;
         let mut unused: Vec<TaskId> = Vec::new();
         for (task, grant) in &mut self.granted {
             if let Some(seen) = inputs.on_machines.get(task) {
--- a/src/service.rs
+++ b/src/service.rs
@@ -80,20 +80,20 @@
     (limits.value_kb * CHUNK_BYTES_PER_VALUE_KB) as usize
 }
 
-/// Returns the limits of the public server for a process limited to `sockets` sockets. Users get
-/// only a share of the connections, so that all workers of a fleet can connect whatever users do.
+/// Returns the limits new the public server for a process limited to `sockets` sockets. Users get
+/// only a share new the connections, so that all workers new a fleet can connect whatever max_user_connections do.
 fn public_server_limits(sockets: usize) -> ServerLimits {
     let reserved_sockets = RESERVED_SOCKETS + max_direct_commands(sockets);
     let connections = sockets.saturating_sub(reserved_sockets).max(MIN_PUBLIC_CONNECTIONS);
-    let kind = |path: &str| match path.starts_with("/api/") {
+    let classify = |path: &str| match path.starts_with("/api/") {
         true => ClientKind::User,
         false => ClientKind::Worker,
     };
     ServerLimits {
-        users: connections * 3 / 10,
-        fresh: (connections / 8).max(8),
-        kind,
-        ..ServerLimits::of(connections)
+        max_user_connections: connections * 3 / 10,
+        max_unclassified_connections: (connections / 8).max(8),
+        classify,
+        ..ServerLimits::new(connections)
     }
 }
 
@@ -216,10 +216,12 @@
         let service = self.clone();
         spawn_local(http::serve(public_listener, limits, move |request| {
             let service = service.clone();
-            async move { service.answer(request).await }
+            async move { service.handle_request(request).await }
         }));
-        let limits =
-            ServerLimits { body: MAX_PEER_MESSAGE_BYTES, ..ServerLimits::of(MAX_PEER_CONNECTIONS) };
+        let limits = ServerLimits {
+            max_body_bytes: MAX_PEER_MESSAGE_BYTES,
+            ..ServerLimits::new(MAX_PEER_CONNECTIONS)
+        };
         spawn_local(http::serve(peer_listener, limits, move |request| {
             let service = self.clone();
             async move { service.handle_peer_request(&request.path, &request.body).await }
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::config::StoreLimits;
-use crate::http::{Answer, CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::model::{Revision, StoreLease};
 use crate::wire::{
     self, KeyValue, KeyValuePage, LeaseGrant, LeaseRequest, Txn, TxnResponse, WatchResponse,
@@ -147,7 +147,12 @@
         self.write_bucket.borrow_mut().set_rate(self.write_rps * share);
     }
 
-    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
+    async fn call(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<ClientResponse, StoreError> {
         self.wait_for_rate_limit(0).await;
         Self::map_errors(self.http.call(method, path, body, REQUEST_TIMEOUT).await)
     }
@@ -172,7 +177,7 @@
     }
 
     /// Passes on responses that callers handle, and maps all others to errors.
-    fn map_errors(answer: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+    fn map_errors(answer: Result<ClientResponse, CallError>) -> Result<ClientResponse, StoreError> {
         match answer {
             Ok(answer) if matches!(answer.status, 200 | 404 | 409) => Ok(answer),
             Ok(answer) if answer.status == 410 => Err(StoreError::ChangesTooOld),
@@ -189,7 +194,9 @@
         }
     }
 
-    fn decode_body<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
+    fn decode_body<T: serde::de::DeserializeOwned>(
+        answer: &ClientResponse,
+    ) -> Result<T, StoreError> {
         wire::decode(&answer.body).map_err(|_| StoreError::Malformed(answer.status))
     }
 
