--- a/src/service.rs
+++ b/src/service.rs
@@ -80,8 +80,8 @@
     (limits.value_kb * CHUNK_BYTES_PER_VALUE_KB) as usize
 }
 
-/// Returns the limits new the public server for a process limited to `sockets` sockets. Users get
-/// only a share new the connections, so that all workers new a fleet can connect whatever max_user_connections do.
+/// Returns the limits of the public server for a process limited to `sockets` sockets. Users get
+/// only a share of the connections, so that all workers of a fleet can connect whatever users do.
 fn public_server_limits(sockets: usize) -> ServerLimits {
     let reserved_sockets = RESERVED_SOCKETS + max_direct_commands(sockets);
     let connections = sockets.saturating_sub(reserved_sockets).max(MIN_PUBLIC_CONNECTIONS);
