--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -1,26 +1,27 @@
-//! Numbering of attempts.
+//! Allocation of attempt numbers.
 
 use crate::model::{Attempt, NodeId, Term};
 
-/// Allocates the attempts of one controller within a term.
+/// Allocates the attempt numbers of one controller within one term.
 ///
-/// Attempts are unique over all terms and controllers without a write, see [`Attempt::of`]; there is one
-/// allocator for a term and controller, which is dropped with the term.
+/// An attempt number contains the term and the controller, see [`Attempt::of`], so it is unique over all terms and
+/// controllers without a write to the state store. This requires exactly one allocator for each term and controller,
+/// which is dropped when the term ends.
 #[derive(Clone, Debug)]
 pub struct AttemptAllocator {
     term: Term,
     node: NodeId,
-    /// How many attempts it has allocated.
+    /// Number of attempts allocated so far.
     count: u32,
 }
 
 impl AttemptAllocator {
-    /// Starts counting for a term.
+    /// Creates an allocator that has allocated no attempt of this term.
     pub fn new(term: Term, node: NodeId) -> Self {
         AttemptAllocator { term, node, count: 0 }
     }
 
-    /// A new attempt, higher than those before.
+    /// Returns a new attempt number, higher than all that this allocator returned before.
     pub fn allocate(&mut self) -> Attempt {
         self.count += 1;
         Attempt::of(self.term, self.node, self.count)
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -1,7 +1,7 @@
-//! What the leader and its fleet need to see besides their own state.
+//! Read-only inputs of the leader and its fleet, besides their own state.
 //!
-//! A view is made for one step and borrows from its [`crate::controller::Controller`], so that all parts of a
-//! step see the same time, replica and settings.
+//! A view is created for one step of the leader and borrows from its [`crate::controller::Controller`]. All parts of
+//! the step therefore see the same time, replica and settings.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 use crate::resources::MachineCatalog;
 use crate::shard::CompletedTasks;
 
-/// What one step of the leader sees.
+/// Read-only inputs of one step of the leader.
 pub struct ClusterView<'a> {
-    /// When the step takes place, by the monotonic clock.
+    /// Time of the step, by the monotonic clock.
     pub now: MonotonicTime,
-    /// The same by the time of day.
+    /// Time of the step, by the wall clock.
     pub wall: WallTime,
-    /// The records of the state service.
+    /// Local replica of the state store's records.
     pub replica: &'a Replica,
-    /// When the replica was last known to be current; 0 if it never was.
-    pub synced: MonotonicTime,
-    /// Milliseconds for which the state service has served this controller without a break.
-    pub served_for: u64,
-    /// The cloud's machine types by name.
+    /// Latest time at which the replica was known to be current; 0 if it never was.
+    pub synced_at: MonotonicTime,
+    /// Milliseconds for which the state store has answered this controller without a break.
+    pub served_for_ms: u64,
+    /// Machine types of the cloud, by name.
     pub catalog: &'a MachineCatalog,
-    /// Tasks that completed on this controller's shard and are not on record yet.
+    /// Tasks that completed on this controller's shard and whose completion is not yet recorded in the state store,
+    /// by job.
     pub completed_tasks: &'a BTreeMap<JobId, CompletedTasks>,
-    /// The settings of the deployment.
+    /// Settings of the deployment.
     pub settings: &'a Settings,
-    /// Limits of the state service that writes keep to.
+    /// Limits of the state store, which writes respect.
     pub limits: &'a StoreLimits,
-    /// All controllers, by their place in [`crate::model::NodeId`].
+    /// All controllers, indexed by [`crate::model::NodeId`].
     pub nodes: &'a [NodeInfo],
 }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -87,7 +87,7 @@
                 }
                 _ => {
                     let absent = self.absent.get(&id)?;
-                    known_until = known_until.min(cluster.synced);
+                    known_until = known_until.min(cluster.synced_at);
                     let bound =
                         last_possible_answer(absent.since, cluster.settings.keep_alive_ms());
                     last_unknown = last_unknown.max(bound);
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -283,7 +283,7 @@
             return;
         }
         self.renew_term =
-            self.fleet.wants_new_term(now, cluster.served_for, &cluster.settings.timing());
+            self.fleet.wants_new_term(now, cluster.served_for_ms, &cluster.settings.timing());
         let calm = now.since(self.remembered.rebalanced.max(self.began)) > REBALANCE_MS;
         if self.renew_term.is_none() && calm && self.fleet.unreconciled.is_empty() {
             let live = self.fleet.eligible_owners(now);
--- a/src/offered_load.rs
+++ b/src/offered_load.rs
@@ -1,138 +1,149 @@
-//! Statistics of the load that jobs offer, from which ready capacity is sized.
+//! Statistics of the offered load, which determine how much capacity is kept ready.
 //!
-//! Two kinds of work need machines before they arrive, because it takes longer to boot one than the work
-//! may wait: short-running work and gangs. What they would use if all of it began on arrival is averaged
-//! over time with exponential decay. The record is kept in the state store for the next leader.
+//! Short-running work and gangs need machines that are up before the work arrives, because booting a machine takes
+//! longer than the work may wait. The offered load is the number of cores that this work would use if all of it
+//! started on arrival. It is averaged over time with exponential decay, and stored in the state store for the next
+//! leader.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::Cores;
 
-/// Half-lives of a remembered peak in seconds, for capacity of any kind and on spot machines, which are
-/// cheap enough to be held longer.
+/// Half-life in seconds of the load peak that sizes ready capacity on machines of any kind.
 const PEAK_HALF_LIFE_S: f64 = 100.0;
+/// Half-life in seconds of the load peak that sizes ready capacity on spot machines. It is longer because spot
+/// machines are cheap enough to be kept longer.
 const SLOW_PEAK_HALF_LIFE_S: f64 = 250.0;
-/// Time constants in seconds of the averages of urgent short-running work and of other work.
+/// Time constant in seconds of the average of urgent short-running work.
 const URGENT_TIME_CONSTANT_S: f64 = 120.0;
+/// Time constant in seconds of the averages of all short-running work and of long-running work.
 const TIME_CONSTANT_S: f64 = 60.0;
-/// Ready capacity for short-running work on spot machines: the mean of urgent work and so many standard
-/// deviations, and at least this share of its slowly decaying peak.
+/// Ready capacity for short-running work on spot machines covers the mean of urgent work plus this number of standard
+/// deviations.
 const SPOT_DEVIATIONS: f64 = 1.5;
+/// Ready capacity for short-running work on spot machines covers this share of the slowly decaying peak.
 const SPOT_PEAK_SHARE: f64 = 1.0;
-/// The same on machines of any kind, against the faster decaying peak: ordinary machines cost more.
+/// Like [`SPOT_DEVIATIONS`], for machines of any kind. It is lower because on-demand machines cost more.
 const ANY_DEVIATIONS: f64 = 0.7;
+/// Ready capacity for short-running work on machines of any kind covers this share of the faster decaying peak. It is
+/// lower than [`SPOT_PEAK_SHARE`] because on-demand machines cost more.
 const ANY_PEAK_SHARE: f64 = 0.5;
-/// Ready capacity of either kind is at least this multiple of the mean of all short-running work.
-const SHORT_RUNNING_MEAN_SHARE: f64 = 1.1;
+/// Ready capacity on spot machines and on machines of any kind is at least this multiple of the mean of all
+/// short-running work.
+const SHORT_RUNNING_MEAN_MULTIPLE: f64 = 1.1;
 /// Time constant in seconds of the average of gangs.
 const GANG_TIME_CONSTANT_S: f64 = 120.0;
-/// Standard deviations above the mean that gangs find ready.
+/// Ready capacity for gangs covers the mean plus this number of standard deviations.
 const GANG_DEVIATIONS: f64 = 2.0;
-/// Free room for gangs at any time, as a multiple of the largest.
+/// Minimum of the free cores that are kept for gangs, as a multiple of the largest gang's cores.
 const LARGEST_GANG_MULTIPLE: f64 = 4.0;
-/// Gangs are rare if their mean is below this share of the largest; then no machines idle for the next.
+/// Gangs count as rare if their mean load is below this share of the largest gang's cores. No machines are kept idle
+/// for rare gangs.
 const RARE_GANG_SHARE: f64 = 0.125;
 
-/// What work of the kinds that need ready capacity would use; stored for the next leader.
+/// Statistics of the offered load, from which ready capacity is sized. Stored for the next leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OfferedLoad {
-    /// Cores of urgent short-running work.
+    /// Offered load of urgent short-running work, in cores.
     urgent: DecayingAverage,
-    /// Cores of all short-running work.
+    /// Offered load of all short-running work, in cores.
     #[serde(rename = "brief")]
     short_running: DecayingAverage,
-    /// Cores that long-running work uses.
+    /// Cores in use by long-running work.
     #[serde(default)]
     #[serde(rename = "long")]
     long_running: DecayingAverage,
-    /// Decaying peaks of urgent short-running work.
+    /// Peak of the urgent short-running load in cores, with a half-life of [`PEAK_HALF_LIFE_S`].
     peak: f64,
+    /// Peak of the urgent short-running load in cores, with a half-life of [`SLOW_PEAK_HALF_LIFE_S`].
     slow_peak: f64,
-    /// Gangs that may not use spot machines.
+    /// Load of gangs that may not use spot machines.
     #[serde(default)]
     #[serde(rename = "gangs")]
-    ordinary_gangs: GangLoad,
-    /// Gangs that allow spot machines.
+    on_demand_gangs: GangLoad,
+    /// Load of gangs that allow spot machines.
     #[serde(default)]
     #[serde(rename = "loose_gangs")]
     spot_gangs: GangLoad,
 }
 
-/// Cores of work at one moment.
+/// Load at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadSample {
-    /// What short-running work would use if all of it began on arrival.
+    /// Cores that short-running work would use if all of it started on arrival.
     pub short_running: Cores,
-    /// The urgent share of that.
+    /// The part of `short_running` that belongs to urgent jobs.
     pub urgent: Cores,
-    /// What long-running work uses.
+    /// Cores in use by long-running work.
     pub long_running: Cores,
 }
 
-/// Cores of gangs at one moment, if all began on arrival.
+/// Load of gangs at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GangSample {
-    /// All gangs together.
+    /// Cores that all gangs together would use if each started on arrival.
     pub total: Cores,
-    /// The largest one.
+    /// Cores of the largest gang.
     pub largest: Cores,
 }
 
 impl OfferedLoad {
-    /// Adds a sample that stands for the last `elapsed_s` seconds.
+    /// Records a sample of the load, which stands for the last `elapsed_s` seconds.
     pub(crate) fn record(&mut self, sample: LoadSample, elapsed_s: f64) {
         let urgent = sample.urgent.amount();
         self.urgent.record(urgent, (-elapsed_s / URGENT_TIME_CONSTANT_S).exp());
-        let keep = (-elapsed_s / TIME_CONSTANT_S).exp();
-        self.short_running.record(sample.short_running.amount(), keep);
-        self.long_running.record(sample.long_running.amount(), keep);
+        let retained = (-elapsed_s / TIME_CONSTANT_S).exp();
+        self.short_running.record(sample.short_running.amount(), retained);
+        self.long_running.record(sample.long_running.amount(), retained);
         let decayed =
             |peak: f64, half_life_s: f64| (peak * 0.5f64.powf(elapsed_s / half_life_s)).max(urgent);
         self.peak = decayed(self.peak, PEAK_HALF_LIFE_S);
         self.slow_peak = decayed(self.slow_peak, SLOW_PEAK_HALF_LIFE_S);
     }
 
-    /// Adds samples of gangs that stand for the last `elapsed_s` seconds: those that may not use spot
-    /// machines, and those that allow them.
-    pub(crate) fn record_gangs(&mut self, ordinary: GangSample, spot: GangSample, elapsed_s: f64) {
-        self.ordinary_gangs.record(ordinary, elapsed_s);
+    /// Records samples of the load of gangs, which stand for the last `elapsed_s` seconds. `on_demand` covers gangs
+    /// that may not use spot machines, and `spot` gangs that allow them.
+    pub(crate) fn record_gangs(&mut self, on_demand: GangSample, spot: GangSample, elapsed_s: f64) {
+        self.on_demand_gangs.record(on_demand, elapsed_s);
         self.spot_gangs.record(spot, elapsed_s);
     }
 
-    /// Cores that stay free for gangs that allow spot machines, or for those that do not, while they
-    /// use `in_use` cores.
+    /// Returns the cores to keep free for arriving gangs that allow spot machines, or for arriving gangs that do not.
+    /// `in_use` is the number of cores that gangs of the same kind use now.
     pub fn gang_headroom(&self, allows_spot: bool, in_use: f64) -> f64 {
-        let load = if allows_spot { &self.spot_gangs } else { &self.ordinary_gangs };
+        let load = if allows_spot { &self.spot_gangs } else { &self.on_demand_gangs };
         load.headroom(in_use)
     }
 
-    /// Cores that short-running work finds ready, in use or free, on spot machines or on any.
-    pub fn ready_cores(&self, spot: bool) -> f64 {
-        let (peak_share, peak, deviations) = match spot {
+    /// Returns the ready capacity for short-running work in cores, both in use and free: on spot machines if
+    /// `spot_only` is set, otherwise on machines of any kind. The value for spot machines is never below the other one.
+    pub fn ready_cores(&self, spot_only: bool) -> f64 {
+        let (peak_share, peak, deviations) = match spot_only {
             true => (SPOT_PEAK_SHARE, self.slow_peak, SPOT_DEVIATIONS),
             false => (ANY_PEAK_SHARE, self.peak, ANY_DEVIATIONS),
         };
-        let usual = self.urgent.mean() + deviations * self.urgent.deviation();
-        usual.max(peak * peak_share).max(self.short_running.mean() * SHORT_RUNNING_MEAN_SHARE)
+        let expected = self.urgent.mean() + deviations * self.urgent.standard_deviation();
+        expected.max(peak * peak_share).max(self.short_running.mean() * SHORT_RUNNING_MEAN_MULTIPLE)
     }
 
-    /// Mean of the cores that long-running work used lately.
+    /// Returns the recent mean of the cores in use by long-running work.
     pub fn long_running_mean(&self) -> f64 {
         self.long_running.mean()
     }
 }
 
-/// Statistics of one kind of gangs.
+/// Statistics of the load of gangs that allow spot machines, or of gangs that do not.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct GangLoad {
+    /// Offered load of all gangs together, in cores.
     cores: DecayingAverage,
-    /// Decaying peak of the largest one's cores.
+    /// Peak of the largest gang's cores, with a half-life of [`SLOW_PEAK_HALF_LIFE_S`].
     largest: f64,
 }
 
 impl GangLoad {
     fn record(&mut self, sample: GangSample, elapsed_s: f64) {
-        // The average begins with the first gang.
+        // The time before the first gang does not count towards the average.
         if sample.total > Cores(0) || self.cores.weight > 0.0 {
             self.cores.record(sample.total.amount(), (-elapsed_s / GANG_TIME_CONSTANT_S).exp());
         }
@@ -140,40 +151,43 @@
         self.largest = decayed.max(sample.largest.amount());
     }
 
+    /// Returns the cores to keep free for arriving gangs while present gangs use `in_use` cores.
     fn headroom(&self, in_use: f64) -> f64 {
         let mean = self.cores.mean();
         if self.largest <= 0.0 || mean < self.largest * RARE_GANG_SHARE {
             return 0.0;
         }
-        let ready = mean + GANG_DEVIATIONS * self.cores.deviation();
-        (ready - in_use).max(self.largest * LARGEST_GANG_MULTIPLE)
+        let ready_cores = mean + GANG_DEVIATIONS * self.cores.standard_deviation();
+        (ready_cores - in_use).max(self.largest * LARGEST_GANG_MULTIPLE)
     }
 }
 
-/// Mean and standard deviation of an amount over time, with exponential decay.
+/// Exponentially decaying mean and standard deviation of an amount over time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct DecayingAverage {
-    /// Sum of the samples' weights; below 1 until the first samples have decayed.
+    /// Sum of the sample weights, which approaches 1 as samples are recorded.
     weight: f64,
+    /// Weighted sum of the amounts.
     sum: f64,
+    /// Weighted sum of the squared amounts.
     #[serde(rename = "squares")]
     sum_of_squares: f64,
 }
 
 impl DecayingAverage {
-    /// Adds a sample; `keep` is the factor of what was recorded before, from 0 to 1.
-    fn record(&mut self, amount: f64, keep: f64) {
-        let new = 1.0 - keep;
-        self.weight = self.weight * keep + new;
-        self.sum = self.sum * keep + amount * new;
-        self.sum_of_squares = self.sum_of_squares * keep + amount * amount * new;
+    /// Records an amount. `retained` is the factor, from 0 to 1, by which the weight of earlier amounts decays.
+    fn record(&mut self, amount: f64, retained: f64) {
+        let new_weight = 1.0 - retained;
+        self.weight = self.weight * retained + new_weight;
+        self.sum = self.sum * retained + amount * new_weight;
+        self.sum_of_squares = self.sum_of_squares * retained + amount * amount * new_weight;
     }
 
     fn mean(&self) -> f64 {
         if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
     }
 
-    fn deviation(&self) -> f64 {
+    fn standard_deviation(&self) -> f64 {
         let mean = self.mean();
         let mean_square = if self.weight > 0.0 { self.sum_of_squares / self.weight } else { 0.0 };
         (mean_square - mean * mean).max(0.0).sqrt()
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,7 +1,6 @@
-//! What a task needs and a machine offers, in exact fixed-point amounts.
+//! Resource amounts that a task needs and a machine offers, in exact fixed-point numbers.
 //!
-//! This module stands below placement, scaling and the replica of the state store, which all count in
-//! it, and knows none of them.
+//! Placement, scaling and the replica of the state store use this module; it depends on none of them.
 
 use std::collections::HashMap;
 
@@ -10,22 +9,22 @@
 use crate::model::Cores;
 use crate::wire::{JobSpec, MachineType};
 
-/// Machine types by name, with what their machines offer.
+/// Machine types by name.
 pub type MachineCatalog = HashMap<String, MachineType>;
 
-/// What a task takes. Memory and accelerators are counted in thousandths like cores.
+/// Cores, accelerators and memory of a task or a machine, each in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Cores.
+    /// CPU cores, in thousandths of a core.
     pub cores: Cores,
-    /// Accelerators.
+    /// Accelerators, in thousandths of an accelerator.
     pub accelerators: Cores,
     /// Memory, in thousandths of a GB.
     pub memory: Cores,
 }
 
 impl Resources {
-    /// What each task of a job takes.
+    /// Returns the resources that each task of a job needs, rounded up.
     pub fn of(spec: &JobSpec) -> Self {
         Resources {
             cores: Cores::need(spec.vcpus),
@@ -33,7 +32,7 @@
             memory: Cores::need(spec.mem_gb),
         }
     }
-    /// What a machine of a type offers.
+    /// Returns the resources that an empty machine of a type offers, rounded down.
     pub fn offered(machine_type: &MachineType) -> Self {
         Resources {
             cores: Cores::offer(machine_type.vcpus),
@@ -41,13 +40,13 @@
             memory: Cores::offer(machine_type.mem_gb),
         }
     }
-    /// Whether this fits into what is free.
+    /// Returns whether these resources fit into the free ones.
     pub fn fits(&self, free: &Resources) -> bool {
         self.cores <= free.cores
             && self.accelerators <= free.accelerators
             && self.memory <= free.memory
     }
-    /// Takes this away from what is free.
+    /// Subtracts these resources from the free ones, which do not fall below 0.
     pub fn take_from(&self, free: &mut Resources) {
         free.cores = free.cores.less(self.cores);
         free.accelerators = free.accelerators.less(self.accelerators);
