--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,16 +1,19 @@
-//! Admission of jobs and sizing of their shares in an epoch, after the paper that the design names.
+//! Admission control: which jobs may run in an epoch, and how many tasks each (its share). The algorithm is the
+//! one of the paper cited in `docs/design.md`.
 //!
-//! *Rank-legal waterline.* A job's revised rank is the best among the jobs that depend on it. For a waterline
-//! rank, all jobs of better ranks are admitted, jobs of worse ranks wait, and at the waterline itself the most
-//! important jobs enter while cores last. [`admit`] tries every waterline and keeps the one with the highest
-//! summed importance. Jobs that run keep their tasks, and required jobs enter by rank wherever the waterline is.
+//! *Waterline.* A job's revised rank is the best rank among the job and all jobs that depend on it. The waterline
+//! is a rank: jobs of better ranks are admitted, jobs of worse ranks wait, and jobs of the waterline rank are
+//! admitted by importance per core while cores last. An admission of this form is called rank-legal. [`admit`]
+//! evaluates every waterline and keeps the admission with the highest total importance. Two kinds of job are exempt
+//! from the waterline: running jobs keep their tasks, and required jobs are admitted by rank while cores last.
 //!
-//! *Shares.* Importance is weight times value. Concave values are filled greedily by marginal gain, which is
-//! optimal for them. A step value counts only when all tasks run, so greedy filling does not do: which step jobs
-//! run is a knapsack, solved by dynamic programming over cores in coarse units, where the cores that are left
-//! count for what the concave jobs make of them.
+//! *Shares.* The importance of a job is its weight times the value of its running tasks. Concave value curves are
+//! filled greedily by marginal gain, which is optimal for them. A step curve has value only when all tasks run, so
+//! the greedy algorithm does not apply to it. The choice of step jobs is a knapsack problem, which is solved by
+//! dynamic programming over coarse units of cores. The cores that a choice leaves over are valued at the importance
+//! that the concave jobs reach with them.
 //!
-//! The module is pure: the same demands and bounds give the same admission.
+//! All functions are pure: the same demands and limits give the same admission.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
@@ -21,64 +24,67 @@
 
 use allocation::allocate;
 
-/// Tasks after which a job's marginal gain falls no further.
-const MAX_FADED_TASKS: u32 = 1_000;
+/// Number of running tasks from which on a job's marginal gain stays constant.
+const MAX_DISCOUNTED_TASKS: u32 = 1_000;
 
-/// How a job's value grows with the tasks that run.
+/// Value of a job as a function of the number of its running tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Curve {
-    /// Each task is worth `fade` times the one before it (concave for `fade` up to 1).
+pub enum ValueCurve {
+    /// Each task adds `gain_ratio` times the value of the task before it, which is concave for ratios up to 1.
     Concave {
-        /// Ratio between one task's gain and the one before.
-        fade: f64,
+        /// Ratio of a task's marginal gain to the marginal gain of the task before it.
+        gain_ratio: f64,
     },
-    /// Nothing until all tasks run at once.
+    /// No value until all tasks run at once, as for a gang.
     Step,
 }
 
-/// A job that asks for a share.
+/// One job's input to admission.
 #[derive(Clone, Debug)]
 pub struct Demand {
     /// The job.
     pub job: JobId,
-    /// Its rank, lower is better, from 1.
+    /// The job's revised rank, from 1; lower ranks are better.
     pub rank: u32,
-    /// Importance of its first task per core.
+    /// Importance per core of the job's first task.
     pub weight: f64,
-    /// How value grows.
-    pub curve: Curve,
-    /// Its team, by number.
+    /// Value by number of running tasks.
+    pub curve: ValueCurve,
+    /// Index of the job's team in [`CoreLimits::teams`].
     pub team: usize,
-    /// Cores of a task.
-    pub cores: Cores,
-    /// Tasks that run or may be running: its share never falls below them.
-    pub min: u32,
-    /// Tasks that could run now, those running included.
-    pub max: u32,
-    /// Whether it must be admitted while cores last, wherever the waterline is.
+    /// Cores that one task needs.
+    pub cores_per_task: Cores,
+    /// Number of tasks that run or may be running. The share never falls below it.
+    pub min_tasks: u32,
+    /// Number of tasks that could run now, including running ones.
+    pub max_tasks: u32,
+    /// Whether the job is admitted while cores last, even if its rank is worse than the waterline.
     pub required: bool,
 }
 
-/// The outcome.
+/// The admitted jobs with their shares, and the jobs that wait.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Admission {
-    /// The worst rank admitted.
+    /// The worst rank that is admitted. Running and required jobs of worse ranks may be admitted as well.
     pub waterline: u32,
-    /// Tasks that each admitted job may have running.
+    /// Maximum number of running tasks of each admitted job.
     pub shares: BTreeMap<JobId, u32>,
-    /// Jobs that wait below the waterline.
+    /// Jobs that are not admitted.
     pub waiting: Vec<JobId>,
-    /// Summed importance.
+    /// Total importance of the admitted jobs with their shares.
     pub importance: f64,
 }
 
-/// Revised ranks: the best rank among a job and all jobs that depend on it, directly or not.
-/// `needs` lists pairs (job, job it depends on).
-pub fn revised_ranks(ranks: &HashMap<JobId, u32>, needs: &[(JobId, JobId)]) -> HashMap<JobId, u32> {
+/// Computes revised ranks: for each job the best rank among the job and all jobs that depend on it, directly or
+/// transitively. `dependencies` lists pairs of a job and a job that it depends on.
+pub fn revised_ranks(
+    ranks: &HashMap<JobId, u32>,
+    dependencies: &[(JobId, JobId)],
+) -> HashMap<JobId, u32> {
     let mut revised = ranks.clone();
     loop {
         let mut changed = false;
-        for (job, dependency) in needs {
+        for (job, dependency) in dependencies {
             let ranks = (revised.get(job), revised.get(dependency));
             let (Some(&rank), Some(&dependency_rank)) = ranks else {
                 continue;
@@ -94,84 +100,91 @@
     }
 }
 
-/// Bounds that hold for all shares together.
+/// Limits on the cores of all shares together.
 #[derive(Clone, Debug)]
-pub struct Bounds {
-    /// Cores held.
-    pub held: Cores,
-    /// What each team may use, if it is limited.
+pub struct CoreLimits {
+    /// Cores that admission divides among the jobs.
+    pub total: Cores,
+    /// Core limit of each team, or `None` for a team without a limit.
     pub teams: Vec<Option<Cores>>,
 }
 
-/// Decides which jobs are admitted and how many tasks each may run.
-pub fn admit(demands: &[Demand], bounds: &Bounds) -> Admission {
+/// Decides which jobs are admitted and how many tasks each of them may run.
+pub fn admit(demands: &[Demand], limits: &CoreLimits) -> Admission {
     let worst_rank = demands.iter().map(|demand| demand.rank).max().unwrap_or(1);
     let mut best: Option<Admission> = None;
     for waterline in (1..=worst_rank).rev() {
-        let Some(found) = admit_at_waterline(demands, bounds, waterline) else {
+        let Some(admission) = admit_at_waterline(demands, limits, waterline) else {
             continue;
         };
-        if best.as_ref().is_none_or(|best| found.importance > best.importance) {
-            best = Some(found);
+        if best.as_ref().is_none_or(|best| admission.importance > best.importance) {
+            best = Some(admission);
         }
     }
-    // Even the jobs of the best rank do not all fit: the most important ones go in.
-    best.unwrap_or_else(|| allocate(demands, bounds, 1, &select_jobs(demands, bounds, 1)))
+    // No waterline is feasible. The jobs of the best rank are admitted by importance while cores last.
+    best.unwrap_or_else(|| allocate(demands, limits, 1, &select_jobs(demands, limits, 1)))
 }
 
-/// The best admission with that waterline, or `None` if the jobs of better ranks do not all fit.
-fn admit_at_waterline(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Option<Admission> {
-    let mut free = bounds.held;
+/// Returns the best admission with a given waterline, or `None` if the jobs of better ranks do not all fit.
+fn admit_at_waterline(
+    demands: &[Demand],
+    limits: &CoreLimits,
+    waterline: u32,
+) -> Option<Admission> {
+    let mut free = limits.total;
     for demand in demands.iter().filter(|demand| demand.rank < waterline) {
-        let need = demand.cores_of(demand.smallest_share());
+        let need = demand.cores_of(demand.min_useful_share());
         if need > free {
             return None;
         }
         free = free.less(need);
     }
-    Some(allocate(demands, bounds, waterline, &select_jobs(demands, bounds, waterline)))
+    Some(allocate(demands, limits, waterline, &select_jobs(demands, limits, waterline)))
 }
 
 impl Demand {
-    /// The smallest share that makes admitting the job worth anything.
-    fn smallest_share(&self) -> u32 {
+    /// Returns the smallest share with which admitting the job has any value.
+    fn min_useful_share(&self) -> u32 {
         match self.curve {
-            Curve::Concave { .. } => self.min.max(self.max.min(1)),
-            Curve::Step => self.max,
+            ValueCurve::Concave { .. } => self.min_tasks.max(self.max_tasks.min(1)),
+            ValueCurve::Step => self.max_tasks,
         }
     }
 
     fn cores_of(&self, tasks: u32) -> Cores {
-        Cores(self.cores.0 * u64::from(tasks))
+        Cores(self.cores_per_task.0 * u64::from(tasks))
     }
 
-    /// Importance of the job with that many tasks running.
+    /// Returns the importance of the job with `tasks` running tasks.
     fn importance(&self, tasks: u32) -> f64 {
         match self.curve {
-            Curve::Step if tasks < self.max => 0.0,
-            Curve::Step => self.weight * self.cores.amount() * f64::from(tasks),
-            Curve::Concave { .. } => (0..tasks).map(|running| self.marginal_gain(running)).sum(),
+            ValueCurve::Step if tasks < self.max_tasks => 0.0,
+            ValueCurve::Step => self.weight * self.cores_per_task.amount() * f64::from(tasks),
+            ValueCurve::Concave { .. } => (0..tasks).map(|task| self.marginal_gain(task)).sum(),
         }
     }
 
-    /// What the next task adds when that many run already.
+    /// Returns the importance that one more task adds to `running` tasks.
     fn marginal_gain(&self, running: u32) -> f64 {
-        let fade = match self.curve {
-            Curve::Concave { fade } => fade,
-            Curve::Step => 1.0,
+        let gain_ratio = match self.curve {
+            ValueCurve::Concave { gain_ratio } => gain_ratio,
+            ValueCurve::Step => 1.0,
         };
-        self.weight * self.cores.amount() * fade.powi(running.min(MAX_FADED_TASKS) as i32)
+        self.weight
+            * self.cores_per_task.amount()
+            * gain_ratio.powi(running.min(MAX_DISCOUNTED_TASKS) as i32)
     }
 }
 
-/// Whether each job is admitted with that waterline: all better ranks, jobs that already run, required jobs
-/// by rank, and jobs at the waterline by importance per core, while cores last.
-fn select_jobs(demands: &[Demand], bounds: &Bounds, waterline: u32) -> Vec<bool> {
+/// Returns for each job whether it is admitted with a given waterline. Jobs of better ranks and running jobs are
+/// always admitted. While cores last, required jobs follow by rank, then jobs of the waterline rank by importance per
+/// core.
+fn select_jobs(demands: &[Demand], limits: &CoreLimits, waterline: u32) -> Vec<bool> {
     let mut admitted: Vec<bool> =
-        demands.iter().map(|demand| demand.rank < waterline || demand.min > 0).collect();
-    let mut free = bounds.held;
+        demands.iter().map(|demand| demand.rank < waterline || demand.min_tasks > 0).collect();
+    let mut free = limits.total;
     for (demand, _) in demands.iter().zip(&admitted).filter(|(_, admitted)| **admitted) {
-        free = free.less(demand.cores_of(demand.smallest_share()));
+        free = free.less(demand.cores_of(demand.min_useful_share()));
     }
     let mut candidates: Vec<usize> = (0..demands.len())
         .filter(|&index| {
@@ -184,7 +197,7 @@
         b.required.cmp(&a.required).then_with(|| by_rank_and_weight(a, b))
     });
     for index in candidates {
-        let need = demands[index].cores_of(demands[index].smallest_share());
+        let need = demands[index].cores_of(demands[index].min_useful_share());
         if need <= free {
             free = free.less(need);
             admitted[index] = true;
@@ -193,7 +206,7 @@
     admitted
 }
 
-/// Better ranks first, then what is more important per core, then lower job numbers.
+/// Orders demands by rank, then by descending importance per core, then by job id.
 fn by_rank_and_weight(a: &Demand, b: &Demand) -> Ordering {
     a.rank.cmp(&b.rank).then(b.weight.total_cmp(&a.weight)).then(a.job.cmp(&b.job))
 }
--- a/src/admission/allocation.rs
+++ b/src/admission/allocation.rs
@@ -1,15 +1,17 @@
-//! Shares of admitted jobs: running tasks, step jobs by dynamic programming, concave jobs by marginal gain.
+//! Shares of admitted jobs. Running tasks get their cores first, step jobs are chosen by dynamic programming, and
+//! concave jobs get the remaining cores by marginal gain. A step job is one whose value curve is
+//! [`ValueCurve::Step`], a concave job one whose value curve is [`ValueCurve::Concave`].
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use super::{Admission, Bounds, Curve, Demand, by_rank_and_weight};
+use super::{Admission, CoreLimits, Demand, ValueCurve, by_rank_and_weight};
 use crate::model::Cores;
 
-/// Units into which the free cores are divided for the dynamic program; more are finer and slower.
-const CORE_UNITS: usize = 64;
+/// Number of units into which the dynamic program divides the free cores. More units are more exact and slower.
+const KNAPSACK_UNITS: usize = 64;
 
-/// Cores that are not allocated yet, of all and of each team that is limited.
+/// Cores that are not allocated yet: in total, and of each team's limit if it has one.
 #[derive(Clone)]
 struct FreeCores {
     total: Cores,
@@ -17,18 +19,18 @@
 }
 
 impl FreeCores {
-    /// Allocates cores to a team if they are free in all bounds; says whether they were.
+    /// Allocates cores to a team if both the total and the team's limit allow it. Returns whether they do.
     fn allocate(&mut self, team: usize, cores: Cores) -> bool {
         let limit = self.teams.get(team).copied().flatten();
         if cores > self.total || limit.is_some_and(|limit| cores > limit) {
             return false;
         }
-        self.allocate_in_use(team, cores);
+        self.allocate_unchecked(team, cores);
         true
     }
 
-    /// Allocates cores that are in use, whether they fit into the bounds or not.
-    fn allocate_in_use(&mut self, team: usize, cores: Cores) {
+    /// Allocates cores to a team without checking the limits, for tasks that already run.
+    fn allocate_unchecked(&mut self, team: usize, cores: Cores) {
         self.total = self.total.less(cores);
         if let Some(Some(limit)) = self.teams.get_mut(team) {
             *limit = limit.less(cores);
@@ -36,95 +38,100 @@
     }
 }
 
-/// Shares as the steps of one allocation build them up.
+/// Shares of all jobs while one allocation is computed.
 #[derive(Clone)]
 struct Allocation<'a> {
     demands: &'a [Demand],
     /// Whether each job is admitted.
     admitted: &'a [bool],
-    /// Tasks of each job.
+    /// Number of tasks allocated to each job.
     shares: Vec<u32>,
     free: FreeCores,
 }
 
-/// Shares for the admitted jobs: running tasks first, then step jobs, required ones before those that are
-/// weighed against the concave jobs, then concave jobs by marginal gain.
+/// Allocates cores to the admitted jobs and returns their shares. Running tasks come first, then required step
+/// jobs by rank, then the other step jobs as far as they gain more than the concave jobs, then concave jobs by
+/// marginal gain.
 pub(super) fn allocate(
     demands: &[Demand],
-    bounds: &Bounds,
+    limits: &CoreLimits,
     waterline: u32,
     admitted: &[bool],
 ) -> Admission {
-    let free = FreeCores { total: bounds.held, teams: bounds.teams.clone() };
+    let free = FreeCores { total: limits.total, teams: limits.teams.clone() };
     let shares = vec![0; demands.len()];
     let mut allocation = Allocation { demands, admitted, shares, free };
     allocation.allocate_running();
     let (mut required, optional): (Vec<usize>, Vec<usize>) =
-        allocation.open_steps().into_iter().partition(|&index| demands[index].required);
+        allocation.incomplete_step_jobs().into_iter().partition(|&index| demands[index].required);
     required.sort_by(|&a, &b| by_rank_and_weight(&demands[a], &demands[b]));
-    allocation.allocate_steps(required);
+    allocation.allocate_step_jobs(required);
     if !optional.is_empty() {
-        let chosen = allocation.best_steps(&optional);
-        allocation.allocate_steps(chosen);
+        let chosen = allocation.select_step_jobs(&optional);
+        allocation.allocate_step_jobs(chosen);
     }
-    allocation.fill_concave(&mut |_, _| {});
+    allocation.allocate_concave(&mut |_, _| {});
     allocation.into_admission(waterline)
 }
 
 impl Allocation<'_> {
+    /// Allocates the cores of all running tasks, which keep them even beyond the limits.
     fn allocate_running(&mut self) {
         for (demand, share) in self.demands.iter().zip(&mut self.shares) {
-            if demand.min > 0 {
-                *share = demand.min;
-                self.free.allocate_in_use(demand.team, demand.cores_of(demand.min));
+            if demand.min_tasks > 0 {
+                *share = demand.min_tasks;
+                self.free.allocate_unchecked(demand.team, demand.cores_of(demand.min_tasks));
             }
         }
     }
 
-    /// Admitted step jobs of which not all tasks run.
-    fn open_steps(&self) -> Vec<usize> {
-        let is_open = |index: &usize| {
+    /// Returns the admitted step jobs whose share lacks some of their tasks.
+    fn incomplete_step_jobs(&self) -> Vec<usize> {
+        let is_incomplete = |index: &usize| {
             let demand = &self.demands[*index];
-            self.admitted[*index] && demand.curve == Curve::Step && demand.max > self.shares[*index]
+            self.admitted[*index]
+                && demand.curve == ValueCurve::Step
+                && demand.max_tasks > self.shares[*index]
         };
-        (0..self.demands.len()).filter(is_open).collect()
+        (0..self.demands.len()).filter(is_incomplete).collect()
     }
 
-    /// Allocates all tasks of each of these step jobs for which there are cores.
-    fn allocate_steps(&mut self, steps: Vec<usize>) {
-        for index in steps {
+    /// Allocates all tasks of each given step job whose missing tasks fit into the free cores, in the given order.
+    fn allocate_step_jobs(&mut self, step_jobs: Vec<usize>) {
+        for index in step_jobs {
             let demand = &self.demands[index];
-            if self.free.allocate(demand.team, self.missing_cores(index)) {
-                self.shares[index] = demand.max;
+            if self.free.allocate(demand.team, self.missing_cores_of(index)) {
+                self.shares[index] = demand.max_tasks;
             }
         }
     }
 
-    /// Cores of the tasks that a job's share lacks of all.
-    fn missing_cores(&self, index: usize) -> Cores {
+    /// Returns the cores of the tasks that a job's share lacks of its maximum.
+    fn missing_cores_of(&self, index: usize) -> Cores {
         let demand = &self.demands[index];
-        demand.cores_of(demand.max - self.shares[index])
+        demand.cores_of(demand.max_tasks - self.shares[index])
     }
 
-    /// Fills concave jobs by marginal gain; `on_task` is called with each task's cores and what it adds.
-    fn fill_concave(&mut self, on_task: &mut dyn FnMut(Cores, f64)) {
+    /// Allocates tasks of concave jobs by descending marginal gain per core. Calls `on_allocated` with the cores and
+    /// the marginal gain of each task.
+    fn allocate_concave(&mut self, on_allocated: &mut dyn FnMut(Cores, f64)) {
         let mut heap: BinaryHeap<NextTask> = (0..self.demands.len())
             .filter(|&index| {
                 let demand = &self.demands[index];
                 self.admitted[index]
-                    && matches!(demand.curve, Curve::Concave { .. })
-                    && self.shares[index] < demand.max
+                    && matches!(demand.curve, ValueCurve::Concave { .. })
+                    && self.shares[index] < demand.max_tasks
             })
             .map(|index| self.next_task(index))
             .collect();
         while let Some(next) = heap.pop() {
             let (index, demand) = (next.index, &self.demands[next.index]);
-            if !self.free.allocate(demand.team, demand.cores) {
+            if !self.free.allocate(demand.team, demand.cores_per_task) {
                 continue;
             }
-            on_task(demand.cores, demand.marginal_gain(self.shares[index]));
+            on_allocated(demand.cores_per_task, demand.marginal_gain(self.shares[index]));
             self.shares[index] += 1;
-            if self.shares[index] < demand.max {
+            if self.shares[index] < demand.max_tasks {
                 heap.push(self.next_task(index));
             }
         }
@@ -132,58 +139,60 @@
 
     fn next_task(&self, index: usize) -> NextTask {
         let demand = &self.demands[index];
-        let cores = demand.cores.amount().max(0.001);
+        let cores = demand.cores_per_task.amount().max(0.001);
         let gain_per_core = demand.marginal_gain(self.shares[index]) / cores;
         NextTask { rank: demand.rank, gain_per_core, index }
     }
 
-    /// Which step jobs to run: for each number of core units the best selection of step jobs that uses so
-    /// many, and of all these the one that is best together with what the concave jobs make of the rest.
-    fn best_steps(&self, steps: &[usize]) -> Vec<usize> {
-        let unit = (self.free.total.0 / CORE_UNITS as u64).max(1);
+    /// Chooses the step jobs to run. For each number of core units, the dynamic program gives the best selection that
+    /// uses this number. The selection with the highest sum of its own importance and the importance that the
+    /// concave jobs reach with the remaining cores is chosen.
+    fn select_step_jobs(&self, step_jobs: &[usize]) -> Vec<usize> {
+        let unit = (self.free.total.0 / KNAPSACK_UNITS as u64).max(1);
         let concave = self.concave_importance();
-        self.step_selections(steps, unit)
+        self.best_selections(step_jobs, unit)
             .into_iter()
             .enumerate()
             .filter_map(|(used_units, selection)| {
                 let selection = selection?;
-                let rest = self.free.total.0.saturating_sub(unit * used_units as u64);
-                Some((selection.importance + concave.with_cores(rest), selection.steps))
+                let remaining = self.free.total.0.saturating_sub(unit * used_units as u64);
+                Some((selection.importance + concave.at_cores(remaining), selection.step_jobs))
             })
             .max_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, steps)| steps)
+            .map(|(_, step_jobs)| step_jobs)
             .unwrap_or_default()
     }
 
-    /// The dynamic program: at each index, the most important selection that uses so many units of cores.
-    fn step_selections(&self, steps: &[usize], unit: u64) -> Vec<Option<StepSelection>> {
-        let mut best: Vec<Option<StepSelection>> = vec![None; CORE_UNITS + 1];
+    /// Runs the dynamic program. The entry at index `n` is the most important selection that uses `n` units of
+    /// `unit` thousandths of a core, or `None` if there is none.
+    fn best_selections(&self, step_jobs: &[usize], unit: u64) -> Vec<Option<StepSelection>> {
+        let mut best: Vec<Option<StepSelection>> = vec![None; KNAPSACK_UNITS + 1];
         best[0] = Some(StepSelection::default());
-        for &index in steps {
+        for &index in step_jobs {
             let demand = &self.demands[index];
-            let units = self.missing_cores(index).0.div_ceil(unit) as usize;
-            let importance = demand.importance(demand.max);
-            // Downwards, so that no job is selected twice.
-            for used in (units..=CORE_UNITS).rev() {
+            let units = self.missing_cores_of(index).0.div_ceil(unit) as usize;
+            let importance = demand.importance(demand.max_tasks);
+            // In descending order, so that no job is selected twice.
+            for used in (units..=KNAPSACK_UNITS).rev() {
                 let Some(base) = &best[used - units] else {
                     continue;
                 };
                 let importance = base.importance + importance;
                 if best[used].as_ref().is_none_or(|best| importance > best.importance) {
-                    let mut steps = base.steps.clone();
-                    steps.push(index);
-                    best[used] = Some(StepSelection { importance, steps });
+                    let mut step_jobs = base.step_jobs.clone();
+                    step_jobs.push(index);
+                    best[used] = Some(StepSelection { importance, step_jobs });
                 }
             }
         }
         best
     }
 
-    /// What the concave jobs make of any number of cores. It follows from filling them once: they take the
-    /// best first, so fewer cores are the beginning of the same order.
+    /// Computes the importance that the concave jobs reach for any number of cores. One allocation is enough: tasks
+    /// are allocated in order of marginal gain, so fewer cores hold a prefix of the same sequence.
     fn concave_importance(&self) -> ConcaveImportance {
         let mut sums = vec![(0, 0.0)];
-        self.clone().fill_concave(&mut |cores, gain| {
+        self.clone().allocate_concave(&mut |cores, gain| {
             let (used, importance) = sums.last().copied().unwrap_or_default();
             sums.push((used + cores.0, importance + gain));
         });
@@ -204,28 +213,31 @@
     }
 }
 
-/// Step jobs that run together.
+/// A set of step jobs to run.
 #[derive(Clone, Default)]
 struct StepSelection {
+    /// Total importance of the jobs when all their tasks run.
     importance: f64,
-    /// Their indices.
-    steps: Vec<usize>,
+    /// Indices of the jobs among the demands.
+    step_jobs: Vec<usize>,
 }
 
-/// Summed importance of the concave jobs by the cores that they get.
+/// Total importance of the concave jobs as a function of the cores allocated to them.
 struct ConcaveImportance {
-    /// Cores, in thousandths, and importance after each task.
+    /// Cumulative cores, in thousandths, and cumulative importance after each allocated task.
     sums: Vec<(u64, f64)>,
 }
 
 impl ConcaveImportance {
-    fn with_cores(&self, cores: u64) -> f64 {
+    /// Returns the importance that fits into `cores` thousandths of a core.
+    fn at_cores(&self, cores: u64) -> f64 {
         let fitting = self.sums.partition_point(|(used, _)| *used <= cores);
         self.sums.get(fitting.saturating_sub(1)).map_or(0.0, |(_, importance)| *importance)
     }
 }
 
-/// One task more for a concave job, ordered by marginal gain per core; better ranks go first.
+/// The next task of a concave job in the allocation queue, ordered by marginal gain per core, then by rank, then by
+/// index.
 #[derive(PartialEq)]
 struct NextTask {
     rank: u32,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -235,7 +235,7 @@
                 zone: &view.zone,
                 spot: view.spot,
                 images: &view.images,
-                open: !draining && owned.accepts_tasks(cluster),
+                schedulable: !draining && owned.accepts_tasks(cluster),
             };
             let tasks = view.tasks.iter().map(|task| (task.task, task.state));
             PlacementTarget::of(machine, tasks, cluster.catalog, cluster.replica)
--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -74,7 +74,7 @@
         let GrantRequest { job, need, .. } = request;
         let mut places = Vec::new();
         let spread = PlacementRequest { spec: &job.spec, need, zone: None, count };
-        for index in placement::spread(&spread, &mut self.targets) {
+        for index in placement::place_tasks(&spread, &mut self.targets) {
             places.extend(self.place_on(inputs, index, false));
         }
         let missing = if request.may_await_release { count - places.len() } else { 0 };
@@ -99,7 +99,7 @@
         while places.len() < count {
             let open = zones.open(&inputs.cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
-                placement::choose(&job.spec, need, &self.targets, Some(zone.as_str()))
+                placement::choose_target(&job.spec, need, &self.targets, Some(zone.as_str()))
             }) else {
                 break;
             };
@@ -113,7 +113,7 @@
     /// Whether there is a place for a task at all.
     fn may_hold(&self, request: &GrantRequest<'_>) -> bool {
         let GrantRequest { job: Job { spec, .. }, need, .. } = request;
-        self.targets.iter().any(|target| target.takes(spec, need, None))
+        self.targets.iter().any(|target| target.accepts(spec, need, None))
             || request.may_await_release
                 && self.expected_releases.iter().any(|release| release.takes(spec, need))
     }
@@ -258,9 +258,9 @@
             let zone = group.zone;
             let request = PlacementRequest { spec: &job.spec, need: &need, zone, count };
             if group.attempt.is_some() {
-                placement::pack_in(&request, shard);
+                placement::place_gang(&request, shard);
             } else {
-                placement::spread(&request, shard);
+                placement::place_tasks(&request, shard);
             }
         }
     }
--- a/src/leader/expected_releases.rs
+++ b/src/leader/expected_releases.rs
@@ -145,7 +145,7 @@
         let replica = inputs.cluster.replica;
         let reserved =
             |target: &PlacementTarget| self.gangs.reserved.binary_search(&target.id).is_ok();
-        let open = targets.iter().filter(|target| target.open && !reserved(target));
+        let open = targets.iter().filter(|target| target.schedulable && !reserved(target));
         let open: FxHashMap<&MachineId, &PlacementTarget> =
             open.map(|target| (&target.id, target)).collect();
         let mut groups: BTreeMap<ReleaseGroup<'_>, ExpectedEnds> = BTreeMap::new();
--- a/src/leader/gang_reservation.rs
+++ b/src/leader/gang_reservation.rs
@@ -73,7 +73,7 @@
             return;
         }
         let gang_use = GangUse::of(inputs);
-        let open = targets.iter().filter(|target| target.open);
+        let open = targets.iter().filter(|target| target.schedulable);
         let open = open.map(|target| offered_cores(cluster, target).amount()).sum::<f64>();
         for allows_spot in [false, true] {
             let in_use = gang_use.cores[usize::from(allows_spot)].amount();
@@ -83,7 +83,7 @@
                 continue;
             }
             let may_reserve = |target: &PlacementTarget| {
-                target.open
+                target.schedulable
                     && !target.reserved
                     && (allows_spot || !target.spot)
                     && inputs.owner_knows_gangs(target)
--- a/src/leader/gang_scheduling.rs
+++ b/src/leader/gang_scheduling.rs
@@ -232,7 +232,7 @@
     fn pack(&self, zone: Option<&str>, count: usize) -> Option<GangPlacement> {
         let GrantRequest { job, need, .. } = self.request;
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
-        placement::pack(&gang, self.targets, self.capable)
+        placement::pack_gang(&gang, self.targets, self.capable)
     }
 
     /// The same in a zone; none are placed whatever the zone has.
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -12,7 +12,7 @@
 use super::starvation::STARVED_WEIGHT;
 use super::task_grants::JobTaskCounts;
 use super::team_use::TeamUse;
-use crate::admission::{self, Admission, Bounds, Demand};
+use crate::admission::{self, Admission, CoreLimits, Demand};
 use crate::cluster_view::ClusterView;
 use crate::fleet::Fleet;
 use crate::model::{Cores, JobId};
@@ -37,16 +37,16 @@
 }
 
 /// What admission has to divide.
-fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> Bounds {
+fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> CoreLimits {
     // What waits for a place counts as held, so urgent work finds as much again beside it.
     let awaited = Cores(allocation.expected_cores.0 * 2);
-    let open = allocation.targets.iter().filter(|target| target.open);
-    let held = open.fold(awaited, |sum, target| {
+    let open = allocation.targets.iter().filter(|target| target.schedulable);
+    let total = open.fold(awaited, |sum, target| {
         let machine_type = cluster.catalog.get(&*target.machine_type);
         Cores(sum.0 + machine_type.map_or(0, |offered| Cores::offer(offered.vcpus).0))
     });
     let teams = cluster.settings.params.teams.iter().map(|team| team.core_limit()).collect();
-    Bounds { held, teams }
+    CoreLimits { total, teams }
 }
 
 /// Admitted demands in the order in which they are granted.
@@ -97,7 +97,7 @@
         if standings.failing.contains(&demand.job) {
             wait_reasons.insert(demand.job, WaitReason::Failing);
         }
-        if share < demand.max {
+        if share < demand.max_tasks {
             wait_reasons.entry(demand.job).or_insert(WaitReason::ForMachines);
         }
     }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -8,7 +8,7 @@
 use super::machine_speed::ClassRunTimes;
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
 use super::task_grants::{JobTaskCounts, TaskCounts};
-use crate::admission::{Curve, Demand};
+use crate::admission::{Demand, ValueCurve};
 use crate::cluster_view::ClusterView;
 use crate::config::{ObjectiveKind, Settings};
 use crate::model::{Cores, JobId};
@@ -208,11 +208,11 @@
             job: id,
             rank,
             weight,
-            curve: if gang { Curve::Step } else { Curve::Concave { fade: FADE } },
+            curve: if gang { ValueCurve::Step } else { ValueCurve::Concave { gain_ratio: FADE } },
             team,
-            cores: Resources::of(&job.spec).cores,
-            min: counts.held,
-            max: counts.held + tries,
+            cores_per_task: Resources::of(&job.spec).cores,
+            min_tasks: counts.held,
+            max_tasks: counts.held + tries,
             required: starved || reserved_for || guaranteed,
         }
     }
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -153,7 +153,7 @@
             let machine_type = inputs.cluster.catalog.get(&machine.offer.machine_type);
             let offered = machine_type.map(Resources::offered).unwrap_or_default();
             let target = targets.get(id);
-            let closed = target.is_none_or(|target| !target.open);
+            let closed = target.is_none_or(|target| !target.schedulable);
             MachineUsage {
                 id: id.clone(),
                 offer: machine.offer.clone(),
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -44,7 +44,7 @@
     target: &PlacementTarget,
 ) -> Option<Resources> {
     let PlacementTarget { machine_type, zone, spot, .. } = target;
-    let may_use = target.open && placement::allowed(spec, machine_type, zone, *spot);
+    let may_use = target.schedulable && placement::allowed(spec, machine_type, zone, *spot);
     cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
 }
 
@@ -64,7 +64,7 @@
     };
     let fits = |zone| {
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
-        placement::pack(&gang, targets, &all).is_some()
+        placement::pack_gang(&gang, targets, &all).is_some()
     };
     if zones.iter().any(|zone| fits(*zone)) {
         return;
@@ -79,7 +79,7 @@
         }
     }
     for i in best.into_iter().flat_map(|best| best.machines) {
-        targets[i].open = false;
+        targets[i].schedulable = false;
     }
 }
 
@@ -170,7 +170,7 @@
                 }
                 continue;
             }
-            let fits = |target: &PlacementTarget| target.takes(&job.spec, &need, None);
+            let fits = |target: &PlacementTarget| target.accepts(&job.spec, &need, None);
             if !self.starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
@@ -178,7 +178,7 @@
             if !released && held_back < STARVED_MACHINES {
                 let machine = largest_possible(cluster, &job.spec, &need, &allocation.targets);
                 if let Some(i) = machine {
-                    allocation.targets[i].open = false;
+                    allocation.targets[i].schedulable = false;
                     held_back += 1;
                 }
             }
@@ -193,7 +193,9 @@
         need: &Resources,
         targets: &mut [PlacementTarget],
     ) -> bool {
-        let Some(target) = targets.iter_mut().find(|target| target.holds(spec, need, None)) else {
+        let Some(target) =
+            targets.iter_mut().find(|target| target.accepts_ignoring_reservation(spec, need, None))
+        else {
             return false;
         };
         target.reserved = false;
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -1,43 +1,45 @@
-//! Placement of a gang: all of its tasks at once, on few machines.
+//! Placement of gangs: all tasks at once, on few machines.
 
-use super::{ORDINARY_SHARE, PlacementRequest, PlacementTarget, slots, slowness_s};
+use super::{ON_DEMAND_COST_SHARE, PlacementRequest, PlacementTarget, slots, slowness_s};
 use crate::wire::JobSpec;
 
-/// Starts that differ by no more than these seconds are alike when a gang's machines are chosen.
-const ALIKE_START_S: f64 = 0.5;
+/// Machines whose start times differ by at most this many seconds count as equally early for a gang.
+const START_TOLERANCE_S: f64 = 0.5;
 
-/// Seconds until a gang's task can begin on a machine, with what is worth waiting to avoid it. The fit does not
-/// count: the gang as a whole is to fit.
+/// Returns the start time of a gang's task on a machine: seconds until the task can start, plus the cost of slow
+/// execution and, if the gang allows spot machines, of an on-demand machine. Cores left over are not counted, as the
+/// gang is fitted as a whole.
 fn gang_start_s(spec: &JobSpec, target: &PlacementTarget) -> f64 {
-    let is_dearer = spec.allows_spot && !target.spot;
-    let ordinary_s = if is_dearer { spec.estimated_run_s * ORDINARY_SHARE } else { 0.0 };
-    target.fetch_s(spec) + target.delay_s + slowness_s(spec, target) + ordinary_s
+    let is_more_expensive = spec.allows_spot && !target.spot;
+    let on_demand_s =
+        if is_more_expensive { spec.estimated_run_s * ON_DEMAND_COST_SHARE } else { 0.0 };
+    target.fetch_s(spec) + target.command_delay_s + slowness_s(spec, target) + on_demand_s
 }
 
 /// A machine on which some of a gang's tasks fit.
 #[derive(Clone, Copy)]
 struct GangBin {
-    /// Seconds until tasks can begin there, as [`gang_start_s`] counts them.
+    /// Start time of a task on the machine, from [`gang_start_s`].
     start_s: f64,
-    /// Index of the machine.
+    /// Index of the machine among the targets.
     index: usize,
-    /// Tasks that fit.
+    /// Number of the gang's tasks that fit on the machine.
     slots: usize,
 }
 
-/// Machines for all tasks of a gang.
+/// The machines chosen for all tasks of a gang.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GangPlacement {
-    /// Seconds until the last task can begin.
+    /// Latest start time of a task in seconds, which includes the costs of on-demand and slow machines.
     pub last_start_s: f64,
-    /// Index of each task's machine.
+    /// Index of each task's machine among the targets.
     pub machines: Vec<usize>,
 }
 
-/// Machines for all of a gang's tasks, or `None` if they do not all fit: those where all can begin first, and
-/// among them as few as hold it, as each further one can be late or be lost. `usable` says for each machine
-/// whether it can be used at all.
-pub fn pack(
+/// Chooses machines for all tasks of a gang, or returns `None` if the tasks do not all fit. The machines that let the
+/// last task start earliest are preferred. Among them as few as possible are used, because each additional machine can
+/// delay the gang or fail. `usable` tells for each target whether it may be used at all.
+pub fn pack_gang(
     request: &PlacementRequest<'_>,
     targets: &[PlacementTarget],
     usable: &[bool],
@@ -59,30 +61,32 @@
     pack_into_fewest(earliest_bins(&bins, request.count)?, request.count)
 }
 
-/// The bins, in order of their start, where all tasks can begin first, with those that are alike.
+/// Returns the earliest bins that together hold `count` tasks, and all bins whose start time is within
+/// [`START_TOLERANCE_S`] of the last of them. Expects the bins in order of their start times; returns `None` if they
+/// hold fewer tasks.
 fn earliest_bins(bins: &[GangBin], count: usize) -> Option<Vec<GangBin>> {
     let mut slots = 0;
     let last = bins.iter().find(|bin| {
         slots += bin.slots;
         slots >= count
     })?;
-    let latest_s = last.start_s + ALIKE_START_S;
+    let latest_s = last.start_s + START_TOLERANCE_S;
     Some(bins.iter().copied().filter(|bin| bin.start_s <= latest_s).collect())
 }
 
-/// Fills few bins with all tasks: the tightest that holds the rest, else the widest. Large machines stay whole
-/// for others.
+/// Packs all tasks into few bins. Each step fills the smallest bin that holds all remaining tasks, or else the largest
+/// bin. Choosing the smallest bin keeps large machines free for other work.
 fn pack_into_fewest(mut bins: Vec<GangBin>, count: usize) -> Option<GangPlacement> {
     let (mut machines, mut last_start_s) = (Vec::with_capacity(count), 0.0f64);
     while machines.len() < count {
         let remaining = count - machines.len();
         let by_slots = |a: usize, b: usize| bins[a].slots.cmp(&bins[b].slots);
         let by_start = |a: usize, b: usize| bins[a].start_s.total_cmp(&bins[b].start_s);
-        let tightest = (0..bins.len())
+        let smallest = (0..bins.len())
             .filter(|&position| bins[position].slots >= remaining)
             .min_by(|&a, &b| by_slots(a, b).then(by_start(a, b)));
-        let widest = || (0..bins.len()).max_by(|&a, &b| by_slots(a, b).then(by_start(b, a)));
-        let position = tightest.or_else(widest)?;
+        let largest = || (0..bins.len()).max_by(|&a, &b| by_slots(a, b).then(by_start(b, a)));
+        let position = smallest.or_else(largest)?;
         let bin = bins.swap_remove(position);
         last_start_s = last_start_s.max(bin.start_s);
         machines.extend(std::iter::repeat_n(bin.index, bin.slots.min(remaining)));
@@ -90,11 +94,11 @@
     Some(GangPlacement { last_start_s, machines })
 }
 
-/// Packs a gang on any of some machines and counts its tasks in there at once; nothing if they do not all fit.
-/// Returns the index of each task's machine.
-pub fn pack_in(request: &PlacementRequest<'_>, targets: &mut [PlacementTarget]) -> Vec<usize> {
+/// Places all tasks of a gang and allocates their resources on the targets. Returns the index of each task's machine,
+/// or no index if the tasks do not all fit.
+pub fn place_gang(request: &PlacementRequest<'_>, targets: &mut [PlacementTarget]) -> Vec<usize> {
     let all = vec![true; targets.len()];
-    let machines = pack(request, targets, &all).map_or(vec![], |placed| placed.machines);
+    let machines = pack_gang(request, targets, &all).map_or(vec![], |placed| placed.machines);
     machines.iter().for_each(|index| targets[*index].add(request.spec, request.need));
     machines
 }
--- a/src/shard/assignment.rs
+++ b/src/shard/assignment.rs
@@ -62,8 +62,8 @@
             let need = Resources::of(&job.spec);
             let zone = grant.zone.as_deref();
             let place = match grant.attempt {
-                Some(_) => placement::pack_in,
-                None => placement::spread,
+                Some(_) => placement::place_gang,
+                None => placement::place_tasks,
             };
             let request =
                 PlacementRequest { spec: &job.spec, need: &need, zone, count: tasks.len() };
@@ -94,7 +94,7 @@
                 .collect();
             let request =
                 PlacementRequest { spec: &job.spec, need: &need, zone: None, count: tasks.len() };
-            let chosen = placement::spread(&request, &mut usable);
+            let chosen = placement::place_tasks(&request, &mut usable);
             let mut starts = tasks.iter().map(|task| GrantedStart::awaiting_release(plan, *task));
             for (target, start) in chosen.into_iter().zip(starts.by_ref()) {
                 self.start_queues.entry(usable[target].id.clone()).or_default().push(start);
@@ -235,11 +235,11 @@
             let mut target = machine.placement_target(id, context, term, !plan.is_drained(id))?;
             target.slow = plan.is_slow(id);
             target.reserved = plan.is_reserved(id);
-            target.delay_s = match id == reporting {
+            target.command_delay_s = match id == reporting {
                 true => 0.0,
                 false => context.timing.delay_s(context.now.since(machine.last_heartbeat)),
             };
-            Some(target).filter(|target| target.open)
+            Some(target).filter(|target| target.schedulable)
         };
         self.machines.iter().filter_map(target).collect()
     }
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -149,7 +149,7 @@
             zone: &self.zone,
             spot: self.spot,
             images: &self.images,
-            open: open && self.is_usable(term, context.now, &context.timing),
+            schedulable: open && self.is_usable(term, context.now, &context.timing),
         };
         PlacementTarget::of(machine, tasks, context.catalog, context.replica)
     }
--- a/src/shard/task_start.rs
+++ b/src/shard/task_start.rs
@@ -58,7 +58,7 @@
         commands: &mut Vec<WorkerCommand>,
     ) {
         let has_none = self.term_state.starts_awaiting_release.is_empty();
-        if !target.open || target.free.cores == Cores(0) || has_none {
+        if !target.schedulable || target.free.cores == Cores(0) || has_none {
             return;
         }
         let mut waiting = std::mem::take(&mut self.term_state.starts_awaiting_release);
@@ -107,7 +107,7 @@
         spec: &JobSpec,
     ) -> bool {
         self.may_start(replica, task)
-            && target.takes(spec, &Resources::of(spec), None)
+            && target.accepts(spec, &Resources::of(spec), None)
             && !self.machines.values().any(|machine| machine.tasks.contains_key(&task))
     }
 
