--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,13 +1,12 @@
-//! The autoscaler: which machines to scale out and which to scale in.
+//! The autoscaler: which machines to request from the cloud (scale-out) and which to return (scale-in).
 //!
-//! [`decide`] is a pure function of the machines that are held, the work that is pending and what
-//! [`MarketState`] remembers from epoch to epoch. Its steps are bin packing: pending tasks are packed
-//! first into free room, then into machines that are to be scaled out, each of the type with the lowest price
-//! per task. Gangs come first, then headroom for the next gangs, then long-running work, then ready
-//! capacity for short-running work. Machines are scaled in only when nothing is scaled out.
+//! [`decide`] is a pure function of the rented machines, the pending work and the [`AutoscalerState`], which is kept
+//! from epoch to epoch. It packs pending tasks first into the free resources of rented machines, then into machines to
+//! be requested, each of the offer with the lowest price per task. The order is: gangs, headroom for future gangs,
+//! long-running work, ready capacity for short-running work. Machines are scaled in only when none are scaled out.
 //!
-//! Nothing here affects safety: a machine that is scaled in is drained first, and what ran on it ends only
-//! with the proofs that `fleet` collects.
+//! Decisions do not affect safety: a machine is drained before it is returned, and its tasks count as ended only with
+//! the proofs that [`crate::fleet`] collects.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,81 +15,82 @@
 use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec, Priority};
 
-mod market;
 mod scale_in;
 mod scale_out;
+mod state;
 
-pub use market::MarketState;
 use scale_in::ScaleInPlanner;
 use scale_out::{OfferFilter, ScaleOutPlan};
+pub use state::AutoscalerState;
 
-/// Seconds that work without urgency waits in the queue before ordinary machines are scaled out.
-const PATIENT_S: f64 = 12.0;
-/// Machines are not consolidated while pending work would keep them busy for longer than that.
-const CONSOLIDATION_QUEUE_S: f64 = PATIENT_S / 3.0;
-/// Milliseconds for which ordinary machines must have been surplus before some are scaled in, and spot
-/// machines, which cost little.
-const SURPLUS_MS: u64 = 12_000;
-const SURPLUS_SPOT_MS: u64 = 25_000;
-/// Work that runs shorter than this share of a boot time is short-running: by the time a machine scaled out
-/// for it is up, it has found room or missed its time.
+/// Minimum queue time in seconds at which on-demand machines are scaled out for work of normal or lower priority.
+const ON_DEMAND_MIN_QUEUE_S: f64 = 12.0;
+/// Machines are not consolidated while pending work would keep them busy for longer than this many seconds.
+const CONSOLIDATION_MAX_QUEUE_S: f64 = ON_DEMAND_MIN_QUEUE_S / 3.0;
+/// Milliseconds for which a surplus must have lasted before on-demand machines are scaled in.
+const ON_DEMAND_SURPLUS_MS: u64 = 12_000;
+/// Milliseconds for which a surplus must have lasted before spot machines are scaled in. It is longer because spot
+/// machines cost little.
+const SPOT_SURPLUS_MS: u64 = 25_000;
+/// Work is short-running if its run time is below this share of the boot time. By the time a machine requested for such
+/// work is up, the work has found room elsewhere or has missed its time limit.
 const SHORT_RUNNING_BOOT_SHARE: f64 = 0.8;
-/// Boot time in seconds of a machine whose type the catalog does not have.
+/// Boot time in seconds that is assumed for a machine whose type is not in the catalog.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// A machine that boots for longer than this multiple of the usual time may never come up.
+/// A machine that has been booting for longer than this multiple of its type's boot time may never come up.
 const OVERDUE_BOOT_MULTIPLE: f64 = 2.0;
 
-/// A kind of machine that the cloud offers.
+/// A kind of machine that can be requested from the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineOffer {
     /// Name of its machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise it is an on-demand machine.
     pub spot: bool,
 }
 
-/// A machine that is held, and how it is used.
+/// A rented machine and its usage.
 #[derive(Clone, Debug)]
 pub struct MachineUsage {
-    /// The machine.
+    /// Id of the machine.
     pub id: MachineId,
-    /// The offer that it is of.
+    /// The offer under which the machine was rented.
     pub offer: MachineOffer,
-    /// Whether it has not sent a heartbeat yet.
+    /// Whether the machine has not sent a heartbeat yet.
     pub booting: bool,
-    /// Seconds since it was scaled out, as far as known.
+    /// Seconds since the machine was rented, as far as known.
     pub age_s: f64,
     /// Free resources.
     pub free: Resources,
-    /// Seconds since something ran on it; 0 if something does.
+    /// Seconds since a task last ran on the machine; 0 if one runs now.
     pub idle_s: f64,
-    /// Whether it is reserved for gangs.
+    /// Whether the machine is reserved for gangs.
     pub reserved: bool,
-    /// Whether it takes nothing new as it is preempted, drained or silent.
-    pub leaving: bool,
+    /// Whether the machine takes no new tasks because it is being preempted, is draining or sends no heartbeats.
+    pub unavailable: bool,
 }
 
 impl MachineUsage {
-    /// Whether it is up and may take tasks.
+    /// Returns whether the machine is up and may take new tasks.
     fn in_service(&self) -> bool {
-        !self.leaving && !self.booting
+        !self.unavailable && !self.booting
     }
 }
 
-/// A job's tasks that wait for resources.
+/// Tasks of one job that wait for resources.
 #[derive(Clone, Debug)]
 pub struct PendingWork<'a> {
-    /// Their job.
+    /// Specification of the job.
     pub spec: &'a JobSpec,
-    /// Number of tasks that wait.
+    /// Number of waiting tasks.
     pub tasks: u32,
-    /// Number of the job's tasks that run or are about to.
+    /// Number of the job's tasks that run or are granted.
     pub running: u32,
     /// Expected run time of a task, in seconds.
     pub run_s: f64,
-    /// Whether a task runs shorter than it takes to boot a machine for it.
+    /// Whether the work is short-running, see [`is_short_running`].
     pub short_running: bool,
 }
 
@@ -99,12 +99,12 @@
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether ready capacity serves it.
+    /// Returns whether ready capacity is kept for such work: short-running work other than gangs.
     fn needs_ready_capacity(&self) -> bool {
         self.short_running && !self.is_gang()
     }
 
-    /// Whether machines are scaled out for it when it waits.
+    /// Returns whether machines are scaled out for the work while it waits: long-running work other than gangs.
     fn is_long_running(&self) -> bool {
         !self.short_running && !self.is_gang()
     }
@@ -113,56 +113,66 @@
         Resources::of(self.spec).cores.amount()
     }
 
-    /// Whether a task fits on an empty machine of that type.
+    /// Returns whether a task fits on an empty machine of a type.
     fn fits_type(&self, catalog: &MachineCatalog, machine_type: &str) -> bool {
         let offered = catalog.get(machine_type).map(Resources::offered);
         offered.is_some_and(|offered| Resources::of(self.spec).fits(&offered))
     }
 }
 
-/// Machines of one offer that are to be scaled out.
+/// Machines of one offer to request from the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedMachines {
-    /// The offer.
+    /// The offer to request.
     pub offer: MachineOffer,
     /// Number of machines.
     pub count: u32,
 }
 
-/// What is to be scaled out and scaled in.
+/// The machines to scale out and to scale in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScalingDecision {
-    /// Machines to scale out; each offer comes once.
+    /// Machines to request, at most one entry per offer.
     pub scale_out: Vec<RequestedMachines>,
     /// Machines to drain and return.
     pub scale_in: Vec<MachineId>,
-    /// Whether some machines are surplus; they are scaled in if that lasts.
+    /// Whether there are surplus machines, which are scaled in once the surplus has lasted long enough.
     pub has_surplus: bool,
 }
 
-/// Whether work is short-running in comparison with the boot time of the machines that it fits on.
+/// Returns whether work with a run time of `run_s` seconds is short-running in comparison with the boot time of the
+/// machine types on which its tasks fit.
 pub fn is_short_running(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
     let need = Resources::of(spec);
-    let suitable = catalog.values().filter(|t| slots(&need, &Resources::offered(t)) > 0);
-    let boot_s = suitable.map(|t| t.boot_s).min_by(f64::total_cmp);
+    let suitable =
+        catalog.values().filter(|machine_type| slots(&need, &Resources::offered(machine_type)) > 0);
+    let boot_s = suitable.map(|machine_type| machine_type.boot_s).min_by(f64::total_cmp);
     boot_s.is_some_and(|boot_s| run_s < boot_s * SHORT_RUNNING_BOOT_SHARE)
 }
 
-/// Decides what to scale out and what to scale in.
+/// Decides which machines to scale out and which to scale in.
 pub fn decide(
     now: MonotonicTime,
     catalog: &MachineCatalog,
     machines: &[MachineUsage],
     pending: &[PendingWork<'_>],
-    market: &MarketState,
+    state: &AutoscalerState,
 ) -> ScalingDecision {
-    let queues_s = queue_times(catalog, machines, pending);
+    let queue_times_s = queue_times_s(catalog, machines, pending);
     let short_running_in_use = pending
         .iter()
         .filter(|work| work.needs_ready_capacity())
         .map(|work| work.cores_per_task() * f64::from(work.running))
         .sum();
-    let inputs = Inputs { now, catalog, machines, pending, market, queues_s, short_running_in_use };
+    let inputs = ScalingInputs {
+        now,
+        catalog,
+        machines,
+        pending,
+        state,
+        queue_times_s,
+        short_running_in_use,
+    };
     let scale_out = inputs.scale_out();
     if !scale_out.is_empty() {
         return ScalingDecision { scale_out, ..ScalingDecision::default() };
@@ -171,112 +181,120 @@
     ScalingDecision { scale_out, scale_in, has_surplus }
 }
 
-/// What one decision is made of.
-struct Inputs<'a> {
+/// Inputs of one scaling decision.
+struct ScalingInputs<'a> {
     now: MonotonicTime,
     catalog: &'a MachineCatalog,
     machines: &'a [MachineUsage],
     pending: &'a [PendingWork<'a>],
-    market: &'a MarketState,
-    /// Seconds of queue before each entry of `pending`.
-    queues_s: Vec<f64>,
-    /// Cores that short-running work uses now.
+    state: &'a AutoscalerState,
+    /// Queue time in seconds of each entry of `pending`.
+    queue_times_s: Vec<f64>,
+    /// Cores in use by short-running work.
     short_running_in_use: f64,
 }
 
-impl Inputs<'_> {
-    /// Machines to scale out.
+impl ScalingInputs<'_> {
+    /// Returns the machines to request.
     fn scale_out(&self) -> Vec<RequestedMachines> {
-        // Counted once: each machine that is to be scaled out asks for it.
+        // Counted once in advance, as it is read for each machine to be requested.
         let mut machines_per_zone: HashMap<&str, usize> = HashMap::new();
         for machine in self.machines {
             *machines_per_zone.entry(&machine.offer.zone).or_default() += 1;
         }
-        let usable = self.machines.iter().filter(|machine| self.counts_as_room(machine));
+        let usable = self.machines.iter().filter(|machine| self.has_usable_capacity(machine));
         let mut plan = ScaleOutPlan::new(self.catalog, &machines_per_zone, usable);
-        // Gangs first: what they need is whole, and nothing else fits where it has to be.
+        // Gangs go first: all tasks of a gang must fit at once, and other work could take part of the room that they
+        // need.
         for work in self.pending.iter().filter(|work| work.is_gang() && work.tasks > 0) {
-            plan.add_for_gang(work, self.any_offer());
+            plan.add_for_gang(work, self.all_offers());
         }
         for allows_spot in [false, true] {
-            plan.add_gang_headroom(self.pending, self.market, allows_spot, self.any_offer());
+            plan.add_gang_headroom(self.pending, self.state, allows_spot, self.all_offers());
         }
         self.add_for_long_running(&mut plan);
         self.add_ready_capacity(&mut plan);
         plan.into_requests()
     }
 
-    /// Whether tasks can be packed on a machine. One that takes much longer than usual to boot may
-    /// never come.
-    fn counts_as_room(&self, machine: &MachineUsage) -> bool {
+    /// Returns whether tasks can be packed on a machine. A machine that takes much longer than usual to boot is
+    /// excluded, as it may never come up.
+    fn has_usable_capacity(&self, machine: &MachineUsage) -> bool {
         let machine_type = self.catalog.get(&machine.offer.machine_type);
-        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s);
-        !machine.leaving && (!machine.booting || machine.age_s < boot_s * OVERDUE_BOOT_MULTIPLE)
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        !machine.unavailable && (!machine.booting || machine.age_s < boot_s * OVERDUE_BOOT_MULTIPLE)
     }
 
-    fn any_offer(&self) -> OfferFilter<'_> {
-        OfferFilter { market: self.market, now: self.now, spot_only: false, zone: None }
+    /// Returns a filter that allows spot and on-demand machines in all zones.
+    fn all_offers(&self) -> OfferFilter<'_> {
+        OfferFilter { state: self.state, now: self.now, spot_only: false, zone: None }
     }
 
+    /// Returns a filter that allows only spot machines, in all zones.
     fn spot_offers(&self) -> OfferFilter<'_> {
-        OfferFilter { spot_only: true, ..self.any_offer() }
+        OfferFilter { spot_only: true, ..self.all_offers() }
     }
 
+    /// Adds room for the pending long-running work.
     fn add_for_long_running(&self, plan: &mut ScaleOutPlan<'_>) {
-        let queued = self.pending.iter().zip(&self.queues_s);
+        let queued = self.pending.iter().zip(&self.queue_times_s);
         for (work, queue_s) in queued.filter(|(work, _)| work.is_long_running()) {
-            // What waits for a short time only is not worth an ordinary machine.
-            let patient = work.spec.priority >= Priority::Normal && *queue_s < PATIENT_S;
-            plan.add(work, if patient { self.spot_offers() } else { self.any_offer() });
+            // An on-demand machine costs too much for work that waits for a short time only.
+            let spot_only =
+                work.spec.priority >= Priority::Normal && *queue_s < ON_DEMAND_MIN_QUEUE_S;
+            plan.add(work, if spot_only { self.spot_offers() } else { self.all_offers() });
         }
     }
 
-    /// Adds ready capacity for short-running work, in tasks like those of the job that has most of them:
-    /// up to the amount for spot machines on those, and up to the smaller amount on any.
+    /// Adds ready capacity for short-running work, in tasks of the size of the job with the most tasks. Spot machines
+    /// are requested up to the ready capacity for spot machines. Tasks that find none are placed on machines of any
+    /// kind, up to the smaller ready capacity for machines of any kind.
     fn add_ready_capacity(&self, plan: &mut ScaleOutPlan<'_>) {
         let short_running = self.pending.iter().filter(|work| work.needs_ready_capacity());
-        let Some(model) = short_running.max_by_key(|work| work.tasks + work.running) else {
+        let Some(template) = short_running.max_by_key(|work| work.tasks + work.running) else {
             return;
         };
-        let cores_per_task = model.cores_per_task();
-        let missing_tasks = |spot| match cores_per_task > 0.0 {
-            true => (self.missing_ready_cores(spot) / cores_per_task).round() as u32,
+        let cores_per_task = template.cores_per_task();
+        let missing_tasks = |spot_only| match cores_per_task > 0.0 {
+            true => (self.missing_ready_cores(spot_only) / cores_per_task).round() as u32,
             false => 0,
         };
+        // Ready capacity for spot machines is never the smaller one, so `on_spot - on_any` does not underflow.
         let (on_spot, on_any) = (missing_tasks(true), missing_tasks(false));
-        let ready = |tasks| PendingWork { tasks, ..model.clone() };
+        let ready = |tasks| PendingWork { tasks, ..template.clone() };
         let unplaced = plan.add(&ready(on_spot), self.spot_offers());
-        let on_ordinary = unplaced.saturating_sub(on_spot - on_any);
-        plan.add(&ready(on_ordinary), self.any_offer());
+        let unplaced_on_any = unplaced.saturating_sub(on_spot - on_any);
+        plan.add(&ready(unplaced_on_any), self.all_offers());
     }
 
-    /// Cores of ready capacity for short-running work, on spot machines or on any, beyond what such
-    /// work uses already.
-    fn missing_ready_cores(&self, spot: bool) -> f64 {
-        (self.market.load.ready_cores(spot) - self.short_running_in_use).max(0.0)
+    /// Returns the cores of ready capacity for short-running work, on spot machines or on machines of any kind, that
+    /// exceed the cores in use by such work.
+    fn missing_ready_cores(&self, spot_only: bool) -> f64 {
+        (self.state.load.ready_cores(spot_only) - self.short_running_in_use).max(0.0)
     }
 
-    /// Machines to drain, and whether some are surplus. Idle machines go at once; those whose work others
-    /// could hold go when that has lasted, ordinary ones before spot machines.
+    /// Returns the machines to drain, and whether there are surplus machines. Idle machines are drained at once.
+    /// Surplus machines, whose work other machines could hold, are drained once the surplus has lasted long enough and
+    /// no idle machine is left to drain. On-demand machines are drained before spot machines.
     fn scale_in(&self) -> (Vec<MachineId>, bool) {
         let planner = ScaleInPlanner { catalog: self.catalog, machines: self.machines };
-        let idle = planner.idle(&self.market.load, self.short_running_in_use);
-        let queued = self.pending.iter().zip(&self.queues_s);
+        let idle = planner.idle_machines(&self.state.load, self.short_running_in_use);
+        let queued = self.pending.iter().zip(&self.queue_times_s);
         let waiting = queued.filter(|(work, _)| work.is_long_running() && work.tasks > 0);
-        if waiting.map(|(_, queue_s)| *queue_s).fold(0.0, f64::max) > CONSOLIDATION_QUEUE_S {
+        if waiting.map(|(_, queue_s)| *queue_s).fold(0.0, f64::max) > CONSOLIDATION_MAX_QUEUE_S {
             return (idle, false);
         }
         let long_running = |machine_type: &str| self.long_running_mean(machine_type);
         let surplus =
-            |spot| planner.consolidate(spot, self.missing_ready_cores(spot), &long_running);
-        let (ordinary, spot) = (surplus(false), surplus(true));
-        let has_surplus = !ordinary.is_empty() || !spot.is_empty();
-        let surplus_ms = self.market.surplus_ms(self.now);
+            |spot| planner.surplus_machines(spot, self.missing_ready_cores(spot), &long_running);
+        let (on_demand, spot) = (surplus(false), surplus(true));
+        let has_surplus = !on_demand.is_empty() || !spot.is_empty();
+        let surplus_ms = self.state.surplus_ms(self.now);
         let scale_in = if !idle.is_empty() {
             idle
-        } else if surplus_ms >= SURPLUS_MS && !ordinary.is_empty() {
-            ordinary
-        } else if surplus_ms >= SURPLUS_SPOT_MS {
+        } else if surplus_ms >= ON_DEMAND_SURPLUS_MS && !on_demand.is_empty() {
+            on_demand
+        } else if surplus_ms >= SPOT_SURPLUS_MS {
             spot
         } else {
             idle
@@ -284,18 +302,19 @@
         (scale_in, has_surplus)
     }
 
-    /// Cores that long-running work used lately, if some that is pending or runs fits on that type.
+    /// Returns the recent mean of the cores in use by long-running work, or 0 if no job of such work, pending or
+    /// running, fits on the machine type.
     fn long_running_mean(&self, machine_type: &str) -> f64 {
         let fits = |work: &PendingWork<'_>| {
             !work.short_running && work.fits_type(self.catalog, machine_type)
         };
-        if self.pending.iter().any(fits) { self.market.load.long_running_mean() } else { 0.0 }
+        if self.pending.iter().any(fits) { self.state.load.long_running_mean() } else { 0.0 }
     }
 }
 
-/// For each entry of `pending`, the seconds for which the machines that can take it are busy with all
-/// that is pending now.
-fn queue_times(
+/// Returns the queue time of each entry of `pending`: the seconds for which the machines that can run its tasks would
+/// be busy with all pending work. It is infinite if no such machine is available.
+fn queue_times_s(
     catalog: &MachineCatalog,
     machines: &[MachineUsage],
     pending: &[PendingWork<'_>],
@@ -303,8 +322,9 @@
     let core_seconds: f64 =
         pending.iter().map(|work| f64::from(work.tasks) * work.cores_per_task() * work.run_s).sum();
     let mut cores_by_type: BTreeMap<&str, f64> = BTreeMap::new();
-    for machine in machines.iter().filter(|machine| !machine.leaving) {
-        let cores = catalog.get(&machine.offer.machine_type).map_or(0.0, |t| t.vcpus);
+    for machine in machines.iter().filter(|machine| !machine.unavailable) {
+        let cores =
+            catalog.get(&machine.offer.machine_type).map_or(0.0, |machine_type| machine_type.vcpus);
         *cores_by_type.entry(machine.offer.machine_type.as_str()).or_default() += cores;
     }
     let queue_time = |work: &PendingWork<'_>| {
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -1,37 +1,38 @@
-//! Scale-in: idle machines, and machines whose work others could hold.
+//! Scale-in: selection of idle machines, and of surplus machines whose work other machines could hold.
 
 use super::{MachineOffer, MachineUsage};
 use crate::model::MachineId;
 use crate::offered_load::OfferedLoad;
 use crate::resources::MachineCatalog;
 
-/// Idle seconds after which a machine may be returned, spot and ordinary.
-const IDLE_SPOT_S: f64 = 60.0;
-const IDLE_ORDINARY_S: f64 = 20.0;
-/// The cloud bills at least that many seconds of a machine.
+/// Seconds without a task after which a spot machine may be returned.
+const SPOT_IDLE_LIMIT_S: f64 = 60.0;
+/// Seconds without a task after which an on-demand machine may be returned.
+const ON_DEMAND_IDLE_LIMIT_S: f64 = 20.0;
+/// Minimum time in seconds that the cloud bills for a machine. Machines are not returned before that age.
 const MIN_BILLED_S: f64 = 60.0;
-/// Share of the cores in use that stays free beyond ready capacity when machines are consolidated.
-const FREE_SHARE: f64 = 0.12;
-/// One of so many machines of a fleet is consolidated at a time.
+/// Cores that stay free beyond ready capacity when machines are consolidated, as a share of the cores in use.
+const HEADROOM_SHARE: f64 = 0.12;
+/// At a time, at most one in this number of the machines in service is consolidated, for each machine type.
 const CONSOLIDATION_DIVISOR: usize = 40;
 
-/// The machines out of which some are chosen.
+/// Selects machines to scale in.
 pub(super) struct ScaleInPlanner<'a> {
     pub catalog: &'a MachineCatalog,
     pub machines: &'a [MachineUsage],
 }
 
 impl ScaleInPlanner<'_> {
-    /// Machines that have been idle for long, dearest first, as long as what stays holds the ready
-    /// capacity for short-running work, which uses `in_use` cores now.
-    pub fn idle(&self, load: &OfferedLoad, in_use: f64) -> Vec<MachineId> {
-        let remaining = self.machines.iter().filter(|machine| !machine.leaving);
+    /// Returns the machines that have been idle for long enough, most expensive first, as far as the remaining machines
+    /// provide the ready capacity for short-running work. `in_use` is the number of cores in use by such work.
+    pub fn idle_machines(&self, load: &OfferedLoad, in_use: f64) -> Vec<MachineId> {
+        let remaining = self.machines.iter().filter(|machine| !machine.unavailable);
         let mut remaining_cores =
             in_use + remaining.map(|machine| machine.free.cores.amount()).sum::<f64>();
         let mut idle: Vec<&MachineUsage> = self
             .machines
             .iter()
-            .filter(|machine| self.may_leave(machine) && machine.idle_s >= idle_limit_s(machine))
+            .filter(|machine| self.may_return(machine) && machine.idle_s >= idle_limit_s(machine))
             .collect();
         idle.sort_by(|a, b| {
             let by_price = self.price_per_core(&b.offer).total_cmp(&self.price_per_core(&a.offer));
@@ -39,38 +40,40 @@
         });
         let mut chosen = Vec::new();
         for machine in idle {
-            let without = remaining_cores - machine.free.cores.amount();
-            if without < load.ready_cores(machine.offer.spot) {
+            let cores_without = remaining_cores - machine.free.cores.amount();
+            if cores_without < load.ready_cores(machine.offer.spot) {
                 continue;
             }
-            remaining_cores = without;
+            remaining_cores = cores_without;
             chosen.push(machine.id.clone());
         }
         chosen
     }
 
-    /// Machines, spot or ordinary, whose work others of their type would hold as well, least used first
-    /// and a few at a time: they take nothing new, and go when they are empty. `missing_ready` is the
-    /// ready capacity that has to stay free; what long-running work used lately on a machine type is
-    /// counted as if it still did.
-    pub fn consolidate(
+    /// Returns the spot or on-demand machines whose work other machines of their type could hold, least used first and
+    /// a few at a time. They take no new tasks and are returned once they are empty. `missing_ready` is the number of
+    /// cores of ready capacity that has to stay free. `long_running` returns the recent mean of the cores in use by
+    /// long-running work on a machine type, which count as still in use.
+    pub fn surplus_machines(
         &self,
         spot: bool,
         missing_ready: f64,
         long_running: &dyn Fn(&str) -> f64,
     ) -> Vec<MachineId> {
         let in_service = || self.machines.iter().filter(|machine| machine.in_service());
-        // In a small fleet one job is much of the load, and what is surplus now is wanted again soon.
+        // In a small fleet one job is a large part of the load, so a surplus machine is likely to be needed again soon.
+        // The limit is 0 for fewer machines than the divisor.
         let limit = in_service().count() / CONSOLIDATION_DIVISOR;
         let mut chosen = Vec::new();
         for machine_type in self.catalog.keys() {
-            let of_type = || in_service().filter(|m| m.offer.machine_type == *machine_type);
+            let of_type =
+                || in_service().filter(|machine| machine.offer.machine_type == *machine_type);
             let used: f64 = of_type().map(|machine| self.used_cores(machine)).sum();
-            let in_use = used.max(long_running(machine_type)) * (1.0 + FREE_SHARE);
-            let all: f64 = of_type().map(|machine| self.cores(machine)).sum();
-            let mut surplus = all - in_use - missing_ready;
+            let in_use = used.max(long_running(machine_type)) * (1.0 + HEADROOM_SHARE);
+            let total_cores: f64 = of_type().map(|machine| self.cores(machine)).sum();
+            let mut surplus = total_cores - in_use - missing_ready;
             let mut candidates: Vec<&MachineUsage> = of_type()
-                .filter(|machine| machine.offer.spot == spot && self.may_leave(machine))
+                .filter(|machine| machine.offer.spot == spot && self.may_return(machine))
                 .collect();
             candidates.sort_by(|a, b| {
                 let by_use = self.used_cores(a).total_cmp(&self.used_cores(b));
@@ -87,27 +90,31 @@
         chosen
     }
 
-    /// Whether a machine may be returned at all: it is in service, paid for, and not reserved for gangs.
-    fn may_leave(&self, machine: &MachineUsage) -> bool {
+    /// Returns whether a machine may be returned at all: it is in service, has been rented for the minimum billed time,
+    /// and is not reserved for gangs.
+    fn may_return(&self, machine: &MachineUsage) -> bool {
         machine.in_service() && !machine.reserved && machine.age_s >= MIN_BILLED_S
     }
 
+    /// Returns all cores of a machine, free or in use.
     fn cores(&self, machine: &MachineUsage) -> f64 {
-        self.catalog.get(&machine.offer.machine_type).map_or(0.0, |t| t.vcpus)
+        self.catalog.get(&machine.offer.machine_type).map_or(0.0, |machine_type| machine_type.vcpus)
     }
 
     fn used_cores(&self, machine: &MachineUsage) -> f64 {
         self.cores(machine) - machine.free.cores.amount()
     }
 
-    /// Hourly price of a core.
+    /// Returns the hourly price of an offer per core.
     fn price_per_core(&self, offer: &MachineOffer) -> f64 {
-        self.catalog.get(&offer.machine_type).map_or(0.0, |t| {
-            (if offer.spot { t.spot_hourly_price } else { t.hourly_price }) / t.vcpus.max(0.001)
+        self.catalog.get(&offer.machine_type).map_or(0.0, |machine_type| {
+            (if offer.spot { machine_type.spot_hourly_price } else { machine_type.hourly_price })
+                / machine_type.vcpus.max(0.001)
         })
     }
 }
 
+/// Returns the seconds without a task after which a machine may be returned.
 fn idle_limit_s(machine: &MachineUsage) -> f64 {
-    if machine.offer.spot { IDLE_SPOT_S } else { IDLE_ORDINARY_S }
+    if machine.offer.spot { SPOT_IDLE_LIMIT_S } else { ON_DEMAND_IDLE_LIMIT_S }
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,65 +1,71 @@
-//! Scale-out: bin packing of pending tasks into free room and into machines that are to be scaled out.
+//! Scale-out: bin packing of pending tasks into free resources and into machines to be requested.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-use super::{MachineOffer, MachineUsage, MarketState, PendingWork, RequestedMachines};
+use super::{AutoscalerState, MachineOffer, MachineUsage, PendingWork, RequestedMachines};
 use crate::model::MonotonicTime;
 use crate::placement::{allowed, slots};
 use crate::resources::{MachineCatalog, Resources};
 use crate::wire::{JobKind, JobSpec};
 
-/// Factor on a spot machine's price for the work that is lost when it is preempted.
-const SPOT_RISK: f64 = 1.15;
-/// Prices per task whose ratio is between these are equal.
-const CHEAPER_RATIO: f64 = 0.999;
-const DEARER_RATIO: f64 = 1.001;
+/// Factor on the price of spot machines that accounts for the work lost in preemptions.
+const SPOT_RISK_FACTOR: f64 = 1.15;
+/// Prices per task count as equal if their ratio is above this value and below [`MAX_EQUAL_PRICE_RATIO`].
+const MIN_EQUAL_PRICE_RATIO: f64 = 0.999;
+/// Upper bound of the ratio of prices that count as equal.
+const MAX_EQUAL_PRICE_RATIO: f64 = 1.001;
 
-/// Offers that may be requested.
+/// Filter of the offers that may be requested.
 #[derive(Clone, Copy)]
 pub(super) struct OfferFilter<'a> {
-    pub market: &'a MarketState,
+    pub state: &'a AutoscalerState,
     pub now: MonotonicTime,
+    /// Whether only spot machines are allowed.
     pub spot_only: bool,
-    /// Only that zone, if one is given.
+    /// The only allowed zone, or `None` for all zones.
     pub zone: Option<&'a str>,
 }
 
 impl OfferFilter<'_> {
+    /// Returns whether an offer passes the filter and is not currently refused.
     fn admits(&self, offer: &MachineOffer) -> bool {
         self.zone.is_none_or(|zone| zone == offer.zone)
             && (offer.spot || !self.spot_only)
-            && self.market.is_open(offer, self.now)
+            && self.state.may_request(offer, self.now)
     }
 }
 
-/// Free room on a machine that is held or is to be scaled out.
+/// Free resources of a rented machine or of a machine to be requested.
 #[derive(Clone)]
 struct CapacityBin {
     offer: MachineOffer,
     free: Resources,
-    /// Whether it is reserved for gangs and for work that may not use spot machines.
+    /// Whether the machine is reserved for gangs and for jobs that may not use spot machines.
     reserved: bool,
 }
 
 impl CapacityBin {
+    /// Returns whether a job may use the machine, regardless of free resources.
     fn admits(&self, spec: &JobSpec) -> bool {
         allowed(spec, &self.offer.machine_type, &self.offer.zone, self.offer.spot)
             && !(self.reserved && spec.allows_spot && spec.kind != JobKind::Gang)
     }
 }
 
-/// Room and requests as the steps of one decision build them up.
+/// Free resources and requested machines while one decision is computed.
 pub(super) struct ScaleOutPlan<'a> {
     catalog: &'a MachineCatalog,
+    /// Number of rented machines in each zone.
     machines_per_zone: &'a HashMap<&'a str, usize>,
+    /// Rented machines and machines to be requested.
     bins: Vec<CapacityBin>,
-    /// Number of machines to request by offer.
+    /// Number of machines to request of each offer.
     requests: BTreeMap<MachineOffer, u32>,
 }
 
 impl<'a> ScaleOutPlan<'a> {
-    /// A plan that requests nothing yet and has the free room of `machines`.
+    /// Creates a plan with the free resources of `machines` and without requests.
     pub fn new(
         catalog: &'a MachineCatalog,
         machines_per_zone: &'a HashMap<&'a str, usize>,
@@ -74,14 +80,14 @@
         ScaleOutPlan { catalog, machines_per_zone, bins, requests }
     }
 
-    /// Machines to request, in the order of their offers.
+    /// Returns the machines to request, in the order of their offers.
     pub fn into_requests(self) -> Vec<RequestedMachines> {
         let requested = self.requests.into_iter();
         requested.map(|(offer, count)| RequestedMachines { offer, count }).collect()
     }
 
-    /// Packs pending tasks into free room and requests machines for the rest. Returns how many tasks
-    /// are left without a machine.
+    /// Packs pending tasks into free resources and requests machines for the remaining tasks. Returns the number of
+    /// tasks for which there is neither room nor an allowed offer.
     pub fn add(&mut self, work: &PendingWork<'_>, offers: OfferFilter<'_>) -> u32 {
         let need = Resources::of(work.spec);
         let mut remaining = work.tasks;
@@ -92,7 +98,8 @@
             }
         }
         while remaining > 0 {
-            let Some((offer, offered)) = self.cheapest(work.spec, &need, remaining, offers) else {
+            let Some((offer, offered)) = self.cheapest_offer(work.spec, &need, remaining, offers)
+            else {
                 return remaining;
             };
             let placed = slots(&need, &offered).clamp(1, remaining);
@@ -107,15 +114,15 @@
         remaining
     }
 
-    /// Adds room for a gang that waits. One that has to be in one zone gets it in the zone where most of
-    /// its tasks fit already, among those that can hold all of it; if none can, nothing is requested.
+    /// Adds room for a waiting gang. A gang that has to be in one zone gets it in the zone where most of its tasks fit
+    /// already, among the zones that can hold the whole gang. If no zone can, no machine is requested.
     pub fn add_for_gang(&mut self, work: &PendingWork<'_>, offers: OfferFilter<'_>) {
         if !work.spec.one_zone {
             self.add(work, offers);
             return;
         }
         for zone in self.zones_by_fit(work) {
-            // What is in other zones does not help, and is left for others.
+            // The bins of other zones cannot be used by this gang and stay free for other work.
             let (inside, outside) = self.partition_bins(Some(zone));
             let mut trial = ScaleOutPlan { bins: inside, requests: self.requests.clone(), ..*self };
             if trial.add(work, OfferFilter { zone: Some(zone), ..offers }) == 0 {
@@ -126,7 +133,8 @@
         }
     }
 
-    /// Zones, those first where most of the gang's tasks fit into free room, then those with fewer machines.
+    /// Returns all zones, ordered by descending number of the gang's tasks that fit into free resources, then by
+    /// ascending number of machines.
     fn zones_by_fit(&self, work: &PendingWork<'_>) -> Vec<&'a str> {
         let need = Resources::of(work.spec);
         let catalog: &'a MachineCatalog = self.catalog;
@@ -146,51 +154,53 @@
         zones.into_iter().map(|(zone, _)| zone).collect()
     }
 
-    /// Adds headroom for gangs to come, of those that allow spot machines or of those that do not, in tasks
-    /// like those of the gang that has most of them. It is divided over the zones where room is reserved
-    /// for gangs; what they cannot hold may be anywhere.
+    /// Adds headroom for future gangs, either those that allow spot machines or those that do not, in tasks of the size
+    /// of the gang with the most tasks. The headroom is divided equally among the zones in which machines are reserved
+    /// for gangs. Tasks for which these zones have neither room nor an allowed offer may be in any zone.
     pub fn add_gang_headroom(
         &mut self,
         pending: &[PendingWork<'_>],
-        market: &MarketState,
+        state: &AutoscalerState,
         allows_spot: bool,
         offers: OfferFilter<'_>,
     ) {
         let gangs =
             || pending.iter().filter(|work| work.is_gang() && work.spec.allows_spot == allows_spot);
         let in_use: f64 = gangs().map(|gang| gang.cores_per_task() * f64::from(gang.running)).sum();
-        let Some(model) = gangs().max_by_key(|gang| gang.tasks + gang.running) else { return };
-        let headroom = market.load.gang_headroom(allows_spot, in_use);
-        let tasks = (headroom / model.cores_per_task().max(0.001)).ceil() as u32;
-        let zone_count = market.gang_zones.len().max(1) as u32;
+        let Some(template) = gangs().max_by_key(|gang| gang.tasks + gang.running) else { return };
+        let headroom = state.load.gang_headroom(allows_spot, in_use);
+        let tasks = (headroom / template.cores_per_task().max(0.001)).ceil() as u32;
+        let zone_count = state.gang_zones.len().max(1) as u32;
         let mut unplaced = 0;
         for index in 0..zone_count {
-            let zone = market.gang_zones.get(index as usize).map(String::as_str);
+            let zone = state.gang_zones.get(index as usize).map(String::as_str);
             let share = tasks / zone_count + u32::from(index < tasks % zone_count);
             let (inside, outside) = self.partition_bins(zone);
             self.bins = inside;
-            let work = PendingWork { tasks: share, ..model.clone() };
+            let work = PendingWork { tasks: share, ..template.clone() };
             unplaced += self.add(&work, OfferFilter { zone: zone.or(offers.zone), ..offers });
             self.bins.extend(outside);
         }
         if unplaced > 0 {
-            self.add(&PendingWork { tasks: unplaced, ..model.clone() }, offers);
+            self.add(&PendingWork { tasks: unplaced, ..template.clone() }, offers);
         }
     }
 
-    /// Copies of the bins inside a zone, or of all if none is given, and of those outside.
+    /// Returns copies of the bins inside a zone, or of all bins if none is given, and of the bins outside it.
     fn partition_bins(&self, zone: Option<&str>) -> (Vec<CapacityBin>, Vec<CapacityBin>) {
         let inside = |bin: &CapacityBin| zone.is_none_or(|zone| zone == bin.offer.zone);
         self.bins.iter().cloned().partition(inside)
     }
 
+    /// Returns the number of rented machines in a zone.
     fn machines_in_zone(&self, zone: &str) -> usize {
         self.machines_per_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// The offer with the lowest price per task that it would hold of those that remain; among equals the
-    /// zone with fewer machines. Also returns what a machine of it offers.
-    fn cheapest(
+    /// Returns the offer with the lowest price per task, and the resources of an empty machine of this offer. The price
+    /// per task is the price of a machine divided by the number of remaining tasks that fit on it. Among equal prices,
+    /// the zone with fewer machines is preferred.
+    fn cheapest_offer(
         &self,
         spec: &JobSpec,
         need: &Resources,
@@ -212,15 +222,15 @@
                     continue;
                 }
                 let price = match spot {
-                    true => machine_type.spot_hourly_price * SPOT_RISK,
+                    true => machine_type.spot_hourly_price * SPOT_RISK_FACTOR,
                     false => machine_type.hourly_price,
                 };
                 let price_per_task = price / f64::from(fitting.min(remaining.max(1)));
                 let requested = self.requests.get(&offer).copied().unwrap_or(0) as usize;
                 let machines = self.machines_in_zone(zone) + requested;
-                let found = PricedOffer { price_per_task, machines, offer, offered };
-                if best.as_ref().is_none_or(|best| found.is_better_than(best)) {
-                    best = Some(found);
+                let priced = PricedOffer { price_per_task, machines, offer, offered };
+                if best.as_ref().is_none_or(|best| priced.is_preferred_over(best)) {
+                    best = Some(priced);
                 }
             }
         }
@@ -228,21 +238,23 @@
     }
 }
 
-/// An offer that is compared with others.
+/// An offer with the values by which offers are compared.
 struct PricedOffer {
-    /// Hourly price, with the risk of a preemption.
+    /// Hourly price per task; for spot machines multiplied by [`SPOT_RISK_FACTOR`].
     price_per_task: f64,
-    /// Machines in its zone, with those that are requested of this offer.
+    /// Number of rented machines in the offer's zone, plus the machines requested of this offer.
     machines: usize,
     offer: MachineOffer,
-    /// What a machine of it offers.
+    /// Resources of an empty machine of the offer.
     offered: Resources,
 }
 
 impl PricedOffer {
-    fn is_better_than(&self, best: &PricedOffer) -> bool {
-        self.price_per_task < best.price_per_task * CHEAPER_RATIO
-            || (self.price_per_task < best.price_per_task * DEARER_RATIO
+    /// Returns whether the offer is cheaper than `best`, or has an equal price and is in a zone with fewer machines.
+    /// Ties are resolved by the order of offers.
+    fn is_preferred_over(&self, best: &PricedOffer) -> bool {
+        self.price_per_task < best.price_per_task * MIN_EQUAL_PRICE_RATIO
+            || (self.price_per_task < best.price_per_task * MAX_EQUAL_PRICE_RATIO
                 && (self.machines, &self.offer) < (best.machines, &best.offer))
     }
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -19,7 +19,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::autoscaler::{self, MarketState};
+use crate::autoscaler::{self, AutoscalerState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, NewTermReason, SummaryOutcome};
 use crate::model::{
@@ -105,7 +105,7 @@
 #[derive(Default)]
 pub struct Remembered {
     /// The market and the load.
-    pub market: MarketState,
+    pub market: AutoscalerState,
     /// When a term was last renewed only to balance the shards.
     rebalanced: MonotonicTime,
     /// How long tasks ran compared with their owners' estimates, by class of jobs.
--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -162,7 +162,7 @@
                 free: target.map_or(offered, |target| target.free),
                 idle_s: now.since(machine.last_busy) as f64 / 1000.0,
                 reserved: self.gangs.reserved.binary_search(id).is_ok(),
-                leaving: machine.draining.is_some() || machine.failed || (machine.up && closed),
+                unavailable: machine.draining.is_some() || machine.failed || (machine.up && closed),
             }
         });
         machines.collect()
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -197,7 +197,7 @@
         controller
             .leader
             .as_ref()
-            .is_some_and(|leader| !leader.remembered.market.is_open(offer, self.now()))
+            .is_some_and(|leader| !leader.remembered.market.may_request(offer, self.now()))
     }
 
     /// Sends a scale-out request and records what came of it.
