--- a/src/leader.rs
+++ b/src/leader.rs
@@ -21,7 +21,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::autoscaler::{self, MarketState};
+use crate::autoscaler::{self, AutoscalerState};
 use crate::cluster_view::ClusterView;
 use crate::fleet::{Fleet, NewTermReason, SummaryOutcome};
 use crate::model::{
@@ -108,7 +108,7 @@
 #[derive(Default)]
 pub struct RetainedState {
     /// State of the cloud market and the offered load.
-    pub market: MarketState,
+    pub market: AutoscalerState,
     /// When a new term was last requested only to balance the shards.
     rebalanced_at: MonotonicTime,
     /// Actual and estimated run times of tasks, by job class.
@@ -288,7 +288,7 @@
             return;
         }
         self.renew_term =
-            self.fleet.new_term_reason(now, cluster.served_for, &cluster.settings.timing());
+            self.fleet.new_term_reason(now, cluster.served_for_ms, &cluster.settings.timing());
         let rebalance_due =
             now.since(self.retained.rebalanced_at.max(self.began_at)) > MIN_REBALANCE_INTERVAL_MS;
         if self.renew_term.is_none() && rebalance_due && self.fleet.unreconciled.is_empty() {
--- a/src/leader/granting.rs
+++ b/src/leader/granting.rs
@@ -14,7 +14,7 @@
 use super::starvation::STARVED_WEIGHT;
 use super::task_grants::JobTaskCounts;
 use super::team_usage::TeamUsage;
-use crate::admission::{self, Admission, Bounds, Demand};
+use crate::admission::{self, Admission, CoreLimits, Demand};
 use crate::cluster_view::ClusterView;
 use crate::fleet::Fleet;
 use crate::model::{Cores, JobId};
@@ -39,18 +39,18 @@
 }
 
 /// Returns the bounds of admission: the cores of open machines, and the limits of the teams.
-fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> Bounds {
+fn bounds(cluster: &ClusterView<'_>, allocation: &EpochAllocation) -> CoreLimits {
     // Granted tasks that wait for an expected release count as held by their jobs. The cores of expected
     // releases are therefore added twice: once for these tasks, and once so that urgent work finds as many
     // cores beside them.
     let awaited = Cores(allocation.expected_cores.0 * 2);
-    let open = allocation.targets.iter().filter(|target| target.open);
-    let held = open.fold(awaited, |sum, target| {
+    let open = allocation.targets.iter().filter(|target| target.schedulable);
+    let total = open.fold(awaited, |sum, target| {
         let machine_type = cluster.catalog.get(&*target.machine_type);
         Cores(sum.0 + machine_type.map_or(0, |offered| Cores::round_down(offered.vcpus).0))
     });
     let teams = cluster.settings.params.teams.iter().map(|team| team.core_limit()).collect();
-    Bounds { held, teams }
+    CoreLimits { total, teams }
 }
 
 /// Returns the admitted demands in the order in which they are granted.
@@ -101,7 +101,7 @@
         if context.failing.contains(&demand.job) {
             wait_reasons.insert(demand.job, WaitReason::Failing);
         }
-        if share < demand.max {
+        if share < demand.max_tasks {
             wait_reasons.entry(demand.job).or_insert(WaitReason::NoFreeMachines);
         }
     }
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -44,7 +44,7 @@
     target: &PlacementTarget,
 ) -> Option<Resources> {
     let PlacementTarget { machine_type, zone, spot, .. } = target;
-    let may_use = target.open && placement::allowed(spec, machine_type, zone, *spot);
+    let may_use = target.schedulable && placement::allowed(spec, machine_type, zone, *spot);
     cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
 }
 
@@ -64,7 +64,7 @@
     };
     let fits = |zone| {
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
-        placement::pack(&gang, targets, &all_targets).is_some()
+        placement::pack_gang(&gang, targets, &all_targets).is_some()
     };
     if zones.iter().any(|zone| fits(*zone)) {
         return;
@@ -80,7 +80,7 @@
         }
     }
     for i in best.into_iter().flat_map(|best| best.machines) {
-        targets[i].open = false;
+        targets[i].schedulable = false;
     }
 }
 
@@ -173,7 +173,7 @@
                 }
                 continue;
             }
-            let fits = |target: &PlacementTarget| target.takes(&job.spec, &need, None);
+            let fits = |target: &PlacementTarget| target.accepts(&job.spec, &need, None);
             if !self.is_starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
@@ -182,7 +182,7 @@
                 let machine =
                     largest_suitable_machine(cluster, &job.spec, &need, &allocation.targets);
                 if let Some(i) = machine {
-                    allocation.targets[i].open = false;
+                    allocation.targets[i].schedulable = false;
                     held_back += 1;
                 }
             }
@@ -197,7 +197,9 @@
         need: &Resources,
         targets: &mut [PlacementTarget],
     ) -> bool {
-        let Some(target) = targets.iter_mut().find(|target| target.holds(spec, need, None)) else {
+        let Some(target) =
+            targets.iter_mut().find(|target| target.accepts_ignoring_reservation(spec, need, None))
+        else {
             return false;
         };
         target.reserved = false;
