--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -4,7 +4,7 @@
 
 /// Allocates the attempt numbers of one controller within one term.
 ///
-/// An attempt number contains the term and the controller, see [`Attempt::of`], so it is unique over all terms and
+/// An attempt number contains the term and the controller, see [`Attempt::from_parts`], so it is unique over all terms and
 /// controllers without a write to the state store. This requires exactly one allocator for each term and controller,
 /// which is dropped when the term ends.
 #[derive(Clone, Debug)]
