--- a/src/service.rs
+++ b/src/service.rs
@@ -62,8 +62,8 @@
 const STORE_MESSAGE_PERIOD: Duration = Duration::from_millis(350);
 /// Maximum size in bytes of a request body from another controller.
 const MAX_PEER_MESSAGE_BYTES: usize = 1 << 20;
-/// Byte budget of a summary in such a request. The remaining quarter covers what the size estimate
-/// leaves out.
+/// Byte budget of a summary that is sent directly to the leader. The remaining quarter of the
+/// request body covers what the size estimate leaves out.
 const MAX_SUMMARY_BYTES: usize = MAX_PEER_MESSAGE_BYTES * 3 / 4;
 /// Size in bytes of a message chunk for each kilobyte that the store allows for a value. The
 /// remainder covers the encoding of the value.
@@ -80,8 +80,8 @@
     (limits.value_kb * CHUNK_BYTES_PER_VALUE_KB) as usize
 }
 
-/// Returns the limits new the public server for a process limited to `sockets` sockets. Users get
-/// only a share new the connections, so that all workers new a fleet can connect whatever max_user_connections do.
+/// Returns the limits of the public server for a process limited to `sockets` sockets. Users get
+/// only a share of the connections, so that all workers of a fleet can connect whatever users do.
 fn public_server_limits(sockets: usize) -> ServerLimits {
     let reserved_sockets = RESERVED_SOCKETS + max_direct_commands(sockets);
     let connections = sockets.saturating_sub(reserved_sockets).max(MIN_PUBLIC_CONNECTIONS);
@@ -112,11 +112,11 @@
 
 /// One controller process.
 pub struct Service {
-    /// Settings of the site.
+    /// Settings of this controller and of the cluster.
     pub settings: Rc<Settings>,
-    /// Index of this controller among all controllers of the site.
+    /// Index of this controller among all controllers of the cluster.
     pub node_id: NodeId,
-    /// Number of controllers of the site.
+    /// Number of controllers of the cluster.
     controller_count: usize,
     /// Start of the process, from which [`Service::now`] counts.
     started_at: Instant,
