--- a/tests/sim/cancellation.rs
+++ b/tests/sim/cancellation.rs
@@ -1,4 +1,4 @@
-//! Tasks of cancelled jobs end in time, whatever fails.
+//! Tasks of cancelled jobs end within `cancel_s`, whatever fails.
 
 use crate::site::{BRISK, Rhythm, SLOW};
 use crate::world::{Fault, World};
@@ -9,13 +9,15 @@
     WorkersHang,
 };
 
-/// The store refuses the leader alone; others confirm cancellations; then it is down for all for longer
-/// than `cancel_s`, while workers keep sending heartbeats to the old leader. The tasks have to end all the same,
-/// and nothing of the jobs starts long after it was confirmed. The same with a leader that nobody informs,
-/// which keeps most machines: then only the bounds of its rights help.
+/// The store refuses only the leader, and other controllers confirm cancellations. Then the store is down for
+/// longer than `cancel_s`, while workers keep sending heartbeats to the old leader. The tasks have to end all
+/// the same, and no task of the jobs may start long after the confirmation. In some cases the leader is
+/// partitioned together with most machines and learns nothing: only the time limits on what it may do end the
+/// tasks then.
 #[test]
 fn cancelled_tasks_end_in_time_whatever_the_store_does() {
-    // (heartbeat interval, lease, cancel) of the deployments, and the smallest that the settings allow.
+    // Heartbeat interval, worker lease and cancellation time: those of the deployments, and the shortest that
+    // the settings allow.
     let rhythms = [
         (1_500, 10_000, 30_000),
         (1_000, 11_000, 36_000),
@@ -27,79 +29,86 @@
     let mut cancelled = 0;
     for (report_ms, lease_ms, cancel_ms) in rhythms {
         let rhythm = Rhythm { report_ms, lease_ms, cancel_ms };
-        let outage = cancel_ms + lease_ms + 5_000;
-        // (how long after the refusal the jobs are cancelled, and how long before the outage)
-        for (seed, (after, before)) in
+        let outage_ms = cancel_ms + lease_ms + 5_000;
+        // Time from the refusal to the cancellation, and from the cancellation to the outage.
+        for (seed, (cancelled_after_ms, outage_after_ms)) in
             [(500, 1_500), (20, 1_900), (1_200, 60), (1_950, 10)].into_iter().enumerate()
         {
-            for (hang, blink, stranded) in [
+            for (hang_ms, leader_crashes, leader_is_stranded) in [
                 (0, false, false),
                 (0, true, false),
                 (lease_ms * 8 / 10, false, false),
                 (lease_ms * 8 / 10, true, true),
                 (0, false, true),
             ] {
-                let (refused_at, cancelled_at) = (20_000, 20_000 + after);
+                let (refused_at, cancelled_at) = (20_000, 20_000 + cancelled_after_ms);
                 let mut faults = vec![
                     (
                         refused_at,
-                        if stranded {
-                            LeaderStrandedWithMachines(outage)
+                        if leader_is_stranded {
+                            LeaderStrandedWithMachines(outage_ms)
                         } else {
                             StoreRefusesLeader(14_000)
                         },
                     ),
-                    (cancelled_at, CancelNow(4, hang)),
-                    (cancelled_at + before, StoreOutage(outage)),
+                    (cancelled_at, CancelNow(4, hang_ms)),
+                    (cancelled_at + outage_after_ms, StoreOutage(outage_ms)),
                 ];
-                if blink {
-                    faults.push((cancelled_at + before + 3_000, BriefLeaderCrash));
+                if leader_crashes {
+                    faults.push((cancelled_at + outage_after_ms + 3_000, BriefLeaderCrash));
                 }
-                let mut world = World::long(seed as u64, rhythm);
-                world.run(&faults, cancelled_at + before + outage + 20_000);
-                let name = format!("{rhythm:?} {after} {before} {hang} {blink} {stranded}");
+                let mut world = World::long_running(seed as u64, rhythm);
+                world.run(&faults, cancelled_at + outage_after_ms + outage_ms + 20_000);
+                let name = format!(
+                    "{rhythm:?} {cancelled_after_ms} {outage_after_ms} {hang_ms} {leader_crashes} {leader_is_stranded}"
+                );
                 assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
-                // A proof of 3.5 s, the way of the answer, and the fetch of the image.
-                let late = world.checker.latest_start_ms;
-                assert!(late < 5_000, "{name}: a task started {late} ms after its cancellation");
+                // The bound covers the proof that the replica is current, which is valid for 3.5 s, the transit
+                // of the response and the fetch of the image.
+                let latest_start_ms = world.checker.latest_start_ms;
+                assert!(
+                    latest_start_ms < 5_000,
+                    "{name}: a task started {latest_start_ms} ms after its cancellation"
+                );
                 cancelled += world.checker.cancelled_jobs();
             }
         }
     }
-    assert!(cancelled > 200, "only {cancelled} jobs were cancelled in the gap");
+    assert!(cancelled > 200, "only {cancelled} jobs were cancelled, expected more than 200");
 }
 
-/// Tasks of a cancelled job on a machine that does not answer have a second way to end: the kill in the
-/// response to a heartbeat, a direct command, the machine's lease, or its return.
+/// Tasks of a cancelled job are ended by the kill command in the response to a heartbeat, by a direct command,
+/// by the expiry of the worker lease, or by the return of the machine. The tasks have to end when some of these
+/// ways fail.
 #[test]
 fn cancelled_tasks_end_when_one_path_to_their_machine_fails() {
-    type Faults = fn(u64) -> Vec<Fault>;
-    let cases: [(&str, Faults); 7] = [
+    type FaultsOfDuration = fn(u64) -> Vec<Fault>;
+    let cases: [(&str, FaultsOfDuration); 7] = [
         ("no direct command arrives", |ms| vec![HoldCommands(ms)]),
         ("no heartbeat arrives", |ms| (0..8).map(|w| WorkerReachesNoController(w, ms)).collect()),
         ("no response arrives", |ms| (0..8).map(|w| UnansweredWorker(w, ms)).collect()),
         ("nothing arrives", |ms| (0..8).map(|w| PartitionWorker(w, ms, false)).collect()),
         ("everything arrives late", |ms| (0..8).map(|w| PartitionWorker(w, ms, true)).collect()),
-        ("they hang", |ms| vec![WorkersHang(8, ms)]),
-        ("heartbeats reach nobody, and commands are held", |ms| {
+        ("the machines hang", |ms| vec![WorkersHang(8, ms)]),
+        ("no heartbeat arrives, and direct commands arrive late", |ms| {
             (0..8).map(|w| WorkerReachesNoController(w, ms)).chain([HoldCommands(ms)]).collect()
         }),
     ];
     for (name, faults_for) in cases {
         for rhythm in [BRISK, SLOW] {
-            for leader in [false, true] {
+            for leader_crashes in [false, true] {
                 let ms = rhythm.cancel_ms + rhythm.lease_ms;
                 let mut faults: Vec<(u64, Fault)> =
                     faults_for(ms).into_iter().map(|f| (20_000, f)).collect();
                 faults.push((20_500, CancelNow(4, 0)));
-                if leader {
+                if leader_crashes {
                     faults.push((20_600, CrashLeader));
                 }
-                let mut world = World::long(5, rhythm);
+                let mut world = World::long_running(5, rhythm);
                 world.run(&faults, 20_000 + ms + 10_000);
                 let broken = &world.checker.broken;
-                assert!(broken.is_empty(), "{name} {rhythm:?} {leader}: {broken:?}");
-                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {leader}");
+                assert!(broken.is_empty(), "{name} {rhythm:?} {leader_crashes}: {broken:?}");
+                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {leader_crashes}");
             }
         }
     }
--- a/tests/sim/fleet.rs
+++ b/tests/sim/fleet.rs
@@ -1,4 +1,4 @@
-//! Large fleets, and how long a failover takes.
+//! Large fleets, and the duration of a failover.
 
 use crate::failover::PHASES;
 use crate::site::BRISK;
@@ -11,10 +11,10 @@
 
 #[test]
 fn a_large_fleet_keeps_the_invariants_and_its_messages_small() {
-    // (what, failures): the largest arrays, all machines in use, at the rhythm of large fleets.
+    // Name and faults. All machines are in use, with the heartbeat interval and leases of large fleets.
     let cases: Vec<(&str, Vec<(u64, Fault)>)> = vec![
         (
-            "all crash, a third hangs, some stay deaf",
+            "all controllers crash, a third of the machines hangs, two machines get no responses",
             vec![
                 (16_000, UnansweredWorker(1_799, 60_000)),
                 (16_000, UnansweredWorker(1_798, 60_000)),
@@ -37,16 +37,19 @@
         assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
         let open = world.unfinished();
         assert!(open.is_empty(), "{name}: not finished: {open:?}");
-        let [direct, relayed] = world.largest;
-        assert!(direct <= world::DIRECT_BYTES, "{name}: {direct} bytes to a controller");
-        assert!(relayed <= world::STORE_MESSAGE_BYTES, "{name}: {relayed} bytes through the store");
-        // 5,400 tasks of 60 jobs on 1,800 machines: far fewer writes than things that happen.
+        let [direct, relayed] = world.largest_message_bytes;
+        assert!(direct <= world::MAX_DIRECT_BYTES, "{name}: {direct} bytes to a controller");
+        assert!(
+            relayed <= world::MAX_STORE_MESSAGE_BYTES,
+            "{name}: {relayed} bytes through the store"
+        );
+        // 18,000 tasks of 60 jobs on 1,800 machines: the writes stay far below the number of events.
         assert!(world.writes < 4_000, "{name}: {} writes", world.writes);
     }
 }
 
-/// However the leader fails, each phase of the change of leader is seen, and its first decision holds within ten
-/// seconds.
+/// However the leader fails, each phase of the failover is observed, and the first epoch is published within
+/// ten seconds.
 #[test]
 fn a_failover_goes_through_its_phases_in_time() {
     for fault in [CrashLeader, FreezeLeader(20_000), PartitionLeader(20_000, true)] {
@@ -64,7 +67,8 @@
     }
 }
 
-/// The size that the operators run: the leader crashes with all machines in use, and a zone is cut later.
+/// The fleet size that operators run: the leader crashes with all machines in use, and the zones are
+/// partitioned later.
 #[test]
 fn four_thousand_machines_keep_the_invariants_and_reconcile_after_a_failover() {
     let faults = [(18_000, CrashLeader), (40_000, PartitionZones(40_000, false))];
@@ -73,13 +77,13 @@
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
     let open = world.unfinished();
     assert!(open.is_empty(), "not finished: {open:?}");
-    let [direct, relayed] = world.largest;
-    assert!(direct <= world::DIRECT_BYTES, "{direct} bytes to a controller");
-    assert!(relayed <= world::STORE_MESSAGE_BYTES, "{relayed} bytes through the store");
+    let [direct, relayed] = world.largest_message_bytes;
+    assert!(direct <= world::MAX_DIRECT_BYTES, "{direct} bytes to a controller");
+    assert!(relayed <= world::MAX_STORE_MESSAGE_BYTES, "{relayed} bytes through the store");
     assert!(world.writes < 8_000, "{} writes", world.writes);
-    // All but a few machines show the next token within two heartbeats.
+    // All but a few machines have to show the next fencing token within two heartbeats.
     let phases = world.trace.map(|trace| trace.phases).unwrap_or_default();
     assert!(phases.reconciled.is_some_and(|ms| ms <= 12_500), "{phases:?}");
-    // For whoever looks; how long they take depends on the machine that plays this.
-    println!("epoch {:.0} us, report {:.1} us", world.epochs.mean_us(), world.reports.mean_us());
+    // Printed only: the times depend on the machine that runs the test.
+    println!("epoch {:.0} us, report {:.1} us", world.epochs.mean_us(), world.heartbeats.mean_us());
 }
--- a/tests/sim/gangs.rs
+++ b/tests/sim/gangs.rs
@@ -13,7 +13,7 @@
         for rhythm in [BRISK, SLOW] {
             let mut world = World::with_gangs(seed, rhythm);
             world.gang_run_ms = 25_000;
-            // Two machines a day go while gangs run on most of them.
+            // Two machines are reclaimed while gangs run on most machines.
             let at = 12_000 + seed * 700;
             let faults = [
                 (at, SpotReclaimed(seed as usize % 8, 9_000)),
@@ -22,11 +22,18 @@
             world.run(&faults, rhythm.lease_ms * 20);
             assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
             assert!(world.unfinished().is_empty(), "{seed}: {:?}", world.unfinished());
-            assert!(world.latest_save < 5_000, "{seed}: commanded {} ms apart", world.latest_save);
+            assert!(
+                world.max_checkpoint_command_lag_ms < 5_000,
+                "{seed}: commanded {} ms apart",
+                world.max_checkpoint_command_lag_ms
+            );
             saved += world.gangs_saved();
         }
     }
-    assert!(saved >= 5, "only {saved} gangs were stopped in order");
+    assert!(
+        saved >= 5,
+        "only {saved} gangs were commanded to save a checkpoint, expected at least 5"
+    );
 }
 
 #[test]
@@ -34,11 +41,11 @@
     for seed in 200..240 {
         for rhythm in [BRISK, SLOW] {
             let mut faults = world::random_faults::random_faults(seed, rhythm);
-            let taken = (
+            let reclaimed = (
                 5_000 + seed * 1_237 % 60_000,
                 SpotReclaimed(seed as usize % 8, 4_000 + seed % 12 * 1_000),
             );
-            faults.push(taken);
+            faults.push(reclaimed);
             faults.sort_by_key(|f| f.0);
             let name = format!("gangs {faults:?}");
             play_in(World::with_gangs(seed, rhythm), &name, seed, rhythm, &faults);
--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -1,4 +1,4 @@
-//! Much work: many small jobs, a crowd, teams at their limits.
+//! High load: many small jobs, more jobs than the machines can run, teams at their limits.
 
 use crate::site::{BRISK, SLOW};
 use crate::world::{Fault, World};
@@ -10,36 +10,36 @@
     let faults = [(60_000, CrashLeader), (1_000, AggressivePolling(120_000))];
     let mut faults = faults.to_vec();
     faults.sort_by_key(|f| f.0);
-    let mut world = World::rate(1, 720);
+    let mut world = World::many_small_jobs(1, 720);
     world.run(&faults, 300_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
     assert!(world.unfinished().is_empty(), "{:?}", world.unfinished());
     for n in 0..3 {
-        let (keys, [open, ended, cancelled]) = world.held_records(n);
+        let (keys, [open, ended, cancelled]) = world.record_counts(n);
         assert_eq!((open, ended), (0, 720), "{n}");
         assert!((100..=180).contains(&cancelled), "{n}: {cancelled}");
-        // Two keys a job, and some for all.
+        // Two keys per job, and some shared ones.
         assert!(keys < 2 * 720 + 60, "{keys} keys");
     }
-    // Acceptance, end and at most two records of what was granted.
+    // Per job: its acceptance, its end and at most two records of grants.
     assert!(world.writes < 4 * 720, "{} writes", world.writes);
 }
 
 #[test]
 fn a_large_job_begins_in_time_beside_much_high_priority_work() {
-    let mut world = World::crowded(1);
+    let mut world = World::overloaded(1);
     world.run(&[], 320_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
-    assert!(!world.unfinished().is_empty(), "it was not crowded");
+    assert!(!world.unfinished().is_empty(), "all jobs ended, so there was no overload");
 }
 
 #[test]
 fn no_job_starves_while_a_team_is_at_its_limit() {
-    // More comes than its limit holds; between two tasks a few cores are free all the time.
+    // Jobs need more cores than the team's limit allows, and a few cores are always free between two tasks.
     for seed in 1..=5 {
-        for (rhythm, every) in [(BRISK, 800), (SLOW, 1_600)] {
+        for (rhythm, interval_ms) in [(BRISK, 800), (SLOW, 1_600)] {
             let mut world = World::busy(seed, rhythm);
-            world.every = every;
+            world.submission_interval_ms = interval_ms;
             world.run(&[], 420_000);
             let broken = &world.checker.broken;
             assert!(broken.is_empty(), "{seed} {rhythm:?}: {broken:?}");
--- a/tests/sim/quota.rs
+++ b/tests/sim/quota.rs
@@ -1,43 +1,50 @@
-//! Teams at their limits whose jobs are cancelled while tasks of them are under way to their machines.
+//! Teams at their limits whose jobs are cancelled while tasks are granted or started and not yet confirmed by a
+//! heartbeat.
 
 use crate::site::{BRISK, Rhythm, SLOW};
-use crate::world::{Fault, UnderWay, World};
+use crate::world::{Fault, InFlightStage, World};
 
-use Fault::{CancelUnderWay, CrashLeader, FreezeLeader};
+use Fault::{CancelInFlight, CrashLeader, FreezeLeader};
 
-/// Seeds that CI plays of each case; by hand, `QUOTA_SEEDS=200 cargo test --release --test sim quota` plays more.
+/// Seeds that CI runs of each case. `QUOTA_SEEDS=200 cargo test --release --test sim quota` runs more.
 const SEEDS: u64 = 4;
 
-/// When users begin to cancel, and for how long they do so, in milliseconds.
-const BEGIN_MS: u64 = 8_000;
-const LAST_MS: u64 = 60_000;
+/// When users begin to cancel jobs.
+const CANCELLATION_START_MS: u64 = 8_000;
+/// Duration of the period in which users cancel jobs.
+const CANCELLATION_PERIOD_MS: u64 = 60_000;
 
-/// How long a day lasts, in leases.
-const LEASES: u64 = 30;
+/// Simulated time of a run, in worker leases.
+const RUN_LEASES: u64 = 30;
 
 fn seeds() -> u64 {
-    let wanted = std::env::var("QUOTA_SEEDS").ok();
-    wanted.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
+    let requested = std::env::var("QUOTA_SEEDS").ok();
+    requested.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
 }
 
-/// Faults beside the cancellations.
-type Beside = fn(seed: u64) -> Vec<(u64, Fault)>;
+/// Faults in addition to the cancellations.
+type OtherFaults = fn(seed: u64) -> Vec<(u64, Fault)>;
 
-const BESIDE: [(&str, Beside); 3] = [
+const OTHER_FAULTS: [(&str, OtherFaults); 3] = [
     ("no other fault", |_| vec![]),
-    ("the leader ends twice", |seed| {
+    ("the leader crashes twice", |seed| {
         vec![(20_000 + 130 * seed, CrashLeader), (35_000 + 170 * seed, CrashLeader)]
     }),
-    ("the leader is stopped", |seed| vec![(25_000 + 150 * seed, FreezeLeader(4_000))]),
+    ("the leader is suspended", |seed| vec![(25_000 + 150 * seed, FreezeLeader(4_000))]),
 ];
 
-/// Plays a day; says what is wrong with it.
-fn play(what: UnderWay, beside: Beside, seed: u64, rhythm: Rhythm) -> Option<String> {
-    let mut faults = beside(seed);
-    faults.push((BEGIN_MS, CancelUnderWay(what, LAST_MS)));
+/// Runs a case. Returns the broken invariants and unfinished jobs, if there are any.
+fn run_case(
+    stage: InFlightStage,
+    other_faults: OtherFaults,
+    seed: u64,
+    rhythm: Rhythm,
+) -> Option<String> {
+    let mut faults = other_faults(seed);
+    faults.push((CANCELLATION_START_MS, CancelInFlight(stage, CANCELLATION_PERIOD_MS)));
     faults.sort_by_key(|f| f.0);
     let mut world = World::at_limit(seed, rhythm);
-    world.run(&faults, rhythm.lease_ms * LEASES);
+    world.run(&faults, rhythm.lease_ms * RUN_LEASES);
     let open = world.unfinished();
     let broken = &world.checker.broken;
     (!broken.is_empty() || !open.is_empty()).then(|| format!("{broken:?}, not finished: {open:?}"))
@@ -45,16 +52,16 @@
 
 #[test]
 fn no_team_exceeds_its_limit_when_jobs_end_with_tasks_under_way() {
-    let mut wrong = Vec::new();
-    for what in [UnderWay::Granted, UnderWay::Started, UnderWay::StartedAndHangs] {
-        for (name, beside) in BESIDE {
+    let mut failures = Vec::new();
+    for stage in [InFlightStage::Granted, InFlightStage::Started, InFlightStage::StartedAndHangs] {
+        for (name, other_faults) in OTHER_FAULTS {
             for rhythm in [BRISK, SLOW] {
                 for seed in 0..seeds() {
-                    let found = play(what, beside, seed, rhythm);
-                    wrong.extend(found.map(|found| (what, name, rhythm, seed, found)));
+                    let found = run_case(stage, other_faults, seed, rhythm);
+                    failures.extend(found.map(|found| (stage, name, rhythm, seed, found)));
                 }
             }
         }
     }
-    assert!(wrong.is_empty(), "{} days: {wrong:#?}", wrong.len());
+    assert!(failures.is_empty(), "{} runs failed: {failures:#?}", failures.len());
 }
--- a/tests/sim/reach.rs
+++ b/tests/sim/reach.rs
@@ -1,21 +1,22 @@
-//! Machines that reach some controllers and not the one that owns them.
+//! Machines that reach some controllers, but not the one that owns them.
 
 use crate::site::SLOW;
 use crate::world::{Fault, World};
 
 #[test]
 fn a_machine_that_cannot_reach_its_owner_is_moved_with_one_term() {
-    // The next term gave such a machine to the same owner again, so that a new one came every 10 s while the cut lasted, and
-    // nothing started for some time of each. With heartbeats every second the machine is returned before that.
-    const CUT_MS: u64 = 50_000;
+    // Guards against terms that assign such a machine to the same owner again. A new term then began every 10 s
+    // during the partition, and no task started for a part of each term. With heartbeats every second, the
+    // machine is returned to the cloud before that, so only the long heartbeat interval is tested.
+    const PARTITION_MS: u64 = 50_000;
     for seed in 0..4 {
         let machine = 1 + seed as usize;
         let mut world = World::saturated(seed, SLOW);
         world.run(&[], 21_000);
         let (owner, term) = (world.owner_of(machine), world.term());
-        world.run(&[(21_300, Fault::PartitionWorkerFromOwner(machine, CUT_MS))], 60_000);
+        world.run(&[(21_300, Fault::PartitionWorkerFromOwner(machine, PARTITION_MS))], 60_000);
         assert_ne!(world.owner_of(machine), owner, "{seed}");
-        world.run(&[], 21_300 + CUT_MS);
+        world.run(&[], 21_300 + PARTITION_MS);
         assert!(world.term() <= term + 1, "{seed}: {} terms", world.term() - term);
         assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
     }
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -132,7 +132,7 @@
     world.standby = standby.then(StandbySettings::default);
     world.run(&[(18_000, Fault::CrashLeader)], 60_000);
     let simulated_in_s = began.elapsed().as_secs_f64();
-    let log = world.log_of_leader();
+    let log = world.decision_log_cost_of_leader();
     Cost {
         machines,
         standby,
@@ -140,8 +140,8 @@
         broken: world.checker.broken.len(),
         epochs: world.epochs.count,
         epoch_us: world.epochs.mean_us(),
-        heartbeats: world.reports.count,
-        heartbeat_us: world.reports.mean_us(),
+        heartbeats: world.heartbeats.count,
+        heartbeat_us: world.heartbeats.mean_us(),
         // The new leader's log, since the failure.
         bytes_per_s: log.bytes as f64 / LOG_WRITTEN_S,
         records: log.records,
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -238,7 +238,7 @@
         assert!(world.checker.broken.is_empty(), "{seed}: {:?}", world.checker.broken);
         assert!(world.refused_actions > 0, "{seed}");
         assert!(
-            !world.is_gone(1),
+            !world.is_terminated(1),
             "{seed}: it was returned, with what the successor had put on it"
         );
     }
@@ -266,11 +266,11 @@
     let mut world = with_standby(World::fleet(1, 600));
     world.run(&[(18_000, CrashLeader)], 45_000);
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
-    let DecisionLogCost { bytes, records, entries } = world.log_of_leader();
+    let DecisionLogCost { bytes, records, entries } = world.decision_log_cost_of_leader();
     assert!(entries > 100, "{entries} entries");
     assert!(records <= settings.window_records, "{records} records");
     // Two standbys, 25 s.
     assert!((1..25 * 20_000).contains(&bytes), "{bytes} bytes");
-    let [direct, _] = world.largest;
-    assert!(direct <= world::DIRECT_BYTES, "{direct} bytes to a controller");
+    let [direct, _] = world.largest_message_bytes;
+    assert!(direct <= world::MAX_DIRECT_BYTES, "{direct} bytes to a controller");
 }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -1,154 +1,162 @@
-//! The loops of a controller, around the same `Controller` that the service drives.
+//! The loops of a controller process, around the same `Controller` that the service runs.
 
 use rand::seq::SliceRandom;
 
 use super::*;
 
-/// What a process does when it is resumed.
-enum Resumed {
+/// An activity of a process that is resumed.
+enum ResumeActivity {
     ReturnMachines,
     Epoch,
     Summarize,
-    Watch,
-    /// The messages that reached it meanwhile, in order of arrival.
+    SyncReplica,
+    /// Handles the messages that arrived while the process was suspended, in order of arrival.
     Messages(Vec<Message>),
 }
 
 impl World {
+    /// Runs what is due at controller `n`, after a restart if that is due.
     pub(super) fn step_node(&mut self, n: usize) {
         let now = self.now;
         if let Err(back) = self.nodes[n] {
             if now < back {
                 return;
             }
-            self.incarnations += 1;
+            self.last_incarnation += 1;
             let mut text = self.rhythm.settings(self.team_limit);
             if n > 0 {
-                // Each node sees itself first; the addresses do not matter here.
-                let (me, site) = (format!("host-{n}"), ZONES[n % 2]);
-                text = text.replacen(&format!("\"{me}\""), "\"host-x\"", 1);
-                text = text.replacen("\"host-0\"", &format!("\"{me}\""), 1);
+                // The settings of each controller list itself first. Addresses are not used in simulation.
+                let (name, site) = (format!("host-{n}"), ZONES[n % 2]);
+                text = text.replacen(&format!("\"{name}\""), "\"host-x\"", 1);
+                text = text.replacen("\"host-0\"", &format!("\"{name}\""), 1);
                 text = text.replacen("\"host-x\"", "\"host-0\"", 1);
                 text = text.replacen("site = \"a\"", &format!("site = \"{site}\""), 1);
                 if n == 1 {
                     text = text.replacen("\"host-0\"\nsite = \"b\"", "\"host-0\"\nsite = \"a\"", 1);
                 }
             }
-            if let Some((bytes, ops)) = self.next_limits.filter(|_| !self.old[n]) {
+            if let Some((bytes, ops)) = self.next_limits.filter(|_| !self.old_version[n]) {
                 let kb = bytes as f64 / 1024.0;
-                let next = format!("[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
-                text += &next;
+                let next_limits =
+                    format!("[params.state.next]\nvalue_kb = {kb:.1}\ntxn_ops = {ops}\n");
+                text += &next_limits;
             }
             let settings = Rc::new(Settings::parse(&text).unwrap());
-            let mut controller = Controller::new(settings, Incarnation(self.incarnations));
+            let mut controller = Controller::new(settings, Incarnation(self.last_incarnation));
             assert_eq!(controller.local_node, NodeId(n as u8));
             controller.set_machine_types(&catalog());
-            if let Some(standby) = self.standby.clone().filter(|_| !self.old[n]) {
+            if let Some(standby) = self.standby.clone().filter(|_| !self.old_version[n]) {
                 controller.enable_standby(standby);
             }
             self.nodes[n] = Ok(Node {
                 controller,
-                started: now,
-                next: [now; 4],
-                responses_through_store: 0,
-                frozen: None,
-                held: Vec::new(),
+                started_at: now,
+                next_due: [now; 4],
+                next_store_message_at: 0,
+                frozen_until: None,
+                held_messages: Vec::new(),
             });
         }
         if self.stays_frozen(n) {
             return;
         }
-        self.keep_lease(n);
-        self.sync(n);
+        self.maintain_lease(n);
+        self.sync_replica_if_due(n);
         if now.is_multiple_of(500) && !self.reaches_store(n) {
-            self.ask_who_leads(n);
+            self.ask_peers_for_leader(n);
         }
         self.summarize(n);
-        self.watch_leader(n);
+        self.tick_failover(n);
         self.run_epoch(n);
-        self.announce(n);
+        self.send_direct_messages(n);
     }
 
-    /// Whether a controller's process is stopped. When it goes on, its loops and what has reached it meanwhile come in
-    /// any order: an old leader may act before it can learn that it was replaced, and may learn it just before it
-    /// answers a heartbeat that has waited.
+    /// Returns whether the process of controller `n` is suspended, and resumes it when its time has come. A
+    /// resumed process runs its loops and handles messages that have waited in random order. A replaced leader
+    /// may thus act before it can learn that it was replaced, or learn it just before it answers a heartbeat
+    /// that has waited.
     pub(super) fn stays_frozen(&mut self, n: usize) -> bool {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return false };
-        let Some(until) = node.frozen else { return false };
+        let Some(until) = node.frozen_until else { return false };
         if now < until {
             return true;
         }
-        node.frozen = None;
-        node.next = [now; 4];
-        let held = std::mem::take(&mut node.held);
+        node.frozen_until = None;
+        node.next_due = [now; 4];
+        let held = std::mem::take(&mut node.held_messages);
         let mut activities = [
-            Resumed::ReturnMachines,
-            Resumed::Epoch,
-            Resumed::Messages(held),
-            Resumed::Watch,
-            Resumed::Summarize,
+            ResumeActivity::ReturnMachines,
+            ResumeActivity::Epoch,
+            ResumeActivity::Messages(held),
+            ResumeActivity::SyncReplica,
+            ResumeActivity::Summarize,
         ];
         if !self.acts_before_learning {
             activities.shuffle(&mut self.rng);
         }
         for activity in activities {
             match activity {
-                Resumed::ReturnMachines => self.return_machines(n),
-                Resumed::Epoch => self.run_epoch(n),
-                Resumed::Summarize => self.summarize(n),
-                Resumed::Watch => self.sync(n),
-                Resumed::Messages(held) => held.into_iter().for_each(|m| self.deliver(m)),
+                ResumeActivity::ReturnMachines => self.return_machines(n),
+                ResumeActivity::Epoch => self.run_epoch(n),
+                ResumeActivity::Summarize => self.summarize(n),
+                ResumeActivity::SyncReplica => self.sync_replica_if_due(n),
+                ResumeActivity::Messages(held) => held.into_iter().for_each(|m| self.deliver(m)),
             }
         }
         false
     }
 
-    pub(super) fn announce(&mut self, n: usize) {
+    /// Sends the direct commands that are due.
+    pub(super) fn send_direct_messages(&mut self, n: usize) {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.moment(now).steady;
-        for a in node.controller.direct_messages_due(steady, 8) {
-            if let Ok(w) = a.endpoint.parse() {
-                let message = Message::Announce(n, w, a, now);
-                self.send(Place::Node(n), Place::Worker(w), message);
+        let steady = node.clock_reading(now).steady;
+        for direct in node.controller.direct_messages_due(steady, 8) {
+            if let Ok(w) = direct.endpoint.parse() {
+                let message = Message::DirectCommands(n, w, direct, now);
+                self.send(Endpoint::Node(n), Endpoint::Worker(w), message);
             }
         }
     }
 
-    pub(super) fn due(&mut self, n: usize, which: usize, every: u64) -> bool {
+    /// Returns whether an activity of controller `n`, an index of [`Node::next_due`], is due, and schedules the
+    /// next one.
+    pub(super) fn due(&mut self, n: usize, activity: usize, interval_ms: u64) -> bool {
         let Ok(node) = &mut self.nodes[n] else { return false };
-        if self.now < node.next[which] {
+        if self.now < node.next_due[activity] {
             return false;
         }
-        node.next[which] = self.now + every;
+        node.next_due[activity] = self.now + interval_ms;
         true
     }
 
-    /// Commits for a node: `None` if it learns nothing of the outcome.
+    /// Sends a transaction of controller `n` to the store. Returns `None` if the controller does not learn the
+    /// outcome; the transaction may have been committed all the same, or be committed later.
     pub(super) fn commit(&mut self, n: usize, txn: &Txn) -> Option<TxnOutcome> {
         self.writes += txn.changes.len();
         if !self.reaches_store(n) {
             return None;
         }
         if self.now < self.late_writes_until && self.rng.random_bool(0.33) {
-            self.late.push((self.now + self.rng.random_range(2_000..12_000), txn.clone()));
+            self.late_txns.push((self.now + self.rng.random_range(2_000..12_000), txn.clone()));
             return None;
         }
-        if self.now < self.lost_answers_until && self.rng.random_bool(0.33) {
+        if self.now < self.lost_store_responses_until && self.rng.random_bool(0.33) {
             self.store.commit(txn);
             return None;
         }
-        if self.now < self.slow_until {
+        if self.now < self.slow_store_until {
             match self.rng.random_range(0..10) {
                 0 => {
-                    self.late.push((self.now + self.rng.random_range(100..6_000), txn.clone()));
+                    self.late_txns
+                        .push((self.now + self.rng.random_range(100..6_000), txn.clone()));
                     return None;
                 }
                 1 => {
-                    // Carried out, answer lost, and carried out once more later.
+                    // The transaction is committed, the response is lost, and a repetition arrives later.
                     self.store.commit(txn);
-                    self.late.push((self.now + 1_000, txn.clone()));
+                    self.late_txns.push((self.now + 1_000, txn.clone()));
                     return None;
                 }
                 _ => {}
@@ -157,13 +165,14 @@
         self.store.commit(txn)
     }
 
-    pub(super) fn keep_lease(&mut self, n: usize) {
+    /// Renews the controller's lease, or obtains one and writes the member record under it.
+    pub(super) fn maintain_lease(&mut self, n: usize) {
         if !self.due(n, 0, 700) || !self.reaches_store(n) {
             return;
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let sent = node.moment(now).steady;
+        let sent = node.clock_reading(now).steady;
         if !node.controller.loaded {
             return;
         }
@@ -177,74 +186,80 @@
         }
         let lease = self.store.grant(now, CONTROLLER_LEASE_MS);
         let mut txn = node.controller.member_txn(lease);
-        if self.old[n] {
-            txn.changes.iter_mut().for_each(strip_member_for_version_before);
+        if self.old_version[n] {
+            txn.changes.iter_mut().for_each(strip_member_record_for_old_version);
         }
-        let done = self.commit(n, &txn);
-        if let (Some(TxnOutcome::Committed(_)), Ok(node)) = (done, &mut self.nodes[n]) {
+        let outcome = self.commit(n, &txn);
+        if let (Some(TxnOutcome::Committed(_)), Ok(node)) = (outcome, &mut self.nodes[n]) {
             node.controller.rights.lease = Some(lease);
             node.controller.rights.confirm_renewal(sent);
         }
     }
 
-    pub(super) fn sync(&mut self, n: usize) {
+    /// Updates the replica if that is due.
+    pub(super) fn sync_replica_if_due(&mut self, n: usize) {
         if self.due(n, 1, 100) {
-            self.pull(n);
+            self.sync_replica(n);
         }
     }
 
-    pub(super) fn pull(&mut self, n: usize) {
+    /// Loads or updates the replica from the store, runs for leader if possible, and records completed tasks.
+    pub(super) fn sync_replica(&mut self, n: usize) {
         if !self.reaches_store(n) {
             return;
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let moment = node.moment(now);
+        let clock = node.clock_reading(now);
         let controller = &mut node.controller;
         if !controller.loaded {
             let (items, revision) = self.store.all();
             controller.load(&items, revision);
-            let all = willowshore::replica::ReplicaChanges { leader: true, ..Default::default() };
-            controller.on_replica_changes(moment, &all);
+            let initial_changes =
+                willowshore::replica::ReplicaChanges { leader: true, ..Default::default() };
+            controller.on_replica_changes(clock, &initial_changes);
         }
         let changes = self.store.changes(controller.replica.revision);
-        if let Some(replica_changes) = controller.apply_watch_response(&changes, moment.steady) {
-            controller.on_replica_changes(moment, &replica_changes);
+        if let Some(replica_changes) = controller.apply_watch_response(&changes, clock.steady) {
+            controller.on_replica_changes(clock, &replica_changes);
         }
-        if controller.candidacy(moment.steady).may_run()
+        if controller.candidacy(clock.steady).may_run()
             && let Some(txn) = controller.election_txn()
         {
             if let Some(trace) = &mut self.trace {
                 trace.record_candidacy(now);
             }
-            controller.on_leader_lease_expired(moment.steady);
+            controller.on_leader_lease_expired(clock.steady);
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        if let Some(txn) = node.controller.completions_txn(moment.steady) {
+        if let Some(txn) = node.controller.completions_txn(clock.steady) {
             self.commit(n, &txn);
         }
     }
 
-    pub(super) fn ask_who_leads(&mut self, n: usize) {
+    /// Asks the other controllers who leads, as a controller does that the store does not serve.
+    pub(super) fn ask_peers_for_leader(&mut self, n: usize) {
         for m in (0..3).filter(|m| *m != n) {
-            let reached =
-                self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < self.now + 100);
-            let Some(peer) = self.awake(m) else { continue };
-            let leader = peer.controller.leader_for_peer(peer.moment(self.now).steady);
+            let reached = self
+                .arrival(Endpoint::Node(n), Endpoint::Node(m))
+                .is_some_and(|at| at < self.now + 100);
+            let Some(peer) = self.running_node(m) else { continue };
+            let leader = peer.controller.leader_for_peer(peer.clock_reading(self.now).steady);
             if let (true, Some(leader), Ok(node)) = (reached, leader, &mut self.nodes[n]) {
                 node.controller.adopt_leader_from_peer(leader);
             }
         }
     }
 
+    /// Sends the summary of controller `n` to the leader, directly or through the store.
     pub(super) fn summarize(&mut self, n: usize) {
         if !self.due(n, 2, 200) {
             return;
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.moment(now).steady;
+        let steady = node.clock_reading(now).steady;
         let Some(leader) = node.controller.leader().map(|l| usize::from(l.0)) else {
             return;
         };
@@ -254,94 +269,101 @@
             node.controller.apply_leader_response(response);
             return;
         }
-        // Peers that cannot reach each other go through the store, which takes longer.
-        let arrives = self.arrival(Place::Node(n), Place::Node(leader));
-        let direct = arrives.is_some_and(|at| at < now + 500);
-        let room = if direct { DIRECT_BYTES } else { STORE_MESSAGE_BYTES };
+        // Summaries that cannot be sent directly go through the store, which takes longer.
+        let arrival = self.arrival(Endpoint::Node(n), Endpoint::Node(leader));
+        let direct = arrival.is_some_and(|at| at < now + 500);
+        let max_bytes = if direct { MAX_DIRECT_BYTES } else { MAX_STORE_MESSAGE_BYTES };
         let Ok(node) = &mut self.nodes[n] else { return };
-        let summary = node.controller.summary(steady, room);
-        let size = &mut self.largest[usize::from(!direct)];
-        *size = (*size).max(peer::encode(&summary).len());
+        let summary = node.controller.summary(steady, max_bytes);
+        let largest = &mut self.largest_message_bytes[usize::from(!direct)];
+        *largest = (*largest).max(peer::encode(&summary).len());
         if direct {
             let message = Message::Summary(n, leader, Box::new(summary), steady);
-            self.send(Place::Node(n), Place::Node(leader), message);
+            self.send(Endpoint::Node(n), Endpoint::Node(leader), message);
         } else {
             self.send_through_store(n, leader, summary);
         }
     }
 
+    /// Sends a summary through the store. The leader handles it at once; its response arrives 600 ms later.
     pub(super) fn send_through_store(&mut self, n: usize, leader: usize, summary: Summary) {
-        if !self.reaches_store(n) || !self.reaches_store(leader) || self.awake(leader).is_none() {
+        if !self.reaches_store(n)
+            || !self.reaches_store(leader)
+            || self.running_node(leader).is_none()
+        {
             return;
         }
         let now = self.now;
         if let Ok(node) = &mut self.nodes[n] {
-            if now < node.responses_through_store {
+            if now < node.next_store_message_at {
                 return;
             }
-            node.responses_through_store = now + 600;
+            node.next_store_message_at = now + 600;
         }
         let Ok(leader) = &mut self.nodes[leader] else { return };
-        let steady = leader.moment(now).steady;
+        let steady = leader.clock_reading(now).steady;
         let (response, _) = leader.controller.receive_summary(steady, summary);
-        self.sent += 1;
-        self.messages.insert((now + 600, self.sent), Message::PeerResponse(n, response, None));
+        self.messages_sent += 1;
+        self.messages
+            .insert((now + 600, self.messages_sent), Message::PeerResponse(n, response, None));
     }
 
+    /// Computes an epoch, writes it to the store and publishes it, if controller `n` leads.
     pub(super) fn run_epoch(&mut self, n: usize) {
         if !self.due(n, 3, 200) {
             return;
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let moment = node.moment(now);
+        let clock = node.clock_reading(now);
         let began = Instant::now();
-        let Some((epoch, term)) = node.controller.epoch(moment) else { return };
+        let Some((epoch, term)) = node.controller.epoch(clock) else { return };
         self.epochs.count += 1;
         self.epochs.total += began.elapsed();
         if node.controller.leader.as_ref().is_some_and(|l| l.renew_term.is_some()) {
             if let Some(txn) = node.controller.election_txn() {
                 self.commit(n, &txn);
             }
-            self.pull(n);
+            self.sync_replica(n);
             return;
         }
         if self.crash_in_epoch == Some(false) && epoch.txn.is_some() {
             self.crash_in_epoch = None;
-            return self.crash(n, BACK_MS);
+            return self.crash(n, RESTART_MS);
         }
         let durable = match &epoch.txn {
             Some(txn) => match self.commit(n, &txn.clone()) {
                 Some(TxnOutcome::Committed(version)) => Some((txn.clone(), version)),
-                _ => return self.pull(n),
+                _ => return self.sync_replica(n),
             },
             None => None,
         };
         if durable.is_some() && self.crash_in_epoch.take_if(|written| *written).is_some() {
-            return self.crash(n, BACK_MS);
+            return self.crash(n, RESTART_MS);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
         if let Some((txn, version)) = durable {
             let replica_changes = node.controller.apply_committed(&txn, version);
-            node.controller.on_replica_changes(moment, &replica_changes);
+            node.controller.on_replica_changes(clock, &replica_changes);
         }
         let began = Instant::now();
-        node.controller.publish(moment, epoch, term);
+        node.controller.publish(clock, epoch, term);
         self.epochs.total += began.elapsed();
         self.return_machines(n);
     }
 
-    /// The leader returns machines to the cloud; what was returned is replaced, so that the day can end.
+    /// Returns machines to the cloud if controller `n` leads. Each returned machine is replaced by a new one,
+    /// so that there are enough machines for all jobs.
     pub(super) fn return_machines(&mut self, n: usize) {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let moment = node.moment(now);
-        if !node.controller.rights.may_lead(moment.steady) {
+        let clock = node.clock_reading(now);
+        if !node.controller.rights.may_lead(clock.steady) {
             return;
         }
         let scaled_in = node
             .controller
-            .with_leader(moment, |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
+            .with_leader(clock, |leader, cluster| leader.fleet.machines_to_scale_in(cluster))
             .unwrap_or_default();
         if !scaled_in.is_empty() && !self.still_leads(n) {
             return;
@@ -349,7 +371,7 @@
         for id in &scaled_in {
             if let Some(w) = (0..self.workers.len()).find(|w| self.workers[*w].name() == *id) {
                 let changes = self.workers[w].vanish();
-                self.see(w, changes);
+                self.record_worker_changes(w, changes);
             }
         }
         let mut add_provisioned = Vec::new();
@@ -367,7 +389,7 @@
             for (id, zone) in add_provisioned {
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
-                leader.fleet.add_provisioned(moment.steady, &[id], &offer);
+                leader.fleet.add_provisioned(clock.steady, &[id], &offer);
             }
         }
     }
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -1,42 +1,42 @@
-//! The loop of the warm standby in simulation, as `service::failover` runs it, and the trace of failovers.
+//! The loop of the warm standby, as `service::failover` runs it, and the observation of failovers.
 
 use super::*;
 
-/// What a leader's decision log costs.
+/// Size of a leader's decision log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecisionLogCost {
-    /// Bytes sent to standbys.
+    /// Bytes sent to standbys since the leader was elected.
     pub bytes: u64,
-    /// Records that are retained.
+    /// Records that the leader retains for standbys.
     pub records: usize,
-    /// Entries of the state that the decisions add up to.
+    /// Entries of the state that results from all decisions.
     pub entries: usize,
 }
 
 impl World {
-    /// Commits the transaction that takes the next term.
+    /// Sends the transaction by which controller `n` takes the next term, and passes the outcome to the controller.
     pub(super) fn take_term(&mut self, n: usize, txn: &Txn) {
         let outcome = self.commit(n, txn);
         let now = self.now;
         if matches!(outcome, Some(TxnOutcome::Committed(_)))
             && std::mem::take(&mut self.crash_successor)
         {
-            return self.crash(n, BACK_MS);
+            return self.crash(n, RESTART_MS);
         }
         if let Ok(node) = &mut self.nodes[n] {
-            let steady = node.moment(now).steady;
+            let steady = node.clock_reading(now).steady;
             node.controller.on_fence_completed(steady, outcome.as_ref());
         }
     }
 
-    /// Ticks the failover of a controller and executes its command.
-    pub(super) fn watch_leader(&mut self, n: usize) {
+    /// Advances the failover state of controller `n` every 100 ms and executes the resulting command.
+    pub(super) fn tick_failover(&mut self, n: usize) {
         let now = self.now;
         if !now.is_multiple_of(100) {
             return;
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.moment(now).steady;
+        let steady = node.clock_reading(now).steady;
         match node.controller.standby_tick(steady) {
             Some(FailoverCommand::ProbeLeader(_)) => self.probe_leader(n),
             Some(FailoverCommand::QueryPeers(term)) => self.query_peers(n, term),
@@ -45,38 +45,44 @@
         }
     }
 
-    /// Probes the leader. A process that is down refuses at once; one that is stopped or partitioned does not respond.
+    /// Probes the leader. A process that is down or does not lead refuses at once; a process that is suspended
+    /// or partitioned does not respond.
     pub(super) fn probe_leader(&mut self, n: usize) {
         let now = self.now;
         let leader = self.nodes[n].as_ref().ok().and_then(|node| node.controller.leader());
         let Some(leader) = leader.map(|leader| usize::from(leader.0)) else { return };
         let arrivals = [(n, leader), (leader, n)]
-            .map(|(from, to)| self.arrival(Place::Node(from), Place::Node(to)));
-        let reached = arrivals.iter().all(|at| at.is_some_and(|at| at < now + PROBE_MS));
+            .map(|(from, to)| self.arrival(Endpoint::Node(from), Endpoint::Node(to)));
+        let reached = arrivals.iter().all(|at| at.is_some_and(|at| at < now + PROBE_TIMEOUT_MS));
         let outcome = match (&self.nodes[leader], reached) {
-            (Ok(node), true) if node.frozen.is_none() => match node.controller.leader {
+            (Ok(node), true) if node.frozen_until.is_none() => match node.controller.leader {
                 Some(_) => ProbeOutcome::Responded,
                 None => ProbeOutcome::Refused,
             },
             (Err(_), true) => ProbeOutcome::Refused,
             _ => ProbeOutcome::NoResponse,
         };
-        let takes_ms = if outcome == ProbeOutcome::NoResponse { PROBE_MS } else { 20 };
-        self.sent += 1;
-        self.messages.insert((now + takes_ms, self.sent), Message::Probed(n, outcome));
+        let delay_ms = if outcome == ProbeOutcome::NoResponse { PROBE_TIMEOUT_MS } else { 20 };
+        self.messages_sent += 1;
+        self.messages.insert((now + delay_ms, self.messages_sent), Message::Probed(n, outcome));
     }
 
-    /// Queries the others when they last heard the leader; responses arrive within the same step.
+    /// Asks the other controllers for how long they have not heard the leader of `term`. Responses arrive
+    /// within the step.
     pub(super) fn query_peers(&mut self, n: usize, term: Term) {
         let now = self.now;
         for m in (0..3).filter(|m| *m != n) {
             let reached =
-                self.arrival(Place::Node(n), Place::Node(m)).is_some_and(|at| at < now + 100);
-            let Some(peer) = self.awake(m).filter(|_| reached && !self.old[m]) else { continue };
-            let silence_ms = peer.controller.leader_silence_ms(peer.moment(now).steady, term);
+                self.arrival(Endpoint::Node(n), Endpoint::Node(m)).is_some_and(|at| at < now + 100);
+            let Some(peer) = self.running_node(m).filter(|_| reached && !self.old_version[m])
+            else {
+                continue;
+            };
+            let silence_ms =
+                peer.controller.leader_silence_ms(peer.clock_reading(now).steady, term);
             let observation = PeerObservation { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
-            let steady = node.moment(now).steady;
+            let steady = node.clock_reading(now).steady;
             if let Some(FailoverCommand::Fence(_)) =
                 node.controller.on_peer_observation(steady, observation)
             {
@@ -85,7 +91,8 @@
         }
     }
 
-    /// Takes the next term after a majority agreed that the leader is silent.
+    /// Takes the next term, as a majority of the controllers does not hear the leader or the leader refuses
+    /// connections.
     pub(super) fn fence_leader(&mut self, n: usize) {
         let now = self.now;
         if let Some(trace) = &mut self.trace {
@@ -94,11 +101,12 @@
         let txn = self.nodes[n].as_ref().ok().and_then(|node| node.controller.election_txn());
         if let Some(txn) = txn {
             self.take_term(n, &txn);
-            self.pull(n);
+            self.sync_replica(n);
         }
     }
 
-    /// Whether a controller still leads, proven by the store: checked before actions that no condition fences.
+    /// Returns whether the store confirms that controller `n` still leads. Called before actions that no
+    /// condition of a transaction guards. Always true without the warm standby.
     pub(super) fn still_leads(&mut self, n: usize) -> bool {
         if self.standby.is_none() {
             return true;
@@ -112,17 +120,17 @@
         matches!(outcome, Some(TxnOutcome::Committed(_)))
     }
 
-    /// Counts changes of leader and traces the failover.
+    /// Counts the leader processes and records the phases of a failover.
     pub(super) fn observe_failover(&mut self) {
-        let leader = self.nodes.iter().flatten().filter(|node| node.frozen.is_none());
+        let leader = self.nodes.iter().flatten().filter(|node| node.frozen_until.is_none());
         let leader = leader.filter(|node| node.controller.leader.is_some());
         let leader =
             leader.max_by_key(|node| node.controller.leader.as_ref().map(|leader| leader.term));
-        let led = leader
+        let leader_process = leader
             .map(|node| (usize::from(node.controller.local_node.0), node.controller.incarnation.0));
-        if led.is_some() && led != self.last_led {
+        if leader_process.is_some() && leader_process != self.last_leader {
             self.changes_of_leader += 1;
-            self.last_led = led;
+            self.last_leader = leader_process;
         }
         let leader = leader.and_then(|node| node.controller.leader.as_ref());
         let observed = Observed {
@@ -139,18 +147,19 @@
         }
     }
 
-    /// What the leader's last failover found of the mirrored records, and the divergences of its copy.
+    /// Returns how the leader's last failover verified the mirrored records, and the number of divergences of
+    /// its mirror.
     pub fn verification_of_leader(&self) -> (VerificationCounts, u64) {
-        let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
+        let node = self.leader_and_term().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let standby = node.and_then(|node| node.controller.standby.as_ref());
         standby.map_or_else(Default::default, |standby| {
             (standby.verification(), standby.mirror().counters().divergences)
         })
     }
 
-    /// What the leader's decision log costs; nothing if there is none.
-    pub fn log_of_leader(&self) -> DecisionLogCost {
-        let node = self.leads().and_then(|(n, _)| self.nodes[n].as_ref().ok());
+    /// Returns the size of the leader's decision log; zeros if there is none.
+    pub fn decision_log_cost_of_leader(&self) -> DecisionLogCost {
+        let node = self.leader_and_term().and_then(|(n, _)| self.nodes[n].as_ref().ok());
         let log = node.and_then(|node| node.controller.standby.as_ref()?.decision_log());
         log.map_or_else(DecisionLogCost::default, |log| DecisionLogCost {
             bytes: log.bytes_sent(),
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -1,111 +1,121 @@
-//! The faults of the simulation.
+//! Faults that a simulation injects.
 
 use super::*;
 
-/// How far a task has come whose job is cancelled.
+/// Stage of a task at which users cancel its job, and what fails at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnderWay {
-    /// Its shard gets the grant, and is cut off from the store and the other controllers.
+pub enum InFlightStage {
+    /// The shard has received the grant, and is partitioned from the store and the other controllers.
     Granted,
-    /// Its machine gets the start, and is cut off from all controllers.
+    /// The machine has received the start command, and is partitioned from all controllers.
     Started,
-    /// The same, and the machine hangs.
+    /// The machine has received the start command, and hangs.
     StartedAndHangs,
 }
 
-/// A failure, for so many milliseconds where it lasts.
+/// A fault. Values of type `u64` are durations in milliseconds, if not said otherwise, and `usize` indexes of
+/// machines, if not said otherwise.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
+    /// The leader's process crashes and is restarted after 3 s.
     CrashLeader,
+    /// The processes of all controllers crash and are restarted after 3 s.
     CrashAll,
-    /// The leader's process is stopped and goes on later as if nothing had been.
+    /// The leader's process is suspended and resumed later; it does not notice.
     FreezeLeader(u64),
-    /// That controller's process is stopped and goes on later.
+    /// The process of the controller with this index is suspended and resumed later.
     Freeze(usize, u64),
-    /// A machine does not reach the controller that owns it; it reaches the others.
+    /// A machine is partitioned from the controller that owns it, not from the others.
     PartitionWorkerFromOwner(usize, u64),
-    /// That controller is cut off from the other controllers only.
+    /// The controller with this index is partitioned from the other controllers only.
     PartitionControllerFromPeers(usize, u64),
-    /// The leader's process ends in its next epoch that writes something: after the write, or before it.
+    /// The leader's process crashes in its next epoch with a write: after the write if true, before it if false.
     CrashInEpoch(bool),
-    /// The leader and the first in rank to replace it end together.
+    /// The leader and the first controller in rank to replace it crash together.
     CrashLeaderAndStandby,
-    /// Whoever takes the next term ends as it has taken it.
+    /// The controller that takes the next term crashes at once.
     CrashSuccessor,
-    /// The leader and the first in rank to replace it do not reach each other.
+    /// The leader and the first controller in rank to replace it are partitioned from each other.
     PartitionLeaderAndStandby(u64),
-    /// The store refuses the first in rank to replace the leader.
+    /// The store refuses the first controller in rank to replace the leader.
     StoreRefusesStandby(u64),
-    /// The leader takes a machine that is well for failed, as an old list of the cloud may say, and is about to return
-    /// it.
+    /// The leader considers a healthy machine failed, as an old list of the cloud may show it, and is about to
+    /// return the machine.
     ListedFailed(usize),
-    /// Standbys get no decisions for that long.
+    /// Standbys receive no decisions.
     DecisionLogLag(u64),
+    /// The store serves no controller.
     StoreOutage(u64),
-    /// The store refuses the leader alone.
+    /// The store refuses the leader only.
     StoreRefusesLeader(u64),
-    /// Transactions are carried out late, or without an answer.
+    /// A tenth of all transactions is committed up to 6 s late without a response; another tenth is committed
+    /// without a response and once more 1 s later.
     SlowStore(u64),
-    /// Answers to workers get lost now and then.
+    /// Three in ten responses to heartbeats are lost.
     LostResponses(u64),
+    /// A machine is lost with all its tasks.
     WorkerCrash(usize),
-    /// A machine is cut off; packets are held if true.
+    /// A machine is partitioned from all controllers. Packets arrive after the end of the partition if true;
+    /// they are lost if false.
     PartitionWorker(usize, u64, bool),
+    /// A machine hangs and then continues.
     WorkerHangs(usize, u64),
+    /// Machines and controllers of one zone are partitioned from those of the other zone. Packets are delayed
+    /// if true.
     PartitionZones(u64, bool),
-    /// The leader is cut off from everything.
+    /// The leader is partitioned from everything. Packets are delayed if true.
     PartitionLeader(u64, bool),
-    /// The user cancels a job, and gets the confirmation.
+    /// A user cancels the job with this id, and repeats that until the job is shown as ended.
     CancelAt(u64),
-    /// A machine's heartbeats arrive; no response reaches it.
+    /// A machine's heartbeats arrive, but neither responses nor direct commands reach the machine.
     UnansweredWorker(usize, u64),
-    /// Every heartbeat is delivered once more, up to well over a lease late.
+    /// Half of all heartbeats are delivered once more, 1 s to two and a half leases late.
     LateCopies(u64),
-    /// The leader's process is back in a fraction of a second.
+    /// The leader's process crashes and is restarted after 200 ms.
     BriefLeaderCrash,
-    /// All processes are.
+    /// The processes of all controllers crash and are restarted after 200 ms.
     BriefCrashOfAll,
-    /// A machine is back at once with nothing on it and counts from 1 again.
+    /// A machine restarts at once without tasks, and its agent epoch and sequence start again.
     WorkerRestart(usize),
-    /// The leader loses the store and the other controllers, not its workers.
+    /// The leader is partitioned from the store and the other controllers, not from the machines.
     LeaderOnlyReachesWorkers(u64),
-    /// The leader and all but two machines are cut off from the store and the other controllers, not from
+    /// The leader and all machines but two are partitioned from the store and the other controllers, not from
     /// each other.
     LeaderStrandedWithMachines(u64),
-    /// Controllers refuse each other's connections.
+    /// Controllers do not reach each other.
     PeersRefuseConnections(u64),
-    /// The first so many machines hang together.
+    /// The given number of machines, those with the lowest indexes, hang at the same time.
     WorkersHang(usize, u64),
-    /// The cloud takes a machine after that time, with notice.
+    /// The cloud gives notice that it reclaims a machine, and reclaims it after this time.
     SpotReclaimed(usize, u64),
-    /// A controller is exchanged for the new version.
+    /// The controller with this index crashes and is restarted with the new version.
     Upgrade(usize),
-    /// A machine reaches no controller; direct commands and their answers still pass.
+    /// A machine's heartbeats are lost; direct commands and their responses arrive.
     WorkerReachesNoController(usize, u64),
-    /// A third of all transactions gets no answer and is carried out 2 to 12 s later.
+    /// A third of all transactions is committed 2 to 12 s late, without a response.
     LateWrites(u64),
-    /// A third of all transactions is carried out at once, and only the answer is lost.
+    /// A third of all transactions is committed at once, and the response is lost.
     LostStoreResponses(u64),
-    /// Direct commands are held up until it is over.
+    /// Direct commands arrive only after the fault.
     HoldCommands(u64),
-    /// Heartbeats are copied for that long, and the copies reach every controller 200 ms after the next
-    /// leader has begun.
+    /// Up to 200 heartbeats are copied. The copies reach every controller within 400 ms of the next change of leader.
     LateCopiesForNextLeader(u64),
-    /// For that long users cancel some jobs just as one of their tasks is under way.
-    CancelUnderWay(UnderWay, u64),
-    /// Users cancel that many jobs that run; up to eight of their machines hang that long.
+    /// Users cancel some jobs while one of their tasks is at the given stage.
+    CancelInFlight(InFlightStage, u64),
+    /// Users cancel the given number of running jobs; up to eight of their machines hang for the given time.
     CancelNow(usize, u64),
-    /// Jobs are cancelled at the moment of their end.
+    /// Users cancel jobs at the moment when their last task completes.
     CancelAtEnd(u64),
-    /// Users ask and submit at all controllers right after any answer.
+    /// Users submit new jobs at two controllers at once, cancel some of the jobs immediately, and query and
+    /// submit a job again at all controllers as soon as one reports the job as ended.
     AggressivePolling(u64),
-    /// That many machines are scaled out and up within 2 s.
+    /// The given number of machines is rented and up within 2 s.
     FastBoots(usize),
 }
 
 impl Fault {
-    /// How long it lasts, with what it holds back.
-    pub(super) fn lasts(self) -> u64 {
+    /// Returns how long the fault has effects in milliseconds, with the delay of what it holds back.
+    pub(super) fn duration_ms(self) -> u64 {
         match self {
             Fault::StoreOutage(ms)
             | Fault::StoreRefusesLeader(ms)
@@ -137,76 +147,79 @@
             Fault::LateWrites(ms) => ms + 12_000,
             Fault::LateCopiesForNextLeader(ms) => ms,
             Fault::LateCopies(ms) => ms + 70_000,
-            Fault::CancelUnderWay(_, ms) => ms + 20_000,
+            Fault::CancelInFlight(_, ms) => ms + 20_000,
             _ => 0,
         }
     }
 }
 
 impl Fault {
-    /// The same with its times, in hundredths of something, at that scale.
-    pub fn scaled(self, by: u64) -> Fault {
+    /// Returns the fault with its duration multiplied by `factor`. For a duration in hundredths of a lease,
+    /// `factor` is a hundredth of the lease in milliseconds.
+    pub fn scaled(self, factor: u64) -> Fault {
         match self {
-            Fault::StoreOutage(t) => Fault::StoreOutage(t * by),
-            Fault::FreezeLeader(t) => Fault::FreezeLeader(t * by),
-            Fault::Freeze(n, t) => Fault::Freeze(n, t * by),
+            Fault::StoreOutage(t) => Fault::StoreOutage(t * factor),
+            Fault::FreezeLeader(t) => Fault::FreezeLeader(t * factor),
+            Fault::Freeze(n, t) => Fault::Freeze(n, t * factor),
             Fault::PartitionControllerFromPeers(n, t) => {
-                Fault::PartitionControllerFromPeers(n, t * by)
+                Fault::PartitionControllerFromPeers(n, t * factor)
             }
-            Fault::PartitionWorkerFromOwner(w, t) => Fault::PartitionWorkerFromOwner(w, t * by),
-            Fault::PartitionLeaderAndStandby(t) => Fault::PartitionLeaderAndStandby(t * by),
-            Fault::StoreRefusesStandby(t) => Fault::StoreRefusesStandby(t * by),
-            Fault::DecisionLogLag(t) => Fault::DecisionLogLag(t * by),
-            Fault::StoreRefusesLeader(t) => Fault::StoreRefusesLeader(t * by),
-            Fault::SlowStore(t) => Fault::SlowStore(t * by),
-            Fault::LostResponses(t) => Fault::LostResponses(t * by),
-            Fault::PartitionWorker(w, t, hold) => Fault::PartitionWorker(w, t * by, hold),
-            Fault::WorkerHangs(w, t) => Fault::WorkerHangs(w, t * by),
-            Fault::PartitionZones(t, hold) => Fault::PartitionZones(t * by, hold),
-            Fault::PartitionLeader(t, hold) => Fault::PartitionLeader(t * by, hold),
-            Fault::UnansweredWorker(w, t) => Fault::UnansweredWorker(w, t * by),
-            Fault::LateCopies(t) => Fault::LateCopies(t * by),
-            Fault::LeaderOnlyReachesWorkers(t) => Fault::LeaderOnlyReachesWorkers(t * by),
-            Fault::LeaderStrandedWithMachines(t) => Fault::LeaderStrandedWithMachines(t * by),
-            Fault::PeersRefuseConnections(t) => Fault::PeersRefuseConnections(t * by),
-            Fault::WorkersHang(n, t) => Fault::WorkersHang(n, t * by),
-            Fault::SpotReclaimed(w, t) => Fault::SpotReclaimed(w, t * by),
-            Fault::WorkerReachesNoController(w, t) => Fault::WorkerReachesNoController(w, t * by),
-            Fault::LateWrites(t) => Fault::LateWrites(t * by),
-            Fault::LostStoreResponses(t) => Fault::LostStoreResponses(t * by),
-            Fault::HoldCommands(t) => Fault::HoldCommands(t * by),
-            Fault::LateCopiesForNextLeader(t) => Fault::LateCopiesForNextLeader(t * by),
-            Fault::CancelNow(n, t) => Fault::CancelNow(n, t * by),
-            Fault::CancelAtEnd(t) => Fault::CancelAtEnd(t * by),
-            Fault::AggressivePolling(t) => Fault::AggressivePolling(t * by),
+            Fault::PartitionWorkerFromOwner(w, t) => Fault::PartitionWorkerFromOwner(w, t * factor),
+            Fault::PartitionLeaderAndStandby(t) => Fault::PartitionLeaderAndStandby(t * factor),
+            Fault::StoreRefusesStandby(t) => Fault::StoreRefusesStandby(t * factor),
+            Fault::DecisionLogLag(t) => Fault::DecisionLogLag(t * factor),
+            Fault::StoreRefusesLeader(t) => Fault::StoreRefusesLeader(t * factor),
+            Fault::SlowStore(t) => Fault::SlowStore(t * factor),
+            Fault::LostResponses(t) => Fault::LostResponses(t * factor),
+            Fault::PartitionWorker(w, t, hold) => Fault::PartitionWorker(w, t * factor, hold),
+            Fault::WorkerHangs(w, t) => Fault::WorkerHangs(w, t * factor),
+            Fault::PartitionZones(t, hold) => Fault::PartitionZones(t * factor, hold),
+            Fault::PartitionLeader(t, hold) => Fault::PartitionLeader(t * factor, hold),
+            Fault::UnansweredWorker(w, t) => Fault::UnansweredWorker(w, t * factor),
+            Fault::LateCopies(t) => Fault::LateCopies(t * factor),
+            Fault::LeaderOnlyReachesWorkers(t) => Fault::LeaderOnlyReachesWorkers(t * factor),
+            Fault::LeaderStrandedWithMachines(t) => Fault::LeaderStrandedWithMachines(t * factor),
+            Fault::PeersRefuseConnections(t) => Fault::PeersRefuseConnections(t * factor),
+            Fault::WorkersHang(n, t) => Fault::WorkersHang(n, t * factor),
+            Fault::SpotReclaimed(w, t) => Fault::SpotReclaimed(w, t * factor),
+            Fault::WorkerReachesNoController(w, t) => {
+                Fault::WorkerReachesNoController(w, t * factor)
+            }
+            Fault::LateWrites(t) => Fault::LateWrites(t * factor),
+            Fault::LostStoreResponses(t) => Fault::LostStoreResponses(t * factor),
+            Fault::HoldCommands(t) => Fault::HoldCommands(t * factor),
+            Fault::LateCopiesForNextLeader(t) => Fault::LateCopiesForNextLeader(t * factor),
+            Fault::CancelNow(n, t) => Fault::CancelNow(n, t * factor),
+            Fault::CancelAtEnd(t) => Fault::CancelAtEnd(t * factor),
+            Fault::AggressivePolling(t) => Fault::AggressivePolling(t * factor),
             other => other,
         }
     }
 }
 
 impl World {
-    /// The controller that is the first to replace the leader: one of another zone.
+    /// Returns the first controller in rank to replace the leader: one in another zone, if there is one.
     pub(super) fn first_standby(&self) -> usize {
         let leader = self.leader();
         let others = (0..3).filter(|n| *n != leader);
         others.min_by_key(|n| (n % 2 == leader % 2, *n)).unwrap_or(0)
     }
 
-    /// Machines are scaled out and up within 2 s, before any list shows them.
-    pub(super) fn quick_boots(&mut self, count: usize) {
+    /// Adds machines that are up within 2 s, before any list of the cloud shows them.
+    pub(super) fn scale_out_fast(&mut self, count: usize) {
         let leader = self.leader();
         for _ in 0..count {
             let id = self.workers.len();
-            let up = self.now + self.rng.random_range(300..2_000);
-            let mut worker = Worker::new(id, ZONES[id % 2], up, self.rhythm);
-            worker.hung_until = up;
+            let up_at = self.now + self.rng.random_range(300..2_000);
+            let mut worker = Worker::new(id, ZONES[id % 2], up_at, self.rhythm);
+            worker.hung_until = up_at;
             let (name, zone) = (worker.name(), worker.zone);
             self.workers.push(worker);
-            // The leader may end before the cloud's answer reaches it.
+            // In half of the cases the leader does not learn of the machine, as if the cloud's response were lost.
             if self.rng.random_bool(0.5)
                 && let Ok(node) = &mut self.nodes[leader]
             {
-                let steady = node.moment(self.now).steady;
+                let steady = node.clock_reading(self.now).steady;
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 if let Some(leader) = &mut node.controller.leader {
@@ -216,27 +229,30 @@
         }
     }
 
-    /// Copies of heartbeats that were held for the next leader reach every controller.
+    /// Sends the collected copies of heartbeats to every controller, if the leader has changed since the fault began.
     pub(super) fn deliver_held_copies(&mut self) {
-        let leads = self.leads();
-        if self.held_copies.is_empty() || leads.is_none() || leads == self.last_leader {
+        let leader = self.leader_and_term();
+        if self.held_copies.is_empty() || leader.is_none() || leader == self.previous_leader {
             return;
         }
-        self.last_leader = leads;
+        self.previous_leader = leader;
         for heartbeat in std::mem::take(&mut self.held_copies) {
             for n in 0..3 {
-                self.sent += 1;
+                self.messages_sent += 1;
                 let at = self.now + self.rng.random_range(0..400);
-                self.messages.insert((at, self.sent), Message::Copy(n, heartbeat.clone()));
+                self.messages
+                    .insert((at, self.messages_sent), Message::HeartbeatCopy(n, heartbeat.clone()));
             }
         }
     }
 
-    pub(super) fn crash(&mut self, node: usize, back_ms: u64) {
-        self.nodes[node] = Err(self.now + back_ms);
+    /// Crashes the process of a controller, to be restarted after `restart_ms`.
+    pub(super) fn crash(&mut self, node: usize, restart_ms: u64) {
+        self.nodes[node] = Err(self.now + restart_ms);
     }
 
-    pub(super) fn fail(&mut self, fault: Fault) {
+    /// Injects a fault now. Faults that end a leader's term begin a new failover trace.
+    pub(super) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         let traced = matches!(
             fault,
@@ -248,7 +264,7 @@
                 | Fault::CrashInEpoch(_)
                 | Fault::CrashLeaderAndStandby
         );
-        if let Some((_, term)) = self.leads().filter(|_| traced) {
+        if let Some((_, term)) = self.leader_and_term().filter(|_| traced) {
             self.trace = Some(FailoverTrace::new(now, term));
         }
         match fault {
@@ -256,12 +272,17 @@
             Fault::Freeze(n, ms) => self.freeze(n, ms),
             Fault::PartitionWorkerFromOwner(w, ms) => {
                 if let Some(owner) = self.owner_of(w) {
-                    self.cut([Place::Worker(w)].into(), [Place::Node(owner)].into(), ms, false);
+                    self.partition(
+                        [Endpoint::Worker(w)].into(),
+                        [Endpoint::Node(owner)].into(),
+                        ms,
+                        false,
+                    );
                 }
             }
             Fault::PartitionControllerFromPeers(n, ms) => {
-                let others = (0..3).filter(|m| *m != n).map(Place::Node).collect();
-                self.cut([Place::Node(n)].into(), others, ms, false);
+                let others = (0..3).filter(|m| *m != n).map(Endpoint::Node).collect();
+                self.partition([Endpoint::Node(n)].into(), others, ms, false);
             }
             Fault::CrashInEpoch(written) => self.crash_in_epoch = Some(written),
             Fault::ListedFailed(w) => {
@@ -276,114 +297,130 @@
             Fault::CrashSuccessor => self.crash_successor = true,
             Fault::CrashLeaderAndStandby => {
                 let (leader, standby) = (self.leader(), self.first_standby());
-                self.crash(leader, BACK_MS);
-                self.crash(standby, BACK_MS);
+                self.crash(leader, RESTART_MS);
+                self.crash(standby, RESTART_MS);
             }
             Fault::PartitionLeaderAndStandby(ms) => {
                 let (leader, standby) = (self.leader(), self.first_standby());
-                self.cut([Place::Node(leader)].into(), [Place::Node(standby)].into(), ms, false);
+                self.partition(
+                    [Endpoint::Node(leader)].into(),
+                    [Endpoint::Node(standby)].into(),
+                    ms,
+                    false,
+                );
             }
             Fault::StoreRefusesStandby(ms) => {
                 let standby = self.first_standby();
-                self.refused.push((standby, now + ms));
+                self.store_refusals.push((standby, now + ms));
             }
-            Fault::DecisionLogLag(ms) => self.log_lags_until = now + ms,
-            Fault::CrashLeader => self.crash(self.leader(), BACK_MS),
-            Fault::CrashAll => (0..3).for_each(|n| self.crash(n, BACK_MS)),
+            Fault::DecisionLogLag(ms) => self.decision_log_lags_until = now + ms,
+            Fault::CrashLeader => self.crash(self.leader(), RESTART_MS),
+            Fault::CrashAll => (0..3).for_each(|n| self.crash(n, RESTART_MS)),
             Fault::BriefLeaderCrash => self.crash(self.leader(), 200),
             Fault::BriefCrashOfAll => (0..3).for_each(|n| self.crash(n, 200)),
-            Fault::UnansweredWorker(w, ms) => self.deaf.push((w, now + ms)),
-            Fault::LateCopies(ms) => self.copies_until = now + ms,
+            Fault::UnansweredWorker(w, ms) => self.unanswered_workers.push((w, now + ms)),
+            Fault::LateCopies(ms) => self.late_copies_until = now + ms,
             Fault::WorkerRestart(w) => {
                 let changes = self.workers[w].restart(now);
-                self.see(w, changes);
+                self.record_worker_changes(w, changes);
             }
             Fault::LeaderOnlyReachesWorkers(ms) => {
                 let node = self.leader();
-                let mut rest: BTreeSet<Place> =
-                    (0..3).filter(|n| *n != node).map(Place::Node).collect();
-                rest.insert(Place::Store);
-                self.cut([Place::Node(node)].into(), rest, ms, false);
+                let mut rest: BTreeSet<Endpoint> =
+                    (0..3).filter(|n| *n != node).map(Endpoint::Node).collect();
+                rest.insert(Endpoint::Store);
+                self.partition([Endpoint::Node(node)].into(), rest, ms, false);
             }
             Fault::LeaderStrandedWithMachines(ms) => {
                 let node = self.leader();
-                let mut here: BTreeSet<Place> =
-                    (2..self.workers.len()).map(Place::Worker).collect();
-                here.insert(Place::Node(node));
-                let mut rest: BTreeSet<Place> =
-                    (0..3).filter(|n| *n != node).map(Place::Node).collect();
-                rest.insert(Place::Store);
-                self.cut(here, rest, ms, false);
+                let mut here: BTreeSet<Endpoint> =
+                    (2..self.workers.len()).map(Endpoint::Worker).collect();
+                here.insert(Endpoint::Node(node));
+                let mut rest: BTreeSet<Endpoint> =
+                    (0..3).filter(|n| *n != node).map(Endpoint::Node).collect();
+                rest.insert(Endpoint::Store);
+                self.partition(here, rest, ms, false);
             }
             Fault::PeersRefuseConnections(ms) => {
                 for n in 0..3 {
-                    let rest = (n + 1..3).map(Place::Node).collect();
-                    self.cut([Place::Node(n)].into(), rest, ms, false);
+                    let rest = (n + 1..3).map(Endpoint::Node).collect();
+                    self.partition([Endpoint::Node(n)].into(), rest, ms, false);
                 }
             }
             Fault::StoreOutage(ms) => self.store.outage(now, ms),
-            Fault::StoreRefusesLeader(ms) => self.refused.push((self.leader(), now + ms)),
-            Fault::SlowStore(ms) => self.slow_until = now + ms,
-            Fault::LostResponses(ms) => self.lossy_until = now + ms,
+            Fault::StoreRefusesLeader(ms) => self.store_refusals.push((self.leader(), now + ms)),
+            Fault::SlowStore(ms) => self.slow_store_until = now + ms,
+            Fault::LostResponses(ms) => self.lost_responses_until = now + ms,
             Fault::WorkerCrash(w) => {
                 let changes = self.workers[w].vanish();
-                self.see(w, changes);
+                self.record_worker_changes(w, changes);
             }
             Fault::PartitionWorker(w, ms, hold) => {
-                let nodes = (0..3).map(Place::Node).collect();
-                self.cut([Place::Worker(w)].into(), nodes, ms, hold);
+                let nodes = (0..3).map(Endpoint::Node).collect();
+                self.partition([Endpoint::Worker(w)].into(), nodes, ms, hold);
             }
             Fault::WorkerHangs(w, ms) => self.workers[w].hung_until = now + ms,
             Fault::WorkersHang(count, ms) => {
                 self.workers.iter_mut().take(count).for_each(|w| w.hung_until = now + ms);
             }
             Fault::PartitionZones(ms, hold) => {
-                let side = |zone: usize| -> BTreeSet<Place> {
-                    let nodes = (0..3).filter(|n| n % 2 == zone).map(Place::Node);
+                let side = |zone: usize| -> BTreeSet<Endpoint> {
+                    let nodes = (0..3).filter(|n| n % 2 == zone).map(Endpoint::Node);
                     let workers = self.workers.iter().filter(|w| w.id % 2 == zone);
-                    nodes.chain(workers.map(|w| Place::Worker(w.id))).collect()
+                    nodes.chain(workers.map(|w| Endpoint::Worker(w.id))).collect()
                 };
-                self.cut(side(0), side(1), ms, hold);
+                self.partition(side(0), side(1), ms, hold);
             }
             Fault::PartitionLeader(ms, hold) => {
                 let node = self.leader();
-                let mut rest: BTreeSet<Place> =
-                    (0..3).filter(|n| *n != node).map(Place::Node).collect();
-                rest.extend((0..self.workers.len()).map(Place::Worker));
-                rest.insert(Place::Store);
-                self.cut([Place::Node(node)].into(), rest, ms, hold);
+                let mut rest: BTreeSet<Endpoint> =
+                    (0..3).filter(|n| *n != node).map(Endpoint::Node).collect();
+                rest.extend((0..self.workers.len()).map(Endpoint::Worker));
+                rest.insert(Endpoint::Store);
+                self.partition([Endpoint::Node(node)].into(), rest, ms, hold);
             }
             Fault::SpotReclaimed(w, ms) => self.workers[w].notice(now, now + ms),
             Fault::Upgrade(n) => {
-                self.old[n] = false;
-                self.crash(n, BACK_MS);
+                self.old_version[n] = false;
+                self.crash(n, RESTART_MS);
             }
             Fault::CancelAt(job) => {
-                self.wanted_cancels.insert(job);
+                self.cancel_requested.insert(job);
+            }
+            Fault::WorkerReachesNoController(w, ms) => {
+                self.workers_without_controller.push((w, now + ms))
             }
-            Fault::WorkerReachesNoController(w, ms) => self.mute.push((w, now + ms)),
             Fault::LateWrites(ms) => self.late_writes_until = now + ms,
-            Fault::LostStoreResponses(ms) => self.lost_answers_until = now + ms,
-            Fault::HoldCommands(ms) => self.hold_until = now + ms,
+            Fault::LostStoreResponses(ms) => self.lost_store_responses_until = now + ms,
+            Fault::HoldCommands(ms) => self.commands_held_until = now + ms,
             Fault::LateCopiesForNextLeader(ms) => {
-                self.copies_kept_until = now + ms;
-                self.last_leader = self.leads();
+                self.collect_copies_until = now + ms;
+                self.previous_leader = self.leader_and_term();
             }
             Fault::CancelNow(count, hang_ms) => self.cancel_now(count, hang_ms),
-            Fault::CancelUnderWay(what, ms) => self.cancels_under_way = Some((what, now + ms)),
+            Fault::CancelInFlight(what, ms) => self.cancels_in_flight = Some((what, now + ms)),
             Fault::CancelAtEnd(ms) => self.cancel_at_end_until = now + ms,
-            Fault::AggressivePolling(ms) => self.looks_until = now + ms,
-            Fault::FastBoots(count) => self.quick_boots(count),
+            Fault::AggressivePolling(ms) => self.polling_until = now + ms,
+            Fault::FastBoots(count) => self.scale_out_fast(count),
         }
     }
 
+    /// Suspends the process of controller `n`.
     fn freeze(&mut self, n: usize, ms: u64) {
         if let Ok(node) = &mut self.nodes[n] {
-            node.frozen = Some(self.now + ms);
+            node.frozen_until = Some(self.now + ms);
         }
     }
 
-    pub(super) fn cut(&mut self, from: BTreeSet<Place>, to: BTreeSet<Place>, ms: u64, hold: bool) {
-        self.cuts.push(Cut { from, to, until: self.now + ms, hold });
+    /// Partitions two sets of endpoints. Packets are delayed until the end of the partition if `hold`,
+    /// otherwise lost.
+    pub(super) fn partition(
+        &mut self,
+        from: BTreeSet<Endpoint>,
+        to: BTreeSet<Endpoint>,
+        ms: u64,
+        hold: bool,
+    ) {
+        self.partitions.push(Partition { from, to, until: self.now + ms, hold });
     }
 }
--- a/tests/sim/world/gangs.rs
+++ b/tests/sim/world/gangs.rs
@@ -1,17 +1,19 @@
-//! Gangs on the workers: how their tasks begin together, end together and save checkpoints.
+//! Gangs on the workers: their tasks start together, end together and save checkpoints.
 
 use super::*;
 
 impl World {
-    /// Gangs begin when all tasks of an attempt wait, and break when one has ended or hangs.
+    /// Starts the gangs of which all tasks of an attempt wait on active machines. Ends the tasks of running
+    /// gangs that have been incomplete for [`GANG_LOSS_DETECTION_MS`], as a task has ended or its machine
+    /// hangs.
     pub(super) fn step_gangs(&mut self) {
         let now = self.now;
         type OnWorker = (usize, TaskId, TaskState);
         let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
         for (w, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.active(now)) {
             for (task, attempt, state) in worker.gang_tasks() {
-                let of = self.jobs.get(&task.job.0);
-                if of.is_some_and(|j| j.kind == JobKind::Gang) {
+                let job = self.jobs.get(&task.job.0);
+                if job.is_some_and(|j| j.kind == JobKind::Gang) {
                     gangs.entry((task.job, attempt)).or_default().push((w, task, state));
                 }
             }
@@ -19,31 +21,35 @@
         self.broken_gangs.retain(|g, _| gangs.contains_key(g));
         for ((job, attempt), tasks) in gangs {
             let task_count = self.jobs[&job.0].task_count as usize;
-            let runs = tasks.iter().any(|t| t.2 == TaskState::Running);
-            if tasks.len() == task_count && !runs {
+            let is_running = tasks.iter().any(|t| t.2 == TaskState::Running);
+            if tasks.len() == task_count && !is_running {
                 for (w, task, _) in tasks {
                     self.workers[w].gang_runs(task, attempt, now + self.gang_run_ms, now);
-                    self.gangs_begun += 1;
+                    self.gang_tasks_started += 1;
                 }
-            } else if tasks.len() < task_count && runs && !self.completed.contains(&tasks[0].1) {
+            } else if tasks.len() < task_count
+                && is_running
+                && !self.completed.contains(&tasks[0].1)
+            {
                 let since = *self.broken_gangs.entry((job, attempt)).or_insert(now);
-                if now - since >= GANG_NOTICE_MS {
+                if now - since >= GANG_LOSS_DETECTION_MS {
                     for (w, task, _) in tasks {
                         let changes = self.workers[w].gang_breaks(task, attempt, now);
-                        self.see(w, changes);
+                        self.record_worker_changes(w, changes);
                     }
                 }
             }
         }
     }
 
-    /// Records when tasks of a gang are commanded to save a checkpoint: all have to get the command within
-    /// `gang_peer_s`, or nothing is saved.
+    /// Records when the tasks of a gang on worker `w` are commanded to save a checkpoint. All tasks of a gang have to
+    /// receive the command within `gang_peer_s`, or nothing is saved.
     pub(super) fn record_checkpoint_commands(&mut self, w: usize) {
         let now = self.now;
         for (task, attempt) in self.workers[w].saving() {
-            let first = *self.saves.entry((task.job, attempt)).or_insert(now);
-            self.latest_save = self.latest_save.max(now - first);
+            let first = *self.first_checkpoint_commands.entry((task.job, attempt)).or_insert(now);
+            self.max_checkpoint_command_lag_ms =
+                self.max_checkpoint_command_lag_ms.max(now - first);
         }
     }
 }
--- a/tests/sim/world/messages.rs
+++ b/tests/sim/world/messages.rs
@@ -1,51 +1,60 @@
-//! The network: what is sent between controllers and workers, when it arrives, and what it does there.
+//! The network: messages between controllers and workers, their time of arrival and their delivery.
 
 use super::*;
 
+/// A sender or receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Place {
+pub(super) enum Endpoint {
+    /// The controller with this index.
     Node(usize),
+    /// The worker with this index.
     Worker(usize),
+    /// The state service.
     Store,
 }
 
+/// A message in transit. Values of type `usize` are indexes of controllers and workers.
 pub(super) enum Message {
+    /// A heartbeat of the worker given first to the controller given second.
     Heartbeat(usize, usize, Heartbeat),
-    /// A late copy of a heartbeat to that controller; nobody waits for its response.
-    Copy(usize, Heartbeat),
-    Reply(usize, u64, Answer),
-    /// A node announces its term to a worker; when it was sent.
-    Announce(usize, usize, DirectMessage, u64),
-    /// The worker's answer to that.
-    Announced(usize, DirectMessage, Heartbeat, u64),
-    /// A summary, and when it was sent by the sender's clock.
+    /// A late copy of a heartbeat to a controller. Its response is discarded.
+    HeartbeatCopy(usize, Heartbeat),
+    /// The response for a worker to its heartbeat with this sequence.
+    HeartbeatResponse(usize, u64, Answer),
+    /// Direct commands of the controller given first to the worker given second, and the simulated time of sending.
+    DirectCommands(usize, usize, DirectMessage, u64),
+    /// A worker's response to the direct commands of a controller, with these commands and the time of their sending.
+    DirectResponse(usize, DirectMessage, Heartbeat, u64),
+    /// A summary of the controller given first to the leader given second, and the time of sending by the
+    /// sender's clock.
     Summary(usize, usize, Box<Summary>, MonotonicTime),
-    /// The answer; when the summary was sent, if it came directly.
+    /// The leader's response to a controller's summary. For a direct summary with the time when the summary was
+    /// sent, by the clock of the controller.
     PeerResponse(usize, PeerResponse, Option<MonotonicTime>),
-    /// A cancellation notice from another controller.
+    /// A cancellation notice to a controller from another one.
     CancellationNotice(usize, PeerRequest),
-    /// What became of a node's question to the leader.
+    /// The outcome of a controller's probe of the leader.
     Probed(usize, ProbeOutcome),
 }
 
 impl Message {
-    /// The controller that it is for, if it is for one.
+    /// Returns the receiving controller; `None` if a worker receives the message.
     pub(super) fn to_node(&self) -> Option<usize> {
         match self {
             Message::Heartbeat(_, n, _)
-            | Message::Copy(n, _)
-            | Message::Announced(n, ..)
+            | Message::HeartbeatCopy(n, _)
+            | Message::DirectResponse(n, ..)
             | Message::Summary(_, n, ..)
             | Message::PeerResponse(n, ..)
             | Message::CancellationNotice(n, _)
             | Message::Probed(n, _) => Some(*n),
-            Message::Reply(..) | Message::Announce(..) => None,
+            Message::HeartbeatResponse(..) | Message::DirectCommands(..) => None,
         }
     }
 }
 
-/// Leaves what the version before gangs reads of a plan.
-fn strip_for_version_before(response: &mut PeerResponse) {
+/// Removes the parts of a plan that the version without gangs does not know.
+fn strip_plan_for_old_version(response: &mut PeerResponse) {
     if let PeerResponse::Plan(plan) = response
         && let Some(body) = &mut plan.body
     {
@@ -55,154 +64,158 @@
 }
 
 impl World {
-    /// When a packet arrives that is sent now; `None` if never.
-    pub(super) fn arrival(&mut self, a: Place, b: Place) -> Option<u64> {
+    /// Returns when a packet sent now arrives; `None` if it is lost.
+    pub(super) fn arrival(&mut self, from: Endpoint, to: Endpoint) -> Option<u64> {
         let mut at = self.now + self.rng.random_range(1..15);
-        for c in self.cuts.iter().filter(|c| c.until > self.now) {
-            let crosses = (c.from.contains(&a) && c.to.contains(&b))
-                || (c.from.contains(&b) && c.to.contains(&a));
-            if crosses && !c.hold {
+        for partition in self.partitions.iter().filter(|partition| partition.until > self.now) {
+            let crosses = (partition.from.contains(&from) && partition.to.contains(&to))
+                || (partition.from.contains(&to) && partition.to.contains(&from));
+            if crosses && !partition.hold {
                 return None;
             }
             if crosses {
-                at = at.max(c.until + 5);
+                at = at.max(partition.until + 5);
             }
         }
         Some(at)
     }
 
-    pub(super) fn send(&mut self, a: Place, b: Place, message: Message) {
-        if let Some(at) = self.arrival(a, b) {
-            self.sent += 1;
-            self.messages.insert((at, self.sent), message);
+    /// Sends a message, which arrives later or is lost.
+    pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
+        if let Some(at) = self.arrival(from, to) {
+            self.messages_sent += 1;
+            self.messages.insert((at, self.messages_sent), message);
         }
     }
 
+    /// Delivers a message to its receiver. Messages to a suspended controller are held until it is resumed.
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
         if let Some(n) = message.to_node()
             && let Ok(node) = &mut self.nodes[n]
-            && node.frozen.is_some()
+            && node.frozen_until.is_some()
         {
-            node.held.push(message);
+            node.held_messages.push(message);
             return;
         }
         match message {
             Message::Heartbeat(w, n, heartbeat) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
-                let began = Instant::now();
+                let steady = node.clock_reading(now).steady;
+                let started = Instant::now();
                 let answer = node.controller.on_heartbeat(steady, &heartbeat);
-                self.reports.count += 1;
-                self.reports.total += began.elapsed();
+                self.heartbeats.count += 1;
+                self.heartbeats.total += started.elapsed();
                 let answer = match answer {
-                    HeartbeatOutcome::Respond(reply) => Answer::Take(reply),
+                    HeartbeatOutcome::Respond(response) => Answer::Take(response),
                     HeartbeatOutcome::Redirect(name) => Answer::Go(
                         node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
                     ),
                     HeartbeatOutcome::Refuse => Answer::Refuse,
                 };
-                if now < self.lossy_until && self.rng.random_bool(0.3) {
+                if now < self.lost_responses_until && self.rng.random_bool(0.3) {
                     return;
                 }
-                let reply = Message::Reply(w, heartbeat.sequence, answer);
-                self.send(Place::Node(n), Place::Worker(w), reply);
+                let response = Message::HeartbeatResponse(w, heartbeat.sequence, answer);
+                self.send(Endpoint::Node(n), Endpoint::Worker(w), response);
             }
-            Message::Copy(n, heartbeat) => {
+            Message::HeartbeatCopy(n, heartbeat) => {
                 if let Ok(node) = &mut self.nodes[n] {
-                    let steady = node.moment(now).steady;
+                    let steady = node.clock_reading(now).steady;
                     node.controller.on_heartbeat(steady, &heartbeat);
                 }
             }
-            Message::Announce(n, w, announced, sent)
-                if now < self.hold_until && now < sent + 60 =>
+            Message::DirectCommands(n, w, request, sent)
+                if now < self.commands_held_until && now < sent + 60 =>
             {
-                // A command is held up and carried out when all is over.
-                self.sent += 1;
-                let message = Message::Announce(n, w, announced, sent);
-                self.messages.insert((self.hold_until, self.sent), message);
+                // Commands sent less than 60 ms ago are held until the fault is over.
+                self.messages_sent += 1;
+                let message = Message::DirectCommands(n, w, request, sent);
+                self.messages.insert((self.commands_held_until, self.messages_sent), message);
             }
-            Message::Announce(_, w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Announce(n, w, announced, sent) => {
+            Message::DirectCommands(_, w, ..)
+                if self.unanswered_workers.iter().any(|entry| entry.0 == w && now < entry.1) => {}
+            Message::DirectCommands(n, w, request, sent) => {
                 let worker = &mut self.workers[w];
                 if worker.terminated {
                     return;
                 }
                 if !worker.active(now) {
-                    // A hanging machine carries it out when it goes on.
+                    // A machine that hangs executes the commands when it continues.
                     let until = worker.hung_until;
-                    self.sent += 1;
-                    let message = Message::Announce(n, w, announced, sent);
-                    self.messages.insert((until, self.sent), message);
+                    self.messages_sent += 1;
+                    let message = Message::DirectCommands(n, w, request, sent);
+                    self.messages.insert((until, self.messages_sent), message);
                     return;
                 }
-                let (term, agent_epoch) = (announced.term.0, announced.agent_epoch.0);
-                let (heartbeat, changes) =
-                    worker.direct(now, term, agent_epoch, &announced.commands);
-                self.see(w, changes);
-                let message = Message::Announced(n, announced, heartbeat, sent);
-                self.send(Place::Worker(w), Place::Node(n), message);
+                let (term, agent_epoch) = (request.term.0, request.agent_epoch.0);
+                let (heartbeat, changes) = worker.direct(now, term, agent_epoch, &request.commands);
+                self.record_worker_changes(w, changes);
+                let message = Message::DirectResponse(n, request, heartbeat, sent);
+                self.send(Endpoint::Worker(w), Endpoint::Node(n), message);
             }
-            Message::Announced(n, asked, heartbeat, sent) => {
-                // Nobody waits for it any more after a second.
+            Message::DirectResponse(n, request, heartbeat, sent) => {
+                // The controller waits for a response for one second, and not across its restart.
                 if let Ok(node) = &mut self.nodes[n]
                     && now - sent < 1_000
-                    && sent >= node.started
+                    && sent >= node.started_at
                 {
-                    let steady = node.moment(now).steady;
-                    node.controller.on_direct_response(steady, &asked, &heartbeat);
+                    let steady = node.clock_reading(now).steady;
+                    node.controller.on_direct_response(steady, &request, &heartbeat);
                 }
             }
-            Message::Reply(w, ..) if self.deaf.iter().any(|d| d.0 == w && now < d.1) => {}
-            Message::Reply(w, sequence, answer) => {
-                if let (Answer::Take(reply), Some(trace)) = (&answer, &mut self.trace) {
+            Message::HeartbeatResponse(w, ..)
+                if self.unanswered_workers.iter().any(|entry| entry.0 == w && now < entry.1) => {}
+            Message::HeartbeatResponse(w, sequence, answer) => {
+                if let (Answer::Take(response), Some(trace)) = (&answer, &mut self.trace) {
                     let jobs = &self.jobs;
-                    trace.record_worker_response(now, reply, |job| {
+                    trace.record_worker_response(now, response, |job| {
                         jobs.get(&job.0).map(|j| j.priority)
                     });
                 }
                 let commands = match &answer {
-                    Answer::Take(reply) => reply.commands.clone(),
+                    Answer::Take(response) => response.commands.clone(),
                     Answer::Go(_) | Answer::Refuse => Vec::new(),
                 };
                 let changes = self.workers[w].answer(now, sequence, answer);
-                self.see(w, changes);
+                self.record_worker_changes(w, changes);
                 self.cancel_started(w, &commands);
             }
             Message::Summary(from, to, summary, sent) => {
                 let Ok(node) = &mut self.nodes[to] else { return };
-                let steady = node.moment(now).steady;
+                let steady = node.clock_reading(now).steady;
                 node.controller.last_peer_contact = steady;
                 let (mut response, _) = node.controller.receive_summary(steady, *summary);
                 if let PeerResponse::Plan(plan) = &mut response
-                    && now < self.log_lags_until
+                    && now < self.decision_log_lags_until
                 {
                     plan.decisions = None;
                 }
-                if self.old[from] || self.old[to] {
-                    strip_for_version_before(&mut response);
+                if self.old_version[from] || self.old_version[to] {
+                    strip_plan_for_old_version(&mut response);
                 }
-                self.largest[0] = self.largest[0].max(peer::encode(&response).len());
+                self.largest_message_bytes[0] =
+                    self.largest_message_bytes[0].max(peer::encode(&response).len());
                 self.send(
-                    Place::Node(to),
-                    Place::Node(from),
+                    Endpoint::Node(to),
+                    Endpoint::Node(from),
                     Message::PeerResponse(from, response, Some(sent)),
                 );
             }
-            Message::CancellationNotice(to, ask) => {
+            Message::CancellationNotice(to, request) => {
                 let (Ok(node), PeerRequest::JobCancelled(job, progress, version)) =
-                    (&mut self.nodes[to], ask)
+                    (&mut self.nodes[to], request)
                 else {
                     return;
                 };
-                let moment = node.moment(now);
+                let clock = node.clock_reading(now);
                 let replica_changes =
                     node.controller.apply_cancellation_notice(job, &progress, version);
-                node.controller.on_replica_changes(moment, &replica_changes);
+                node.controller.on_replica_changes(clock, &replica_changes);
             }
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.moment(now).steady;
+                let steady = node.clock_reading(now).steady;
                 if let Some(FailoverCommand::Fence(_)) =
                     node.controller.on_probe_completed(steady, outcome)
                 {
@@ -215,11 +228,11 @@
                     match sent {
                         Some(sent) => node.controller.record_leader_response(sent, &response),
                         None => {
-                            let steady = node.moment(now).steady;
+                            let steady = node.clock_reading(now).steady;
                             node.controller.record_leader_message_from_store(steady, &response);
                         }
                     }
-                    node.controller.last_peer_contact = node.moment(now).steady;
+                    node.controller.last_peer_contact = node.clock_reading(now).steady;
                     node.controller.apply_leader_response(response);
                 }
             }
--- a/tests/sim/world/random_faults.rs
+++ b/tests/sim/world/random_faults.rs
@@ -1,4 +1,4 @@
-//! Days of faults that are drawn at random, from a seed.
+//! Sequences of random faults from a seed. The order of the draws determines the faults of a seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,49 +6,55 @@
 use super::Fault;
 use crate::site::Rhythm;
 
-/// Two or three faults at the same time, with cancellations at bad moments, while users look closely.
+/// Draws two groups of two or three faults at about the same time, each with cancellations and a crash of the leader,
+/// under [`Fault::AggressivePolling`]. Times and durations suit the rhythm.
 pub fn random_combined_faults(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let unit = rhythm.lease_ms / 100;
+    let lease_hundredth_ms = rhythm.lease_ms / 100;
     let mut faults = vec![(1_000, Fault::AggressivePolling(rhythm.lease_ms * 12))];
     for _ in 0..2 {
         let at = rng.random_range(10_000..70_000);
         for _ in 0..rng.random_range(2..=3) {
-            let long = rng.random_bool(0.25);
-            let t = if long { rng.random_range(150..450) } else { rng.random_range(10..150) };
-            let w = rng.random_range(0..8);
+            let is_long = rng.random_bool(0.25);
+            let duration =
+                if is_long { rng.random_range(150..450) } else { rng.random_range(10..150) };
+            let worker = rng.random_range(0..8);
             let hold = rng.random_bool(0.5);
             let fault = match rng.random_range(0..24) {
                 0 => Fault::CrashAll,
-                1 => Fault::StoreOutage(t),
-                2 => Fault::StoreRefusesLeader(t),
-                3 => Fault::SlowStore(t),
-                4 => Fault::LostResponses(t),
-                5 => Fault::WorkerCrash(w),
-                6 => Fault::PartitionWorker(w, t, hold),
-                7 => Fault::WorkerHangs(w, t),
-                8 => Fault::PartitionZones(t, hold),
-                9 => Fault::PartitionLeader(t, hold),
-                10 => Fault::UnansweredWorker(w, t),
-                11 => Fault::LateCopies(t),
+                1 => Fault::StoreOutage(duration),
+                2 => Fault::StoreRefusesLeader(duration),
+                3 => Fault::SlowStore(duration),
+                4 => Fault::LostResponses(duration),
+                5 => Fault::WorkerCrash(worker),
+                6 => Fault::PartitionWorker(worker, duration, hold),
+                7 => Fault::WorkerHangs(worker, duration),
+                8 => Fault::PartitionZones(duration, hold),
+                9 => Fault::PartitionLeader(duration, hold),
+                10 => Fault::UnansweredWorker(worker, duration),
+                11 => Fault::LateCopies(duration),
                 12 => Fault::BriefLeaderCrash,
                 13 => Fault::BriefCrashOfAll,
-                14 => Fault::WorkerRestart(w),
-                15 => Fault::LeaderOnlyReachesWorkers(t),
-                16 => Fault::PeersRefuseConnections(t),
-                17 => Fault::WorkerReachesNoController(w, t),
-                18 => Fault::LateWrites(t),
-                19 => Fault::LostStoreResponses(t),
-                20 => Fault::HoldCommands(t),
-                21 => Fault::LateCopiesForNextLeader(t),
-                22 => Fault::CancelAtEnd(t),
-                _ => Fault::FastBoots(1 + w % 3),
+                14 => Fault::WorkerRestart(worker),
+                15 => Fault::LeaderOnlyReachesWorkers(duration),
+                16 => Fault::PeersRefuseConnections(duration),
+                17 => Fault::WorkerReachesNoController(worker, duration),
+                18 => Fault::LateWrites(duration),
+                19 => Fault::LostStoreResponses(duration),
+                20 => Fault::HoldCommands(duration),
+                21 => Fault::LateCopiesForNextLeader(duration),
+                22 => Fault::CancelAtEnd(duration),
+                _ => Fault::FastBoots(1 + worker % 3),
             };
-            faults.push((at + rng.random_range(0..3_000), fault.scaled(unit)));
+            faults.push((at + rng.random_range(0..3_000), fault.scaled(lease_hundredth_ms)));
         }
         for _ in 0..2 {
-            let hang = if rng.random_bool(0.3) { rng.random_range(20..120) * unit } else { 0 };
-            faults.push((at + rng.random_range(0..6_000), Fault::CancelNow(3, hang)));
+            let hang_ms = if rng.random_bool(0.3) {
+                rng.random_range(20..120) * lease_hundredth_ms
+            } else {
+                0
+            };
+            faults.push((at + rng.random_range(0..6_000), Fault::CancelNow(3, hang_ms)));
         }
         faults.push((at + rng.random_range(0..4_000), Fault::CrashLeader));
     }
@@ -56,7 +62,7 @@
     faults
 }
 
-/// A few failures at random times, some of them at once.
+/// Draws five faults at random times. Their durations may overlap.
 pub fn random_faults(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut faults: Vec<(u64, Fault)> = (0..5)
--- a/tests/sim/world/scenarios.rs
+++ b/tests/sim/world/scenarios.rs
@@ -1,16 +1,18 @@
-//! Worlds with other jobs and machines than the usual one.
+//! Simulated sites with other jobs and machines than [`World::new`].
 
 use super::*;
 
-/// Jobs of [`World::at_limit`].
+/// Number of jobs of [`World::at_limit`].
 const JOBS_AT_LIMIT: u64 = 40;
 
-/// Jobs of [`World::saturated`], and the cores that their team may use: more than all machines have.
+/// Number of jobs of [`World::saturated`].
 const SATURATED_JOBS: u64 = 40;
-const SATURATED_LIMIT: u64 = 1_000;
+/// Cores that the team of [`World::saturated`] may use: more than all machines have.
+const SATURATED_LIMIT_CORES: u64 = 1_000;
 
 impl World {
-    /// A world in which some jobs are gangs, in one zone, spread, or anywhere.
+    /// Creates the site of [`new`](Self::new) with some jobs as gangs: in one zone, spread over zones, or in
+    /// any zone.
     pub fn with_gangs(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
         for (id, job) in world.jobs.iter_mut().filter(|(id, _)| *id % 2 == 1 || **id == 4) {
@@ -24,20 +26,19 @@
         world
     }
 
-    /// The same, while an old version is exchanged for the new one and the store's limits fall at
-    /// that time.
+    /// Creates the site of [`with_gangs`](Self::with_gangs) with controllers of the version without gangs. The caller
+    /// upgrades them with [`Fault::Upgrade`] and sets when the store's limits are lowered.
     pub fn upgraded(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::with_gangs(seed, rhythm);
-        world.old = [true; 3];
+        world.old_version = [true; 3];
         world.next_limits = Some((2_048, 4));
         world
     }
 
-    /// A world in which more urgent work comes all the time than there is room for, beside one
-    /// large job of lower rank.
-    pub fn crowded(seed: u64) -> Self {
+    /// Creates a site that gets more jobs of high priority than it can run, and one large job of normal priority.
+    pub fn overloaded(seed: u64) -> Self {
         let mut world = World::new(seed, BRISK);
-        world.every = 1_500;
+        world.submission_interval_ms = 1_500;
         world.jobs = (2..220)
             .map(|id| {
                 let mut job = spec(id, 3, 8.0);
@@ -52,13 +53,13 @@
         world
     }
 
-    /// A world of that many machines, all of which are needed.
+    /// Creates a site with `machines` machines and enough jobs to use all of them.
     pub fn fleet(seed: u64, machines: usize) -> Self {
         let mut world = World::new(seed, SLOW);
         world.workers = (0..machines).map(|i| Worker::new(i, ZONES[i % 2], 0, SLOW)).collect();
         world.team_limit = machines as u64 * 6;
         world.checker = Checker::new(SLOW.cancel_ms, world.team_limit);
-        world.every = 60;
+        world.submission_interval_ms = 60;
         let tasks = machines as u32 / 6;
         world.jobs = (1..=60)
             .map(|id| (id, JobSpec { spread_zones: false, ..spec(id, tasks, 8.0) }))
@@ -66,11 +67,11 @@
         world
     }
 
-    /// A world in which jobs of one to three tasks keep coming, a seventh of them cancelled by their users.
+    /// Creates a site that gets jobs of one to three tasks steadily. Users cancel a seventh of the jobs.
     pub fn busy(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
-        world.every = 2_000 + rhythm.report_ms / 2;
-        world.cancel_every = 7;
+        world.submission_interval_ms = 2_000 + rhythm.report_ms / 2;
+        world.cancel_every_nth = 7;
         let job = |id: u64| JobSpec {
             one_zone: id % 3 == 1 && !id.is_multiple_of(4),
             spread_zones: id % 8 == 4,
@@ -80,7 +81,7 @@
         world
     }
 
-    /// The same with some gangs among the jobs.
+    /// Creates the site of [`busy`](Self::busy) with gangs as a quarter of the jobs.
     pub fn busy_with_gangs(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::busy(seed, rhythm);
         for (id, job) in world.jobs.iter_mut().filter(|(id, _)| *id % 4 == 2) {
@@ -94,12 +95,13 @@
         world
     }
 
-    /// A world in which short tasks fill all machines all the time, so that many are granted ahead of a free place.
+    /// Creates a site in which short tasks keep all machines full, so that many tasks are granted before there
+    /// is room for them.
     pub fn saturated(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
-        world.run_ms = 2_000;
-        world.every = 1_000;
-        world.team_limit = SATURATED_LIMIT;
+        world.task_run_ms = 2_000;
+        world.submission_interval_ms = 1_000;
+        world.team_limit = SATURATED_LIMIT_CORES;
         world.checker = Checker::new(rhythm.cancel_ms, world.team_limit);
         let job = |id| JobSpec {
             spread_zones: false,
@@ -111,47 +113,47 @@
         world
     }
 
-    /// A world with room on its machines whose team is at its limit as long as jobs come.
+    /// Creates a site whose machines have room, and whose team is at its limit while jobs are submitted.
     pub fn at_limit(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
-        world.every = 1_000;
+        world.submission_interval_ms = 1_000;
         let job = |id: u64| JobSpec { spread_zones: false, ..spec(id, 2 + id as u32 % 3, 8.0) };
         world.jobs = (1..=JOBS_AT_LIMIT).map(|id| (id, job(id))).collect();
         world.workers.iter_mut().for_each(|worker| worker.has_images = true);
         world
     }
 
-    /// A burst of urgent jobs of one to three tasks. They are as many as the team's limit lets begin within the time
-    /// that a job may wait.
+    /// Creates a site that gets a burst of jobs of high priority with one to three tasks. The team's limit lets
+    /// all of them start within the time that a job may wait.
     pub fn burst(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::busy(seed, rhythm);
-        world.every = 1_000;
-        world.cancel_every = 0;
+        world.submission_interval_ms = 1_000;
+        world.cancel_every_nth = 0;
         world.jobs.retain(|id, _| *id <= 24);
         world.jobs.values_mut().for_each(|job| job.priority = Priority::High);
         world
     }
 
-    /// Jobs that run for longer than any cancellation may take, and one of many short tasks, so that
-    /// there is always something to start.
-    pub fn long(seed: u64, rhythm: Rhythm) -> Self {
+    /// Creates a site with jobs that run for longer than a cancellation may take, and one job of many short
+    /// tasks, so that there are always tasks to start.
+    pub fn long_running(seed: u64, rhythm: Rhythm) -> Self {
         let mut world = World::new(seed, rhythm);
-        world.every = 700;
-        world.run_ms = rhythm.cancel_ms * 3;
+        world.submission_interval_ms = 700;
+        world.task_run_ms = rhythm.cancel_ms * 3;
         let in_any_zone = |job| JobSpec { spread_zones: false, ..job };
         world.jobs = (1..=2).map(|id| (id, in_any_zone(spec(id, 2, 100.0)))).collect();
         world.jobs.insert(SHORT_RUNNING_JOB, in_any_zone(spec(SHORT_RUNNING_JOB, 400, 3.0)));
         world
     }
 
-    /// One-task jobs, four a second for minutes, a quarter of them cancelled.
-    pub fn rate(seed: u64, jobs: u64) -> Self {
+    /// Creates a site of 30 machines that gets four jobs of one task per second. Users cancel a quarter of the jobs.
+    pub fn many_small_jobs(seed: u64, jobs: u64) -> Self {
         let mut world = World::new(seed, BRISK);
         world.workers = (0..30).map(|i| Worker::new(i, ZONES[i % 2], 0, BRISK)).collect();
         world.team_limit = 240;
         world.checker = Checker::new(BRISK.cancel_ms, world.team_limit);
-        world.every = 250;
-        world.cancel_every = 4;
+        world.submission_interval_ms = 250;
+        world.cancel_every_nth = 4;
         world.jobs = (1..=jobs)
             .map(|id| (id, JobSpec { spread_zones: false, ..spec(id, 1, 5.0) }))
             .collect();
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -1,6 +1,8 @@
-//! Users who look closely: they ask and submit again at all nodes, and cancel at bad moments. A node
-//! answers as the service does: from what nothing can change any more, else only as of after the
-//! question, else it hands the request over, else it refuses.
+//! Users who submit, query and cancel jobs, also repeatedly at all controllers and at the moment when a job ends.
+//!
+//! A controller answers as the service does. It answers at once for a job whose state is final. Otherwise, it answers
+//! with state read from the store after the request arrived. If it cannot, it forwards the request to another
+//! controller, and refuses if none answers.
 
 use rand::Rng;
 use willowshore::controller::submission_txn;
@@ -13,10 +15,11 @@
 use super::{Message, World};
 use crate::check::{Event, ShownState};
 
-/// A job that nobody submits.
-const NOBODYS: u64 = 999_999;
+/// Id of a job that no user submits.
+const UNSUBMITTED_JOB: u64 = 999_999;
 
-fn shown(state: JobState) -> ShownState {
+/// Returns the checker's form of a job state.
+fn shown_state(state: JobState) -> ShownState {
     match state {
         JobState::Done => ShownState::Done,
         JobState::Cancelled => ShownState::Cancelled,
@@ -25,8 +28,9 @@
 }
 
 impl World {
-    /// Users submit, cancel and ask, at any node that serves them.
-    pub(super) fn users(&mut self) {
+    /// Lets users submit, query and cancel jobs at random controllers, every 500 ms. Once all faults are over,
+    /// also checks that each controller knows the accepted jobs.
+    pub(super) fn step_users(&mut self) {
         let now = self.now;
         if !now.is_multiple_of(500) {
             return;
@@ -35,36 +39,39 @@
             if self.store.has(&willowshore::replica::job_key(JobId(id))) {
                 self.checker.see(now, Event::Accepted { job: id });
             }
-            let cancelled = self.cancel_every > 0 && id.is_multiple_of(self.cancel_every);
-            if cancelled && now >= id * self.every + 7_000 {
-                self.wanted_cancels.insert(id);
+            let will_cancel = self.cancel_every_nth > 0 && id.is_multiple_of(self.cancel_every_nth);
+            if will_cancel && now >= id * self.submission_interval_ms + 7_000 {
+                self.cancel_requested.insert(id);
             }
-            let gang = self.jobs[&id].kind == JobKind::Gang;
-            let may = !gang || self.old == [false; 3];
-            if may && now >= id * self.every && !self.ended_for_users.contains(&id) {
+            let is_gang = self.jobs[&id].kind == JobKind::Gang;
+            let may_submit = !is_gang || self.old_version == [false; 3];
+            if may_submit
+                && now >= id * self.submission_interval_ms
+                && !self.ended_for_users.contains(&id)
+            {
                 let n = self.rng.random_range(0..3);
-                self.ask(n, id);
+                self.submit_or_query(n, id);
             }
         }
-        if now >= self.calm && now.is_multiple_of(5_000) {
+        if now >= self.faults_over_at && now.is_multiple_of(5_000) {
             for id in self.jobs.keys().copied().collect::<Vec<_>>() {
                 (0..3).for_each(|n| self.poll(n, id));
             }
         }
     }
 
-    /// A user asks a node about an accepted job, as the service answers: from what can no
-    /// longer change, else only when the store confirms it.
+    /// Reports to the checker whether controller `n` knows an accepted job. Like the service, the controller
+    /// answers for an ended job from its replica, and for another one only after reading the store.
     pub(super) fn poll(&mut self, n: usize, id: u64) {
         let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
-        if !accepted || self.wanted_cancels.contains(&id) {
+        if !accepted || self.cancel_requested.contains(&id) {
             return;
         }
         let confirmed = self.reaches_store(n);
         if confirmed {
-            self.pull(n);
+            self.sync_replica(n);
         }
-        let answer = match self.awake(n) {
+        let answer = match self.running_node(n) {
             Some(node) if node.controller.replica.ended.contains_key(&JobId(id)) => Some(true),
             Some(node) if node.controller.loaded && confirmed => {
                 Some(node.controller.replica.jobs.contains_key(&JobId(id)))
@@ -78,9 +85,11 @@
         self.checker.see(self.now, event);
     }
 
-    pub(super) fn ask(&mut self, n: usize, id: u64) {
+    /// Queries a job at controller `n`. Submits the job if the controller does not know it, and cancels it if
+    /// users want to.
+    pub(super) fn submit_or_query(&mut self, n: usize, id: u64) {
         let now = self.now;
-        let Some(node) = self.awake(n) else { return };
+        let Some(node) = self.running_node(n) else { return };
         let replica = &node.controller.replica;
         if let Some(EndedJob { state, .. }) = replica.ended.get(&JobId(id)).copied() {
             let of = self.jobs[&id].task_count;
@@ -92,8 +101,8 @@
             };
             self.checker.see(now, event);
             self.checker.see(now, Event::StateShown { job: id, node: n, state });
-            if now < self.looks_until {
-                self.looked_at.push(id);
+            if now < self.polling_until {
+                self.just_ended.push(id);
             }
             return;
         }
@@ -102,7 +111,7 @@
         }
         let Ok(node) = &self.nodes[n] else { return };
         if !node.controller.replica.jobs.contains_key(&JobId(id)) {
-            // A repeat at another node, or while the first is still out, changes nothing.
+            // A repeated submission, also at another controller or while the first is in transit, changes nothing.
             self.checker.see(now, Event::Submitted { job: id });
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
@@ -111,17 +120,17 @@
                 node.controller.settings.params.store.value_bytes(),
             );
             self.commit(n, &txn);
-        } else if self.wanted_cancels.contains(&id) {
+        } else if self.cancel_requested.contains(&id) {
             self.cancel(id);
         }
     }
 
-    /// What node `n` answers at once: what nothing can change any more, or a refusal if it does not reach
-    /// the store. `None` if it has to look further.
-    fn at_once(&mut self, n: usize, job: JobId) -> Option<Option<ShownState>> {
-        let Some(node) = self.awake(n) else { return Some(None) };
+    /// Returns what controller `n` answers without reading the store: a final state, or a refusal
+    /// (`Some(None)`) if it does not run or does not reach the store. `None` if it has to read the store first.
+    fn immediate_answer(&mut self, n: usize, job: JobId) -> Option<Option<ShownState>> {
+        let Some(node) = self.running_node(n) else { return Some(None) };
         if let Some(answer) = node.controller.final_answer(job) {
-            return Some(Some(shown(answer.state)));
+            return Some(Some(shown_state(answer.state)));
         }
         if !node.controller.loaded || !self.reaches_store(n) {
             return Some(None);
@@ -129,27 +138,27 @@
         None
     }
 
-    /// What node `n` answers to a question; `None` if it refuses.
-    fn answer(&mut self, n: usize, id: u64) -> Option<ShownState> {
+    /// Returns the state of a job that controller `n` reports; `None` if it refuses.
+    fn query(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
-        if let Some(answer) = self.at_once(n, job) {
+        if let Some(answer) = self.immediate_answer(n, job) {
             return answer;
         }
-        self.pull(n);
-        let controller = &self.awake(n)?.controller;
+        self.sync_replica(n);
+        let controller = &self.running_node(n)?.controller;
         let answer = controller.final_answer(job).or_else(|| controller.open_answer(job));
         match answer {
-            Some(answer) => Some(shown(answer.state)),
+            Some(answer) => Some(shown_state(answer.state)),
             None if self.store.has(&replica::job_key(job)) => None,
             None => Some(ShownState::Unknown),
         }
     }
 
-    /// What a node answers to a submission, new or repeated.
+    /// Submits a job at controller `n`, possibly again. Returns the reported state; `None` if the controller refuses.
     fn submit(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
         self.checker.see(self.now, Event::Submitted { job: id });
-        if let Some(answer) = self.at_once(n, job) {
+        if let Some(answer) = self.immediate_answer(n, job) {
             return answer;
         }
         let node = self.nodes[n].as_ref().ok()?;
@@ -164,71 +173,73 @@
             );
             match self.commit(n, &txn)? {
                 TxnOutcome::Committed(version) => {
-                    let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
+                    let clock = self.nodes[n].as_ref().ok()?.clock_reading(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
-                    controller.on_replica_changes(moment, &replica_changes);
+                    controller.on_replica_changes(clock, &replica_changes);
                     let answer = controller.final_answer(job);
-                    return Some(answer.map_or(ShownState::Open, |a| shown(a.state)));
+                    return Some(answer.map_or(ShownState::Open, |a| shown_state(a.state)));
                 }
                 TxnOutcome::ConditionsFailed(_) => {}
             }
         }
-        self.answer(n, id).filter(|t| *t != ShownState::Unknown)
+        self.query(n, id).filter(|t| *t != ShownState::Unknown)
     }
 
-    /// What a node answers to a cancellation.
+    /// Cancels a job at controller `n`, which notifies the other controllers. Returns the reported state;
+    /// `None` if the controller refuses.
     fn abort(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
         for _ in 0..4 {
-            if let Some(answer) = self.at_once(n, job) {
+            if let Some(answer) = self.immediate_answer(n, job) {
                 return answer;
             }
             let Some((txn, progress)) = self.nodes[n].as_ref().ok()?.controller.cancel_txn(job)
             else {
-                match self.answer(n, id)? {
+                match self.query(n, id)? {
                     ShownState::Unknown => return Some(ShownState::Unknown),
                     _ => continue,
                 }
             };
             match self.commit(n, &txn)? {
                 TxnOutcome::Committed(version) => {
-                    let moment = self.nodes[n].as_ref().ok()?.moment(self.now);
+                    let clock = self.nodes[n].as_ref().ok()?.clock_reading(self.now);
                     let controller = &mut self.nodes[n].as_mut().ok()?.controller;
                     let replica_changes = controller.apply_committed(&txn, version);
-                    controller.on_replica_changes(moment, &replica_changes);
+                    controller.on_replica_changes(clock, &replica_changes);
                     for to in (0..3).filter(|m| *m != n) {
-                        if self.old[to] || !self.sends_cancellation_notices {
+                        if self.old_version[to] || !self.sends_cancellation_notices {
                             continue;
                         }
-                        let ask = PeerRequest::JobCancelled(job, progress.clone(), version);
+                        let request = PeerRequest::JobCancelled(job, progress.clone(), version);
                         self.send(
-                            super::Place::Node(n),
-                            super::Place::Node(to),
-                            Message::CancellationNotice(to, ask),
+                            super::Endpoint::Node(n),
+                            super::Endpoint::Node(to),
+                            Message::CancellationNotice(to, request),
                         );
                     }
                 }
-                TxnOutcome::ConditionsFailed(_) => self.pull(n),
+                TxnOutcome::ConditionsFailed(_) => self.sync_replica(n),
             }
         }
         None
     }
 
-    /// A request at node `n`, handed over to the others if it can't serve it and reaches them.
+    /// Sends a request to controller `n`, which forwards it to the other controllers if it cannot serve the
+    /// request. Reports the answer to the checker.
     fn request(
         &mut self,
         n: usize,
         id: u64,
-        ask: fn(&mut World, usize, u64) -> Option<ShownState>,
+        operation: fn(&mut World, usize, u64) -> Option<ShownState>,
     ) {
-        let mut answer = ask(self, n, id);
+        let mut answer = operation(self, n, id);
         if answer.is_none() && self.nodes[n].is_ok() {
             for m in (0..3).filter(|m| *m != n) {
-                let (a, b) = (super::Place::Node(n), super::Place::Node(m));
-                let reached = self.arrival(a, b).is_some_and(|at| at < self.now + 100);
+                let (from, to) = (super::Endpoint::Node(n), super::Endpoint::Node(m));
+                let reached = self.arrival(from, to).is_some_and(|at| at < self.now + 100);
                 if reached && answer.is_none() {
-                    answer = ask(self, m, id);
+                    answer = operation(self, m, id);
                 }
             }
         }
@@ -243,57 +254,61 @@
         }
         self.checker.see(self.now, Event::StateShown { job: id, node: n, state: answer });
         let ended = !matches!(answer, ShownState::Open | ShownState::Unknown);
-        if self.now < self.looks_until && !self.looked_at.contains(&id) && ended {
-            self.looked_at.push(id);
+        if self.now < self.polling_until && !self.just_ended.contains(&id) && ended {
+            self.just_ended.push(id);
         }
     }
 
-    /// Asks and submits again at all nodes, as users do who look closely.
-    fn look(&mut self, id: u64) {
+    /// Queries and submits a job at all controllers.
+    fn query_all_nodes(&mut self, id: u64) {
         for n in 0..3 {
-            self.request(n, id, World::answer);
+            self.request(n, id, World::query);
             self.request(n, id, World::submit);
         }
     }
 
-    /// Cancels a job at some node.
+    /// Cancels a job at a random controller.
     pub(super) fn cancel(&mut self, id: u64) {
         let n = self.rng.random_range(0..3);
-        self.wanted_cancels.insert(id);
+        self.cancel_requested.insert(id);
         self.checker.see(self.now, Event::AskedToCancel { job: id });
         self.request(n, id, World::abort);
     }
 
-    /// Users call off that many jobs that run, and up to eight of their machines hang.
+    /// Cancels up to `count` running jobs. Up to eight machines that run them hang for `hang_ms`.
     pub(super) fn cancel_now(&mut self, count: usize, hang_ms: u64) {
         let now = self.now;
         let mut running: Vec<u64> = Vec::new();
         for task in self.workers.iter().flat_map(|w| w.running()) {
-            if !running.contains(&task.job.0) && !self.wanted_cancels.contains(&task.job.0) {
+            if !running.contains(&task.job.0) && !self.cancel_requested.contains(&task.job.0) {
                 running.push(task.job.0);
             }
         }
         running.truncate(count);
-        let on =
+        let runs_any =
             |w: &crate::worker::Worker| w.running().any(|t: TaskId| running.contains(&t.job.0));
-        let hung: Vec<usize> =
-            (0..self.workers.len()).filter(|w| on(&self.workers[*w])).take(8).collect();
+        let to_hang: Vec<usize> =
+            (0..self.workers.len()).filter(|w| runs_any(&self.workers[*w])).take(8).collect();
         if hang_ms > 0 {
-            hung.iter().for_each(|w| self.workers[*w].hung_until = now + hang_ms);
+            to_hang.iter().for_each(|w| self.workers[*w].hung_until = now + hang_ms);
         }
         for id in running {
             self.cancel(id);
-            self.cancels.push((now + 100, id));
-            self.cancels.push((now + 200, id));
+            self.cancel_retries.push((now + 100, id));
+            self.cancel_retries.push((now + 200, id));
         }
     }
 
-    /// What close users do in this step: they look right after something was told, submitted jobs
-    /// that go on are cancelled, and questions are repeated.
-    pub(super) fn close_users(&mut self) {
+    /// Executes the scheduled cancellations, and the requests of [`Fault::CancelAtEnd`] and
+    /// [`Fault::AggressivePolling`].
+    ///
+    /// [`Fault::CancelAtEnd`]: super::Fault::CancelAtEnd
+    /// [`Fault::AggressivePolling`]: super::Fault::AggressivePolling
+    pub(super) fn step_polling_users(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.cancels).into_iter().partition(|c| c.0 <= now);
-        self.cancels = later;
+        let (due, later) =
+            std::mem::take(&mut self.cancel_retries).into_iter().partition(|c| c.0 <= now);
+        self.cancel_retries = later;
         let due: Vec<(u64, u64)> = due;
         for (_, id) in due {
             if !self.ended_for_users.contains(&id) {
@@ -301,38 +316,39 @@
             }
         }
         if now < self.cancel_at_end_until {
-            let ended: Vec<u64> = std::mem::take(&mut self.just_completed);
-            for id in ended {
-                let of = self.jobs[&id].task_count as usize;
+            let completed: Vec<u64> = std::mem::take(&mut self.completed_this_step);
+            for id in completed {
+                let task_count = self.jobs[&id].task_count as usize;
                 let done = self.completed.iter().filter(|t| t.job.0 == id).count();
-                if done == of && !self.ended_for_users.contains(&id) {
-                    // At the moment of the end, when a node may or may not have heard of it.
+                if done == task_count && !self.ended_for_users.contains(&id) {
+                    // Some controllers know that the last task has completed, others do not.
                     self.cancel(id);
-                    self.cancels.extend([20, 40, 80, 160, 320, 640].map(|ms| (now + ms, id)));
+                    self.cancel_retries
+                        .extend([20, 40, 80, 160, 320, 640].map(|ms| (now + ms, id)));
                 }
             }
         }
-        self.just_completed.clear();
-        if now < self.looks_until {
+        self.completed_this_step.clear();
+        if now < self.polling_until {
             if now.is_multiple_of(5_000) {
-                // Nobody ever submits this one.
-                (0..3).for_each(|n| self.request(n, NOBODYS, World::answer));
+                // No controller may know this job.
+                (0..3).for_each(|n| self.request(n, UNSUBMITTED_JOB, World::query));
             }
-            for id in std::mem::take(&mut self.looked_at) {
-                self.look(id);
+            for id in std::mem::take(&mut self.just_ended) {
+                self.query_all_nodes(id);
             }
-            // Now and then a job is submitted for the first time at two nodes at once, and
-            // some are cancelled at once.
-            let fresh: Vec<u64> = self.jobs.keys().copied().collect();
-            for id in fresh {
-                let due = now >= id * self.every && now < id * self.every + 40;
-                if due && !self.ended_for_users.contains(&id) {
+            // New jobs are submitted at two controllers at the same time, and every fifth one is cancelled at once.
+            let ids: Vec<u64> = self.jobs.keys().copied().collect();
+            for id in ids {
+                let is_new = now >= id * self.submission_interval_ms
+                    && now < id * self.submission_interval_ms + 40;
+                if is_new && !self.ended_for_users.contains(&id) {
                     self.request(0, id, World::submit);
                     self.request(1, id, World::submit);
-                    self.look(id);
+                    self.query_all_nodes(id);
                     if id % 5 == 0 {
                         self.cancel(id);
-                        self.look(id);
+                        self.query_all_nodes(id);
                     }
                 }
             }
