--- a/src/fleet/controller_state.rs
+++ b/src/fleet/controller_state.rs
@@ -271,7 +271,7 @@
         now: MonotonicTime,
         timing: &HeartbeatTiming,
     ) {
-        let limit_ms = timing.foreign_machine_ms + 1_000;
+        let limit_ms = timing.foreign_machine_ttl_ms + 1_000;
         if now.since(self.started_at) < limit_ms + CONTROLLER_LOST_AFTER_MS {
             return;
         }
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -33,7 +33,7 @@
 /// Milliseconds from the start of a term in which machines are assigned only if all members sent
 /// summaries.
 const AWAIT_ALL_MEMBERS_MS: u64 = 1_000;
-/// Milliseconds beyond `foreign_machine_ms` for which a foreign machine's last heartbeat counts.
+/// Milliseconds beyond `foreign_machine_ttl_ms` for which a foreign machine's last heartbeat counts.
 const FOREIGN_MACHINE_MARGIN_MS: u64 = 2_000;
 
 /// Reason for the leader to start a new term.
@@ -121,7 +121,7 @@
             let Some(state) = self.controllers.get(node) else { continue };
             for foreign in &state.foreign_machines {
                 if foreign.since_ms > OWNER_UNREACHABLE_MS
-                    && foreign.silent_ms < timing.foreign_machine_ms
+                    && foreign.silent_ms < timing.foreign_machine_ttl_ms
                     && self.owners.get(&foreign.id).is_some_and(|owned| owned.owner != *node)
                     && !self.reaches_owner(now, &foreign.id, foreign.silent_ms)
                     && !restarted.contains(&&foreign.id)
@@ -234,7 +234,7 @@
         cluster: &ClusterView<'_>,
         live_controllers: &[NodeId],
     ) -> HashMap<MachineId, NodeId> {
-        let limit_ms = cluster.settings.timing().foreign_machine_ms + FOREIGN_MACHINE_MARGIN_MS;
+        let limit_ms = cluster.settings.timing().foreign_machine_ttl_ms + FOREIGN_MACHINE_MARGIN_MS;
         let mut heartbeat_receivers: HashMap<MachineId, NodeId> = HashMap::new();
         let mut found: Vec<(MachineId, MachineOffer)> = Vec::new();
         let live = self.controllers.iter().filter(|(id, _)| live_controllers.contains(id));
--- a/src/leader/starvation.rs
+++ b/src/leader/starvation.rs
@@ -1,5 +1,5 @@
-//! Bound on waiting: jobs that have had no task anywhere for long take precedence, and machines are held back
-//! for those that fit nowhere.
+//! Bound on waiting: jobs that have held no task for long take precedence, and machines are held back for jobs
+//! that fit on no machine.
 
 use super::allocation::EpochAllocation;
 use super::task_grants::JobTaskCounts;
@@ -44,12 +44,12 @@
     target: &PlacementTarget,
 ) -> Option<Resources> {
     let PlacementTarget { machine_type, zone, spot, .. } = target;
-    let may_use = target.open && placement::allowed(spec, machine_type, zone, *spot);
+    let may_use = target.schedulable && placement::allowed(spec, machine_type, zone, *spot);
     cluster.catalog.get(&**machine_type).filter(|_| may_use).map(Resources::offered)
 }
 
-/// Closes machines to other jobs for a gang that fits nowhere, in the zone where it can begin first. These
-/// machines hold the gang once they are empty.
+/// Closes machines to new tasks for a gang that fits nowhere. These machines hold the gang once they are empty;
+/// they are all in one zone if the gang has to be.
 fn hold_back_for_gang(
     cluster: &ClusterView<'_>,
     job: &Job,
@@ -64,7 +64,7 @@
     };
     let fits = |zone| {
         let gang = PlacementRequest { spec: &job.spec, need, zone, count };
-        placement::pack(&gang, targets, &all_targets).is_some()
+        placement::pack_gang(&gang, targets, &all_targets).is_some()
     };
     if zones.iter().any(|zone| fits(*zone)) {
         return;
@@ -80,11 +80,11 @@
         }
     }
     for i in best.into_iter().flat_map(|best| best.machines) {
-        targets[i].open = false;
+        targets[i].schedulable = false;
     }
 }
 
-/// Machines of a zone that hold a gang once they are empty.
+/// Machines that hold a gang once they are empty.
 #[derive(Default)]
 struct GangCapacity {
     /// Indices of the machines within the targets.
@@ -95,7 +95,8 @@
     free_slots: usize,
 }
 
-/// Selects machines of a zone for a gang, those with most free cores first, until it fits on them when empty.
+/// Selects machines for a gang, those with most free cores first, until it fits on them when empty. All are in
+/// `zone` if it is set.
 fn gang_capacity(
     cluster: &ClusterView<'_>,
     job: &Job,
@@ -172,7 +173,7 @@
                 }
                 continue;
             }
-            let fits = |target: &PlacementTarget| target.takes(&job.spec, &need, None);
+            let fits = |target: &PlacementTarget| target.accepts(&job.spec, &need, None);
             if !self.is_starved(cluster, job, held, false) || allocation.targets.iter().any(fits) {
                 continue;
             }
@@ -181,7 +182,7 @@
                 let machine =
                     largest_suitable_machine(cluster, &job.spec, &need, &allocation.targets);
                 if let Some(i) = machine {
-                    allocation.targets[i].open = false;
+                    allocation.targets[i].schedulable = false;
                     held_back += 1;
                 }
             }
@@ -196,7 +197,9 @@
         need: &Resources,
         targets: &mut [PlacementTarget],
     ) -> bool {
-        let Some(target) = targets.iter_mut().find(|target| target.holds(spec, need, None)) else {
+        let Some(target) =
+            targets.iter_mut().find(|target| target.accepts_ignoring_reservation(spec, need, None))
+        else {
             return false;
         };
         target.reserved = false;
