--- a/crates/model/src/amounts.rs
+++ b/crates/model/src/amounts.rs
@@ -26,7 +26,7 @@
     pub fn saturating_sub(self, other: Cores) -> Cores {
         Cores(self.0.saturating_sub(other.0))
     }
-    /// Converts to a decimal number of whole units.
+    /// Converts to a decimal number of units, such as cores or GB.
     pub fn amount(self) -> f64 {
         self.0 as f64 / 1000.0
     }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -112,7 +112,8 @@
     Incarnation
 );
 u64_newtype!(
-    /// The sequence number of a plan within a term, from 1; 0 before the first plan.
+    /// The sequence number within a term of a plan, the leader's response to a controller's summary, from 1; 0 before
+    /// the first plan.
     PlanSeq
 );
 u64_newtype!(
--- a/crates/standby/src/decision_log.rs
+++ b/crates/standby/src/decision_log.rs
@@ -60,15 +60,16 @@
 pub struct Batch {
     /// Whether the batch holds records or a chunk of a snapshot.
     pub kind: BatchKind,
-    /// The position before the first decision of the batch.
+    /// The position before the first decision of the batch. For a chunk of a snapshot, the start of the log.
     pub from: LogPosition,
-    /// The position after the last decision of the batch.
+    /// The position after the last decision of the batch. For a chunk of a snapshot, the position of the state that the
+    /// snapshot holds.
     pub to: LogPosition,
     /// The newest position of the leader's log.
     pub newest: LogPosition,
     /// The digest of the leader's state at `to`.
     pub digest: u64,
-    /// When the last decision of the batch was recorded, by the leader's wall clock.
+    /// When the last decision up to `to` was recorded, by the leader's wall clock.
     pub made: WallTime,
     /// The decisions, encoded and compressed.
     pub payload: ByteBuf,
--- a/crates/standby/src/decisions.rs
+++ b/crates/standby/src/decisions.rs
@@ -78,7 +78,8 @@
 /// The run time of tasks on a machine relative to other tasks of the same jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineSpeed {
-    /// Run time on this machine divided by the run time on other machines.
+    /// Moving average of the run time on this machine divided by the run time on other machines; above 1 if this machine
+    /// is slower.
     pub ratio: f64,
     /// The number of tasks that were compared.
     pub tasks: u32,
--- a/crates/standby/src/failover/event.rs
+++ b/crates/standby/src/failover/event.rs
@@ -45,7 +45,7 @@
         /// Whether the failure detector suspects the leader.
         suspected: bool,
         /// This controller's rank among the controllers that may replace the leader, from 0; `None` if the settings
-        /// do not allow it to, or it has no right to lead at present.
+        /// do not allow this controller to replace the leader, or it has no right to lead at present.
         rank: Option<u64>,
     },
     /// Another controller responded to a query about the leader.
--- a/crates/standby/src/failover/outcome.rs
+++ b/crates/standby/src/failover/outcome.rs
@@ -11,7 +11,8 @@
     LeaderResponds,
     /// This other controller still receives messages from the leader.
     PeerReceivesFromLeader(NodeId),
-    /// No majority of the controllers confirmed the suspicion in time. The leader's lease decides.
+    /// No majority of the controllers confirmed the suspicion in time. Without a majority, the leader is replaced only
+    /// once its lease in the state service expires.
     NoMajority,
     /// Another controller took this term.
     TermTakenByPeer(Term),
--- a/crates/standby/src/failover/state_machine.rs
+++ b/crates/standby/src/failover/state_machine.rs
@@ -33,7 +33,7 @@
     /// Silence in milliseconds, as reported by another controller, from which that controller counts as receiving
     /// nothing from the leader.
     min_silence_ms: u64,
-    /// How much longer each rank waits than the one before it until it queries the other controllers, in
+    /// How much longer a controller waits before it queries the others than the controller ranked before it, in
     /// milliseconds.
     rank_delay_ms: u64,
     phase: Phase,
@@ -58,8 +58,8 @@
 
 impl FailoverStateMachine {
     /// Creates the state machine of one controller, in a site with this number of controllers. Other controllers count
-    /// as receiving nothing from the leader from `min_silence_ms` of silence on. Each rank waits `rank_delay_ms` longer
-    /// than the one before it until it queries them.
+    /// as receiving nothing from the leader from `min_silence_ms` of silence on. A controller waits `rank_delay_ms` longer
+    /// before it queries the others than the controller ranked before it.
     pub fn new(controllers: usize, min_silence_ms: u64, rank_delay_ms: u64) -> Self {
         FailoverStateMachine {
             controllers,
--- a/crates/standby/src/failover_order.rs
+++ b/crates/standby/src/failover_order.rs
@@ -1,8 +1,8 @@
 //! Ranking of the controllers that may replace the leader.
 //!
-//! Each controller computes the ranking from its replica and the settings, so all controllers compute the same one once
-//! their replicas agree. Until then two controllers may try to replace the leader at the same time; the conditions of
-//! the fencing transaction let only one of them succeed.
+//! Each controller computes the ranking from its replica of the state service and the settings, so all controllers
+//! compute the same ranking once their replicas agree. While the replicas differ, two controllers may try to replace the
+//! leader at the same time; the conditions of the fencing transaction let only one of them succeed.
 
 use willowshore_model::NodeId;
 
@@ -17,7 +17,7 @@
     pub eligible: bool,
 }
 
-/// The rank of a controller among the eligible candidates, from 0; `None` if it is not eligible or is the leader.
+/// The rank of a controller among the eligible candidates, from 0; `None` if it is not among them or is the leader.
 /// Controllers outside the leader's zone rank first, as the fault that stopped the leader may affect its whole zone.
 pub fn rank_of(node: NodeId, leader: NodeId, candidates: &[Candidate]) -> Option<u64> {
     let leader_zone = candidates
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -18,8 +18,8 @@
 //!
 //! Nothing in this crate proves who leads. Suspicions, probes and observations of peers only decide whether a failover
 //! is attempted. A standby becomes leader by the same conditional transaction as any other controller, once its replica
-//! shows the term. Mirrored decisions are hints that the new leader confirms by its replica or drops. The argument is in
-//! `docs/safety.md`, "Replacing a leader that is not heard".
+//! of the state service shows the term. Mirrored decisions are hints that the new leader confirms by its replica or
+//! drops. The argument is in `docs/safety.md`, "Replacing a leader that is not heard".
 
 pub mod decision_log;
 pub mod decisions;
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -4,7 +4,7 @@
 //! - After a gap or a malformed batch, a snapshot is requested.
 //! - A batch of another term is ignored.
 //! - A digest that does not match is a divergence: a snapshot is requested, and once it has been applied, the differences
-//!   are returned to the caller for its log.
+//!   are returned, so that the caller can write them to its log.
 //!
 //! Each of these cases is counted.
 //!
@@ -187,8 +187,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason if the batch is rejected. The next request is for a snapshot then, except after
-    /// [`BatchRejected::WrongTerm`].
+    /// Returns the reason if the batch is rejected. After any reason but [`BatchRejected::WrongTerm`], the next request is
+    /// for a snapshot.
     pub fn accept(&mut self, batch: &Batch) -> Result<Vec<Difference>, BatchRejected> {
         let result = self.apply(batch);
         if let Err(rejected) = result {
--- a/crates/standby/src/settings.rs
+++ b/crates/standby/src/settings.rs
@@ -34,10 +34,10 @@
     /// Between the two bounds, the leader is suspected from this value of phi on. With 8, one of 10^8 heartbeats causes
     /// a false suspicion, provided that the distribution of the intervals does not change.
     pub phi: f64,
-    /// The number of heartbeat intervals from which phi is computed.
+    /// The maximum number of heartbeat intervals from which phi is computed; the latest ones are used.
     pub samples: usize,
-    /// How much longer each rank waits than the one before it until it queries the other controllers, in
-    /// milliseconds.
+    /// How much longer a controller waits before it queries the others about the leader than the controller ranked before
+    /// it ([`crate::failover_order`]), in milliseconds.
     pub rank_delay_ms: u64,
     /// The number of decisions that the leader retains for standbys that are behind.
     pub window_records: usize,
--- a/crates/standby/src/status.rs
+++ b/crates/standby/src/status.rs
@@ -30,11 +30,12 @@
     pub cause: String,
     /// Milliseconds from the suspicion until the fencing transaction was sent.
     pub agreeing_ms: u64,
-    /// Milliseconds from sending the fencing transaction until its response.
+    /// Milliseconds from sending the fencing transaction until its response or, if that was first, until the replica
+    /// showed the term.
     pub fencing_ms: u64,
-    /// Milliseconds from the response until the replica showed the term.
+    /// Milliseconds from the response until the replica showed the term; 0 if the replica showed it first.
     pub catching_up_ms: u64,
-    /// Milliseconds from then until the mirrored decisions had been compared with the replica.
+    /// Milliseconds from the replica showing the term until the mirrored decisions had been compared with the replica.
     pub verifying_ms: u64,
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -276,13 +276,14 @@
                 "its tasks can't all run at once in the zones it may use",
             );
         }
-        let tasks = match spec.kind {
+        // An array job may run its tasks one after the other.
+        let min_concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Service | JobKind::Gang => u64::from(spec.task_count),
         };
         let need = crate::resources::Resources::of(spec);
         let exceeds = |limit: Option<crate::model::Cores>, per_task: u64| {
-            limit.is_some_and(|limit| per_task.saturating_mul(tasks) > limit.0)
+            limit.is_some_and(|limit| per_task.saturating_mul(min_concurrent_tasks) > limit.0)
         };
         if exceeds(team.core_limit(), need.cores.0)
             || exceeds(team.accelerator_limit(), need.accelerators.0)
--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -116,7 +116,7 @@
             if amounts.iter().any(|amount| !amount.is_finite() || *amount < 0.0) {
                 return invalid(
                     "params.teams",
-                    &format!("amounts of {} must not be negative", team.name),
+                    &format!("amounts of {} must be finite and not negative", team.name),
                 );
             }
         }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -67,7 +67,7 @@
     /// Objectives for the start and completion of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of workers.
+    /// Heartbeat interval, lease and time limits of workers.
     pub workers: WorkerSettings,
     /// Limits of the state store.
     #[serde(rename = "state")]
@@ -150,7 +150,7 @@
     }
 }
 
-/// Times of workers, in seconds.
+/// Heartbeat interval, lease and time limits of workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// Interval between two heartbeats of a worker.
@@ -238,7 +238,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// CPU cores, as a fraction.
+    /// Number of CPU cores, which need not be whole.
     pub cores: f64,
     /// Memory in MB.
     pub ram_mb: f64,
--- a/src/config/timing.rs
+++ b/src/config/timing.rs
@@ -23,7 +23,7 @@
     /// owner receives heartbeats of other machines.
     pub presumed_stopped_after_ms: u64,
     /// Time for which a controller keeps the time of its last response to a machine. It exceeds the lease of a worker,
-    /// so that every response whose lease may still be valid can be reported.
+    /// so that every response whose lease may still be valid can be reported to the leader.
     pub response_retention_ms: u64,
 }
 
--- a/src/http/parsing.rs
+++ b/src/http/parsing.rs
@@ -93,7 +93,7 @@
     pub(super) content_length: Option<usize>,
     /// Whether `Connection` asks to close the connection after this message.
     pub(super) close: bool,
-    /// Whether `Transfer-Encoding` is present. The size of the body is not known in advance then.
+    /// Whether `Transfer-Encoding` is present, so that the size of the body is not known in advance.
     pub(super) chunked: bool,
     /// Value of `Retry-After` in seconds, if it is present and a number.
     pub(super) retry_after_s: Option<u32>,
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -121,20 +121,20 @@
     let value: Option<Value> = wire::decode(&answer.body).ok();
     let accepted = matches!(answer.status, 200 | 201);
     if target.json {
-        let shown = serde_json::json!({
+        let output = serde_json::json!({
             "status": answer.status,
             "retry_after_s": answer.retry_after_s,
             "body": value,
         });
-        println!("{shown}");
+        println!("{output}");
     } else if let Some(job) = wire::decode::<JobAnswer>(&answer.body).ok().filter(|_| accepted) {
         println!("{}", format_job(&job));
     } else {
         let why = value.as_ref().and_then(error_text).unwrap_or(default_reason(answer.status));
-        let again = answer
+        let retry_hint = answer
             .retry_after_s
             .map_or(String::new(), |seconds| format!(", retry after {seconds} s"));
-        eprintln!("willowshore: {why} (status {}{again})", answer.status);
+        eprintln!("willowshore: {why} (status {}{retry_hint})", answer.status);
     }
     if accepted { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,14 +18,14 @@
 mod job_command;
 mod standby_command;
 
-/// A cluster scheduler: rank-legal admission, importance-maximizing shares, hashed shards.
+/// A cluster scheduler: admits jobs in rank order, maximizes total importance, and shards machines by hashing.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Arguments {
-    /// Enable what this file names, such as deploy/standby.toml; may be given more than once.
+    /// Enable the features in this file, such as deploy/standby.toml; may be given more than once.
     #[arg(long, value_name = "FILE", global = true)]
     enable: Vec<PathBuf>,
-    /// Serve as a controller with this settings file, until killed.
+    /// Run a controller with this settings file until the process is killed.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -34,14 +34,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a settings file and say which field is wrong.
+    /// Check a settings file and report the first invalid field.
     Check {
         /// The settings file.
         file: PathBuf,
     },
     /// Submit, show or abort jobs.
     Job(job_command::Arguments),
-    /// Look at the warm standby.
+    /// Inspect the warm standby of a controller.
     Standby(standby_command::Arguments),
 }
 
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -151,8 +151,8 @@
         is_followed
     }
 
-    /// Advances the failure detector and the failover to `now`. `rank` has the meaning of that in
-    /// [`FailoverEvent::Tick`].
+    /// Advances the failure detector and the failover to `now`. `rank` is this controller's rank as
+    /// [`FailoverEvent::Tick`] defines it.
     pub fn tick(&mut self, now: MonotonicTime, rank: Option<u64>) -> Option<FailoverCommand> {
         self.detector.tick(now);
         let suspected = self.followed_leader.is_some() && self.detector.suspects(now);
