--- a/src/leader/allocation.rs
+++ b/src/leader/allocation.rs
@@ -75,7 +75,7 @@
         let GrantRequest { job, need, .. } = request;
         let mut placements = Vec::new();
         let spread_request = PlacementRequest { spec: &job.spec, need, zone: None, count };
-        for index in placement::spread(&spread_request, &mut self.targets) {
+        for index in placement::place_tasks(&spread_request, &mut self.targets) {
             placements.extend(self.placement_on(inputs, index, false));
         }
         let missing = if request.may_await_release { count - placements.len() } else { 0 };
@@ -100,7 +100,7 @@
         while placements.len() < count {
             let open = zones.open_zones(&inputs.cluster.settings.params.zones);
             let Some(i) = open.iter().find_map(|zone| {
-                placement::choose(&job.spec, need, &self.targets, Some(zone.as_str()))
+                placement::choose_target(&job.spec, need, &self.targets, Some(zone.as_str()))
             }) else {
                 break;
             };
@@ -114,7 +114,7 @@
     /// Returns whether at least one task of the job can be placed.
     fn can_place_any(&self, request: &GrantRequest<'_>) -> bool {
         let GrantRequest { job: Job { spec, .. }, need, .. } = request;
-        self.targets.iter().any(|target| target.takes(spec, need, None))
+        self.targets.iter().any(|target| target.accepts(spec, need, None))
             || request.may_await_release
                 && self.expected_releases.iter().any(|release| release.fits(spec, need))
     }
@@ -270,9 +270,9 @@
             let zone = group.zone;
             let request = PlacementRequest { spec: &job.spec, need: &need, zone, count };
             if group.attempt.is_some() {
-                placement::pack_in(&request, shard);
+                placement::place_gang(&request, shard);
             } else {
-                placement::spread(&request, shard);
+                placement::place_tasks(&request, shard);
             }
         }
     }
--- a/src/leader/importance.rs
+++ b/src/leader/importance.rs
@@ -9,7 +9,7 @@
 use super::machine_speed::ClassRunTimes;
 use super::starvation::{STARVED_RANK, STARVED_WEIGHT};
 use super::task_grants::{JobTaskCounts, TaskCounts};
-use crate::admission::{Curve, Demand};
+use crate::admission::{Demand, ValueCurve};
 use crate::cluster_view::ClusterView;
 use crate::config::{ObjectiveKind, Settings};
 use crate::model::{Cores, JobId};
@@ -215,11 +215,15 @@
             job: id,
             rank,
             weight,
-            curve: if gang { Curve::Step } else { Curve::Concave { fade: MARGINAL_GAIN_RATIO } },
+            curve: if gang {
+                ValueCurve::Step
+            } else {
+                ValueCurve::Concave { gain_ratio: MARGINAL_GAIN_RATIO }
+            },
             team,
-            cores: Resources::of(&job.spec).cores,
-            min: counts.held,
-            max: counts.held + additional_tasks,
+            cores_per_task: Resources::of(&job.spec).cores,
+            min_tasks: counts.held,
+            max_tasks: counts.held + additional_tasks,
             required: starved || can_start_gang || guaranteed,
         }
     }
