--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,11 +1,12 @@
 //! Admission control: which jobs may run in an epoch, and how many tasks each (its share). The algorithm is the
 //! one of the paper cited in `docs/design.md`.
 //!
-//! *Waterline.* A job's revised rank is the best rank among the job and all jobs that depend on it. The waterline
-//! is a rank: jobs of better ranks are admitted, jobs of worse ranks wait, and jobs of the waterline rank are
-//! admitted by importance per core while cores last. An admission of this form is called rank-legal. [`admit`]
-//! evaluates every waterline and keeps the admission with the highest total importance. Two kinds of job are exempt
-//! from the waterline: running jobs keep their tasks, and required jobs are admitted by rank while cores last.
+//! *Waterline.* A job's rank follows from its priority; rank 1 is the best. Its revised rank is the best rank among the
+//! job and all jobs that depend on it. The waterline is a rank: jobs of better ranks are admitted, jobs of worse ranks
+//! wait, and jobs of the waterline rank are admitted by importance per core while cores last. An admission of this
+//! form is called rank-legal. [`admit`] evaluates every waterline and keeps the admission with the highest total
+//! importance. Two kinds of job are exempt from the waterline: running jobs keep their tasks, and required jobs are
+//! admitted by rank while cores last.
 //!
 //! *Shares.* The importance of a job is its weight times the value of its running tasks. Concave value curves are
 //! filled greedily by marginal gain, which is optimal for them. A step curve has value only when all tasks run, so
@@ -109,7 +110,8 @@
     pub teams: Vec<Option<Cores>>,
 }
 
-/// Decides which jobs are admitted and how many tasks each of them may run.
+/// Decides which jobs are admitted and how many tasks each of them may run. If several waterlines give the same total
+/// importance, the worst of these ranks is kept.
 pub fn admit(demands: &[Demand], limits: &CoreLimits) -> Admission {
     let worst_rank = demands.iter().map(|demand| demand.rank).max().unwrap_or(1);
     let mut best: Option<Admission> = None;
@@ -121,11 +123,12 @@
             best = Some(admission);
         }
     }
-    // No waterline is feasible. The jobs of the best rank are admitted by importance while cores last.
+    // The default is not reached while ranks start at 1: waterline 1 is always feasible, as no rank is better.
     best.unwrap_or_else(|| allocate(demands, limits, 1, &select_jobs(demands, limits, 1)))
 }
 
-/// Returns the best admission with a given waterline, or `None` if the jobs of better ranks do not all fit.
+/// Returns the best admission with a given waterline, or `None` if the jobs of better ranks, each with its smallest
+/// useful share, do not all fit into the total cores.
 fn admit_at_waterline(
     demands: &[Demand],
     limits: &CoreLimits,
@@ -143,7 +146,7 @@
 }
 
 impl Demand {
-    /// Returns the smallest share with which admitting the job has any value.
+    /// Returns the smallest share with which the job has any value, but at least its running tasks.
     fn min_useful_share(&self) -> u32 {
         match self.curve {
             ValueCurve::Concave { .. } => self.min_tasks.max(self.max_tasks.min(1)),
--- a/src/admission/allocation.rs
+++ b/src/admission/allocation.rs
@@ -11,10 +11,11 @@
 /// Number of units into which the dynamic program divides the free cores. More units are more exact and slower.
 const KNAPSACK_UNITS: usize = 64;
 
-/// Cores that are not allocated yet: in total, and of each team's limit if it has one.
+/// Cores that are not allocated yet.
 #[derive(Clone)]
 struct FreeCores {
     total: Cores,
+    /// Unallocated cores of each team's limit, or `None` for a team without a limit.
     teams: Vec<Option<Cores>>,
 }
 
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Returns the admitted step jobs whose share lacks some of their tasks.
+    /// Returns the indices of the admitted step jobs whose share lacks some of their tasks.
     fn incomplete_step_jobs(&self) -> Vec<usize> {
         let is_incomplete = |index: &usize| {
             let demand = &self.demands[*index];
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Returns the cores of the tasks that a job's share lacks of its maximum.
+    /// Returns the cores that a job's share lacks to the job's maximum number of tasks.
     fn missing_cores_of(&self, index: usize) -> Cores {
         let demand = &self.demands[index];
         demand.cores_of(demand.max_tasks - self.shares[index])
@@ -144,9 +145,10 @@
         NextTask { rank: demand.rank, gain_per_core, index }
     }
 
-    /// Chooses the step jobs to run. For each number of core units, the dynamic program gives the best selection that
-    /// uses this number. The selection with the highest sum of its own importance and the importance that the
-    /// concave jobs reach with the remaining cores is chosen.
+    /// Chooses the step jobs to run and returns their indices. For each number of core units, the dynamic program gives
+    /// the best selection that uses this number. The selection with the highest sum of its own importance and the
+    /// importance that the concave jobs reach with the remaining cores is chosen. The dynamic program disregards the
+    /// limits of teams; [`Self::allocate_step_jobs`] skips a chosen job that exceeds its team's limit.
     fn select_step_jobs(&self, step_jobs: &[usize]) -> Vec<usize> {
         let unit = (self.free.total.0 / KNAPSACK_UNITS as u64).max(1);
         let concave = self.concave_importance();
@@ -189,7 +191,7 @@
     }
 
     /// Computes the importance that the concave jobs reach for any number of cores. One allocation is enough: tasks
-    /// are allocated in order of marginal gain, so fewer cores hold a prefix of the same sequence.
+    /// are allocated in order of marginal gain per core, so with fewer cores a prefix of the same tasks is allocated.
     fn concave_importance(&self) -> ConcaveImportance {
         let mut sums = vec![(0, 0.0)];
         self.clone().allocate_concave(&mut |cores, gain| {
@@ -229,19 +231,20 @@
 }
 
 impl ConcaveImportance {
-    /// Returns the importance that fits into `cores` thousandths of a core.
+    /// Returns the importance that the concave jobs reach with `cores` thousandths of a core.
     fn at_cores(&self, cores: u64) -> f64 {
         let fitting = self.sums.partition_point(|(used, _)| *used <= cores);
         self.sums.get(fitting.saturating_sub(1)).map_or(0.0, |(_, importance)| *importance)
     }
 }
 
-/// The next task of a concave job in the allocation queue, ordered by marginal gain per core, then by rank, then by
-/// index.
+/// The next task of a concave job in the allocation queue. The greatest entry is allocated first: the one with the
+/// highest marginal gain per core, then the best rank, then the lowest index.
 #[derive(PartialEq)]
 struct NextTask {
     rank: u32,
     gain_per_core: f64,
+    /// Index of the job among the demands.
     index: usize,
 }
 
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -62,7 +62,7 @@
             (2, vec![(1, 1), (3, 1)]),
         ),
         (
-            "the share of a running job covers its running tasks",
+            "a running job keeps its tasks against a job of a better rank",
             vec![demand(1, 3, 4, 2, 4), demand(2, 2, 4, 0, 2)],
             8,
             None,
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -2,11 +2,11 @@
 
 use crate::model::{Attempt, NodeId, Term};
 
-/// Allocates the attempt numbers of one controller within one term.
+/// Allocates the attempt numbers of one controller within one leader term. Each start of a task is an attempt.
 ///
-/// An attempt number contains the term and the controller, see [`Attempt::from_parts`], so it is unique over all terms and
-/// controllers without a write to the state store. This requires exactly one allocator for each term and controller,
-/// which is dropped when the term ends.
+/// An attempt number contains the term and the controller, see [`Attempt::from_parts`], so it is unique over all terms
+/// and controllers without a write to the state store. This requires exactly one allocator for each term and
+/// controller, which is dropped when the term ends.
 #[derive(Clone, Debug)]
 pub struct AttemptAllocator {
     term: Term,
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -3,7 +3,8 @@
 //! [`decide`] is a pure function of the rented machines, the pending work and the [`AutoscalerState`], which is kept
 //! from epoch to epoch. It packs pending tasks first into the free resources of rented machines, then into machines to
 //! be requested, each of the offer with the lowest price per task. The order is: gangs, headroom for future gangs,
-//! long-running work, ready capacity for short-running work. Machines are scaled in only when none are scaled out.
+//! long-running work, ready capacity for short-running work. Headroom and ready capacity are kept up before work
+//! arrives, see [`crate::offered_load`]. Machines are scaled in only when none are scaled out.
 //!
 //! Decisions do not affect safety: a machine is drained before it is returned, and its tasks count as ended only with
 //! the proofs that [`crate::fleet`] collects.
@@ -23,7 +24,8 @@
 use scale_out::{OfferFilter, ScaleOutPlan};
 pub use state::AutoscalerState;
 
-/// Minimum queue time in seconds at which on-demand machines are scaled out for work of normal or lower priority.
+/// Minimum queue time in seconds, see [`queue_times_s`], at which on-demand machines are scaled out for work of normal
+/// or lower priority.
 const ON_DEMAND_MIN_QUEUE_S: f64 = 12.0;
 /// Machines are not consolidated while pending work would keep them busy for longer than this many seconds.
 const CONSOLIDATION_MAX_QUEUE_S: f64 = ON_DEMAND_MIN_QUEUE_S / 3.0;
@@ -66,9 +68,10 @@
     pub free: Resources,
     /// Seconds since a task last ran on the machine; 0 if one runs now.
     pub idle_s: f64,
-    /// Whether the machine is reserved for gangs.
+    /// Whether the machine is reserved for gangs and for jobs that may not use spot machines.
     pub reserved: bool,
-    /// Whether the machine takes no new tasks because it is being preempted, is draining or sends no heartbeats.
+    /// Whether the machine takes no new tasks, for instance because it is being preempted, is draining or sends no
+    /// heartbeats.
     pub unavailable: bool,
 }
 
@@ -99,7 +102,7 @@
         self.spec.kind == JobKind::Gang
     }
 
-    /// Returns whether ready capacity is kept for such work: short-running work other than gangs.
+    /// Returns whether ready capacity is kept for work of this kind: short-running work other than gangs.
     fn needs_ready_capacity(&self) -> bool {
         self.short_running && !self.is_gang()
     }
@@ -140,8 +143,8 @@
     pub has_surplus: bool,
 }
 
-/// Returns whether work with a run time of `run_s` seconds is short-running in comparison with the boot time of the
-/// machine types on which its tasks fit.
+/// Returns whether work with a run time of `run_s` seconds is short-running in comparison with the shortest boot time
+/// among the machine types on which its tasks fit.
 pub fn is_short_running(catalog: &MachineCatalog, spec: &JobSpec, run_s: f64) -> bool {
     let need = Resources::of(spec);
     let suitable =
@@ -246,9 +249,10 @@
         }
     }
 
-    /// Adds ready capacity for short-running work, in tasks of the size of the job with the most tasks. Spot machines
-    /// are requested up to the ready capacity for spot machines. Tasks that find none are placed on machines of any
-    /// kind, up to the smaller ready capacity for machines of any kind.
+    /// Adds ready capacity for short-running work, in tasks of the size of the job with the most tasks. At first only
+    /// spot machines are requested, until there is room for the ready capacity for spot machines. If the cloud refuses
+    /// spot machines, machines of any kind are requested, until there is room for the smaller ready capacity for
+    /// machines of any kind.
     fn add_ready_capacity(&self, plan: &mut ScaleOutPlan<'_>) {
         let short_running = self.pending.iter().filter(|work| work.needs_ready_capacity());
         let Some(template) = short_running.max_by_key(|work| work.tasks + work.running) else {
@@ -267,15 +271,16 @@
         plan.add(&ready(unplaced_on_any), self.all_offers());
     }
 
-    /// Returns the cores of ready capacity for short-running work, on spot machines or on machines of any kind, that
-    /// exceed the cores in use by such work.
+    /// Returns the cores by which the ready capacity for short-running work, on spot machines or on machines of any
+    /// kind, exceeds the cores in use by short-running work.
     fn missing_ready_cores(&self, spot_only: bool) -> f64 {
         (self.state.load.ready_cores(spot_only) - self.short_running_in_use).max(0.0)
     }
 
     /// Returns the machines to drain, and whether there are surplus machines. Idle machines are drained at once.
     /// Surplus machines, whose work other machines could hold, are drained once the surplus has lasted long enough and
-    /// no idle machine is left to drain. On-demand machines are drained before spot machines.
+    /// no idle machine is left to drain. On-demand machines are drained before spot machines. No machine counts as
+    /// surplus while long-running work has a queue time above [`CONSOLIDATION_MAX_QUEUE_S`].
     fn scale_in(&self) -> (Vec<MachineId>, bool) {
         let planner = ScaleInPlanner { catalog: self.catalog, machines: self.machines };
         let idle = planner.idle_machines(&self.state.load, self.short_running_in_use);
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -9,11 +9,12 @@
 const SPOT_IDLE_LIMIT_S: f64 = 60.0;
 /// Seconds without a task after which an on-demand machine may be returned.
 const ON_DEMAND_IDLE_LIMIT_S: f64 = 20.0;
-/// Minimum time in seconds that the cloud bills for a machine. Machines are not returned before that age.
+/// Minimum time in seconds that the cloud bills for a machine. Machines are not returned before they reach this age.
 const MIN_BILLED_S: f64 = 60.0;
 /// Cores that stay free beyond ready capacity when machines are consolidated, as a share of the cores in use.
 const HEADROOM_SHARE: f64 = 0.12;
-/// At a time, at most one in this number of the machines in service is consolidated, for each machine type.
+/// The number of machines in service divided by this number is the maximum number of machines of each type that are
+/// consolidated at a time.
 const CONSOLIDATION_DIVISOR: usize = 40;
 
 /// Selects machines to scale in.
@@ -23,8 +24,9 @@
 }
 
 impl ScaleInPlanner<'_> {
-    /// Returns the machines that have been idle for long enough, most expensive first, as far as the remaining machines
-    /// provide the ready capacity for short-running work. `in_use` is the number of cores in use by such work.
+    /// Returns the machines that have been idle for long enough, highest price per core first, as far as the remaining
+    /// machines provide the ready capacity for short-running work. `in_use` is the number of cores in use by
+    /// short-running work.
     pub fn idle_machines(&self, load: &OfferedLoad, in_use: f64) -> Vec<MachineId> {
         let remaining = self.machines.iter().filter(|machine| !machine.unavailable);
         let mut remaining_cores =
@@ -51,9 +53,9 @@
     }
 
     /// Returns the spot or on-demand machines whose work other machines of their type could hold, least used first and
-    /// a few at a time. They take no new tasks and are returned once they are empty. `missing_ready` is the number of
-    /// cores of ready capacity that has to stay free. `long_running` returns the recent mean of the cores in use by
-    /// long-running work on a machine type, which count as still in use.
+    /// a few at a time. Once drained, these machines take no new tasks and are returned when they are empty.
+    /// `missing_ready` is the number of cores of ready capacity that have to stay free. `long_running` returns for a
+    /// machine type the recent mean of the cores in use by long-running work. At least this mean counts as in use.
     pub fn surplus_machines(
         &self,
         spot: bool,
@@ -62,16 +64,16 @@
     ) -> Vec<MachineId> {
         let in_service = || self.machines.iter().filter(|machine| machine.in_service());
         // In a small fleet one job is a large part of the load, so a surplus machine is likely to be needed again soon.
-        // The limit is 0 for fewer machines than the divisor.
+        // The limit is therefore 0 for fewer machines than the divisor.
         let limit = in_service().count() / CONSOLIDATION_DIVISOR;
         let mut chosen = Vec::new();
         for machine_type in self.catalog.keys() {
             let of_type =
                 || in_service().filter(|machine| machine.offer.machine_type == *machine_type);
             let used: f64 = of_type().map(|machine| self.used_cores(machine)).sum();
-            let in_use = used.max(long_running(machine_type)) * (1.0 + HEADROOM_SHARE);
+            let needed = used.max(long_running(machine_type)) * (1.0 + HEADROOM_SHARE);
             let total_cores: f64 = of_type().map(|machine| self.cores(machine)).sum();
-            let mut surplus = total_cores - in_use - missing_ready;
+            let mut surplus = total_cores - needed - missing_ready;
             let mut candidates: Vec<&MachineUsage> = of_type()
                 .filter(|machine| machine.offer.spot == spot && self.may_return(machine))
                 .collect();
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -156,7 +156,8 @@
 
     /// Adds headroom for future gangs, either those that allow spot machines or those that do not, in tasks of the size
     /// of the gang with the most tasks. The headroom is divided equally among the zones in which machines are reserved
-    /// for gangs. Tasks for which these zones have neither room nor an allowed offer may be in any zone.
+    /// for gangs. Tasks for which these zones have neither room nor an allowed offer may be in any zone, and so may all
+    /// headroom while `gang_zones` of `state` is empty.
     pub fn add_gang_headroom(
         &mut self,
         pending: &[PendingWork<'_>],
--- a/src/cluster_view.rs
+++ b/src/cluster_view.rs
@@ -1,4 +1,4 @@
-//! Read-only inputs of the leader and its fleet, besides their own state.
+//! Read-only inputs of the leader and its [`crate::fleet`], besides their own state.
 //!
 //! A view is created for one step of the leader and borrows from its [`crate::controller::Controller`]. All parts of
 //! the step therefore see the same time, replica and settings.
@@ -30,7 +30,8 @@
     pub completed_tasks: &'a BTreeMap<JobId, CompletedTasks>,
     /// Settings of the deployment.
     pub settings: &'a Settings,
-    /// Limits of the state store, which writes respect.
+    /// Limits of the state store that writes respect now. They fall below the limits in `settings` when the store
+    /// rejects a write that respects the settings.
     pub limits: &'a StoreLimits,
     /// All controllers, indexed by [`crate::model::NodeId`].
     pub nodes: &'a [NodeInfo],
--- a/src/offered_load.rs
+++ b/src/offered_load.rs
@@ -1,9 +1,11 @@
 //! Statistics of the offered load, which determine how much capacity is kept ready.
 //!
 //! Short-running work and gangs need machines that are up before the work arrives, because booting a machine takes
-//! longer than the work may wait. The offered load is the number of cores that this work would use if all of it
-//! started on arrival. It is averaged over time with exponential decay, and stored in the state store for the next
-//! leader.
+//! longer than the work may wait. The capacity kept up for short-running work is called ready capacity; for gangs,
+//! headroom is kept free. The offered load is the number of cores that such work would use if all of it started on
+//! arrival. It is averaged over time with exponential decay, and stored in the state store for the next leader.
+//!
+//! Work is urgent if its job has critical or high priority.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,8 +13,8 @@
 
 /// Half-life in seconds of the load peak that sizes ready capacity on machines of any kind.
 const PEAK_HALF_LIFE_S: f64 = 100.0;
-/// Half-life in seconds of the load peak that sizes ready capacity on spot machines. It is longer because spot
-/// machines are cheap enough to be kept longer.
+/// Half-life in seconds of the load peak that sizes ready capacity on spot machines, and of the peak of the largest
+/// gang's cores. It is longer than [`PEAK_HALF_LIFE_S`] because spot machines are cheap enough to be kept longer.
 const SLOW_PEAK_HALF_LIFE_S: f64 = 250.0;
 /// Time constant in seconds of the average of urgent short-running work.
 const URGENT_TIME_CONSTANT_S: f64 = 120.0;
@@ -33,9 +35,10 @@
 const SHORT_RUNNING_MEAN_MULTIPLE: f64 = 1.1;
 /// Time constant in seconds of the average of gangs.
 const GANG_TIME_CONSTANT_S: f64 = 120.0;
-/// Ready capacity for gangs covers the mean plus this number of standard deviations.
+/// The cores in use by gangs plus the headroom for gangs cover the mean load of gangs plus this number of standard
+/// deviations.
 const GANG_DEVIATIONS: f64 = 2.0;
-/// Minimum of the free cores that are kept for gangs, as a multiple of the largest gang's cores.
+/// Minimum headroom for gangs that are not rare, as a multiple of the largest gang's cores.
 const LARGEST_GANG_MULTIPLE: f64 = 4.0;
 /// Gangs count as rare if their mean load is below this share of the largest gang's cores. No machines are kept idle
 /// for rare gangs.
@@ -70,11 +73,11 @@
 /// Load at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadSample {
-    /// Cores that short-running work would use if all of it started on arrival.
+    /// Cores that short-running work other than gangs would use if all of it started on arrival.
     pub short_running: Cores,
-    /// The part of `short_running` that belongs to urgent jobs.
+    /// The part of `short_running` that belongs to jobs of critical or high priority.
     pub urgent: Cores,
-    /// Cores in use by long-running work.
+    /// Cores in use by long-running work, including gangs.
     pub long_running: Cores,
 }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -60,7 +60,7 @@
     pub schedulable: bool,
 }
 
-/// A machine as a target of placement. Its state includes the tasks that were placed on it in this round.
+/// A machine as a target of placement. Its state includes the tasks that were placed on it with [`Self::add`].
 #[derive(Clone, Debug)]
 pub struct PlacementTarget {
     /// Id of the machine.
@@ -109,7 +109,7 @@
             && allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    /// Returns the seconds that a task would wait for its image on the machine.
+    /// Returns the expected seconds that a task would wait for its image on the machine.
     fn fetch_s(&self, spec: &JobSpec) -> f64 {
         let rate = if self.fetch_gb_per_s > 0.0 { self.fetch_gb_per_s } else { 1.0 };
         let exclusive_fetch_s = spec.image_gb / rate;
@@ -148,7 +148,8 @@
     }
 
     /// Creates the target for a machine that holds the given tasks, or returns `None` if the machine's type is not in
-    /// the catalog. The target is not schedulable if the needs of one of the tasks are unknown.
+    /// the catalog. The target is not schedulable if the needs of one of the tasks are unknown, or if the replica does
+    /// not record the machine as up.
     pub fn of(
         machine: ObservedMachine<'_>,
         tasks: impl Iterator<Item = (TaskId, TaskState)>,
@@ -160,7 +161,8 @@
         let mut all_needs_known = true;
         let mut fetching: Vec<Rc<str>> = Vec::new();
         for (task, state) in tasks {
-            // The job has ended, but its task uses resources until the task has left the machine.
+            // A job without a record has ended. Its task uses an unknown amount of resources until the task has left
+            // the machine.
             let Some(job) = replica.jobs.get(&task.job) else {
                 all_needs_known = false;
                 continue;
@@ -290,7 +292,7 @@
     chosen
 }
 
-/// Returns how many tasks fit into the given resources, at most `MAX_SLOTS`.
+/// Returns how many tasks that need `need` each fit into the offered resources, at most `MAX_SLOTS`.
 pub fn slots(need: &Resources, offered: &Resources) -> u32 {
     let fitting = |need: Cores, offered: Cores| offered.0.checked_div(need.0).unwrap_or(u64::MAX);
     fitting(need.cores, offered.cores)
--- a/src/placement/gangs.rs
+++ b/src/placement/gangs.rs
@@ -6,9 +6,9 @@
 /// Machines whose start times differ by at most this many seconds count as equally early for a gang.
 const START_TOLERANCE_S: f64 = 0.5;
 
-/// Returns the start time of a gang's task on a machine: seconds until the task can start, plus the cost of slow
-/// execution and, if the gang allows spot machines, of an on-demand machine. Cores left over are not counted, as the
-/// gang is fitted as a whole.
+/// Returns the start time of a gang's task on a machine: seconds from now until the task can start, plus the cost in
+/// seconds of slow execution and, if the gang allows spot machines, of an on-demand machine. Cores left over are not
+/// counted, as the gang is fitted as a whole.
 fn gang_start_s(spec: &JobSpec, target: &PlacementTarget) -> f64 {
     let is_more_expensive = spec.allows_spot && !target.spot;
     let on_demand_s =
@@ -30,7 +30,7 @@
 /// The machines chosen for all tasks of a gang.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GangPlacement {
-    /// Latest start time of a task in seconds, which includes the costs of on-demand and slow machines.
+    /// Latest start time of a task in seconds from now, which includes the costs of on-demand and slow machines.
     pub last_start_s: f64,
     /// Index of each task's machine among the targets.
     pub machines: Vec<usize>,
@@ -62,8 +62,8 @@
 }
 
 /// Returns the earliest bins that together hold `count` tasks, and all bins whose start time is within
-/// [`START_TOLERANCE_S`] of the last of them. Expects the bins in order of their start times; returns `None` if they
-/// hold fewer tasks.
+/// [`START_TOLERANCE_S`] of the last of them. Expects the bins in order of their start times. Returns `None` if all
+/// bins together hold fewer than `count` tasks.
 fn earliest_bins(bins: &[GangBin], count: usize) -> Option<Vec<GangBin>> {
     let mut slots = 0;
     let last = bins.iter().find(|bin| {
