--- a/src/leader/scaling.rs
+++ b/src/leader/scaling.rs
@@ -159,7 +159,7 @@
             let machine_type = inputs.cluster.catalog.get(&machine.offer.machine_type);
             let offered = machine_type.map(Resources::offered).unwrap_or_default();
             let target = targets.get(id);
-            let closed = target.is_none_or(|target| !target.open);
+            let closed = target.is_none_or(|target| !target.schedulable);
             MachineUsage {
                 id: id.clone(),
                 offer: machine.offer.clone(),
@@ -168,7 +168,7 @@
                 free: target.map_or(offered, |target| target.free),
                 idle_s: now.since(machine.last_busy) as f64 / 1000.0,
                 reserved: self.gangs.reserved.binary_search(id).is_ok(),
-                leaving: machine.draining.is_some() || machine.failed || (machine.up && closed),
+                unavailable: machine.draining.is_some() || machine.failed || (machine.up && closed),
             }
         });
         machines.collect()
--- a/src/service/scaling.rs
+++ b/src/service/scaling.rs
@@ -210,7 +210,7 @@
         controller
             .leader
             .as_ref()
-            .is_some_and(|leader| !leader.retained.market.is_open(offer, self.now()))
+            .is_some_and(|leader| !leader.retained.market.may_request(offer, self.now()))
     }
 
     /// Sends a scale-out request and records its outcome.
--- a/tests/loopback/controllers.rs
+++ b/tests/loopback/controllers.rs
@@ -12,7 +12,7 @@
 use willowshore::service::STATUS_PATH;
 use willowshore_standby::status::{Role, Status};
 
-use crate::site::{Timing, ZONES};
+use crate::site::{WorkerTiming, ZONES};
 
 /// Number of controllers in a site.
 const CONTROLLER_COUNT: usize = 3;
@@ -51,7 +51,7 @@
     /// Starts all controllers and waits until each is ready.
     pub async fn start(
         name: &str,
-        timing: Timing,
+        timing: WorkerTiming,
         team_limit: u64,
         store: SocketAddr,
         cloud: SocketAddr,
@@ -196,7 +196,7 @@
 /// A controller's settings file, with the parameters of the simulation.
 fn settings_for(
     node: usize,
-    timing: Timing,
+    timing: WorkerTiming,
     team_limit: u64,
     store: SocketAddr,
     cloud: SocketAddr,
--- a/tests/loopback/history.rs
+++ b/tests/loopback/history.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use crate::check::{Checker, Event};
-use crate::site::Timing;
+use crate::site::WorkerTiming;
 
 /// The recorded history of a site.
 pub struct History {
@@ -18,7 +18,7 @@
 }
 
 impl History {
-    pub fn new(timing: Timing, team_limit: u64) -> Self {
+    pub fn new(timing: WorkerTiming, team_limit: u64) -> Self {
         History {
             started_at: Instant::now(),
             checker: RefCell::new(Checker::new(timing.cancel_ms, team_limit)),
--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -17,7 +17,7 @@
 
 use crate::check::Event;
 use crate::history::History;
-use crate::site::{Timing, ZONES};
+use crate::site::{WorkerTiming, ZONES};
 use crate::worker::{Answer, Change, Worker};
 
 /// Interval at which a worker advances its tasks.
@@ -32,7 +32,7 @@
 /// All machines of a site.
 pub struct Machines {
     history: Rc<History>,
-    timing: Timing,
+    timing: WorkerTiming,
     controllers: RefCell<Vec<SocketAddr>>,
     /// Worker of each machine, and whether the machine is a spot machine.
     workers: RefCell<Vec<(Rc<RefCell<Worker>>, bool)>>,
@@ -42,7 +42,7 @@
 }
 
 impl Machines {
-    pub fn new(history: Rc<History>, timing: Timing) -> Self {
+    pub fn new(history: Rc<History>, timing: WorkerTiming) -> Self {
         Machines {
             history,
             timing,
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -27,12 +27,12 @@
 use controllers::Controllers;
 use history::History;
 use machines::Machines;
-use site::Timing;
+use site::WorkerTiming;
 use tokio::time::sleep;
 use users::Users;
 
 /// The timing of the workers.
-const TIMING: Timing = Timing { report_ms: 500, lease_ms: 6_000, cancel_ms: 16_000 };
+const TIMING: WorkerTiming = WorkerTiming { report_ms: 500, lease_ms: 6_000, cancel_ms: 16_000 };
 /// Machines that run before the first job.
 const INITIAL_MACHINES: usize = 36;
 /// The team's limit.
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -1,6 +1,6 @@
 //! Single faults, combinations of faults, and random faults.
 
-use crate::site::{LONG_LEASES, SHORT_LEASES, Timing};
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use crate::world::{self, Fault, World};
 use crate::{run_scenario, run_world, run_world_until};
 
@@ -323,7 +323,7 @@
 }
 
 /// Converts times and durations that are relative to the lease to milliseconds.
-fn scale_to_lease(timing: Timing, faults: &[(u64, Fault)]) -> Vec<(u64, Fault)> {
+fn scale_to_lease(timing: WorkerTiming, faults: &[(u64, Fault)]) -> Vec<(u64, Fault)> {
     let tenth = timing.lease_ms / 10;
     faults.iter().map(|(at, f)| (at * tenth, f.scaled(tenth / 10))).collect()
 }
--- a/tests/sim/main.rs
+++ b/tests/sim/main.rs
@@ -19,16 +19,16 @@
 mod worker;
 mod world;
 
-use site::Timing;
+use site::WorkerTiming;
 use world::{Fault, World};
 
 /// Runs a new world for 20 lease durations and expects no violation and the end of every job.
-fn run_scenario(name: &str, seed: u64, timing: Timing, faults: &[(u64, Fault)]) {
+fn run_scenario(name: &str, seed: u64, timing: WorkerTiming, faults: &[(u64, Fault)]) {
     run_world(World::new(seed, timing), name, seed, timing, faults);
 }
 
 /// Runs a world for 20 lease durations and expects no violation and the end of every job.
-fn run_world(world: World, name: &str, seed: u64, timing: Timing, faults: &[(u64, Fault)]) {
+fn run_world(world: World, name: &str, seed: u64, timing: WorkerTiming, faults: &[(u64, Fault)]) {
     run_world_until(timing.lease_ms * 20, world, name, seed, timing, faults);
 }
 
@@ -38,7 +38,7 @@
     mut world: World,
     name: &str,
     seed: u64,
-    timing: Timing,
+    timing: WorkerTiming,
     faults: &[(u64, Fault)],
 ) {
     world.run(faults, until_ms);
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -16,7 +16,7 @@
 
 use failover::PHASES;
 use plotters::prelude::*;
-use site::{LONG_LEASES, SHORT_LEASES, Timing};
+use site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use willowshore_standby::settings::StandbySettings;
 use willowshore_standby::status::DurationHistogram;
 use world::{Fault, World};
@@ -35,7 +35,7 @@
 struct Case {
     failure: &'static str,
     fault: Fault,
-    timing: Timing,
+    timing: WorkerTiming,
     standby: bool,
 }
 
@@ -133,7 +133,7 @@
     world.standby = standby.then(StandbySettings::default);
     world.run(&[(18_000, Fault::CrashLeader)], 60_000);
     let simulated_in_s = began.elapsed().as_secs_f64();
-    let log = world.log_of_leader();
+    let log = world.decision_log_cost_of_leader();
     Cost {
         machines,
         standby,
@@ -141,8 +141,8 @@
         violations: world.checker.violations.len(),
         epochs: world.epochs.count,
         epoch_us: world.epochs.mean_us(),
-        heartbeats: world.reports.count,
-        heartbeat_us: world.reports.mean_us(),
+        heartbeats: world.heartbeats.count,
+        heartbeat_us: world.heartbeats.mean_us(),
         // The decision log of the new leader.
         bytes_per_s: log.bytes as f64 / LOG_WRITTEN_S,
         records: log.records,
--- a/tests/sim/site.rs
+++ b/tests/sim/site.rs
@@ -9,7 +9,7 @@
 
 /// Worker settings of a site, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct WorkerTiming {
     /// Interval between two heartbeats of a worker.
     pub report_ms: u64,
     /// Time for which a worker keeps its tasks without a response.
@@ -19,11 +19,13 @@
 }
 
 /// Frequent heartbeats and short leases, as in small deployments.
-pub const SHORT_LEASES: Timing = Timing { report_ms: 1_000, lease_ms: 10_000, cancel_ms: 30_000 };
+pub const SHORT_LEASES: WorkerTiming =
+    WorkerTiming { report_ms: 1_000, lease_ms: 10_000, cancel_ms: 30_000 };
 /// Infrequent heartbeats and long leases, as in large deployments.
-pub const LONG_LEASES: Timing = Timing { report_ms: 5_000, lease_ms: 26_500, cancel_ms: 46_500 };
+pub const LONG_LEASES: WorkerTiming =
+    WorkerTiming { report_ms: 5_000, lease_ms: 26_500, cancel_ms: 46_500 };
 
-impl Timing {
+impl WorkerTiming {
     /// The text of the test settings with this timing and the team's limit in cores.
     pub fn settings(self, team_limit: u64) -> String {
         let set = |text: String, field: &str, old: &str, ms: u64| {
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -4,7 +4,7 @@
 use willowshore_standby::settings::StandbySettings;
 
 use crate::failover::PHASES;
-use crate::site::{LONG_LEASES, SHORT_LEASES, Timing};
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use crate::world::failover::DecisionLogCost;
 use crate::world::{self, Fault, World};
 
@@ -27,7 +27,12 @@
 }
 
 /// Runs a world for 30 lease durations, expects no violation and the end of every job, and returns the world.
-fn run_to_end(mut world: World, name: &str, timing: Timing, faults: &[(u64, Fault)]) -> World {
+fn run_to_end(
+    mut world: World,
+    name: &str,
+    timing: WorkerTiming,
+    faults: &[(u64, Fault)],
+) -> World {
     world.run(faults, timing.lease_ms * 30);
     assert!(world.checker.violations.is_empty(), "{name}: {:?}", world.checker.violations);
     let unfinished = world.unfinished();
@@ -248,7 +253,7 @@
         assert!(world.checker.violations.is_empty(), "{seed}: {:?}", world.checker.violations);
         assert!(world.refused_actions > 0, "{seed}");
         assert!(
-            !world.is_gone(1),
+            !world.is_terminated(1),
             "{seed}: the old leader returned a machine with tasks of its successor"
         );
     }
@@ -277,11 +282,11 @@
     let mut world = with_standby(World::fleet(1, 600));
     world.run(&[(18_000, CrashLeader)], 45_000);
     assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations);
-    let DecisionLogCost { bytes, records, entries } = world.log_of_leader();
+    let DecisionLogCost { bytes, records, entries } = world.decision_log_cost_of_leader();
     assert!(entries > 100, "{entries} entries");
     assert!(records <= settings.window_records, "{records} records");
     // At most 20 kB/s to both standbys together, over 25 s.
     assert!((1..25 * 20_000).contains(&bytes), "{bytes} bytes");
-    let [direct, _] = world.largest;
-    assert!(direct <= world::DIRECT_BYTES, "{direct} bytes in a message to a controller");
+    let [direct, _] = world.largest_message_bytes;
+    assert!(direct <= world::MAX_DIRECT_BYTES, "{direct} bytes in a message to a controller");
 }
--- a/tests/sim/worker.rs
+++ b/tests/sim/worker.rs
@@ -7,7 +7,7 @@
     ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus, WorkerCommand,
 };
 
-use crate::site::Timing;
+use crate::site::WorkerTiming;
 
 /// Time to fetch an image that the worker has not cached.
 const IMAGE_FETCH_MS: u64 = 700;
@@ -67,7 +67,7 @@
 }
 
 impl Worker {
-    pub fn new(id: usize, zone: &'static str, now: u64, timing: Timing) -> Self {
+    pub fn new(id: usize, zone: &'static str, now: u64, timing: WorkerTiming) -> Self {
         Worker {
             id,
             endpoint: id.to_string(),
