--- a/tests/sim/cancellation.rs
+++ b/tests/sim/cancellation.rs
@@ -1,6 +1,6 @@
 //! Tasks of cancelled jobs end within `cancel_s`, whatever fails.
 
-use crate::site::{BRISK, Rhythm, SLOW};
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use crate::world::{Fault, World};
 
 use Fault::{
@@ -28,7 +28,7 @@
     ];
     let mut cancelled = 0;
     for (report_ms, lease_ms, cancel_ms) in rhythms {
-        let rhythm = Rhythm { report_ms, lease_ms, cancel_ms };
+        let timing = WorkerTiming { report_ms, lease_ms, cancel_ms };
         let outage_ms = cancel_ms + lease_ms + 5_000;
         // Time from the refusal to the cancellation, and from the cancellation to the outage.
         for (seed, (cancelled_after_ms, outage_after_ms)) in
@@ -57,18 +57,23 @@
                 if leader_crashes {
                     faults.push((cancelled_at + outage_after_ms + 3_000, BriefLeaderCrash));
                 }
-                let mut world = World::long_running(seed as u64, rhythm);
+                let mut world = World::long_running(seed as u64, timing);
                 world.run(&faults, cancelled_at + outage_after_ms + outage_ms + 20_000);
                 let name = format!(
-                    "{rhythm:?} {cancelled_after_ms} {outage_after_ms} {hang_ms} {leader_crashes} {leader_is_stranded}"
+                    "{timing:?} {cancelled_after_ms} {outage_after_ms} {hang_ms} {leader_crashes} {leader_is_stranded}"
+                );
+                assert!(
+                    world.checker.violations.is_empty(),
+                    "{name}: {:?}",
+                    world.checker.violations
                 );
-                assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
                 // The bound covers the proof that the replica is current, which is valid for 3.5 s, the transit
                 // of the response and the fetch of the image.
-                let latest_start_ms = world.checker.latest_start_ms;
+                let latest_start_after_cancellation_ms =
+                    world.checker.latest_start_after_cancellation_ms;
                 assert!(
-                    latest_start_ms < 5_000,
-                    "{name}: a task started {latest_start_ms} ms after its cancellation"
+                    latest_start_after_cancellation_ms < 5_000,
+                    "{name}: a task started {latest_start_after_cancellation_ms} ms after its cancellation"
                 );
                 cancelled += world.checker.cancelled_jobs();
             }
@@ -95,20 +100,20 @@
         }),
     ];
     for (name, faults_for) in cases {
-        for rhythm in [BRISK, SLOW] {
+        for timing in [SHORT_LEASES, LONG_LEASES] {
             for leader_crashes in [false, true] {
-                let ms = rhythm.cancel_ms + rhythm.lease_ms;
+                let ms = timing.cancel_ms + timing.lease_ms;
                 let mut faults: Vec<(u64, Fault)> =
                     faults_for(ms).into_iter().map(|f| (20_000, f)).collect();
                 faults.push((20_500, CancelNow(4, 0)));
                 if leader_crashes {
                     faults.push((20_600, CrashLeader));
                 }
-                let mut world = World::long_running(5, rhythm);
+                let mut world = World::long_running(5, timing);
                 world.run(&faults, 20_000 + ms + 10_000);
-                let broken = &world.checker.broken;
-                assert!(broken.is_empty(), "{name} {rhythm:?} {leader_crashes}: {broken:?}");
-                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {leader_crashes}");
+                let broken = &world.checker.violations;
+                assert!(broken.is_empty(), "{name} {timing:?} {leader_crashes}: {broken:?}");
+                assert!(world.checker.cancelled_jobs() > 0, "{name} {timing:?} {leader_crashes}");
             }
         }
     }
--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -1,6 +1,6 @@
 //! High load: many small jobs, more jobs than the machines can run, teams at their limits.
 
-use crate::site::{BRISK, SLOW};
+use crate::site::{LONG_LEASES, SHORT_LEASES};
 use crate::world::{Fault, World};
 
 use Fault::{AggressivePolling, CrashLeader};
@@ -12,7 +12,7 @@
     faults.sort_by_key(|f| f.0);
     let mut world = World::many_small_jobs(1, 720);
     world.run(&faults, 300_000);
-    assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
+    assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations);
     assert!(world.unfinished().is_empty(), "{:?}", world.unfinished());
     for n in 0..3 {
         let (keys, [open, ended, cancelled]) = world.record_counts(n);
@@ -29,7 +29,7 @@
 fn a_large_job_begins_in_time_beside_much_high_priority_work() {
     let mut world = World::overloaded(1);
     world.run(&[], 320_000);
-    assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
+    assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations);
     assert!(!world.unfinished().is_empty(), "all jobs ended, so there was no overload");
 }
 
@@ -37,12 +37,12 @@
 fn no_job_starves_while_a_team_is_at_its_limit() {
     // Jobs need more cores than the team's limit allows, and a few cores are always free between two tasks.
     for seed in 1..=5 {
-        for (rhythm, interval_ms) in [(BRISK, 800), (SLOW, 1_600)] {
-            let mut world = World::busy(seed, rhythm);
+        for (timing, interval_ms) in [(SHORT_LEASES, 800), (LONG_LEASES, 1_600)] {
+            let mut world = World::busy(seed, timing);
             world.submission_interval_ms = interval_ms;
             world.run(&[], 420_000);
-            let broken = &world.checker.broken;
-            assert!(broken.is_empty(), "{seed} {rhythm:?}: {broken:?}");
+            let broken = &world.checker.violations;
+            assert!(broken.is_empty(), "{seed} {timing:?}: {broken:?}");
         }
     }
 }
--- a/tests/sim/quota.rs
+++ b/tests/sim/quota.rs
@@ -1,7 +1,7 @@
 //! Teams at their limits whose jobs are cancelled while tasks are granted or started and not yet confirmed by a
 //! heartbeat.
 
-use crate::site::{BRISK, Rhythm, SLOW};
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use crate::world::{Fault, InFlightStage, World};
 
 use Fault::{CancelInFlight, CrashLeader, FreezeLeader};
@@ -38,15 +38,15 @@
     stage: InFlightStage,
     other_faults: OtherFaults,
     seed: u64,
-    rhythm: Rhythm,
+    timing: WorkerTiming,
 ) -> Option<String> {
     let mut faults = other_faults(seed);
     faults.push((CANCELLATION_START_MS, CancelInFlight(stage, CANCELLATION_PERIOD_MS)));
     faults.sort_by_key(|f| f.0);
-    let mut world = World::at_limit(seed, rhythm);
-    world.run(&faults, rhythm.lease_ms * RUN_LEASES);
+    let mut world = World::at_limit(seed, timing);
+    world.run(&faults, timing.lease_ms * RUN_LEASES);
     let open = world.unfinished();
-    let broken = &world.checker.broken;
+    let broken = &world.checker.violations;
     (!broken.is_empty() || !open.is_empty()).then(|| format!("{broken:?}, not finished: {open:?}"))
 }
 
@@ -55,10 +55,10 @@
     let mut failures = Vec::new();
     for stage in [InFlightStage::Granted, InFlightStage::Started, InFlightStage::StartedAndHangs] {
         for (name, other_faults) in OTHER_FAULTS {
-            for rhythm in [BRISK, SLOW] {
+            for timing in [SHORT_LEASES, LONG_LEASES] {
                 for seed in 0..seeds() {
-                    let found = run_case(stage, other_faults, seed, rhythm);
-                    failures.extend(found.map(|found| (stage, name, rhythm, seed, found)));
+                    let found = run_case(stage, other_faults, seed, timing);
+                    failures.extend(found.map(|found| (stage, name, timing, seed, found)));
                 }
             }
         }
--- a/tests/sim/stopped.rs
+++ b/tests/sim/stopped.rs
@@ -2,8 +2,8 @@
 //! are in use and many tasks are granted before there is room for them. Grants of a term have to be void once a
 //! controller knows the next term.
 
-use crate::play_for;
-use crate::site::{BRISK, Rhythm, SLOW};
+use crate::run_world_until;
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming};
 use crate::standby::with_standby;
 use crate::world::{Fault, World};
 
@@ -63,7 +63,7 @@
     }),
 ];
 
-fn run_pattern(name: &str, pattern: FaultPattern, seed: u64, rhythm: Rhythm, standby: bool) {
+fn run_pattern(name: &str, pattern: FaultPattern, seed: u64, timing: WorkerTiming, standby: bool) {
     let mut faults: Vec<(u64, Fault)> = (0..FAILURES_PER_RUN)
         .flat_map(|i| {
             let (at, suspended_ms) = failure(seed, i);
@@ -71,10 +71,10 @@
         })
         .collect();
     faults.sort_by_key(|f| f.0);
-    let world = World::saturated(seed, rhythm);
+    let world = World::saturated(seed, timing);
     let world = if standby { with_standby(world) } else { world };
     let name = format!("{name}, standby {standby}");
-    play_for(rhythm.lease_ms * 30, world, &name, seed, rhythm, &faults);
+    run_world_until(timing.lease_ms * 30, world, &name, seed, timing, &faults);
 }
 
 #[test]
@@ -84,9 +84,9 @@
     // heartbeats every 5 s, as the term is then announced to machines before their next heartbeat.
     for (name, pattern) in FAULT_PATTERNS {
         for seed in 0..seeds() {
-            for rhythm in [BRISK, SLOW] {
+            for timing in [SHORT_LEASES, LONG_LEASES] {
                 for standby in [false, true] {
-                    run_pattern(name, pattern, seed, rhythm, standby);
+                    run_pattern(name, pattern, seed, timing, standby);
                 }
             }
         }
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -23,7 +23,7 @@
                 return;
             }
             self.last_incarnation += 1;
-            let mut text = self.rhythm.settings(self.team_limit);
+            let mut text = self.timing.settings(self.team_limit);
             if n > 0 {
                 // The settings of each controller list itself first. Addresses are not used in simulation.
                 let (name, site) = (format!("host-{n}"), ZONES[n % 2]);
@@ -213,13 +213,13 @@
         let clock = node.clock_reading(now);
         let controller = &mut node.controller;
         if !controller.loaded {
-            let (items, revision) = self.store.all();
+            let (items, revision) = self.store.entries();
             controller.load(&items, revision);
             let initial_changes =
                 willowshore::replica::ReplicaChanges { leader: true, ..Default::default() };
             controller.on_replica_changes(clock, &initial_changes);
         }
-        let changes = self.store.changes(controller.replica.revision);
+        let changes = self.store.changes_after(controller.replica.revision);
         if let Some(replica_changes) = controller.apply_watch_response(&changes, clock.steady) {
             controller.on_replica_changes(clock, &replica_changes);
         }
@@ -370,14 +370,14 @@
         }
         for id in &scaled_in {
             if let Some(w) = (0..self.workers.len()).find(|w| self.workers[*w].name() == *id) {
-                let changes = self.workers[w].vanish();
+                let changes = self.workers[w].terminate();
                 self.record_worker_changes(w, changes);
             }
         }
         let mut add_provisioned = Vec::new();
         for _ in &scaled_in {
             let id = self.workers.len();
-            let mut worker = Worker::new(id, ZONES[id % 2], now + BOOT_MS, self.rhythm);
+            let mut worker = Worker::new(id, ZONES[id % 2], now + BOOT_MS, self.timing);
             worker.hung_until = now + BOOT_MS;
             add_provisioned.push((worker.name(), worker.zone));
             self.workers.push(worker);
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -211,7 +211,7 @@
         for _ in 0..count {
             let id = self.workers.len();
             let up_at = self.now + self.rng.random_range(300..2_000);
-            let mut worker = Worker::new(id, ZONES[id % 2], up_at, self.rhythm);
+            let mut worker = Worker::new(id, ZONES[id % 2], up_at, self.timing);
             worker.hung_until = up_at;
             let (name, zone) = (worker.name(), worker.zone);
             self.workers.push(worker);
@@ -347,12 +347,12 @@
                     self.partition([Endpoint::Node(n)].into(), rest, ms, false);
                 }
             }
-            Fault::StoreOutage(ms) => self.store.outage(now, ms),
+            Fault::StoreOutage(ms) => self.store.begin_outage(now, ms),
             Fault::StoreRefusesLeader(ms) => self.store_refusals.push((self.leader(), now + ms)),
             Fault::SlowStore(ms) => self.slow_store_until = now + ms,
             Fault::LostResponses(ms) => self.lost_responses_until = now + ms,
             Fault::WorkerCrash(w) => {
-                let changes = self.workers[w].vanish();
+                let changes = self.workers[w].terminate();
                 self.record_worker_changes(w, changes);
             }
             Fault::PartitionWorker(w, ms, hold) => {
@@ -379,7 +379,7 @@
                 rest.insert(Endpoint::Store);
                 self.partition([Endpoint::Node(node)].into(), rest, ms, hold);
             }
-            Fault::SpotReclaimed(w, ms) => self.workers[w].notice(now, now + ms),
+            Fault::SpotReclaimed(w, ms) => self.workers[w].give_spot_notice(now, now + ms),
             Fault::Upgrade(n) => {
                 self.old_version[n] = false;
                 self.crash(n, RESTART_MS);
--- a/tests/sim/world/gangs.rs
+++ b/tests/sim/world/gangs.rs
@@ -24,7 +24,7 @@
             let is_running = tasks.iter().any(|t| t.2 == TaskState::Running);
             if tasks.len() == task_count && !is_running {
                 for (w, task, _) in tasks {
-                    self.workers[w].gang_runs(task, attempt, now + self.gang_run_ms, now);
+                    self.workers[w].run_gang_task(task, attempt, now + self.gang_run_ms, now);
                     self.gang_tasks_started += 1;
                 }
             } else if tasks.len() < task_count
@@ -34,7 +34,7 @@
                 let since = *self.broken_gangs.entry((job, attempt)).or_insert(now);
                 if now - since >= GANG_LOSS_DETECTION_MS {
                     for (w, task, _) in tasks {
-                        let changes = self.workers[w].gang_breaks(task, attempt, now);
+                        let changes = self.workers[w].stop_gang_task(task, attempt, now);
                         self.record_worker_changes(w, changes);
                     }
                 }
@@ -46,7 +46,7 @@
     /// receive the command within `gang_peer_s`, or nothing is saved.
     pub(super) fn record_checkpoint_commands(&mut self, w: usize) {
         let now = self.now;
-        for (task, attempt) in self.workers[w].saving() {
+        for (task, attempt) in self.workers[w].take_checkpoint_commands() {
             let first = *self.first_checkpoint_commands.entry((task.job, attempt)).or_insert(now);
             self.max_checkpoint_command_lag_ms =
                 self.max_checkpoint_command_lag_ms.max(now - first);
--- a/tests/sim/world/in_flight.rs
+++ b/tests/sim/world/in_flight.rs
@@ -60,7 +60,7 @@
             _ => None,
         });
         let Some(job) = started else { return };
-        let ms = (self.rhythm.lease_ms as f64 * MACHINE_FAULT_LEASE_SHARE) as u64;
+        let ms = (self.timing.lease_ms as f64 * MACHINE_FAULT_LEASE_SHARE) as u64;
         match self.take_opportunity() {
             Some(InFlightStage::Started) => {
                 let nodes = (0..3).map(Endpoint::Node).collect();
--- a/tests/sim/world/messages.rs
+++ b/tests/sim/world/messages.rs
@@ -107,11 +107,11 @@
                 self.heartbeats.count += 1;
                 self.heartbeats.total += started.elapsed();
                 let answer = match answer {
-                    HeartbeatOutcome::Respond(response) => Answer::Take(response),
-                    HeartbeatOutcome::Redirect(name) => Answer::Go(
+                    HeartbeatOutcome::Respond(response) => Answer::Accepted(response),
+                    HeartbeatOutcome::Redirect(name) => Answer::Redirected(
                         node.controller.nodes.iter().position(|i| i.name == name).unwrap(),
                     ),
-                    HeartbeatOutcome::Refuse => Answer::Refuse,
+                    HeartbeatOutcome::Refuse => Answer::Refused,
                 };
                 if now < self.lost_responses_until && self.rng.random_bool(0.3) {
                     return;
@@ -149,7 +149,8 @@
                     return;
                 }
                 let (term, agent_epoch) = (request.term.0, request.agent_epoch.0);
-                let (heartbeat, changes) = worker.direct(now, term, agent_epoch, &request.commands);
+                let (heartbeat, changes) =
+                    worker.handle_direct_commands(now, term, agent_epoch, &request.commands);
                 self.record_worker_changes(w, changes);
                 let message = Message::DirectResponse(n, request, heartbeat, sent);
                 self.send(Endpoint::Worker(w), Endpoint::Node(n), message);
@@ -167,17 +168,17 @@
             Message::HeartbeatResponse(w, ..)
                 if self.unanswered_workers.iter().any(|entry| entry.0 == w && now < entry.1) => {}
             Message::HeartbeatResponse(w, sequence, answer) => {
-                if let (Answer::Take(response), Some(trace)) = (&answer, &mut self.trace) {
+                if let (Answer::Accepted(response), Some(trace)) = (&answer, &mut self.trace) {
                     let jobs = &self.jobs;
                     trace.record_worker_response(now, response, |job| {
                         jobs.get(&job.0).map(|j| j.priority)
                     });
                 }
                 let commands = match &answer {
-                    Answer::Take(response) => response.commands.clone(),
-                    Answer::Go(_) | Answer::Refuse => Vec::new(),
+                    Answer::Accepted(response) => response.commands.clone(),
+                    Answer::Redirected(_) | Answer::Refused => Vec::new(),
                 };
-                let changes = self.workers[w].answer(now, sequence, answer);
+                let changes = self.workers[w].handle_answer(now, sequence, answer);
                 self.record_worker_changes(w, changes);
                 self.cancel_started(w, &commands);
             }
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -36,8 +36,8 @@
             return;
         }
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
-            if self.store.has(&willowshore::replica::job_key(JobId(id))) {
-                self.checker.see(now, Event::Accepted { job: id });
+            if self.store.has_key(&willowshore::replica::job_key(JobId(id))) {
+                self.checker.record(now, Event::JobAccepted { job: id });
             }
             let will_cancel = self.cancel_every_nth > 0 && id.is_multiple_of(self.cancel_every_nth);
             if will_cancel && now >= id * self.submission_interval_ms + 7_000 {
@@ -63,7 +63,7 @@
     /// Reports to the checker whether controller `n` knows an accepted job. Like the service, the controller
     /// answers for an ended job from its replica, and for another one only after reading the store.
     pub(super) fn poll(&mut self, n: usize, id: u64) {
-        let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
+        let accepted = self.store.has_key(&willowshore::replica::job_key(JobId(id)));
         if !accepted || self.cancel_requested.contains(&id) {
             return;
         }
@@ -79,10 +79,10 @@
             _ => None,
         };
         let event = match answer {
-            Some(known) => Event::Answered { job: id, node: n, known },
-            None => Event::Unanswered { job: id, node: n },
+            Some(known) => Event::QueryAnswered { job: id, node: n, known },
+            None => Event::QueryUnanswered { job: id, node: n },
         };
-        self.checker.see(self.now, event);
+        self.checker.record(self.now, event);
     }
 
     /// Queries a job at controller `n`. Submits the job if the controller does not know it, and cancels it if
@@ -96,11 +96,13 @@
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
             self.ended_for_users.insert(id);
             let (event, state) = match state {
-                JobState::Done => (Event::CalledDone { job: id, done, of }, ShownState::Done),
-                _ => (Event::Cancelled { job: id }, ShownState::Cancelled),
+                JobState::Done => {
+                    (Event::JobDone { job: id, completed: done, task_count: of }, ShownState::Done)
+                }
+                _ => (Event::JobCancelled { job: id }, ShownState::Cancelled),
             };
-            self.checker.see(now, event);
-            self.checker.see(now, Event::StateShown { job: id, node: n, state });
+            self.checker.record(now, event);
+            self.checker.record(now, Event::JobStateShown { job: id, node: n, state });
             if now < self.polling_until {
                 self.just_ended.push(id);
             }
@@ -112,7 +114,7 @@
         let Ok(node) = &self.nodes[n] else { return };
         if !node.controller.replica.jobs.contains_key(&JobId(id)) {
             // A repeated submission, also at another controller or while the first is in transit, changes nothing.
-            self.checker.see(now, Event::Submitted { job: id });
+            self.checker.record(now, Event::JobSubmitted { job: id });
             let txn = submission_txn(
                 [&self.jobs[&id]].into_iter(),
                 WallTime(1_000_000 + now),
@@ -149,7 +151,7 @@
         let answer = controller.final_answer(job).or_else(|| controller.open_answer(job));
         match answer {
             Some(answer) => Some(shown_state(answer.state)),
-            None if self.store.has(&replica::job_key(job)) => None,
+            None if self.store.has_key(&replica::job_key(job)) => None,
             None => Some(ShownState::Unknown),
         }
     }
@@ -157,7 +159,7 @@
     /// Submits a job at controller `n`, possibly again. Returns the reported state; `None` if the controller refuses.
     fn submit(&mut self, n: usize, id: u64) -> Option<ShownState> {
         let job = JobId(id);
-        self.checker.see(self.now, Event::Submitted { job: id });
+        self.checker.record(self.now, Event::JobSubmitted { job: id });
         if let Some(answer) = self.immediate_answer(n, job) {
             return answer;
         }
@@ -247,12 +249,13 @@
         if answer == ShownState::Done {
             let of = self.jobs[&id].task_count;
             let done = self.completed.iter().filter(|t| t.job.0 == id).count() as u32;
-            self.checker.see(self.now, Event::CalledDone { job: id, done, of });
+            self.checker
+                .record(self.now, Event::JobDone { job: id, completed: done, task_count: of });
         }
         if matches!(answer, ShownState::Done | ShownState::Cancelled) {
             self.ended_for_users.insert(id);
         }
-        self.checker.see(self.now, Event::StateShown { job: id, node: n, state: answer });
+        self.checker.record(self.now, Event::JobStateShown { job: id, node: n, state: answer });
         let ended = !matches!(answer, ShownState::Open | ShownState::Unknown);
         if self.now < self.polling_until && !self.just_ended.contains(&id) && ended {
             self.just_ended.push(id);
@@ -271,7 +274,7 @@
     pub(super) fn cancel(&mut self, id: u64) {
         let n = self.rng.random_range(0..3);
         self.cancel_requested.insert(id);
-        self.checker.see(self.now, Event::AskedToCancel { job: id });
+        self.checker.record(self.now, Event::CancellationRequested { job: id });
         self.request(n, id, World::abort);
     }
 
