--- a/tests/sim/cancellation.rs
+++ b/tests/sim/cancellation.rs
@@ -12,8 +12,8 @@
 /// The store refuses only the leader, and other controllers confirm cancellations. Then the store is down for
 /// longer than `cancel_s`, while workers keep sending heartbeats to the old leader. The tasks have to end all
 /// the same, and no task of the jobs may start long after the confirmation. In some cases the leader is
-/// partitioned together with most machines and learns nothing: only the time limits on what it may do end the
-/// tasks then.
+/// partitioned together with most machines and does not learn of the cancellations. In these cases, only the
+/// time limits on what a controller may do without the store end the tasks.
 #[test]
 fn cancelled_tasks_end_in_time_whatever_the_store_does() {
     // Heartbeat interval, worker lease and cancellation time: those of the deployments, and the shortest that
@@ -60,7 +60,9 @@
                 let mut world = World::long_running(seed as u64, rhythm);
                 world.run(&faults, cancelled_at + outage_after_ms + outage_ms + 20_000);
                 let name = format!(
-                    "{rhythm:?} {cancelled_after_ms} {outage_after_ms} {hang_ms} {leader_crashes} {leader_is_stranded}"
+                    "{rhythm:?}, cancelled after {cancelled_after_ms} ms, outage after {outage_after_ms} ms, \
+                     hang of {hang_ms} ms, leader crashes: {leader_crashes}, \
+                     leader is stranded: {leader_is_stranded}"
                 );
                 assert!(world.checker.broken.is_empty(), "{name}: {:?}", world.checker.broken);
                 // The bound covers the proof that the replica is current, which is valid for 3.5 s, the transit
@@ -107,8 +109,14 @@
                 let mut world = World::long_running(5, rhythm);
                 world.run(&faults, 20_000 + ms + 10_000);
                 let broken = &world.checker.broken;
-                assert!(broken.is_empty(), "{name} {rhythm:?} {leader_crashes}: {broken:?}");
-                assert!(world.checker.cancelled_jobs() > 0, "{name} {rhythm:?} {leader_crashes}");
+                assert!(
+                    broken.is_empty(),
+                    "{name} {rhythm:?}, leader crashes: {leader_crashes}: {broken:?}"
+                );
+                assert!(
+                    world.checker.cancelled_jobs() > 0,
+                    "{name} {rhythm:?}, leader crashes: {leader_crashes}: no job was cancelled"
+                );
             }
         }
     }
--- a/tests/sim/fleet.rs
+++ b/tests/sim/fleet.rs
@@ -11,7 +11,8 @@
 
 #[test]
 fn a_large_fleet_keeps_the_invariants_and_its_messages_small() {
-    // Name and faults. All machines are in use, with the heartbeat interval and leases of large fleets.
+    // Name and faults of each case. All machines are in use, with the heartbeat interval and leases of large
+    // fleets.
     let cases: Vec<(&str, Vec<(u64, Fault)>)> = vec![
         (
             "all controllers crash, a third of the machines hangs, two machines get no responses",
--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -15,9 +15,10 @@
     assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
     assert!(world.unfinished().is_empty(), "{:?}", world.unfinished());
     for n in 0..3 {
-        let (keys, [open, ended, cancelled]) = world.record_counts(n);
+        let (keys, [open, ended, residual]) = world.record_counts(n);
         assert_eq!((open, ended), (0, 720), "{n}");
-        assert!((100..=180).contains(&cancelled), "{n}: {cancelled}");
+        // Each cancelled job leaves a record of residual usage. Completed jobs leave none, as no job is a gang.
+        assert!((100..=180).contains(&residual), "{n}: {residual} records of residual usage");
         // Two keys per job, and some shared ones.
         assert!(keys < 2 * 720 + 60, "{keys} keys");
     }
@@ -35,7 +36,8 @@
 
 #[test]
 fn no_job_starves_while_a_team_is_at_its_limit() {
-    // Jobs need more cores than the team's limit allows, and a few cores are always free between two tasks.
+    // The jobs together need more cores than the team's limit allows. As tasks keep ending, a few cores below the
+    // limit are always free.
     for seed in 1..=5 {
         for (rhythm, interval_ms) in [(BRISK, 800), (SLOW, 1_600)] {
             let mut world = World::busy(seed, rhythm);
--- a/tests/sim/stopped.rs
+++ b/tests/sim/stopped.rs
@@ -32,7 +32,7 @@
 /// Returns the faults of failure `i`, which happens at `at` and suspends a process for `suspended_ms`.
 type FaultPattern = fn(i: u64, at: u64, suspended_ms: u64) -> Vec<(u64, Fault)>;
 
-/// Names and faults of the cases.
+/// Name of each case, and the faults of each failure in it.
 const FAULT_PATTERNS: [(&str, FaultPattern); 6] = [
     ("the leader is suspended", |_, at, ms| vec![(at, FreezeLeader(ms))]),
     (
@@ -54,8 +54,8 @@
         "the leader is suspended, its successor crashes, and copies of old heartbeats arrive",
         |i, at, ms| {
             let successor = if i % 2 == 0 { vec![(at + 3_500, CrashLeader)] } else { Vec::new() };
-            let stopped = [(at - 1_000, LateCopiesForNextLeader(4_000)), (at, FreezeLeader(ms))];
-            stopped.into_iter().chain(successor).collect()
+            let suspension = [(at - 1_000, LateCopiesForNextLeader(4_000)), (at, FreezeLeader(ms))];
+            suspension.into_iter().chain(successor).collect()
         },
     ),
     ("the leader is suspended while direct commands are delayed", |_, at, ms| {
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -161,7 +161,8 @@
     collect_copies_until: u64,
     /// Heartbeats whose copies are delivered when the leader changes.
     held_copies: Vec<Heartbeat>,
-    /// The leader, and its term, for whose successor heartbeats are copied.
+    /// Index and term of the leader at the start of [`Fault::LateCopiesForNextLeader`], or at the last delivery of
+    /// copies.
     previous_leader: Option<(usize, u64)>,
     /// End of [`Fault::CancelAtEnd`].
     cancel_at_end_until: u64,
@@ -171,8 +172,8 @@
     just_ended: Vec<u64>,
     /// Jobs of the tasks that completed in this step.
     completed_this_step: Vec<u64>,
-    /// Times and jobs of scheduled cancellations: first ones and repetitions.
-    cancel_retries: Vec<(u64, u64)>,
+    /// Cancellations that users will request, first ones and repetitions: time and id of the job.
+    scheduled_cancellations: Vec<(u64, u64)>,
     /// Whether controllers send each other cancellation notices.
     pub sends_cancellation_notices: bool,
     /// The stage of a task at which users cancel its job, and the end of [`Fault::CancelInFlight`].
@@ -223,7 +224,8 @@
     pub trace: Option<FailoverTrace>,
     /// Settings of the warm standby; `None` if controllers run without it.
     pub standby: Option<StandbySettings>,
-    /// Whether the leader crashes in its next epoch with a write: after the write if true, before it if false.
+    /// Whether the leader crashes in its next epoch that writes to the store: after the write if true, before it
+    /// if false.
     crash_in_epoch: Option<bool>,
     /// Whether the next controller that takes a term crashes at once.
     crash_successor: bool,
@@ -235,7 +237,8 @@
     pub changes_of_leader: u64,
     /// The leader observed last: its controller and incarnation.
     last_leader: Option<(usize, u64)>,
-    /// Actions that a replaced leader did not execute, as the store showed that it no longer led.
+    /// Number of times at which a replaced leader learned from the store that it no longer led and did not execute
+    /// its next action.
     pub refused_actions: u64,
     /// Real time in which leaders computed and published epochs.
     pub epochs: Timing,
@@ -243,7 +246,7 @@
     pub heartbeats: Timing,
 }
 
-/// Removes the capabilities from a member record, as the version without gangs does not write them.
+/// Removes all fields but the incarnation from a member record. The version without gangs writes no others.
 fn strip_member_record_for_old_version(change: &mut willowshore::wire::Change) {
     if let willowshore::wire::Change::Put { value: willowshore::wire::Value::Map(fields), .. } =
         change
@@ -284,7 +287,7 @@
             polling_until: 0,
             just_ended: Vec::new(),
             completed_this_step: Vec::new(),
-            cancel_retries: Vec::new(),
+            scheduled_cancellations: Vec::new(),
             sends_cancellation_notices: true,
             cancels_in_flight: None,
             pending_hangs: Vec::new(),
@@ -335,7 +338,7 @@
     /// Injects `faults`, which are sorted by time, and runs until `until`. Stops earlier, but not within the
     /// first minute, when all jobs have ended and no fault is left.
     pub fn run(&mut self, faults: &[(u64, Fault)], until: u64) {
-        // A fault counts as over for users when crashed controllers run again and delayed messages have arrived.
+        // A fault is over when crashed controllers run again and delayed messages have arrived.
         let ends = |f: &(u64, Fault)| f.0 + f.1.duration_ms() + RESTART_MS;
         self.faults_over_at = faults.iter().map(ends).max().unwrap_or(0);
         let mut faults = faults.iter().peekable();
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -15,17 +15,18 @@
 }
 
 impl World {
-    /// Runs what is due at controller `n`, after a restart if that is due.
+    /// Executes the activities of controller `n` that are due. Starts the process first if its restart is due.
     pub(super) fn step_node(&mut self, n: usize) {
         let now = self.now;
-        if let Err(back) = self.nodes[n] {
-            if now < back {
+        if let Err(restart_at) = self.nodes[n] {
+            if now < restart_at {
                 return;
             }
             self.last_incarnation += 1;
             let mut text = self.rhythm.settings(self.team_limit);
             if n > 0 {
-                // The settings of each controller list itself first. Addresses are not used in simulation.
+                // The settings of a controller list the controller itself first. Addresses are not used in the
+                // simulation.
                 let (name, site) = (format!("host-{n}"), ZONES[n % 2]);
                 text = text.replacen(&format!("\"{name}\""), "\"host-x\"", 1);
                 text = text.replacen("\"host-0\"", &format!("\"{name}\""), 1);
@@ -71,10 +72,10 @@
         self.send_direct_messages(n);
     }
 
-    /// Returns whether the process of controller `n` is suspended, and resumes it when its time has come. A
-    /// resumed process runs its loops and handles messages that have waited in random order. A replaced leader
-    /// may thus act before it can learn that it was replaced, or learn it just before it answers a heartbeat
-    /// that has waited.
+    /// Returns whether the process of controller `n` stays suspended, and resumes the process when its suspension
+    /// is over. The activities of a resumed process, one of which handles the held messages, run in random order
+    /// unless [`World::acts_before_learning`] is set. A replaced leader may thus act before it can learn of its
+    /// replacement, or learn of it just before it answers a held heartbeat.
     pub(super) fn stays_frozen(&mut self, n: usize) -> bool {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return false };
@@ -338,7 +339,7 @@
             },
             None => None,
         };
-        if durable.is_some() && self.crash_in_epoch.take_if(|written| *written).is_some() {
+        if durable.is_some() && self.crash_in_epoch.take_if(|after_write| *after_write).is_some() {
             return self.crash(n, RESTART_MS);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
@@ -374,19 +375,19 @@
                 self.record_worker_changes(w, changes);
             }
         }
-        let mut add_provisioned = Vec::new();
+        let mut replacements = Vec::new();
         for _ in &scaled_in {
             let id = self.workers.len();
             let mut worker = Worker::new(id, ZONES[id % 2], now + BOOT_MS, self.rhythm);
             worker.hung_until = now + BOOT_MS;
-            add_provisioned.push((worker.name(), worker.zone));
+            replacements.push((worker.name(), worker.zone));
             self.workers.push(worker);
         }
         if let Ok(node) = &mut self.nodes[n]
             && let Some(leader) = &mut node.controller.leader
         {
             leader.remove_terminated_machines(&scaled_in);
-            for (id, zone) in add_provisioned {
+            for (id, zone) in replacements {
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 leader.fleet.add_provisioned(clock.steady, &[id], &offer);
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Returns whether the store confirms that controller `n` still leads. Called before actions that no
-    /// condition of a transaction guards. Always true without the warm standby.
+    /// Returns whether the store confirms that controller `n` still leads. Called before actions outside the store,
+    /// which no condition of a transaction guards. Always true without the warm standby.
     pub(super) fn still_leads(&mut self, n: usize) -> bool {
         if self.standby.is_none() {
             return true;
@@ -120,7 +120,7 @@
         matches!(outcome, Some(TxnOutcome::Committed(_)))
     }
 
-    /// Counts the leader processes and records the phases of a failover.
+    /// Counts changes of the leader's process, and records the phases of a failover.
     pub(super) fn observe_failover(&mut self) {
         let leader = self.nodes.iter().flatten().filter(|node| node.frozen_until.is_none());
         let leader = leader.filter(|node| node.controller.leader.is_some());
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -21,7 +21,7 @@
     CrashLeader,
     /// The processes of all controllers crash and are restarted after 3 s.
     CrashAll,
-    /// The leader's process is suspended and resumed later; it does not notice.
+    /// The leader's process is suspended and resumed later, without noticing the suspension.
     FreezeLeader(u64),
     /// The process of the controller with this index is suspended and resumed later.
     Freeze(usize, u64),
@@ -29,7 +29,8 @@
     PartitionWorkerFromOwner(usize, u64),
     /// The controller with this index is partitioned from the other controllers only.
     PartitionControllerFromPeers(usize, u64),
-    /// The leader's process crashes in its next epoch with a write: after the write if true, before it if false.
+    /// The leader's process crashes in its next epoch that writes to the store: after the write if true, before it
+    /// if false.
     CrashInEpoch(bool),
     /// The leader and the first controller in rank to replace it crash together.
     CrashLeaderAndStandby,
@@ -114,7 +115,8 @@
 }
 
 impl Fault {
-    /// Returns how long the fault has effects in milliseconds, with the delay of what it holds back.
+    /// Returns for how many milliseconds the fault has effects, for some faults including the delay of
+    /// messages or transactions.
     pub(super) fn duration_ms(self) -> u64 {
         match self {
             Fault::StoreOutage(ms)
@@ -146,7 +148,9 @@
             | Fault::PeersRefuseConnections(ms) => ms,
             Fault::LateWrites(ms) => ms + 12_000,
             Fault::LateCopiesForNextLeader(ms) => ms,
+            // Copies are up to 2.5 worker leases late, 66 s with `SLOW`.
             Fault::LateCopies(ms) => ms + 70_000,
+            // Machines are partitioned or hang for up to 0.7 worker leases, 19 s with `SLOW`.
             Fault::CancelInFlight(_, ms) => ms + 20_000,
             _ => 0,
         }
@@ -284,7 +288,7 @@
                 let others = (0..3).filter(|m| *m != n).map(Endpoint::Node).collect();
                 self.partition([Endpoint::Node(n)].into(), others, ms, false);
             }
-            Fault::CrashInEpoch(written) => self.crash_in_epoch = Some(written),
+            Fault::CrashInEpoch(after_write) => self.crash_in_epoch = Some(after_write),
             Fault::ListedFailed(w) => {
                 let (leader, id) = (self.leader(), self.workers[w].name());
                 let node = self.nodes[leader].as_mut().ok();
@@ -398,22 +402,22 @@
                 self.previous_leader = self.leader_and_term();
             }
             Fault::CancelNow(count, hang_ms) => self.cancel_now(count, hang_ms),
-            Fault::CancelInFlight(what, ms) => self.cancels_in_flight = Some((what, now + ms)),
+            Fault::CancelInFlight(stage, ms) => self.cancels_in_flight = Some((stage, now + ms)),
             Fault::CancelAtEnd(ms) => self.cancel_at_end_until = now + ms,
             Fault::AggressivePolling(ms) => self.polling_until = now + ms,
             Fault::FastBoots(count) => self.scale_out_fast(count),
         }
     }
 
-    /// Suspends the process of controller `n`.
+    /// Suspends the process of controller `n` for `ms`.
     fn freeze(&mut self, n: usize, ms: u64) {
         if let Ok(node) = &mut self.nodes[n] {
             node.frozen_until = Some(self.now + ms);
         }
     }
 
-    /// Partitions two sets of endpoints. Packets are delayed until the end of the partition if `hold`,
-    /// otherwise lost.
+    /// Partitions two sets of endpoints from each other for `ms`. Packets are delayed until the end of the
+    /// partition if `hold`, otherwise lost.
     pub(super) fn partition(
         &mut self,
         from: BTreeSet<Endpoint>,
--- a/tests/sim/world/gangs.rs
+++ b/tests/sim/world/gangs.rs
@@ -3,9 +3,8 @@
 use super::*;
 
 impl World {
-    /// Starts the gangs of which all tasks of an attempt wait on active machines. Ends the tasks of running
-    /// gangs that have been incomplete for [`GANG_LOSS_DETECTION_MS`], as a task has ended or its machine
-    /// hangs.
+    /// Starts each gang when all tasks of an attempt wait on active machines. Ends the remaining tasks of a running
+    /// gang that has been incomplete for [`GANG_LOSS_DETECTION_MS`] because a task has ended or its machine hangs.
     pub(super) fn step_gangs(&mut self) {
         let now = self.now;
         type OnWorker = (usize, TaskId, TaskState);
--- a/tests/sim/world/in_flight.rs
+++ b/tests/sim/world/in_flight.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Share of the suitable plans and commands at which users cancel a job.
+/// Probability that users cancel a job when a shard receives a plan, or a machine a start command, that suits the
+/// stage of the fault.
 const CANCEL_PROBABILITY: f64 = 0.3;
 /// Longest time from the grant or start to the cancellation: the interval between two summaries.
 const MAX_CANCEL_DELAY_MS: u64 = 200;
@@ -31,13 +32,13 @@
         }
     }
 
-    /// Handles a plan that shard `n` has received: users may cancel a job of which it grants a task that no
-    /// machine holds.
+    /// Handles a plan that shard `n` has received: users may cancel a job if the plan grants one of its tasks and no
+    /// machine holds this task.
     pub(super) fn cancel_granted(&mut self, n: usize, response: &PeerResponse) {
         let PeerResponse::Plan(plan) = response else { return };
         let Some(body) = &plan.body else { return };
         if self.leader_and_term().is_some_and(|(leader, _)| leader == n)
-            || self.take_opportunity() != Some(InFlightStage::Granted)
+            || self.draw_stage() != Some(InFlightStage::Granted)
         {
             return;
         }
@@ -61,7 +62,7 @@
         });
         let Some(job) = started else { return };
         let ms = (self.rhythm.lease_ms as f64 * MACHINE_FAULT_LEASE_SHARE) as u64;
-        match self.take_opportunity() {
+        match self.draw_stage() {
             Some(InFlightStage::Started) => {
                 let nodes = (0..3).map(Endpoint::Node).collect();
                 self.partition([Endpoint::Worker(w)].into(), nodes, ms, false);
@@ -75,8 +76,9 @@
         self.schedule_cancellations(job);
     }
 
-    /// Returns the stage at which users cancel jobs, if they cancel one now.
-    fn take_opportunity(&mut self) -> Option<InFlightStage> {
+    /// Returns the stage of the current [`Fault::CancelInFlight`] with the probability [`CANCEL_PROBABILITY`]; `None`
+    /// otherwise and without such a fault.
+    fn draw_stage(&mut self) -> Option<InFlightStage> {
         let (stage, until) = self.cancels_in_flight?;
         (self.now < until && self.rng.random_bool(CANCEL_PROBABILITY)).then_some(stage)
     }
@@ -84,6 +86,7 @@
     /// Schedules the cancellation of a job and its repetitions.
     fn schedule_cancellations(&mut self, job: u64) {
         let at = self.now + self.rng.random_range(HANG_DELAY_MS..MAX_CANCEL_DELAY_MS);
-        self.cancel_retries.extend([0, 100, 200, 1_200, 5_000].map(|delay| (at + delay, job)));
+        self.scheduled_cancellations
+            .extend([0, 100, 200, 1_200, 5_000].map(|delay| (at + delay, job)));
     }
 }
--- a/tests/sim/world/random_faults.rs
+++ b/tests/sim/world/random_faults.rs
@@ -6,8 +6,9 @@
 use super::Fault;
 use crate::site::Rhythm;
 
-/// Draws two groups of two or three faults at about the same time, each with cancellations and a crash of the leader,
-/// under [`Fault::AggressivePolling`]. Times and durations suit the rhythm.
+/// Draws two groups of faults, under [`Fault::AggressivePolling`]. Each group consists of two or three random faults,
+/// two cancellations of running jobs and a crash of the leader, which begin within 6 s. Durations are proportional
+/// to the worker lease.
 pub fn random_combined_faults(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let lease_hundredth_ms = rhythm.lease_ms / 100;
@@ -16,6 +17,7 @@
         let at = rng.random_range(10_000..70_000);
         for _ in 0..rng.random_range(2..=3) {
             let is_long = rng.random_bool(0.25);
+            // In hundredths of a worker lease.
             let duration =
                 if is_long { rng.random_range(150..450) } else { rng.random_range(10..150) };
             let worker = rng.random_range(0..8);
@@ -62,7 +64,7 @@
     faults
 }
 
-/// Draws five faults at random times. Their durations may overlap.
+/// Draws five faults at random times. They may overlap. Durations are proportional to the worker lease.
 pub fn random_faults(seed: u64, rhythm: Rhythm) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut faults: Vec<(u64, Fault)> = (0..5)
--- a/tests/sim/world/users.rs
+++ b/tests/sim/world/users.rs
@@ -85,8 +85,8 @@
         self.checker.see(self.now, event);
     }
 
-    /// Queries a job at controller `n`. Submits the job if the controller does not know it, and cancels it if
-    /// users want to.
+    /// Queries a job at controller `n`. Submits the job if the controller does not know it. Cancels a known job if
+    /// users want to, at a random controller.
     pub(super) fn submit_or_query(&mut self, n: usize, id: u64) {
         let now = self.now;
         let Some(node) = self.running_node(n) else { return };
@@ -294,8 +294,8 @@
         }
         for id in running {
             self.cancel(id);
-            self.cancel_retries.push((now + 100, id));
-            self.cancel_retries.push((now + 200, id));
+            self.scheduled_cancellations.push((now + 100, id));
+            self.scheduled_cancellations.push((now + 200, id));
         }
     }
 
@@ -307,8 +307,8 @@
     pub(super) fn step_polling_users(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.cancel_retries).into_iter().partition(|c| c.0 <= now);
-        self.cancel_retries = later;
+            std::mem::take(&mut self.scheduled_cancellations).into_iter().partition(|c| c.0 <= now);
+        self.scheduled_cancellations = later;
         let due: Vec<(u64, u64)> = due;
         for (_, id) in due {
             if !self.ended_for_users.contains(&id) {
@@ -323,7 +323,7 @@
                 if done == task_count && !self.ended_for_users.contains(&id) {
                     // Some controllers know that the last task has completed, others do not.
                     self.cancel(id);
-                    self.cancel_retries
+                    self.scheduled_cancellations
                         .extend([20, 40, 80, 160, 320, 640].map(|ms| (now + ms, id)));
                 }
             }
