--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -22,7 +22,7 @@
 
 /// Interval at which a worker advances its tasks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time-out of a heartbeat.
+/// Time-out of a heartbeat's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Shortest run time of a task.
 const MIN_RUN_MS: u64 = 900;
@@ -63,7 +63,7 @@
         self.workers.borrow().iter().filter(|(w, _)| !w.borrow().terminated).count()
     }
 
-    /// The machines that the cloud lists after the given name.
+    /// The machines that are not terminated and whose names come after the given name, as the cloud lists them.
     pub fn list_after(&self, after: &str) -> Vec<ListedMachine> {
         let workers = self.workers.borrow();
         let running = workers.iter().filter(|(w, _)| !w.borrow().terminated);
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -76,7 +76,7 @@
         panic!("no controller other than {previous:?} leads after 300 queries");
     }
 
-    /// Waits until users were shown the end of all jobs.
+    /// Waits until users were shown all jobs as done.
     async fn wait_until_all_ended(&self) {
         for _ in 0..1_200 {
             if self.users.open_jobs().is_empty() {
@@ -125,7 +125,7 @@
         let status = site.controllers.status(third).await.expect("controller serves its status");
         assert!(
             status.last_failover.is_some_and(|t| t.term > 1),
-            "{:?}",
+            "no failover after the first term; logs in {:?}",
             site.controllers.log_dir()
         );
         assert!(
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -1,5 +1,5 @@
-//! Simulated users. They submit jobs to the controllers in turn, retry without an answer, and poll each job until it
-//! ends.
+//! Simulated users. They submit jobs to the controllers in turn, retry requests that got no answer, and poll each
+//! job until it is done.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 use crate::history::History;
 use crate::site::spec;
 
-/// Time-out of a request.
+/// Time-out of a request to a controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Interval between two submissions or two queries of the same job.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -35,7 +35,7 @@
         Users { history, controllers, open_jobs: RefCell::default() }
     }
 
-    /// Jobs that no user was shown as done.
+    /// Jobs passed to `submit_every` that no user was shown as done.
     pub fn open_jobs(&self) -> Vec<u64> {
         self.open_jobs.borrow().iter().copied().collect()
     }
--- a/tests/sim/check.rs
+++ b/tests/sim/check.rs
@@ -31,8 +31,8 @@
     },
     /// A controller answered any request for a job with the job's state.
     JobStateShown { job: u64, node: usize, state: ShownState },
-    /// After the end of all faults: whether a job that was not cancelled has waiting tasks although machines have
-    /// room and its team is below its limit.
+    /// After the end of all faults: whether an accepted job, neither shown as ended nor requested to be cancelled, has
+    /// a waiting task although each zone has a machine with room for the task and the team's limit allows it.
     JobWaiting { job: u64, can_start: bool },
     /// A user submits a job, for the first time or as a retry.
     JobSubmitted { job: u64 },
@@ -65,13 +65,13 @@
 
 /// Records events and collects violations of the invariants. Times are in milliseconds of the recorder's clock.
 pub struct Checker {
-    /// Time within which the tasks of a cancelled job have to stop.
+    /// Time within which a job's tasks have to stop after a user was first shown the job's cancellation.
     cancel_limit_ms: u64,
     /// Cores that each team may use.
     team_limit: u64,
     /// The machines that each task occupies, with the task's team and cores.
     machines_by_task: BTreeMap<Task, BTreeMap<usize, (usize, u64)>>,
-    /// Cores used by each team's tasks.
+    /// Cores used by each team's tasks, summed over the recorded starts and stops.
     cores_in_use: BTreeMap<usize, u64>,
     /// The zone of the last start of each task whose job is bound to one zone.
     task_zones: BTreeMap<Task, &'static str>,
@@ -103,7 +103,7 @@
 
 /// A controller that answers no query for a job for longer than this counts as having lost the job.
 const QUERY_SILENCE_LIMIT_MS: u64 = 75_000;
-/// A job that could start may wait for at most this long.
+/// Longest time for which a job with a waiting task that could start may start no task.
 const WAITING_LIMIT_MS: u64 = 90_000;
 /// The first task of each accepted job has to start within this time, unless the job is cancelled.
 const FIRST_START_LIMIT_MS: u64 = 240_000;
@@ -194,7 +194,7 @@
             Event::JobDone { job, completed, task_count } => {
                 if completed < task_count {
                     self.violations.push(format!(
-                        "{at}: job {job} was shown as done, {completed} of {task_count} tasks are"
+                        "{at}: job {job} was shown as done with {completed} of {task_count} tasks"
                     ));
                 }
                 if self.cancelled_at.contains_key(&job) {
@@ -212,7 +212,7 @@
                 };
                 if regressed {
                     self.violations.push(format!(
-                        "{at}: job {job} was shown as {previous:?}, now as {state:?} by {node}"
+                        "{at}: job {job} was shown as {previous:?}, now {state:?} by controller {node}"
                     ));
                     return;
                 }
@@ -225,7 +225,7 @@
                 if state == ShownState::Cancelled {
                     if !self.cancellation_requests.contains(&job) {
                         self.violations.push(format!(
-                            "{at}: job {job} was shown as cancelled by {node} without a request"
+                            "{at}: job {job} was cancelled without a request, shown by controller {node}"
                         ));
                     }
                     self.record(at, Event::JobCancelled { job });
@@ -242,7 +242,7 @@
                     self.startable_since.remove(&job);
                 } else if at > *self.startable_since.entry(job).or_insert(at) + WAITING_LIMIT_MS {
                     self.violations.push(format!(
-                        "{at}: job {job} can start and waits for over {WAITING_LIMIT_MS} ms"
+                        "{at}: job {job} can start and has waited for over {WAITING_LIMIT_MS} ms"
                     ));
                     self.startable_since.remove(&job);
                 }
@@ -267,7 +267,7 @@
                 let since = *self.unanswered_since.entry((job, node)).or_insert(at);
                 if at > since + QUERY_SILENCE_LIMIT_MS {
                     self.violations.push(format!(
-                        "{at}: controller {node} answers no query for {job} since {since}"
+                        "{at}: controller {node} has answered no query for job {job} since {since}"
                     ));
                 }
             }
@@ -308,19 +308,24 @@
         if used <= self.team_limit {
             self.teams_over_limit.remove(&team);
         } else if self.teams_over_limit.insert(team) {
-            self.violations.push(format!("{at}: team {team} is over its limit with {used} cores"));
+            self.violations.push(format!(
+                "{at}: team {team} uses {used} cores, its limit is {}",
+                self.team_limit
+            ));
         }
     }
 
-    /// Reports a task that still runs after the time allowed for its job's cancellation.
+    /// Reports a task that runs for longer than `cancel_limit_ms` after a user was shown its job's cancellation.
     fn check_cancellation(&mut self, at: u64, task: Task) {
         if self
             .cancelled_at
             .get(&task.0)
             .is_some_and(|shown_at| at > shown_at + self.cancel_limit_ms)
         {
-            self.violations
-                .push(format!("{at}: {task:?} still runs after its job's cancellation limit"));
+            self.violations.push(format!(
+                "{at}: {task:?} still runs over {} ms after its job was shown as cancelled",
+                self.cancel_limit_ms
+            ));
         }
     }
 }
--- a/tests/sim/failover.rs
+++ b/tests/sim/failover.rs
@@ -3,8 +3,8 @@
 use willowshore::model::{JobId, Term};
 use willowshore::wire::{HeartbeatResponse, Priority, WorkerCommand};
 
-/// The fleet counts as reconciled if at most one machine in this number is not: some machines are always booting or
-/// hung.
+/// The fleet counts as reconciled if at most one machine in this number is unreconciled: some machines are always
+/// booting or hung.
 const MACHINES_PER_UNRECONCILED: usize = 50;
 
 /// When the phases of a failover ended, in milliseconds since the failure; `None` for a phase that has not ended.
@@ -16,7 +16,7 @@
     pub term_won: Option<u64>,
     /// The new leader's replica contained the next term.
     pub replica_current: Option<u64>,
-    /// All machines but the share of [`MACHINES_PER_UNRECONCILED`] had reported the new fencing token.
+    /// At most one machine in [`MACHINES_PER_UNRECONCILED`] had not yet reported the new fencing token.
     pub reconciled: Option<u64>,
     /// The new leader published its first epoch.
     pub first_epoch: Option<u64>,
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Records the first start commands in a heartbeat response or direct command that reached a worker.
+    /// Records the first start commands in a heartbeat response or direct command that reached a worker. `priority`
+    /// gives the priority of a job, if the job is known.
     pub fn record_worker_response(
         &mut self,
         now: u64,
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -15,6 +15,7 @@
 
 #[test]
 fn invariants_hold_and_jobs_end_under_each_fault() {
+    // Name, and faults with their times in milliseconds.
     let cases: Vec<(&str, Vec<(u64, Fault)>)> = vec![
         ("no fault", vec![]),
         ("leader crashes", vec![(21_300, CrashLeader)]),
@@ -64,7 +65,7 @@
         ),
         ("the leader is partitioned", vec![(20_000, PartitionLeader(40_000, true))]),
         (
-            "a controller is partitioned, then all crash",
+            "the leader is partitioned, then all crash",
             vec![
                 (20_000, PartitionLeader(40_000, true)),
                 (25_000, CrashAll),
@@ -143,15 +144,16 @@
 /// Combinations of faults in which invariants were violated in operation, for a world with a steady load of jobs.
 /// Times are in tenths of a lease, durations in hundredths of a lease.
 fn combined_faults() -> Vec<(&'static str, Vec<(u64, Fault)>)> {
-    let all_unreachable =
+    // The heartbeats of four machines, from the machine with index `from` on, are lost.
+    let lost_heartbeats =
         |from: usize, ms| (0..4).map(move |w| (20, WorkerReachesNoController(from + w, ms)));
     vec![
         (
-            "no controller runs for longer than a lease",
+            "all controllers crash repeatedly for longer than a lease",
             (0..6).map(|i| (20 + 3 * i, CrashAll)).collect(),
         ),
         (
-            "the tasks of small jobs end before and after a change of leader",
+            "tasks of jobs with two or three tasks end far apart across a change of leader",
             vec![
                 (20, CrashLeader),
                 (23, WorkerCrash(1)),
@@ -161,11 +163,11 @@
         ),
         (
             "machines reach no controller",
-            [all_unreachable(0, 300), all_unreachable(4, 120)].into_iter().flatten().collect(),
+            [lost_heartbeats(0, 300), lost_heartbeats(4, 120)].into_iter().flatten().collect(),
         ),
         (
             "heartbeats get lost while jobs are cancelled and the leader changes",
-            all_unreachable(1, 250).chain([(21, CancelNow(6, 0)), (22, CrashLeader)]).collect(),
+            lost_heartbeats(1, 250).chain([(21, CancelNow(6, 0)), (22, CrashLeader)]).collect(),
         ),
         (
             "the leader crashes while machines are partitioned or get no responses",
@@ -316,7 +318,7 @@
                 .collect(),
         ),
         (
-            "a zone is partitioned for longer than a lease",
+            "the zones, with workers and controllers, are partitioned for longer than a lease",
             vec![(20, PartitionZones(200, true)), (21, CancelNow(4, 0)), (30, CancelNow(4, 0))],
         ),
     ]
--- a/tests/sim/histories.rs
+++ b/tests/sim/histories.rs
@@ -32,7 +32,7 @@
             1,
         ),
         (
-            "within the limit once a task of a cancelled job has left",
+            "within the limit once a task of a cancelled job has stopped",
             (0..4)
                 .map(|i| (i, start((1, i as u32), i as usize)))
                 .chain([(5, Event::JobCancelled { job: 1 }), (6, stop((1, 0), 0))])
@@ -41,7 +41,7 @@
             0,
         ),
         (
-            "over the limit by what workers run",
+            "workers run more than was started and than the limit",
             vec![(0, Event::TeamUsage { team: 0, cores: 20 })],
             2,
         ),
--- a/tests/sim/report.rs
+++ b/tests/sim/report.rs
@@ -50,15 +50,18 @@
 struct Cost {
     machines: usize,
     standby: bool,
+    /// Time from the failure until the fleet counted as reconciled.
     reconciled_ms: Option<u64>,
     violations: usize,
     epochs: u64,
     epoch_us: f64,
     heartbeats: u64,
     heartbeat_us: f64,
+    /// Payload bytes of the decision log sent to the standbys, per second of [`LOG_WRITTEN_S`].
     bytes_per_s: f64,
     records: usize,
     entries: usize,
+    /// Wall-clock time of the simulation.
     simulated_in_s: f64,
 }
 
--- a/tests/sim/site.rs
+++ b/tests/sim/site.rs
@@ -12,7 +12,7 @@
 pub struct WorkerTiming {
     /// Interval between two heartbeats of a worker.
     pub report_ms: u64,
-    /// Time for which a worker keeps its tasks without a response.
+    /// Time for which a worker keeps its tasks without a response to its heartbeats.
     pub lease_ms: u64,
     /// Time within which the tasks of a cancelled job have to stop.
     pub cancel_ms: u64,
--- a/tests/sim/standby.rs
+++ b/tests/sim/standby.rs
@@ -15,8 +15,8 @@
     StoreRefusesLeader, StoreRefusesStandby, Upgrade, WorkerCrash,
 };
 
-/// When the leader fails in most cases, in milliseconds of the simulation.
-const AT: u64 = 21_300;
+/// When the leader fails in most cases, in simulated milliseconds.
+const FAILURE_AT_MS: u64 = 21_300;
 /// The new leader has to publish its first epoch within this time after the failure.
 const FIRST_EPOCH_LIMIT_MS: u64 = 10_000;
 
@@ -54,10 +54,10 @@
 }
 
 fn failover_cases() -> Vec<FailoverCase> {
-    let frozen = |ms| vec![(AT, FreezeLeader(ms))];
+    let frozen = |ms| vec![(FAILURE_AT_MS, FreezeLeader(ms))];
     vec![
-        case("crashes", vec![(AT, CrashLeader)], false),
-        case("suspended for less than the time of a suspicion", frozen(500), true),
+        case("crashes", vec![(FAILURE_AT_MS, CrashLeader)], false),
+        case("suspended for less time than a suspicion takes", frozen(500), true),
         case("resumes while the others agree on its silence", frozen(1_400), true),
         case("resumes just before it is fenced", frozen(1_460), true),
         case("resumes just after it was fenced", frozen(1_600), false),
@@ -66,62 +66,90 @@
         case("resumes after its lease expired", frozen(8_000), false),
         case(
             "crashes between a store write and its record in the decision log",
-            vec![(AT, CrashInEpoch(true))],
+            vec![(FAILURE_AT_MS, CrashInEpoch(true))],
+            false,
+        ),
+        case(
+            "crashes before an epoch is written",
+            vec![(FAILURE_AT_MS, CrashInEpoch(false))],
             false,
         ),
-        case("crashes before an epoch is written", vec![(AT, CrashInEpoch(false))], false),
         case(
             "crashes while the decision log lags by seconds",
-            vec![(AT - 4_000, DecisionLogLag(8_000)), (AT, CrashLeader)],
+            vec![(FAILURE_AT_MS - 4_000, DecisionLogLag(8_000)), (FAILURE_AT_MS, CrashLeader)],
+            false,
+        ),
+        case(
+            "leader and standby crash together",
+            vec![(FAILURE_AT_MS, CrashLeaderAndStandby)],
             false,
         ),
-        case("leader and standby crash together", vec![(AT, CrashLeaderAndStandby)], false),
         case(
             "the standby crashes right after it took the term",
-            vec![(AT - 10, CrashSuccessor), (AT, CrashLeader)],
+            vec![(FAILURE_AT_MS - 10, CrashSuccessor), (FAILURE_AT_MS, CrashLeader)],
             false,
         ),
         case(
             "leader and standby do not reach each other",
-            vec![(AT, PartitionLeaderAndStandby(30_000))],
+            vec![(FAILURE_AT_MS, PartitionLeaderAndStandby(30_000))],
             true,
         ),
-        case("no controller reaches another", vec![(AT, PeersRefuseConnections(30_000))], true),
-        case("the store refuses the leader", vec![(AT, StoreRefusesLeader(12_000))], false),
+        case(
+            "no controller reaches another",
+            vec![(FAILURE_AT_MS, PeersRefuseConnections(30_000))],
+            true,
+        ),
+        case(
+            "the store refuses the leader",
+            vec![(FAILURE_AT_MS, StoreRefusesLeader(12_000))],
+            false,
+        ),
         case(
             "the store refuses the standby as the leader crashes",
-            vec![(AT - 100, StoreRefusesStandby(8_000)), (AT, CrashLeader)],
+            vec![(FAILURE_AT_MS - 100, StoreRefusesStandby(8_000)), (FAILURE_AT_MS, CrashLeader)],
             false,
         ),
         case(
             "the store is down when the leader is to be fenced",
-            vec![(AT, FreezeLeader(20_000)), (AT + 500, StoreOutage(6_000))],
+            vec![(FAILURE_AT_MS, FreezeLeader(20_000)), (FAILURE_AT_MS + 500, StoreOutage(6_000))],
             true,
         ),
         case(
             "responses of transactions are lost while the leader is fenced",
-            vec![(AT, LostStoreResponses(6_000)), (AT, FreezeLeader(15_000))],
+            vec![(FAILURE_AT_MS, LostStoreResponses(6_000)), (FAILURE_AT_MS, FreezeLeader(15_000))],
+            false,
+        ),
+        case("restarts within a second", vec![(FAILURE_AT_MS, BriefLeaderCrash)], false),
+        case(
+            "partitioned from everything",
+            vec![(FAILURE_AT_MS, PartitionLeader(25_000, true))],
             false,
         ),
-        case("restarts within a second", vec![(AT, BriefLeaderCrash)], false),
-        case("partitioned from everything", vec![(AT, PartitionLeader(25_000, true))], false),
         case(
             "suspended as machines are added and jobs cancelled",
-            vec![(AT - 300, FastBoots(4)), (AT - 100, CancelNow(4, 0)), (AT, FreezeLeader(9_000))],
+            vec![
+                (FAILURE_AT_MS - 300, FastBoots(4)),
+                (FAILURE_AT_MS - 100, CancelNow(4, 0)),
+                (FAILURE_AT_MS, FreezeLeader(9_000)),
+            ],
             false,
         ),
         case(
             "three leaders in a row",
             vec![
-                (AT, FreezeLeader(5_000)),
-                (AT + 2_500, CrashLeader),
-                (AT + 6_000, FreezeLeader(4_000)),
+                (FAILURE_AT_MS, FreezeLeader(5_000)),
+                (FAILURE_AT_MS + 2_500, CrashLeader),
+                (FAILURE_AT_MS + 6_000, FreezeLeader(4_000)),
             ],
             false,
         ),
         case(
             "all crash after a failover",
-            vec![(AT, FreezeLeader(6_000)), (AT + 1_500, WorkerCrash(1)), (AT + 3_000, CrashAll)],
+            vec![
+                (FAILURE_AT_MS, FreezeLeader(6_000)),
+                (FAILURE_AT_MS + 1_500, WorkerCrash(1)),
+                (FAILURE_AT_MS + 3_000, CrashAll),
+            ],
             false,
         ),
     ]
@@ -156,7 +184,7 @@
     for seed in 1..=6 {
         for timing in [SHORT_LEASES, LONG_LEASES] {
             for fault in [FreezeLeader(7_000), CrashLeader, CrashInEpoch(true)] {
-                let at = AT + seed * 400;
+                let at = FAILURE_AT_MS + seed * 400;
                 let name = format!("{fault:?} {seed} {timing:?}");
                 let gangs = with_standby(World::busy_with_gangs(seed, timing));
                 run_to_end(gangs, &format!("gangs, {name}"), timing, &[(at, fault)]);
@@ -209,12 +237,17 @@
                 );
                 world.trace.map(|trace| trace.phases.times()).unwrap_or_default()
             };
-            let (before, after) = (phase_times(false), phase_times(true));
-            for (phase, (before, after)) in PHASES.iter().zip(before.iter().zip(after)).take(5) {
-                let (Some(before), Some(after)) = (*before, after) else {
-                    panic!("{fault:?} {seed}: {phase} {before:?} {after:?}");
+            let (without, with) = (phase_times(false), phase_times(true));
+            for (phase, (without, with)) in PHASES.iter().zip(without.iter().zip(with)).take(5) {
+                let (Some(without), Some(with)) = (*without, with) else {
+                    panic!(
+                        "{fault:?} {seed}: {phase} without standby {without:?} ms, with {with:?} ms"
+                    );
                 };
-                assert!(after + 1_000 < before, "{fault:?} {seed}: {phase} {before} {after}");
+                assert!(
+                    with + 1_000 < without,
+                    "{fault:?} {seed}: {phase} without standby {without} ms, with {with} ms"
+                );
             }
         }
     }
@@ -231,7 +264,7 @@
     ] {
         for seed in 1..=4 {
             let mut world = with_standby(World::busy(seed, SHORT_LEASES));
-            world.run(&[(AT, fault)], AT + 60_000);
+            world.run(&[(FAILURE_AT_MS, fault)], FAILURE_AT_MS + 60_000);
             assert!(world.checker.violations.is_empty(), "{name}: {:?}", world.checker.violations);
             let changes = world.changes_of_leader - 1;
             assert!(changes <= max_changes, "{name} {seed}: {changes} changes of leader");
@@ -245,7 +278,7 @@
 #[test]
 fn a_replaced_leader_that_resumes_returns_no_machine() {
     for seed in 1..=8 {
-        let at = AT + seed * 130;
+        let at = FAILURE_AT_MS + seed * 130;
         let faults = [(at, ListedFailed(1)), (at, FreezeLeader(1_800))];
         let mut world = with_standby(World::busy(seed, SHORT_LEASES));
         world.acts_before_learning = true;
@@ -266,14 +299,14 @@
     let mut confirmed = 0;
     for seed in 1..=5 {
         let mut world = with_standby(World::busy(seed, SHORT_LEASES));
-        world.run(&[(AT, CrashLeader)], AT + 8_000);
+        world.run(&[(FAILURE_AT_MS, CrashLeader)], FAILURE_AT_MS + 8_000);
         let (counts, divergences) = world.verification_of_leader();
         assert_eq!(divergences, 0, "{seed}");
         assert!(counts.hints > 0, "{seed}: {counts:?}");
         confirmed += counts.confirmed;
         assert!(counts.dropped <= counts.confirmed, "{seed}: {counts:?}");
     }
-    assert!(confirmed > 20, "{confirmed}");
+    assert!(confirmed > 20, "only {confirmed} decisions confirmed");
 }
 
 #[test]
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Deletes the expired leases and their keys.
+    /// Deletes the expired leases and their keys. During an outage, no lease expires.
     pub fn expire_leases(&mut self, now: u64) {
         if !self.is_up(now) {
             return;
@@ -52,7 +52,7 @@
             let keys: Vec<String> = self
                 .entries
                 .iter()
-                .filter(|(_, i)| i.2 == Some(id))
+                .filter(|(_, entry)| entry.2 == Some(id))
                 .map(|(key, _)| key.clone())
                 .collect();
             if !keys.is_empty() {
@@ -116,12 +116,12 @@
                 return None;
             }
         }
-        let version = |key: &str| self.entries.get(key).map_or(0, |i| i.1);
+        let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.1);
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|g| version(&g.key) != g.version.0)
-            .map(|g| g.key.clone())
+            .filter(|c| version(&c.key) != c.version.0)
+            .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
             return Some(TxnOutcome::ConditionsFailed(failed));
@@ -164,7 +164,7 @@
 
     /// The changes after a revision, as a watch returns them.
     pub fn changes_after(&self, after: Revision) -> WatchResponse {
-        let first = self.events.partition_point(|n| n.version <= after);
+        let first = self.events.partition_point(|event| event.version <= after);
         WatchResponse { revision: Revision(self.revision), events: self.events[first..].to_vec() }
     }
 
--- a/tests/sim/worker.rs
+++ b/tests/sim/worker.rs
@@ -19,7 +19,7 @@
 struct Task {
     state: TaskState,
     exit_reason: Option<ExitReason>,
-    /// When the state ends by itself.
+    /// When the state ends without a command. `u64::MAX` for an exited task.
     state_ends_at: u64,
 }
 
@@ -38,7 +38,7 @@
     /// The address for direct commands.
     pub endpoint: String,
     pub zone: &'static str,
-    /// Whether the cloud has terminated the machine.
+    /// Whether the machine is gone: the cloud terminated it, or it crashed.
     pub terminated: bool,
     /// The worker boots or hangs until this time: it neither sends nor handles messages, and its tasks make no
     /// progress.
@@ -113,7 +113,7 @@
         changes
     }
 
-    /// Removes the tasks that `which` selects, and returns the exits of those that occupied the machine.
+    /// Removes the tasks that `which` selects. Returns the exits of the removed tasks that occupied the machine.
     fn remove_tasks(&mut self, which: impl Fn(&Task) -> bool) -> Vec<Change> {
         let mut changes = Vec::new();
         self.tasks.retain(|(task, _), t| {
@@ -134,7 +134,8 @@
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + 500);
     }
 
-    /// Advances the tasks, ends them if the lease has expired, and gives up a heartbeat without a response.
+    /// Advances the tasks, removes all tasks if the lease has expired, and gives up a heartbeat without a response.
+    /// `run_ms` gives the run time of a task, `is_gang` tells whether a task belongs to a gang.
     pub fn tick(
         &mut self,
         now: u64,
@@ -221,16 +222,18 @@
         self.tasks.values().filter(|t| t.state != TaskState::Exited).count()
     }
 
-    /// Whether the machine has room for one more task.
+    /// Whether the machine has room for one more task. Each task needs half a machine.
     pub fn has_room(&self) -> bool {
         self.held_tasks() < 2
     }
 
-    /// Tasks that run or wait for their gang, with their attempts.
-    pub fn gang_tasks(&self) -> impl Iterator<Item = (TaskId, Attempt, TaskState)> + '_ {
-        let there = |t: &Task| matches!(t.state, TaskState::WaitingForGang | TaskState::Running);
-        let all = self.tasks.iter().filter(move |(_, t)| there(t));
-        all.map(|((task, attempt), t)| (*task, *attempt, t.state))
+    /// Tasks that run or wait for their gang, with attempt and state. Tasks of other jobs than gangs are included.
+    pub fn running_or_waiting_tasks(
+        &self,
+    ) -> impl Iterator<Item = (TaskId, Attempt, TaskState)> + '_ {
+        let selected = |t: &Task| matches!(t.state, TaskState::WaitingForGang | TaskState::Running);
+        let tasks = self.tasks.iter().filter(move |(_, t)| selected(t));
+        tasks.map(|((task, attempt), t)| (*task, *attempt, t.state))
     }
 
     /// Returns the tasks that were commanded to save a checkpoint since the last call.
@@ -271,7 +274,8 @@
         Some((self.target_controller, self.build_heartbeat(now)))
     }
 
-    /// Executes direct commands if their token and agent epoch are current. Returns a heartbeat in any case.
+    /// Executes direct commands if they carry the worker's agent epoch and a token that is not lower than the worker's.
+    /// Returns a heartbeat in any case.
     pub fn handle_direct_commands(
         &mut self,
         now: u64,
--- a/tests/sim/world/gangs.rs
+++ b/tests/sim/world/gangs.rs
@@ -10,7 +10,7 @@
         type OnWorker = (usize, TaskId, TaskState);
         let mut gangs: BTreeMap<(JobId, Attempt), Vec<OnWorker>> = BTreeMap::new();
         for (w, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.active(now)) {
-            for (task, attempt, state) in worker.gang_tasks() {
+            for (task, attempt, state) in worker.running_or_waiting_tasks() {
                 let job = self.jobs.get(&task.job.0);
                 if job.is_some_and(|j| j.kind == JobKind::Gang) {
                     gangs.entry((task.job, attempt)).or_default().push((w, task, state));
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -159,12 +159,12 @@
 #[test]
 fn messages_of_version_0_1_are_decoded() {
     let f = fixtures();
-    let ask = |name: &str| peer::decode::<PeerRequest>(&f[name]);
+    let request = |name: &str| peer::decode::<PeerRequest>(&f[name]);
     let response = |name: &str| peer::decode::<PeerResponse>(&f[name]);
-    assert!(matches!(ask("ask-summary"), Ok(PeerRequest::Summary(s)) if s == summary()));
-    assert!(matches!(ask("ask-submit"), Ok(PeerRequest::Submit(s)) if s == spec()));
-    assert!(matches!(ask("ask-lead"), Ok(PeerRequest::Leader)));
-    assert!(matches!(ask("ask-query"), Ok(PeerRequest::Query(JobId(412)))));
+    assert!(matches!(request("ask-summary"), Ok(PeerRequest::Summary(s)) if s == summary()));
+    assert!(matches!(request("ask-submit"), Ok(PeerRequest::Submit(s)) if s == spec()));
+    assert!(matches!(request("ask-lead"), Ok(PeerRequest::Leader)));
+    assert!(matches!(request("ask-query"), Ok(PeerRequest::Query(JobId(412)))));
     assert!(matches!(response("tell-plan"), Ok(PeerResponse::Plan(p)) if *p == plan()));
     assert!(matches!(response("tell-send-whole"), Ok(PeerResponse::SendFullSummary)));
     assert!(
