--- a/tests/sim/cancellation.rs
+++ b/tests/sim/cancellation.rs
@@ -64,6 +64,11 @@
                      hang of {hang_ms} ms, leader crashes: {leader_crashes}, \
                      leader is stranded: {leader_is_stranded}"
                 );
+                assert!(
+                    world.checker.violations.is_empty(),
+                    "{name}: {:?}",
+                    world.checker.violations
+                );
                 // The bound covers the proof that the replica is current, which is valid for 3.5 s, the transit
                 // of the response and the fetch of the image.
                 let latest_start_after_cancellation_ms =
