--- a/crates/standby/src/failover/event.rs
+++ b/crates/standby/src/failover/event.rs
@@ -5,11 +5,12 @@
 /// The outcome of the transaction that takes the next term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// It was committed at this revision of the state service.
+    /// The transaction was committed at this revision of the state service.
     Committed(Revision),
-    /// Its conditions failed, so nothing was written.
+    /// The transaction's conditions failed, so nothing was written.
     ConditionsFailed,
-    /// It was refused, or no response was received. It may have been committed, or may still be committed later.
+    /// The transaction was refused, or no response was received. It may have been committed, or may still be committed
+    /// later.
     Unknown,
 }
 
--- a/crates/standby/src/mirror.rs
+++ b/crates/standby/src/mirror.rs
@@ -25,10 +25,10 @@
 /// Why a batch is malformed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MalformedBatch {
-    /// It ends before it begins, or after the leader's newest decision.
+    /// The batch ends before it begins, or after the leader's newest decision.
     #[error("the positions of the batch are out of order")]
     Positions,
-    /// The number of decisions in its payload differs from that between its positions.
+    /// The number of decisions in the batch's payload differs from the number between the batch's positions.
     #[error(
         "expected {expected} decisions between the positions of the batch, found {found} in its payload"
     )]
@@ -38,7 +38,7 @@
         /// The number of decisions in the batch's payload.
         found: u64,
     },
-    /// Its payload cannot be decoded.
+    /// The batch's payload cannot be decoded.
     #[error(transparent)]
     Payload(#[from] PayloadError),
 }
@@ -46,14 +46,14 @@
 /// Why a batch was not applied.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BatchRejected {
-    /// It is of this term, which is not the followed one.
+    /// The batch is of this term, which is not the followed one.
     #[error("the batch is of term {0}, which is not the followed term")]
     WrongTerm(Term),
     /// Decisions between the copy and the batch are missing after this index, or in a snapshot after this number of
     /// decisions.
     #[error("decisions after {0} are missing")]
     Gap(u64),
-    /// It is malformed.
+    /// The batch is malformed.
     #[error("malformed batch: {0}")]
     Malformed(#[from] MalformedBatch),
     /// The digest of the copy does not match the digest of the leader's state.
--- a/crates/standby/src/payload.rs
+++ b/crates/standby/src/payload.rs
@@ -18,13 +18,13 @@
 /// Why a payload cannot be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PayloadError {
-    /// It is too short for the size header.
+    /// The payload is too short for the size header.
     #[error("the payload is too short for its size header")]
     MissingSize,
-    /// Its size header, in bytes, exceeds the limit.
+    /// The size in the payload's header, in bytes, exceeds the limit.
     #[error("the payload's size of {0} bytes exceeds the limit of {MAX_DECOMPRESSED_BYTES}")]
     TooLarge(usize),
-    /// It cannot be decompressed to the size in its header.
+    /// The payload cannot be decompressed to the size in its header.
     #[error("the payload is not valid LZ4, or does not match its size header")]
     Compression,
     /// The decompressed bytes are not an encoded list of decisions.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -38,7 +38,7 @@
     /// Zone of the controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its address for the other controllers, which is `back` in its own settings.
+    /// Address of the controller for the other controllers, which is `back` in the controller's own settings.
     #[serde(rename = "address")]
     pub peer_addr: SocketAddr,
 }
--- a/src/leader/task_grants.rs
+++ b/src/leader/task_grants.rs
@@ -68,7 +68,7 @@
     Unused,
     /// The task must no longer start: its job has ended, or the task is done.
     Ended,
-    /// Its gang is being stopped.
+    /// The task's gang is being stopped.
     GangStopped,
 }
 
--- a/src/shard/heartbeat.rs
+++ b/src/shard/heartbeat.rs
@@ -10,7 +10,7 @@
 
 /// The shard responsible for a machine.
 enum Responsibility {
-    /// This shard.
+    /// The shard that received the heartbeat.
     Own,
     /// The shard of another controller.
     Other(NodeId),
