--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The monotonic clock of the process.
-    pub steady: MonotonicTime,
+    pub monotonic: MonotonicTime,
     /// The wall clock.
     pub wall: WallTime,
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -119,11 +119,11 @@
         act: impl FnOnce(&mut Option<Leader>, &ClusterView<'_>) -> T,
     ) -> T {
         let cluster = ClusterView {
-            now: now.steady,
+            now: now.monotonic,
             wall: now.wall,
             replica: &self.replica,
             synced_at: self.rights.synced_at().unwrap_or_default(),
-            served_for_ms: self.rights.served_for(now.steady),
+            served_for_ms: self.rights.served_for(now.monotonic),
             catalog: &self.catalog,
             completed_tasks: &self.shard.completed_tasks,
             settings: &self.settings,
@@ -207,7 +207,7 @@
             self.shard.queue_cancellation_kills(&replica_changes.cancelled_jobs);
         }
         if replica_changes.job_progress || replica_changes.new_jobs {
-            self.complete_gangs(now.steady);
+            self.complete_gangs(now.monotonic);
         }
         if self.catalog.is_empty()
             && let Some(catalog) = self.replica.all_machine_types()
--- a/src/controller/coordination.rs
+++ b/src/controller/coordination.rs
@@ -59,7 +59,7 @@
 
     /// Computes an epoch. Returns `None` if this controller does not lead or may no longer lead.
     pub fn epoch(&mut self, now: ClockReading) -> Option<(Epoch, Term)> {
-        if !self.rights.may_lead(now.steady) {
+        if !self.rights.may_lead(now.monotonic) {
             return None;
         }
         self.with_leader(now, |leader, cluster| (leader.epoch(cluster), leader.term))
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -45,7 +45,7 @@
     pub(super) fn follow_leader_key(&mut self, now: ClockReading) {
         let replica_term = self.replica.term;
         if self.shard.begin_term(replica_term) {
-            self.log_term(now.steady);
+            self.log_term(now.monotonic);
         }
         self.leader_from_peer = self.leader_from_peer.take().filter(|r| r.term > replica_term);
         if self.leader_from_peer.is_some() {
@@ -71,7 +71,7 @@
             }
             (None, None) => {}
         }
-        self.follow_another_leader(now.steady);
+        self.follow_another_leader(now.monotonic);
     }
 
     /// Logs the replica's term, its leader, and the age of the proof that the replica is current.
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -179,14 +179,14 @@
         let Some(mut standby) = self.standby.take() else { return };
         let followed = standby.followed_leader();
         let event = FailoverEvent::TermRecorded { term, is_own: true };
-        let is_failover = standby.step(now.steady, event) == Some(FailoverCommand::Verify(term));
+        let is_failover = standby.step(now.monotonic, event) == Some(FailoverCommand::Verify(term));
         let counts = is_failover.then(|| {
             let state = standby.mirror().state();
             let counts =
                 self.with_leader(now, |leader, cluster| leader.apply_hints(cluster, state));
             counts.unwrap_or_default()
         });
-        standby.begin_leading(now.steady, term, counts);
+        standby.begin_leading(now.monotonic, term, counts);
         if standby.completed_failover(FailoverCause::Suspicion, term)
             && let (Some(followed), Some(leader)) = (followed, &mut self.leader)
         {
@@ -198,7 +198,7 @@
     /// As the leader, records the current decisions for the standbys.
     pub(super) fn record_decisions(&mut self, now: ClockReading) {
         let Some(mut standby) = self.standby.take() else { return };
-        if standby.is_record_due(now.steady) {
+        if standby.is_record_due(now.monotonic) {
             let recorded =
                 standby.decision_log().map(|log| log.state().clone()).unwrap_or_default();
             let target =
@@ -214,7 +214,7 @@
     pub fn standby_status(&self, now: ClockReading) -> Option<Status> {
         let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let standby = self.standby.as_ref()?;
-        Some(standby.status(now.steady, now.wall, self.local_node, &names))
+        Some(standby.status(now.monotonic, now.wall, self.local_node, &names))
     }
 
     /// Returns the result of the last failover's verification of the mirrored decisions; `None` if
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -34,7 +34,7 @@
             item(replica::TERM_KEY, wire::to_value(&TermRecord { term: Term(term) })),
         ]
     };
-    let now = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
+    let now = ClockReading { monotonic: MonotonicTime(0), wall: WallTime(0) };
     let leader = ReplicaChanges { leader: true, ..ReplicaChanges::default() };
     let mut controller =
         Controller::new(Rc::new(Settings::parse(EXAMPLE).unwrap()), Incarnation(5));
@@ -78,7 +78,7 @@
     let mut controller = Controller::new(settings, Incarnation(5));
     controller.load(&items, Revision(9));
     controller.on_replica_changes(
-        ClockReading { steady: MonotonicTime(0), wall: WallTime(0) },
+        ClockReading { monotonic: MonotonicTime(0), wall: WallTime(0) },
         &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
     );
     let (mut changes, mut written) = (0, std::collections::BTreeSet::new());
@@ -129,7 +129,7 @@
             Revision(9),
         );
         controller.on_replica_changes(
-            ClockReading { steady: MonotonicTime(0), wall: WallTime(0) },
+            ClockReading { monotonic: MonotonicTime(0), wall: WallTime(0) },
             &ReplicaChanges { leader: true, ..ReplicaChanges::default() },
         );
         let completed = planned.map(|count| (1, count)).into_iter().collect();
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -27,7 +27,7 @@
 
 /// Returns clock readings `ms` milliseconds after the controller started.
 fn at(ms: u64) -> ClockReading {
-    ClockReading { steady: MonotonicTime(ms), wall: WallTime(1_000_000 + ms) }
+    ClockReading { monotonic: MonotonicTime(ms), wall: WallTime(1_000_000 + ms) }
 }
 
 /// Creates a leader of term 3 with two machines and a job of one task that term 2 granted.
--- a/src/leader/tests/precedence.rs
+++ b/src/leader/tests/precedence.rs
@@ -27,7 +27,7 @@
     let mut controller = leader();
     for (age_s, idle_s, done, held, at_limit, expected) in cases {
         let now =
-            ClockReading { steady: MonotonicTime(400_000), wall: WallTime(1 + age_s * 1_000) };
+            ClockReading { monotonic: MonotonicTime(400_000), wall: WallTime(1 + age_s * 1_000) };
         if let Some(leader) = &mut controller.leader {
             leader.jobs.idle_since.insert(JobId(1), MonotonicTime(400_000 - idle_s * 1_000));
         }
@@ -42,7 +42,7 @@
     }
     // Within a rank, the weight of a late job finally exceeds that of a job that is still in time.
     let weigh = |controller: &mut Controller, age_s: u64| {
-        let now = ClockReading { steady: MonotonicTime(1), wall: WallTime(1 + age_s * 1_000) };
+        let now = ClockReading { monotonic: MonotonicTime(1), wall: WallTime(1 + age_s * 1_000) };
         let weight_with_deadline = |cluster: &ClusterView<'_>| {
             let mut job = cluster.replica.jobs[&JobId(1)].clone();
             job.spec.deadline_s = Some(100.0);
--- a/src/service.rs
+++ b/src/service.rs
@@ -191,7 +191,7 @@
 
     /// Current time of both clocks.
     pub fn clock_reading(&self) -> ClockReading {
-        ClockReading { steady: self.now(), wall: self.wall_time() }
+        ClockReading { monotonic: self.now(), wall: self.wall_time() }
     }
 
     /// Runs the controller until the process is killed.
--- a/src/shard/tests.rs
+++ b/src/shard/tests.rs
@@ -55,7 +55,7 @@
         Revision(9),
     );
     controller.rights.lease = Some(StoreLease(1));
-    let moment = ClockReading { steady: MonotonicTime(0), wall: WallTime(0) };
+    let moment = ClockReading { monotonic: MonotonicTime(0), wall: WallTime(0) };
     controller
         .on_replica_changes(moment, &ReplicaChanges { leader: true, ..ReplicaChanges::default() });
     let grant = Grant { job: 1, tasks: TaskRanges::span(0, 1), zone: None, attempt: None };
--- a/src/shard/tests/direct_messages.rs
+++ b/src/shard/tests/direct_messages.rs
@@ -134,7 +134,7 @@
     let cancelled = replica::Progress { end: Some(JobState::Cancelled), ..Default::default() };
     let replica_changes = controller.apply_cancellation_notice(JobId(1), &cancelled, Revision(12));
     controller.on_replica_changes(
-        ClockReading { steady: MonotonicTime(ms), wall: WallTime(ms) },
+        ClockReading { monotonic: MonotonicTime(ms), wall: WallTime(ms) },
         &replica_changes,
     );
 }
--- a/src/shard/tests/terms.rs
+++ b/src/shard/tests/terms.rs
@@ -36,7 +36,7 @@
         controller.replica.load(&item, &mut replica_changes);
     }
     controller.on_replica_changes(
-        ClockReading { steady: MonotonicTime(1_000), wall: WallTime(1_000) },
+        ClockReading { monotonic: MonotonicTime(1_000), wall: WallTime(1_000) },
         &replica_changes,
     );
 }
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -209,7 +209,7 @@
     /// Records the decisions that hold now, if this controller leads.
     pub fn record_decisions(&mut self, now: ClockReading, target: &DecisionTarget) {
         if let Some(log) = &mut self.decision_log {
-            self.last_recorded_at = Some(now.steady);
+            self.last_recorded_at = Some(now.monotonic);
             log.record(now.wall, target);
         }
     }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -86,7 +86,7 @@
         // The monotonic clock runs fast by 250 ppm per controller index, so that no two clocks agree.
         let elapsed = now - self.started_at;
         let drift = elapsed * u64::from(self.controller.local_node.0) / 4_000;
-        ClockReading { steady: MonotonicTime(elapsed + drift), wall: WallTime(1_000_000 + now) }
+        ClockReading { monotonic: MonotonicTime(elapsed + drift), wall: WallTime(1_000_000 + now) }
     }
 }
 
--- a/tests/sim/world/controllers.rs
+++ b/tests/sim/world/controllers.rs
@@ -112,8 +112,8 @@
     pub(super) fn send_direct_messages(&mut self, n: usize) {
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.clock_reading(now).steady;
-        for direct in node.controller.direct_messages_due(steady, 8) {
+        let monotonic = node.clock_reading(now).monotonic;
+        for direct in node.controller.direct_messages_due(monotonic, 8) {
             if let Ok(w) = direct.endpoint.parse() {
                 let message = Message::DirectCommands(n, w, direct, now);
                 self.send(Endpoint::Node(n), Endpoint::Worker(w), message);
@@ -173,7 +173,7 @@
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let sent = node.clock_reading(now).steady;
+        let sent = node.clock_reading(now).monotonic;
         if !node.controller.loaded {
             return;
         }
@@ -221,20 +221,20 @@
             controller.on_replica_changes(clock, &initial_changes);
         }
         let changes = self.store.changes_after(controller.replica.revision);
-        if let Some(replica_changes) = controller.apply_watch_response(&changes, clock.steady) {
+        if let Some(replica_changes) = controller.apply_watch_response(&changes, clock.monotonic) {
             controller.on_replica_changes(clock, &replica_changes);
         }
-        if controller.candidacy(clock.steady).may_run()
+        if controller.candidacy(clock.monotonic).may_run()
             && let Some(txn) = controller.election_txn()
         {
             if let Some(trace) = &mut self.trace {
                 trace.record_candidacy(now);
             }
-            controller.on_leader_lease_expired(clock.steady);
+            controller.on_leader_lease_expired(clock.monotonic);
             self.take_term(n, &txn);
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        if let Some(txn) = node.controller.completions_txn(clock.steady) {
+        if let Some(txn) = node.controller.completions_txn(clock.monotonic) {
             self.commit(n, &txn);
         }
     }
@@ -246,7 +246,7 @@
                 .arrival(Endpoint::Node(n), Endpoint::Node(m))
                 .is_some_and(|at| at < self.now + 100);
             let Some(peer) = self.running_node(m) else { continue };
-            let leader = peer.controller.leader_for_peer(peer.clock_reading(self.now).steady);
+            let leader = peer.controller.leader_for_peer(peer.clock_reading(self.now).monotonic);
             if let (true, Some(leader), Ok(node)) = (reached, leader, &mut self.nodes[n]) {
                 node.controller.adopt_leader_from_peer(leader);
             }
@@ -260,13 +260,13 @@
         }
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.clock_reading(now).steady;
+        let monotonic = node.clock_reading(now).monotonic;
         let Some(leader) = node.controller.leader().map(|l| usize::from(l.0)) else {
             return;
         };
         if leader == n {
-            let summary = node.controller.summary(steady, usize::MAX);
-            let (response, _) = node.controller.receive_summary(steady, summary);
+            let summary = node.controller.summary(monotonic, usize::MAX);
+            let (response, _) = node.controller.receive_summary(monotonic, summary);
             node.controller.apply_leader_response(response);
             return;
         }
@@ -275,11 +275,11 @@
         let direct = arrival.is_some_and(|at| at < now + 500);
         let max_bytes = if direct { MAX_DIRECT_BYTES } else { MAX_STORE_MESSAGE_BYTES };
         let Ok(node) = &mut self.nodes[n] else { return };
-        let summary = node.controller.summary(steady, max_bytes);
+        let summary = node.controller.summary(monotonic, max_bytes);
         let largest = &mut self.largest_message_bytes[usize::from(!direct)];
         *largest = (*largest).max(peer::encode(&summary).len());
         if direct {
-            let message = Message::Summary(n, leader, Box::new(summary), steady);
+            let message = Message::Summary(n, leader, Box::new(summary), monotonic);
             self.send(Endpoint::Node(n), Endpoint::Node(leader), message);
         } else {
             self.send_through_store(n, leader, summary);
@@ -302,8 +302,8 @@
             node.next_store_message_at = now + 600;
         }
         let Ok(leader) = &mut self.nodes[leader] else { return };
-        let steady = leader.clock_reading(now).steady;
-        let (response, _) = leader.controller.receive_summary(steady, summary);
+        let monotonic = leader.clock_reading(now).monotonic;
+        let (response, _) = leader.controller.receive_summary(monotonic, summary);
         self.messages_sent += 1;
         self.messages
             .insert((now + 600, self.messages_sent), Message::PeerResponse(n, response, None));
@@ -359,7 +359,7 @@
         let now = self.now;
         let Ok(node) = &mut self.nodes[n] else { return };
         let clock = node.clock_reading(now);
-        if !node.controller.rights.may_lead(clock.steady) {
+        if !node.controller.rights.may_lead(clock.monotonic) {
             return;
         }
         let scaled_in = node
@@ -390,7 +390,7 @@
             for (id, zone) in replacements {
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
-                leader.fleet.add_provisioned(clock.steady, &[id], &offer);
+                leader.fleet.add_provisioned(clock.monotonic, &[id], &offer);
             }
         }
     }
--- a/tests/sim/world/failover.rs
+++ b/tests/sim/world/failover.rs
@@ -24,8 +24,8 @@
             return self.crash(n, RESTART_MS);
         }
         if let Ok(node) = &mut self.nodes[n] {
-            let steady = node.clock_reading(now).steady;
-            node.controller.on_fence_completed(steady, outcome.as_ref());
+            let monotonic = node.clock_reading(now).monotonic;
+            node.controller.on_fence_completed(monotonic, outcome.as_ref());
         }
     }
 
@@ -36,8 +36,8 @@
             return;
         }
         let Ok(node) = &mut self.nodes[n] else { return };
-        let steady = node.clock_reading(now).steady;
-        match node.controller.standby_tick(steady) {
+        let monotonic = node.clock_reading(now).monotonic;
+        match node.controller.standby_tick(monotonic) {
             Some(FailoverCommand::ProbeLeader(_)) => self.probe_leader(n),
             Some(FailoverCommand::QueryPeers(term)) => self.query_peers(n, term),
             Some(FailoverCommand::Fence(_)) => self.fence_leader(n),
@@ -79,12 +79,12 @@
                 continue;
             };
             let silence_ms =
-                peer.controller.leader_silence_ms(peer.clock_reading(now).steady, term);
+                peer.controller.leader_silence_ms(peer.clock_reading(now).monotonic, term);
             let observation = PeerObservation { node: NodeId(m as u8), silence_ms };
             let Ok(node) = &mut self.nodes[n] else { return };
-            let steady = node.clock_reading(now).steady;
+            let monotonic = node.clock_reading(now).monotonic;
             if let Some(FailoverCommand::Fence(_)) =
-                node.controller.on_peer_observation(steady, observation)
+                node.controller.on_peer_observation(monotonic, observation)
             {
                 return self.fence_leader(n);
             }
--- a/tests/sim/world/faults.rs
+++ b/tests/sim/world/faults.rs
@@ -223,11 +223,11 @@
             if self.rng.random_bool(0.5)
                 && let Ok(node) = &mut self.nodes[leader]
             {
-                let steady = node.clock_reading(self.now).steady;
+                let monotonic = node.clock_reading(self.now).monotonic;
                 let offer =
                     MachineOffer { machine_type: "small".into(), zone: zone.into(), spot: false };
                 if let Some(leader) = &mut node.controller.leader {
-                    leader.fleet.add_provisioned(steady, &[name], &offer);
+                    leader.fleet.add_provisioned(monotonic, &[name], &offer);
                 }
             }
         }
--- a/tests/sim/world/messages.rs
+++ b/tests/sim/world/messages.rs
@@ -101,9 +101,9 @@
         match message {
             Message::Heartbeat(w, n, heartbeat) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.clock_reading(now).steady;
+                let monotonic = node.clock_reading(now).monotonic;
                 let started = Instant::now();
-                let answer = node.controller.on_heartbeat(steady, &heartbeat);
+                let answer = node.controller.on_heartbeat(monotonic, &heartbeat);
                 self.heartbeats.count += 1;
                 self.heartbeats.total += started.elapsed();
                 let answer = match answer {
@@ -121,8 +121,8 @@
             }
             Message::HeartbeatCopy(n, heartbeat) => {
                 if let Ok(node) = &mut self.nodes[n] {
-                    let steady = node.clock_reading(now).steady;
-                    node.controller.on_heartbeat(steady, &heartbeat);
+                    let monotonic = node.clock_reading(now).monotonic;
+                    node.controller.on_heartbeat(monotonic, &heartbeat);
                 }
             }
             Message::DirectCommands(n, w, request, sent)
@@ -161,8 +161,8 @@
                     && now - sent < 1_000
                     && sent >= node.started_at
                 {
-                    let steady = node.clock_reading(now).steady;
-                    node.controller.on_direct_response(steady, &request, &heartbeat);
+                    let monotonic = node.clock_reading(now).monotonic;
+                    node.controller.on_direct_response(monotonic, &request, &heartbeat);
                 }
             }
             Message::HeartbeatResponse(w, ..)
@@ -184,9 +184,9 @@
             }
             Message::Summary(from, to, summary, sent) => {
                 let Ok(node) = &mut self.nodes[to] else { return };
-                let steady = node.clock_reading(now).steady;
-                node.controller.last_peer_contact = steady;
-                let (mut response, _) = node.controller.receive_summary(steady, *summary);
+                let monotonic = node.clock_reading(now).monotonic;
+                node.controller.last_peer_contact = monotonic;
+                let (mut response, _) = node.controller.receive_summary(monotonic, *summary);
                 if let PeerResponse::Plan(plan) = &mut response
                     && now < self.decision_log_lags_until
                 {
@@ -216,9 +216,9 @@
             }
             Message::Probed(n, outcome) => {
                 let Ok(node) = &mut self.nodes[n] else { return };
-                let steady = node.clock_reading(now).steady;
+                let monotonic = node.clock_reading(now).monotonic;
                 if let Some(FailoverCommand::Fence(_)) =
-                    node.controller.on_probe_completed(steady, outcome)
+                    node.controller.on_probe_completed(monotonic, outcome)
                 {
                     self.fence_leader(n);
                 }
@@ -229,11 +229,11 @@
                     match sent {
                         Some(sent) => node.controller.record_leader_response(sent, &response),
                         None => {
-                            let steady = node.clock_reading(now).steady;
-                            node.controller.record_leader_message_from_store(steady, &response);
+                            let monotonic = node.clock_reading(now).monotonic;
+                            node.controller.record_leader_message_from_store(monotonic, &response);
                         }
                     }
-                    node.controller.last_peer_contact = node.clock_reading(now).steady;
+                    node.controller.last_peer_contact = node.clock_reading(now).monotonic;
                     node.controller.apply_leader_response(response);
                 }
             }
