--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -159,7 +159,7 @@
             }
         }
         let may_hold = cluster.replica.machines.iter().filter(|(id, record)| {
-            record.up && record.gone.is_none() && !fleet.terminated.contains(*id)
+            record.up && record.terminated_at.is_none() && !fleet.terminated.contains(*id)
         });
         fleet.unreconciled = may_hold.map(|(id, _)| id.clone()).collect();
         fleet
--- a/src/fleet/ownership.rs
+++ b/src/fleet/ownership.rs
@@ -263,7 +263,7 @@
     /// Adds the machines with a stored record that are not known to be terminated.
     fn add_recorded_machines(&mut self, cluster: &ClusterView<'_>) {
         for (id, record) in &cluster.replica.machines {
-            if record.gone.is_some()
+            if record.terminated_at.is_some()
                 || self.machines.contains_key(id)
                 || self.terminated.contains(id)
             {
--- a/src/leader/machine_records.rs
+++ b/src/leader/machine_records.rs
@@ -65,18 +65,18 @@
     /// Returns whether a machine is up but on record neither as up nor as terminated.
     fn is_new(&self, id: &MachineId, machine: &FleetMachine) -> bool {
         let known = self.cluster.replica.machines.get(id);
-        machine.up && known.is_none_or(|record| !record.up && record.gone.is_none())
+        machine.up && known.is_none_or(|record| !record.up && record.terminated_at.is_none())
     }
 
     /// Returns whether a machine is terminated but not on record as terminated.
     fn is_newly_terminated(&self, id: &MachineId, record: &MachineRecord) -> bool {
-        record.gone.is_none() && self.fleet.terminated.contains(id)
+        record.terminated_at.is_none() && self.fleet.terminated.contains(id)
     }
 
     /// Returns whether a tombstone has been kept for long enough.
     fn is_expired(&self, record: &MachineRecord) -> bool {
         let wall = self.cluster.wall;
-        record.gone.is_some_and(|at| wall.0.saturating_sub(at.0) > TOMBSTONE_RETENTION_MS)
+        record.terminated_at.is_some_and(|at| wall.0.saturating_sub(at.0) > TOMBSTONE_RETENTION_MS)
     }
 
     /// Returns the key that a new machine is written to: the first key that names it, else the own
@@ -106,7 +106,7 @@
         let mut machines: BTreeMap<MachineId, MachineRecord> = BTreeMap::new();
         for (id, record) in replica.machines_in_group(group) {
             let record = replica.machines.get(id).unwrap_or(record);
-            if record.gone.is_none() && !self.is_newly_terminated(id, record) {
+            if record.terminated_at.is_none() && !self.is_newly_terminated(id, record) {
                 machines.insert(id.clone(), record.clone());
             } else if !self.is_expired(record) {
                 machines.insert(id.clone(), record.tombstone(self.cluster.wall));
@@ -178,7 +178,7 @@
         zone: machine.offer.zone.clone(),
         spot: machine.offer.spot,
         up: true,
-        gone: None,
+        terminated_at: None,
         endpoint: machine.endpoint.to_string(),
     }
 }
--- a/src/replica/machine_groups.rs
+++ b/src/replica/machine_groups.rs
@@ -53,7 +53,7 @@
         records
             .filter(|(other, _)| other == id)
             .map(|(_, record)| record)
-            .max_by_key(|record| (record.gone.is_some(), record.up))
+            .max_by_key(|record| (record.terminated_at.is_some(), record.up))
     }
 
     /// Returns the groups that name a machine.
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -77,12 +77,12 @@
 
     /// Whether a machine may receive tasks: it is durably recorded as up and not as terminated.
     pub fn is_machine_up(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|machine| machine.up && machine.gone.is_none())
+        self.machines.get(id).is_some_and(|machine| machine.up && machine.terminated_at.is_none())
     }
 
     /// Whether a machine is durably recorded as terminated.
     pub fn is_machine_gone(&self, id: &MachineId) -> bool {
-        self.machines.get(id).is_some_and(|machine| machine.gone.is_some())
+        self.machines.get(id).is_some_and(|machine| machine.terminated_at.is_some())
     }
 
     /// Returns the condition that the known leader record is unchanged; `None` without a leader.
--- a/src/replica/records.rs
+++ b/src/replica/records.rs
@@ -91,8 +91,8 @@
     pub up: bool,
     /// Time of termination, set once termination is proven. The record is kept for a while so that
     /// late heartbeats are recognized as such.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gone: Option<WallTime>,
+    #[serde(rename = "gone", default, skip_serializing_if = "Option::is_none")]
+    pub terminated_at: Option<WallTime>,
     /// Address of the machine's worker, for controllers that never received a heartbeat from the
     /// machine.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -107,7 +107,7 @@
             machine_type: String::new(),
             zone: String::new(),
             endpoint: String::new(),
-            gone: Some(self.gone.unwrap_or(at)),
+            terminated_at: Some(self.terminated_at.unwrap_or(at)),
             ..*self
         }
     }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -15,7 +15,7 @@
         zone: "a".into(),
         spot: false,
         up: true,
-        gone: None,
+        terminated_at: None,
         endpoint: String::new(),
     };
     let machines = ids.iter().map(|id| (MachineId::new(id), record.clone()));
--- a/src/shard/direct_commands.rs
+++ b/src/shard/direct_commands.rs
@@ -161,7 +161,7 @@
             agent_epoch: newest.order.agent_epoch,
         });
         let by_record = || {
-            let machine = replica.machines.get(id).filter(|m| m.up && m.gone.is_none())?;
+            let machine = replica.machines.get(id).filter(|m| m.up && m.terminated_at.is_none())?;
             let endpoint = machine.endpoint.as_str().into();
             Some(WorkerAddress { endpoint, agent_epoch: AgentEpoch(1) })
         };
--- a/tests/upgrade/main.rs
+++ b/tests/upgrade/main.rs
@@ -199,7 +199,7 @@
     assert!(member.capabilities < CAPABILITIES);
     assert_eq!(value::<TermRecord>(&f["term"]).term, Term(41));
     let group: MachineGroup = value(&f["m"]);
-    let states: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.gone)).collect();
+    let states: Vec<_> = group.machines.iter().map(|(_, m)| (m.up, m.terminated_at)).collect();
     assert_eq!(states, [(true, None), (true, Some(WallTime(5)))]);
     assert_eq!(value::<EpochRecord>(&f["e"]).granted, [(JobId(412), TaskRanges::span(0, 9))]);
     assert_eq!(value::<OfferedLoad>(&f["load"]), OfferedLoad::default());
@@ -271,7 +271,7 @@
         zone: "a".into(),
         spot: false,
         up: true,
-        gone: None,
+        terminated_at: None,
         endpoint: String::new(),
     };
     let machines =
@@ -292,7 +292,7 @@
         zone: "binh-duong".into(),
         spot: false,
         up: true,
-        gone: None,
+        terminated_at: None,
         endpoint: "10.1.0.232:9000".into(),
     };
     let machines = (24..48).map(|n| (machine(&format!("n-{n:06}")), record.clone())).collect();
