--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -1,6 +1,6 @@
 //! High load: many small jobs, more jobs than the machines can run, teams at their limits.
 
-use crate::site::{BRISK, SLOW};
+use crate::site::{LONG_LEASES, SHORT_LEASES};
 use crate::world::{Fault, World};
 
 use Fault::{AggressivePolling, CrashLeader};
@@ -12,12 +12,13 @@
     faults.sort_by_key(|f| f.0);
     let mut world = World::many_small_jobs(1, 720);
     world.run(&faults, 300_000);
-    assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
+    assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations);
     assert!(world.unfinished().is_empty(), "{:?}", world.unfinished());
     for n in 0..3 {
-        let (keys, [open, ended, cancelled]) = world.record_counts(n);
+        let (keys, [open, ended, residual]) = world.record_counts(n);
         assert_eq!((open, ended), (0, 720), "{n}");
-        assert!((100..=180).contains(&cancelled), "{n}: {cancelled}");
+        // Each cancelled job leaves a record of residual usage. Completed jobs leave none, as no job is a gang.
+        assert!((100..=180).contains(&residual), "{n}: {residual} records of residual usage");
         // Two keys per job, and some shared ones.
         assert!(keys < 2 * 720 + 60, "{keys} keys");
     }
@@ -29,20 +30,21 @@
 fn a_large_job_begins_in_time_beside_much_high_priority_work() {
     let mut world = World::overloaded(1);
     world.run(&[], 320_000);
-    assert!(world.checker.broken.is_empty(), "{:?}", world.checker.broken);
+    assert!(world.checker.violations.is_empty(), "{:?}", world.checker.violations);
     assert!(!world.unfinished().is_empty(), "all jobs ended, so there was no overload");
 }
 
 #[test]
 fn no_job_starves_while_a_team_is_at_its_limit() {
-    // Jobs need more cores than the team's limit allows, and a few cores are always free between two tasks.
+    // The jobs together need more cores than the team's limit allows. As tasks keep ending, a few cores below the
+    // limit are always free.
     for seed in 1..=5 {
-        for (rhythm, interval_ms) in [(BRISK, 800), (SLOW, 1_600)] {
-            let mut world = World::busy(seed, rhythm);
+        for (timing, interval_ms) in [(SHORT_LEASES, 800), (LONG_LEASES, 1_600)] {
+            let mut world = World::busy(seed, timing);
             world.submission_interval_ms = interval_ms;
             world.run(&[], 420_000);
-            let broken = &world.checker.broken;
-            assert!(broken.is_empty(), "{seed} {rhythm:?}: {broken:?}");
+            let broken = &world.checker.violations;
+            assert!(broken.is_empty(), "{seed} {timing:?}: {broken:?}");
         }
     }
 }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -26,7 +26,7 @@
 
 use crate::check::{Checker, Event};
 use crate::failover::{FailoverTrace, Observed, ObservedLeader};
-use crate::site::{BRISK, Rhythm, SLOW, ZONES, catalog, spec};
+use crate::site::{LONG_LEASES, SHORT_LEASES, WorkerTiming, ZONES, catalog, spec};
 use crate::store::Store;
 use crate::worker::{Answer, Change, Worker};
 
@@ -122,7 +122,7 @@
 pub struct World {
     now: u64,
     /// Heartbeat interval, worker lease and cancellation time.
-    rhythm: Rhythm,
+    timing: WorkerTiming,
     /// Cores that the team may use.
     team_limit: u64,
     /// Source of all random decisions. The order of draws determines what happens for a seed.
@@ -161,7 +161,8 @@
     collect_copies_until: u64,
     /// Heartbeats whose copies are delivered when the leader changes.
     held_copies: Vec<Heartbeat>,
-    /// The leader, and its term, for whose successor heartbeats are copied.
+    /// Index and term of the leader at the start of [`Fault::LateCopiesForNextLeader`], or at the last delivery of
+    /// copies.
     previous_leader: Option<(usize, u64)>,
     /// End of [`Fault::CancelAtEnd`].
     cancel_at_end_until: u64,
@@ -171,8 +172,8 @@
     just_ended: Vec<u64>,
     /// Jobs of the tasks that completed in this step.
     completed_this_step: Vec<u64>,
-    /// Times and jobs of scheduled cancellations: first ones and repetitions.
-    cancel_retries: Vec<(u64, u64)>,
+    /// Cancellations that users will request, first ones and repetitions: time and id of the job.
+    scheduled_cancellations: Vec<(u64, u64)>,
     /// Whether controllers send each other cancellation notices.
     pub sends_cancellation_notices: bool,
     /// The stage of a task at which users cancel its job, and the end of [`Fault::CancelInFlight`].
@@ -223,7 +224,8 @@
     pub trace: Option<FailoverTrace>,
     /// Settings of the warm standby; `None` if controllers run without it.
     pub standby: Option<StandbySettings>,
-    /// Whether the leader crashes in its next epoch with a write: after the write if true, before it if false.
+    /// Whether the leader crashes in its next epoch that writes to the store: after the write if true, before it
+    /// if false.
     crash_in_epoch: Option<bool>,
     /// Whether the next controller that takes a term crashes at once.
     crash_successor: bool,
@@ -235,7 +237,8 @@
     pub changes_of_leader: u64,
     /// The leader observed last: its controller and incarnation.
     last_leader: Option<(usize, u64)>,
-    /// Actions that a replaced leader did not execute, as the store showed that it no longer led.
+    /// Number of times at which a replaced leader learned from the store that it no longer led and did not execute
+    /// its next action.
     pub refused_actions: u64,
     /// Real time in which leaders computed and published epochs.
     pub epochs: Timing,
@@ -243,7 +246,7 @@
     pub heartbeats: Timing,
 }
 
-/// Removes the capabilities from a member record, as the version without gangs does not write them.
+/// Removes all fields but the incarnation from a member record. The version without gangs writes no others.
 fn strip_member_record_for_old_version(change: &mut willowshore::wire::Change) {
     if let willowshore::wire::Change::Put { value: willowshore::wire::Value::Map(fields), .. } =
         change
@@ -254,16 +257,16 @@
 
 impl World {
     /// Creates a site with three controllers, eight workers and eight jobs, without faults.
-    pub fn new(seed: u64, rhythm: Rhythm) -> Self {
-        let workers = (0..8).map(|i| Worker::new(i, ZONES[i % 2], 0, rhythm)).collect();
+    pub fn new(seed: u64, timing: WorkerTiming) -> Self {
+        let workers = (0..8).map(|i| Worker::new(i, ZONES[i % 2], 0, timing)).collect();
         World {
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
-            rhythm,
+            timing,
             team_limit: TEAM_LIMIT_CORES,
             largest_message_bytes: [0; 2],
             writes: 0,
-            checker: Checker::new(rhythm.cancel_ms, TEAM_LIMIT_CORES),
+            checker: Checker::new(timing.cancel_ms, TEAM_LIMIT_CORES),
             store: Store::default(),
             nodes: (0..3).map(|_| Err(0)).collect(),
             workers,
@@ -284,7 +287,7 @@
             polling_until: 0,
             just_ended: Vec::new(),
             completed_this_step: Vec::new(),
-            cancel_retries: Vec::new(),
+            scheduled_cancellations: Vec::new(),
             sends_cancellation_notices: true,
             cancels_in_flight: None,
             pending_hangs: Vec::new(),
@@ -329,13 +332,13 @@
             let replica = &node.controller.replica;
             [replica.jobs.len(), replica.ended.len(), replica.residual_usage.len()]
         });
-        (self.store.len(), jobs)
+        (self.store.key_count(), jobs)
     }
 
     /// Injects `faults`, which are sorted by time, and runs until `until`. Stops earlier, but not within the
     /// first minute, when all jobs have ended and no fault is left.
     pub fn run(&mut self, faults: &[(u64, Fault)], until: u64) {
-        // A fault counts as over for users when crashed controllers run again and delayed messages have arrived.
+        // A fault is over when crashed controllers run again and delayed messages have arrived.
         let ends = |f: &(u64, Fault)| f.0 + f.1.duration_ms() + RESTART_MS;
         self.faults_over_at = faults.iter().map(ends).max().unwrap_or(0);
         let mut faults = faults.iter().peekable();
@@ -398,7 +401,7 @@
     /// Returns whether a request of a controller reaches the store and is served now.
     fn reaches_store(&mut self, node: usize) -> bool {
         let now = self.now;
-        self.store.up(now)
+        self.store.is_up(now)
             && !self.store_refusals.iter().any(|(n, until)| *n == node && *until > now)
             && self.arrival(Endpoint::Node(node), Endpoint::Store).is_some_and(|at| at < now + 100)
     }
@@ -407,19 +410,19 @@
     fn record_worker_changes(&mut self, worker: usize, changes: Vec<Change>) {
         for change in changes {
             let event = match change {
-                Change::Runs(t) => {
+                Change::Started(t) => {
                     let task = (t.job.0, t.index);
-                    self.checker.see(self.now, Event::Began { job: t.job.0 });
+                    self.checker.record(self.now, Event::JobStarted { job: t.job.0 });
                     let zone = self.workers[worker].zone;
                     let in_one_zone = self.jobs.get(&t.job.0).is_some_and(|j| j.one_zone);
                     let zone = in_one_zone.then_some(zone);
-                    Event::Starts { task, machine: worker, team: 0, cores: TASK_CORES, zone }
+                    Event::TaskStarted { task, machine: worker, team: 0, cores: TASK_CORES, zone }
                 }
-                Change::Leaves(t) | Change::Completes(t) => {
-                    Event::Leaves { task: (t.job.0, t.index), machine: worker }
+                Change::Exited(t) | Change::Completed(t) => {
+                    Event::TaskStopped { task: (t.job.0, t.index), machine: worker }
                 }
             };
-            self.checker.see(self.now, event);
+            self.checker.record(self.now, event);
         }
     }
 
@@ -429,7 +432,7 @@
         if now >= self.limits_fall_at {
             self.store.limits = self.next_limits;
         }
-        self.store.tick(now);
+        self.store.expire_leases(now);
         self.begin_hangs();
         let due: Vec<Txn> = {
             let (due, late) =
@@ -438,14 +441,14 @@
             let due: Vec<(u64, Txn)> = due;
             due.into_iter().map(|l| l.1).collect()
         };
-        if self.store.up(now) {
+        if self.store.is_up(now) {
             for txn in due {
                 self.store.commit(&txn);
             }
         }
         for w in 0..self.workers.len() {
-            if self.workers[w].taken_at.take_if(|at| *at <= now).is_some() {
-                let changes = self.workers[w].vanish();
+            if self.workers[w].reclaimed_at.take_if(|at| *at <= now).is_some() {
+                let changes = self.workers[w].terminate();
                 self.record_worker_changes(w, changes);
             }
             let jobs = &self.jobs;
@@ -458,7 +461,7 @@
             };
             let changes = self.workers[w].tick(now, run_ms, is_gang);
             for change in &changes {
-                if let Change::Completes(t) = change {
+                if let Change::Completed(t) = change {
                     self.completed.insert(*t);
                     self.completed_this_step.push(t.job.0);
                     // A gang is done as soon as one of its tasks is.
@@ -472,7 +475,7 @@
             self.record_worker_changes(w, changes);
             if let Some((node, heartbeat)) = self.workers[w].heartbeat(now) {
                 if now < self.late_copies_until && self.rng.random_bool(0.5) {
-                    let max_delay_ms = self.rhythm.lease_ms * 5 / 2;
+                    let max_delay_ms = self.timing.lease_ms * 5 / 2;
                     let arrives_at = now + self.rng.random_range(1_000..max_delay_ms);
                     self.messages_sent += 1;
                     let copy = Message::HeartbeatCopy(node, heartbeat.clone());
@@ -504,14 +507,14 @@
         self.step_polling_users();
         self.report_waiting_jobs();
         self.report_team_use();
-        self.checker.see(now, Event::Tick);
+        self.checker.record(now, Event::Tick);
     }
 
     /// Reports to the checker how many cores the team's tasks use on all workers.
     fn report_team_use(&mut self) {
-        let tasks: usize = self.workers.iter().map(Worker::present).sum();
+        let tasks: usize = self.workers.iter().map(Worker::present_tasks).sum();
         let cores = tasks as u64 * TASK_CORES;
-        self.checker.see(self.now, Event::TeamUses { team: 0, cores });
+        self.checker.record(self.now, Event::TeamUsage { team: 0, cores });
     }
 
     /// Reports to the checker, for each job, whether a task waits although each zone has a machine with room
@@ -527,19 +530,20 @@
         });
         // Tasks that fetch their image count towards the limit.
         let tasks_on_workers =
-            self.workers.iter().filter(|w| !w.terminated).map(Worker::held).sum::<usize>() as u64;
+            self.workers.iter().filter(|w| !w.terminated).map(Worker::held_tasks).sum::<usize>()
+                as u64;
         let could = room_in_each_zone && (tasks_on_workers + 1) * TASK_CORES <= self.team_limit;
         for id in self.jobs.keys().copied().collect::<Vec<_>>() {
-            let accepted = self.store.has(&willowshore::replica::job_key(JobId(id)));
+            let accepted = self.store.has_key(&willowshore::replica::job_key(JobId(id)));
             let open = !self.ended_for_users.contains(&id) && !self.cancel_requested.contains(&id);
             let job = &self.jobs[&id];
             let has_waiting_task = (0..job.task_count).any(|index| {
                 let task = TaskId { job: JobId(id), index };
-                !self.completed.contains(&task) && !self.checker.is_on((id, index))
+                !self.completed.contains(&task) && !self.checker.is_on_a_machine((id, index))
             });
             // Gangs are left out: room for one task is not enough for them.
             let could = could && accepted && open && has_waiting_task && job.kind != JobKind::Gang;
-            self.checker.see(now, Event::JobWaiting { job: id, could });
+            self.checker.record(now, Event::JobWaiting { job: id, can_start: could });
         }
     }
 
